--- a/crates/edge/src/discovery/evacuations.rs
+++ b/crates/edge/src/discovery/evacuations.rs
@@ -6,7 +6,9 @@
 
 use harrierward_decisions::Record;
 use harrierward_relay::SpaceUpdate;
-use harrierward_serving::{EvacuatedZones, EvacuationNews, EvacuationRows, WorkClass, ZoneChange};
+use harrierward_serving::{
+    EvacuatedZones, EvacuationRows, EvacuationUpdate, WorkClass, ZoneChange,
+};
 use tokio::time::{Instant, sleep};
 
 use super::Discovery;
@@ -41,7 +43,7 @@
     }
 
     /// Rows that are not in force since there are too many: told again at each whole read, for as long as it is so.
-    fn log_without_room(&self, news: &EvacuationNews, origin: &str) {
+    fn log_without_room(&self, news: &EvacuationUpdate, origin: &str) {
         let standing = news.zones.iter().filter(|(_, mark)| !mark.is_over);
         for (zone, mark) in standing {
             if self.zones().zones.is_kept(zone) {
@@ -52,7 +54,7 @@
     }
 
     /// Takes what the store or a peer knows of evacuated zones.
-    pub fn take_evacuations(&self, news: &EvacuationNews, origin: &str) {
+    pub fn take_evacuations(&self, news: &EvacuationUpdate, origin: &str) {
         // The lock is held until the replicas know: an older set must not come after a newer one.
         let mut known = self.zones();
         let changes = known.zones.merge(news, harrierward_clock::now());
@@ -67,7 +69,7 @@
     }
 
     /// What this daemon knows of evacuated zones.
-    pub fn evacuations(&self) -> EvacuationNews {
+    pub fn evacuations(&self) -> EvacuationUpdate {
         self.zones().zones.news()
     }
 
--- a/crates/edge/src/peer_news.rs
+++ b/crates/edge/src/peer_news.rs
@@ -7,7 +7,7 @@
 
 use harrierward_decisions::{DecisionLog, Record};
 use harrierward_relay::SpaceUpdate;
-use harrierward_serving::{EvacuationNews, ZoneMark};
+use harrierward_serving::{EvacuationState, EvacuationUpdate};
 use harrierward_wire::{EvacuatedZone, Evacuations};
 use tokio::time::{Instant, sleep, timeout};
 
@@ -145,7 +145,7 @@
 }
 
 /// The message that carries the news.
-pub fn evacuations_message(news: &EvacuationNews) -> Evacuations {
+pub fn evacuations_message(news: &EvacuationUpdate) -> Evacuations {
     let zones = news.zones.iter().map(|(zone, mark)| EvacuatedZone {
         zone: zone.clone(),
         revision: mark.revision,
@@ -158,16 +158,16 @@
 }
 
 /// The news that a message carries.
-pub fn evacuation_news(message: Evacuations) -> EvacuationNews {
+pub fn evacuation_news(message: Evacuations) -> EvacuationUpdate {
     let zones = message.zones.into_iter().map(|told| {
-        let mark = ZoneMark {
+        let mark = EvacuationState {
             revision: told.revision,
             is_over: told.is_over,
         };
         (told.zone, mark)
     });
-    EvacuationNews {
+    EvacuationUpdate {
         complete_at: message.complete_at,
-        zones: zones.collect::<BTreeMap<String, ZoneMark>>(),
+        zones: zones.collect::<BTreeMap<String, EvacuationState>>(),
     }
 }
--- a/crates/edge/src/rates/mod.rs
+++ b/crates/edge/src/rates/mod.rs
@@ -18,7 +18,7 @@
 use arc_swap::ArcSwap;
 use async_trait::async_trait;
 use harrierward_decisions::{DecisionLog, Record};
-use harrierward_serving::{Location, RateAnswer, RateLimits, SharedRoutes};
+use harrierward_serving::{Location, RateLimits, RateStatus, SharedRoutes};
 use harrierward_tenants::{RateBounds, RateLedger, Succession, Tenant, TokenStock};
 use harrierward_wire::{NodeDatagram, RateGrant, encode, node_datagram};
 use tokio::net::UdpSocket;
@@ -231,30 +231,30 @@
 
 #[async_trait]
 impl RateLimits for RateService {
-    async fn admit(&self, tenant: &Tenant, request: &str) -> RateAnswer {
+    async fn admit(&self, tenant: &Tenant, request: &str) -> RateStatus {
         let now = harrierward_clock::now();
         match self.take_from_stock(tenant, now) {
-            Ok(()) => return RateAnswer::Within,
+            Ok(()) => return RateStatus::Within,
             Err(Some(retry_after)) => {
                 self.log_refusal(tenant, request, "", "refused before", now);
-                return RateAnswer::Over { retry_after };
+                return RateStatus::Over { retry_after };
             }
             Err(None) => {}
         }
         let (coordinator, asked) = self.ask_coordinators(tenant).await;
         match asked {
-            Asked::Granted => RateAnswer::Within,
+            Asked::Granted => RateStatus::Within,
             Asked::Empty(retry_after) => {
                 self.log_refusal(tenant, request, &coordinator, "at the limit", now);
-                RateAnswer::Over { retry_after }
+                RateStatus::Over { retry_after }
             }
             Asked::Other(_) => {
                 self.log_refusal(tenant, request, &coordinator, "not the coordinator", now);
-                RateAnswer::Unknown
+                RateStatus::Unknown
             }
             Asked::Silent => {
                 self.log_refusal(tenant, request, &coordinator, "no answer", now);
-                RateAnswer::Unknown
+                RateStatus::Unknown
             }
         }
     }
--- a/crates/edge/src/server/connection.rs
+++ b/crates/edge/src/server/connection.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use harrierward_serving::Cut;
+use harrierward_serving::ResponseAborted;
 use http::header::CONNECTION;
 use http::{HeaderValue, Request, Response};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -174,12 +174,12 @@
 
 impl Body for GuardedBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = ResponseAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         Pin::new(&mut self.body).poll_frame(context)
     }
 
--- a/crates/edge/src/server/mod.rs
+++ b/crates/edge/src/server/mod.rs
@@ -12,7 +12,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use harrierward_decisions::{DecisionLog, Record};
-use harrierward_serving::{CallerLimits, Cut};
+use harrierward_serving::{CallerLimits, ResponseAborted};
 use http::{Request, Response};
 use http_body_util::combinators::UnsyncBoxBody;
 use hyper::body::Incoming;
@@ -32,7 +32,7 @@
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Body of an answer; an error breaks the connection off.
-pub type ResponseBody = UnsyncBoxBody<Bytes, Cut>;
+pub type ResponseBody = UnsyncBoxBody<Bytes, ResponseAborted>;
 
 /// What serves the requests.
 #[async_trait]
--- a/crates/edge/src/slots/asking.rs
+++ b/crates/edge/src/slots/asking.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use harrierward_serving::{
-    Choice, ChosenBy, LeftRegion, PromptLength, SlotAnswer, SlotQuery, short_hash,
+    Choice, ChosenBy, CrossRegionReason, PromptLength, SlotQuery, SlotReply, short_hash,
 };
 use harrierward_slots::{COLD_GRANT_LIFETIME, GroupId, HOLDER_LIFETIME};
 use harrierward_tenants::AllowedRegions;
@@ -58,10 +58,10 @@
         query: &SlotQuery<'_>,
         service: u32,
         target: Target,
-    ) -> SlotAnswer {
+    ) -> SlotReply {
         let group = target.group;
         let mut answer = match self.coordinator(service, group) {
-            Coordinator::Nobody => SlotAnswer::NoCoordinator,
+            Coordinator::Nobody => SlotReply::NoCoordinator,
             Coordinator::Own => {
                 let answer = self.place_own(query, group);
                 self.note_own_room(query, service, group, &answer);
@@ -69,9 +69,9 @@
             }
             Coordinator::Peer(peer) => self.ask_peer(query, service, target, &peer).await,
         };
-        if let SlotAnswer::Given { choice, .. } = &mut answer {
+        if let SlotReply::Granted { choice, .. } = &mut answer {
             let is_away = choice.replica.location.region != self.location.region;
-            let why = target.left.unwrap_or(LeftRegion::Price);
+            let why = target.left.unwrap_or(CrossRegionReason::Price);
             choice.left_region = is_away.then_some(why);
         }
         answer
@@ -83,13 +83,13 @@
         service: u32,
         target: Target,
         coordinator: &CoordinatorCandidate,
-    ) -> SlotAnswer {
+    ) -> SlotReply {
         let group = target.group;
         let Some(address) = coordinator.address else {
-            return SlotAnswer::NoCoordinator;
+            return SlotReply::NoCoordinator;
         };
         if self.is_silent(&coordinator.id) {
-            return SlotAnswer::NoCoordinator;
+            return SlotReply::NoCoordinator;
         }
         let lease = {
             let mut state = self.lock();
@@ -106,7 +106,7 @@
         let mut ask = self.describe_ask(query, service, group, lease);
         self.tell_fleet(&mut ask);
         let asked_at = harrierward_clock::now();
-        ask.spilled = target.left == Some(LeftRegion::Full);
+        ask.spilled = target.left == Some(CrossRegionReason::Full);
         let give_up = query.objective / GIVE_UP_PART;
         let give_up = give_up.clamp(LEAST_PATIENCE, MOST_PATIENCE);
         let patience = CallPatience {
@@ -121,7 +121,7 @@
         let Some(grant) = self.calls.ask(lease, place, patience, send).await else {
             drop(awaiting);
             self.note_silent(&coordinator.id);
-            return SlotAnswer::NoCoordinator;
+            return SlotReply::NoCoordinator;
         };
         awaiting.answered = true;
         drop(awaiting);
@@ -140,18 +140,18 @@
         grant: &SlotGrant,
         coordinator: SocketAddr,
         asked_at: Instant,
-    ) -> SlotAnswer {
+    ) -> SlotReply {
         if grant.all_cold {
-            return SlotAnswer::AllCold;
+            return SlotReply::AllCold;
         }
         let may_wait = query.item.is_some() || query.overdue;
         let none = if may_wait && !grant.not_coordinator {
-            SlotAnswer::NoRoom
+            SlotReply::NoCapacity
         } else {
-            SlotAnswer::NoCoordinator
+            SlotReply::NoCoordinator
         };
         if grant.come_back_ms > 0 {
-            return SlotAnswer::ComeBack {
+            return SlotReply::RetryLater {
                 after: Duration::from_millis(u64::from(grant.come_back_ms)),
             };
         }
@@ -175,11 +175,11 @@
         if replica.is_cold(now) && cold_until.is_none() {
             // This daemon has heard sooner than the coordinator that the replica is cold.
             self.report_released(lease, coordinator);
-            return SlotAnswer::AllCold;
+            return SlotReply::AllCold;
         }
         let usage = usage_of(query.item, now);
         self.lock().held.take(lease, replica.hash, usage);
-        SlotAnswer::Given {
+        SlotReply::Granted {
             choice: Choice {
                 replica: replica.clone(),
                 by: ChosenBy::Coordinator,
@@ -227,7 +227,7 @@
             allowed_regions: region_names(query.regions),
             parts: parts.collect(),
             length: match query.length {
-                PromptLength::Alike => 0,
+                PromptLength::Uniform => 0,
                 PromptLength::Short => 1,
                 PromptLength::Long => 2,
             },
--- a/crates/edge/src/slots/choosing_group.rs
+++ b/crates/edge/src/slots/choosing_group.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use harrierward_serving::{
-    LeaseEnd, LeftRegion, PromptLength, ROOMY_PERMILLE, Replica, SlotAnswer, SlotLeases, SlotQuery,
-    Verdict, preference_weight, short_hash,
+    AttemptOutcome, CrossRegionReason, MIN_FREE_PERMILLE, PromptLength, ReleaseReport, Replica,
+    SlotLeases, SlotQuery, SlotReply, preference_weight, short_hash,
 };
 use harrierward_slots::{Crossing, GroupId, GroupLayout, is_better_off};
 
@@ -29,8 +29,8 @@
 impl Drop for QueuePlace<'_> {
     fn drop(&mut self) {
         if let Some(lease) = self.lease {
-            let not_needed = LeaseEnd {
-                verdict: Verdict::NotSent,
+            let not_needed = ReleaseReport {
+                verdict: AttemptOutcome::NotSent,
                 first_event: None,
             };
             self.service.release(lease, not_needed);
@@ -43,7 +43,7 @@
 pub(super) struct Target {
     pub group: GroupId,
     /// Why it lies in another region, if it does.
-    pub left: Option<LeftRegion>,
+    pub left: Option<CrossRegionReason>,
 }
 
 impl Target {
@@ -150,7 +150,7 @@
         let is_away = region.is_some_and(|region| region != self.location.region);
         Target {
             group,
-            left: is_away.then_some(LeftRegion::NoReplica),
+            left: is_away.then_some(CrossRegionReason::NoReplica),
         }
     }
 
@@ -184,7 +184,7 @@
         let own_area = near.iter().copied().filter(|group| group.area == area);
         let preferred = match query.length {
             PromptLength::Long => None,
-            PromptLength::Alike | PromptLength::Short => groups.preferred(own_area),
+            PromptLength::Uniform | PromptLength::Short => groups.preferred(own_area),
         };
         let preferred = preferred.or_else(|| groups.preferred(near.iter().copied()))?;
         let other = near[rand::random_range(0..near.len())];
@@ -195,7 +195,7 @@
             return Some(if is_full { other } else { preferred });
         }
         let free = |group| self.room(groups.service, group).free_permille;
-        if free(preferred) >= ROOMY_PERMILLE || free(preferred) >= free(other) {
+        if free(preferred) >= MIN_FREE_PERMILLE || free(preferred) >= free(other) {
             Some(preferred)
         } else {
             Some(other)
@@ -214,7 +214,7 @@
             || Target::near(groups.layout.at(0)),
             |group| Target {
                 group,
-                left: Some(LeftRegion::NoReplica),
+                left: Some(CrossRegionReason::NoReplica),
             },
         )
     }
@@ -236,7 +236,7 @@
         let (_, _, group) = worthwhile.min()?;
         Some(Target {
             group,
-            left: Some(LeftRegion::Full),
+            left: Some(CrossRegionReason::Full),
         })
     }
 
@@ -251,7 +251,7 @@
         service: u32,
         home: Target,
         lease: u32,
-    ) -> Option<SlotAnswer> {
+    ) -> Option<SlotReply> {
         if query.item.is_some() || query.overdue {
             return None;
         }
@@ -261,7 +261,7 @@
             lease: Some(lease),
         };
         let elsewhere = self.ask_group(query, service, target).await;
-        if matches!(elsewhere, SlotAnswer::Given { .. }) {
+        if matches!(elsewhere, SlotReply::Granted { .. }) {
             return Some(elsewhere);
         }
         at_home.lease = None;
@@ -281,7 +281,7 @@
             // Before it was ever measured, no longer than an answer is waited for.
             way: trip.map_or(objective / LONGEST_PART, |trip| trip * ROUND_TRIPS),
             price: Duration::from_secs_f64(self.costs.other_region_ms.max(0.0) / 1_000.0),
-            least_free_permille: ROOMY_PERMILLE,
+            least_free_permille: MIN_FREE_PERMILLE,
         })
     }
 
--- a/crates/edge/src/slots/granting.rs
+++ b/crates/edge/src/slots/granting.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use harrierward_serving::{
-    Choice, ChoiceQuery, ChosenBy, Location, Mechanism, Prompt, PromptLength, PromptPart,
-    ROOMY_PERMILLE, Replica, SlotAnswer, SlotQuery, choose_replica, short_hash,
+    Choice, ChoiceQuery, ChosenBy, Location, MIN_FREE_PERMILLE, Mechanism, Prompt, PromptLength,
+    PromptPart, Replica, SlotQuery, SlotReply, choose_replica, short_hash,
 };
 use harrierward_slots::{GroupAdmission, GroupId, Newcomer, SlotUse};
 use harrierward_tenants::AllowedRegions;
@@ -81,7 +81,7 @@
     }
 
     /// A lease for a request of this daemon's own, in a group that it keeps.
-    pub(super) fn place_own(&self, query: &SlotQuery<'_>, group: GroupId) -> SlotAnswer {
+    pub(super) fn place_own(&self, query: &SlotQuery<'_>, group: GroupId) -> SlotReply {
         let asker = Asker {
             location: self.location,
             is_excluded: &|replica| query.excluded.contains(&replica.record.id),
@@ -96,12 +96,12 @@
         };
         let Some(mut choice) = self.choose(query.service, group, &asker) else {
             if self.is_all_cold(&self.usable(&self.index(), query.service, group)) {
-                return SlotAnswer::AllCold;
+                return SlotReply::AllCold;
             }
             return if query.item.is_some() || query.overdue {
-                SlotAnswer::NoRoom
+                SlotReply::NoCapacity
             } else {
-                SlotAnswer::NoCoordinator
+                SlotReply::NoCoordinator
             };
         };
         if query.item.is_none()
@@ -113,10 +113,10 @@
                 query.may_return,
             )
         {
-            return SlotAnswer::ComeBack { after };
+            return SlotReply::RetryLater { after };
         }
         let Ok(cold_until) = self.count_cold(query.service, group, &choice.replica) else {
-            return SlotAnswer::AllCold;
+            return SlotReply::AllCold;
         };
         choice.cold_until = cold_until;
         let usage = usage_of(query.item, harrierward_clock::now());
@@ -129,7 +129,7 @@
         let name = (self.holder, lease);
         choice.is_probe = self.note_granted(query.service, group, &choice.replica, name);
         self.make_room(&choice, usage);
-        SlotAnswer::Given { choice, lease }
+        SlotReply::Granted { choice, lease }
     }
 
     /// When the caller of an online request is to come back that would be late at the replica chosen for it; `None` if
@@ -248,7 +248,7 @@
             }
             return none;
         };
-        if ask.spilled && choice.free_permille < ROOMY_PERMILLE {
+        if ask.spilled && choice.free_permille < MIN_FREE_PERMILLE {
             return SlotGrant {
                 free_permille: choice.free_permille,
                 load: choice.load,
@@ -322,6 +322,6 @@
     match ask.length {
         1 => PromptLength::Short,
         2 => PromptLength::Long,
-        _ => PromptLength::Alike,
+        _ => PromptLength::Uniform,
     }
 }
--- a/crates/edge/src/slots/leases.rs
+++ b/crates/edge/src/slots/leases.rs
@@ -4,8 +4,8 @@
 
 use async_trait::async_trait;
 use harrierward_serving::{
-    ItemRoom, LeaseEnd, LeftRegion, Mechanism, Replica, SlotAnswer, SlotLeases, SlotQuery,
-    WorkClass, short_hash,
+    CrossRegionReason, ItemSlack, Mechanism, ReleaseReport, Replica, SlotLeases, SlotQuery,
+    SlotReply, WorkClass, short_hash,
 };
 use harrierward_wire::{SlotReport, node_datagram::Kind};
 
@@ -13,35 +13,35 @@
 
 #[async_trait]
 impl SlotLeases for SlotService {
-    async fn ask(&self, query: SlotQuery<'_>) -> SlotAnswer {
+    async fn ask(&self, query: SlotQuery<'_>) -> SlotReply {
         if !self.costs.policy.has(Mechanism::Coordinators) {
-            return SlotAnswer::NoCoordinator;
+            return SlotReply::NoCoordinator;
         }
         self.forget_over_suspension();
         let service = short_hash(query.service);
         let mut target = self.group_to_ask(&query, service);
         let mut answer = self.ask_group(&query, service, target).await;
         let mut answered_by = target;
-        let was_refused = matches!(answer, SlotAnswer::NoCoordinator);
-        if was_refused && target.left == Some(LeftRegion::Full) {
+        let was_refused = matches!(answer, SlotReply::NoCoordinator);
+        if was_refused && target.left == Some(CrossRegionReason::Full) {
             // The room there was taken meanwhile, or nobody there answers: the own region takes it after all.
             target = self.group_at_home(&query, service);
             answered_by = target;
             answer = self.ask_group(&query, service, target).await;
         }
         let other = match answer {
-            SlotAnswer::ComeBack { .. } => self.roomier_group(&query, target.group),
-            SlotAnswer::AllCold => self.warmer_group(&query, target.group),
+            SlotReply::RetryLater { .. } => self.roomier_group(&query, target.group),
+            SlotReply::AllCold => self.warmer_group(&query, target.group),
             _ => None,
         };
         if let Some(roomier) = other {
             let second = self.ask_group(&query, service, roomier).await;
-            if !matches!(second, SlotAnswer::NoCoordinator) || roomier.left.is_none() {
+            if !matches!(second, SlotReply::NoCoordinator) || roomier.left.is_none() {
                 answer = second;
                 answered_by = roomier;
             }
         }
-        if let SlotAnswer::Given { lease, .. } = answer
+        if let SlotReply::Granted { lease, .. } = answer
             && answered_by.left.is_none()
             && let Some(elsewhere) = self
                 .leave_the_queue(&query, service, answered_by, lease)
@@ -49,7 +49,7 @@
         {
             answer = elsewhere;
         }
-        if query.item.is_some() && matches!(answer, SlotAnswer::NoRoom | SlotAnswer::AllCold) {
+        if query.item.is_some() && matches!(answer, SlotReply::NoCapacity | SlotReply::AllCold) {
             let mut state = self.lock();
             state
                 .no_room_at
@@ -58,7 +58,7 @@
         answer
     }
 
-    fn take(&self, replica: &Arc<Replica>, item: Option<ItemRoom>) -> u32 {
+    fn take(&self, replica: &Arc<Replica>, item: Option<ItemSlack>) -> u32 {
         let now = harrierward_clock::now();
         let coordinator = self.peer_coordinating(replica.hash);
         let mut state = self.lock();
@@ -77,7 +77,7 @@
         lease
     }
 
-    fn release(&self, lease: u32, end: LeaseEnd) {
+    fn release(&self, lease: u32, end: ReleaseReport) {
         let replica = self.lock().held.release(lease);
         if let Some(replica) = replica {
             self.report_end(lease, replica, end);
--- a/crates/edge/src/slots/mod.rs
+++ b/crates/edge/src/slots/mod.rs
@@ -301,7 +301,7 @@
     layout.group_of(replica.hash, replica.location.zone, replica.location.region)
 }
 
-fn usage_of(item: Option<harrierward_serving::ItemRoom>, now: Instant) -> SlotUse {
+fn usage_of(item: Option<harrierward_serving::ItemSlack>, now: Instant) -> SlotUse {
     item.map_or(SlotUse::Online, |item| SlotUse::Batch {
         due: now + item.slack,
     })
--- a/crates/edge/src/slots/outcomes.rs
+++ b/crates/edge/src/slots/outcomes.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use harrierward_decisions::Record;
-use harrierward_serving::{LeaseEnd, Mechanism, Replica, Verdict, short_hash};
+use harrierward_serving::{AttemptOutcome, Mechanism, ReleaseReport, Replica, short_hash};
 use harrierward_slots::{
     GroupId, LeaseName, OutlierDetector, ProbeWork, RequestEnd, StandingChange, StandingEvent,
 };
@@ -23,7 +23,7 @@
 
 impl SlotService {
     /// A lease that was held is free: its replica's coordinator learns that, and what its request came to.
-    pub(super) fn report_end(&self, lease: u32, replica: u32, end: LeaseEnd) {
+    pub(super) fn report_end(&self, lease: u32, replica: u32, end: ReleaseReport) {
         let outcome = LeaseOutcome {
             lease,
             replica,
@@ -216,16 +216,16 @@
     detectors.map(OutlierDetector::out_count).sum()
 }
 
-fn kind_of(verdict: Verdict) -> OutcomeKind {
+fn kind_of(verdict: AttemptOutcome) -> OutcomeKind {
     match verdict {
-        Verdict::NoEvidence => OutcomeKind::NoEvidence,
-        Verdict::Served => OutcomeKind::Served,
-        Verdict::Failed => OutcomeKind::Failed,
-        Verdict::Cut => OutcomeKind::Cut,
-        Verdict::Silent => OutcomeKind::Silent,
-        Verdict::Spoilt => OutcomeKind::Spoilt,
-        Verdict::NotRun => OutcomeKind::NotRun,
-        Verdict::NotSent => OutcomeKind::NotSent,
+        AttemptOutcome::NoEvidence => OutcomeKind::NoEvidence,
+        AttemptOutcome::Served => OutcomeKind::Served,
+        AttemptOutcome::Failed => OutcomeKind::Failed,
+        AttemptOutcome::Disconnected => OutcomeKind::Cut,
+        AttemptOutcome::Unresponsive => OutcomeKind::Silent,
+        AttemptOutcome::Corrupt => OutcomeKind::Spoilt,
+        AttemptOutcome::NotRun => OutcomeKind::NotRun,
+        AttemptOutcome::NotSent => OutcomeKind::NotSent,
     }
 }
 
--- a/crates/edge/src/slots/room.rs
+++ b/crates/edge/src/slots/room.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use harrierward_serving::{SlotAnswer, SlotQuery, expected_wait_ms};
+use harrierward_serving::{SlotQuery, SlotReply, expected_wait_ms};
 use harrierward_slots::{GroupId, Room};
 use harrierward_wire::SlotGrant;
 use tokio::time::Instant;
@@ -85,17 +85,17 @@
         query: &SlotQuery<'_>,
         service: u32,
         group: GroupId,
-        answer: &SlotAnswer,
+        answer: &SlotReply,
     ) {
         let (free_permille, wait) = match answer {
             // The replica that is tried is empty, whatever its group is.
-            SlotAnswer::Given { choice, .. } if choice.is_probe => return,
-            SlotAnswer::Given { choice, .. } => {
+            SlotReply::Granted { choice, .. } if choice.is_probe => return,
+            SlotReply::Granted { choice, .. } => {
                 let slots = choice.replica.slots();
                 (choice.free_permille, self.queue(choice.load, slots))
             }
-            SlotAnswer::ComeBack { .. } => (0, query.objective),
-            SlotAnswer::NoRoom | SlotAnswer::NoCoordinator | SlotAnswer::AllCold => return,
+            SlotReply::RetryLater { .. } => (0, query.objective),
+            SlotReply::NoCapacity | SlotReply::NoCoordinator | SlotReply::AllCold => return,
         };
         let room = Room {
             free_permille,
--- a/crates/edge/tests/cold.rs
+++ b/crates/edge/tests/cold.rs
@@ -9,8 +9,8 @@
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_edge::{CoordinatorCandidate, Pacing, SharedFleet, SlotService};
 use harrierward_serving::{
-    Choice, ItemRoom, Location, Prompt, PromptLength, ReplicaRecord, ReplicaSet, SelectionCosts,
-    SlotAnswer, SlotLeases, SlotQuery, Warmup,
+    Choice, ItemSlack, Location, Prompt, PromptLength, ReplicaRecord, ReplicaSet, SelectionCosts,
+    SlotLeases, SlotQuery, SlotReply, Warmup,
 };
 use harrierward_slots::COLD_GRANT_LIFETIME;
 use harrierward_tenants::{AllowedRegions, RateBounds};
@@ -142,17 +142,17 @@
     }
 }
 
-async fn ask(daemon: &Daemon, item: Option<ItemRoom>) -> SlotAnswer {
+async fn ask(daemon: &Daemon, item: Option<ItemSlack>) -> SlotReply {
     ask_within(daemon, item, Duration::from_millis(300)).await
 }
 
-async fn ask_within(daemon: &Daemon, item: Option<ItemRoom>, objective: Duration) -> SlotAnswer {
+async fn ask_within(daemon: &Daemon, item: Option<ItemSlack>, objective: Duration) -> SlotReply {
     let prompt = Prompt::default();
     let query = SlotQuery {
         may_repeat: true,
         service: SERVICE,
         prompt: &prompt,
-        length: PromptLength::Alike,
+        length: PromptLength::Uniform,
         excluded: &[],
         regions: &AllowedRegions::Any,
         objective,
@@ -165,7 +165,7 @@
 
 async fn choose(daemon: &Daemon) -> Option<Choice> {
     match ask(daemon, None).await {
-        SlotAnswer::Given { choice, .. } => Some(choice),
+        SlotReply::Granted { choice, .. } => Some(choice),
         _ => None,
     }
 }
@@ -220,13 +220,13 @@
 async fn where_all_are_cold_and_have_got_what_they_bear_nothing_is_granted() {
     let daemons = fleet(REPLICAS).await;
     let mut granted = 0;
-    while let SlotAnswer::Given { .. } = ask(&daemons[granted % 4], None).await {
+    while let SlotReply::Granted { .. } = ask(&daemons[granted % 4], None).await {
         granted += 1;
         assert!(granted < 50);
     }
     for daemon in &daemons {
         let answer = ask(daemon, None).await;
-        assert!(matches!(answer, SlotAnswer::AllCold), "{answer:?}");
+        assert!(matches!(answer, SlotReply::AllCold), "{answer:?}");
     }
 }
 
@@ -247,7 +247,7 @@
     assert!(!are_told_cold());
     while choose(own).await.is_some() {}
     let answer = ask(asker, None).await;
-    assert!(matches!(answer, SlotAnswer::AllCold), "{answer:?}");
+    assert!(matches!(answer, SlotReply::AllCold), "{answer:?}");
     assert!(are_told_cold());
     settle(&daemons).await;
     assert!(!are_told_cold(), "a word holds for a moment");
@@ -264,7 +264,7 @@
 /// Items leave what they find to callers until it would be lost.
 #[tokio::test]
 async fn an_item_goes_to_a_cold_replica_only_where_callers_leave_it() {
-    let item = Some(ItemRoom {
+    let item = Some(ItemSlack {
         slack: Duration::from_secs(9),
     });
     let daemons = fleet(REPLICAS).await;
@@ -272,10 +272,10 @@
         assert!(choose(&daemons[0]).await.is_some());
     }
     let answer = ask(&daemons[1], item).await;
-    assert!(!matches!(answer, SlotAnswer::Given { .. }), "{answer:?}");
+    assert!(!matches!(answer, SlotReply::Granted { .. }), "{answer:?}");
     settle(&daemons).await;
     let answer = ask(&daemons[1], item).await;
-    assert!(matches!(answer, SlotAnswer::Given { .. }), "{answer:?}");
+    assert!(matches!(answer, SlotReply::Granted { .. }), "{answer:?}");
 }
 
 /// A daemon that has just become the coordinator waits; so does one that stood still.
@@ -377,7 +377,7 @@
     let asked_at = Instant::now();
     // Its patience with the coordinator is longer than it stands still.
     let answer = ask_within(asker, None, Duration::from_secs(2)).await;
-    let SlotAnswer::Given { choice, .. } = answer else {
+    let SlotReply::Granted { choice, .. } = answer else {
         panic!("granted: {answer:?}");
     };
     assert!(asked_at.elapsed() >= STANDS_STILL.get());
--- a/crates/edge/tests/ejection.rs
+++ b/crates/edge/tests/ejection.rs
@@ -7,8 +7,8 @@
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_edge::{CoordinatorCandidate, SlotService};
 use harrierward_serving::{
-    InProgress, ItemRoom, Location, Policy, Prompt, PromptLength, ReplicaRecord, ReplicaSet,
-    SelectionCosts, SlotAnswer, SlotLease, SlotLeases, SlotQuery, Verdict,
+    AttemptOutcome, InProgress, ItemSlack, Location, Policy, Prompt, PromptLength, ReplicaRecord,
+    ReplicaSet, SelectionCosts, SlotLease, SlotLeases, SlotQuery, SlotReply,
 };
 use harrierward_tenants::AllowedRegions;
 use harrierward_wire::{NodeDatagram, decode};
@@ -86,14 +86,14 @@
 
 async fn enter(
     daemon: &Arc<SlotService>,
-    item: Option<ItemRoom>,
+    item: Option<ItemSlack>,
     may_repeat: bool,
 ) -> Option<InProgress> {
     let prompt = Prompt::default();
     let query = SlotQuery {
         service: SERVICE,
         prompt: &prompt,
-        length: PromptLength::Alike,
+        length: PromptLength::Uniform,
         excluded: &[],
         regions: &AllowedRegions::Any,
         // The most patience with the coordinator, so that a busy machine does not make it silent.
@@ -103,7 +103,7 @@
         may_repeat,
         may_return: None,
     };
-    let SlotAnswer::Given { choice, lease } = daemon.ask(query).await else {
+    let SlotReply::Granted { choice, lease } = daemon.ask(query).await else {
         return None;
     };
     let held = SlotLease::new(daemon.clone(), lease);
@@ -111,7 +111,7 @@
 }
 
 /// What happens to a request at each replica. True if it was sent to the bad one.
-async fn run(place: InProgress, bad: Verdict) -> bool {
+async fn run(place: InProgress, bad: AttemptOutcome) -> bool {
     let evidence = place.evidence().expect("a lease");
     evidence.note_sent(true, Duration::ZERO);
     let is_bad = place.replica().record.id == BAD;
@@ -119,13 +119,17 @@
         place.conclude(bad);
     } else {
         tokio::time::sleep(SERVED_AFTER).await;
-        place.conclude(Verdict::Served);
+        place.conclude(AttemptOutcome::Served);
     }
     is_bad
 }
 
 /// All daemons send at the same time. Returns the requests that went to the bad replica.
-async fn send_from_all(daemons: &[Arc<SlotService>], bad: Verdict, may_repeat: bool) -> usize {
+async fn send_from_all(
+    daemons: &[Arc<SlotService>],
+    bad: AttemptOutcome,
+    may_repeat: bool,
+) -> usize {
     let calls = daemons.iter().map(|daemon| async move {
         let mut sent = 0;
         for _ in 0..REQUESTS {
@@ -140,13 +144,13 @@
 #[tokio::test]
 async fn after_the_first_failures_no_daemon_sends_to_a_replica_that_fails_all() {
     for bad in [
-        Verdict::Failed,
-        Verdict::Cut,
-        Verdict::Spoilt,
-        Verdict::NotRun,
+        AttemptOutcome::Failed,
+        AttemptOutcome::Disconnected,
+        AttemptOutcome::Corrupt,
+        AttemptOutcome::NotRun,
     ] {
         let daemons = fleet(Policy::default()).await;
-        send_from_all(&daemons, Verdict::Served, false).await;
+        send_from_all(&daemons, AttemptOutcome::Served, false).await;
         let sent = send_from_all(&daemons, bad, false).await;
         // Those of all daemons that are on their way when it is ejected add to the first failures.
         assert!(
@@ -164,16 +168,16 @@
 async fn without_ejection_a_replica_that_fails_all_draws_requests_in() {
     let policy = Policy::without("ejection").expect("a mechanism");
     let daemons = fleet(policy).await;
-    send_from_all(&daemons, Verdict::Served, false).await;
-    let sent = send_from_all(&daemons, Verdict::Failed, false).await;
+    send_from_all(&daemons, AttemptOutcome::Served, false).await;
+    let sent = send_from_all(&daemons, AttemptOutcome::Failed, false).await;
     assert!(sent > DAEMONS * REQUESTS / REPLICAS, "{sent}");
 }
 
 #[tokio::test]
 async fn a_request_that_says_nothing_of_its_replica_ejects_nobody() {
     let daemons = fleet(Policy::default()).await;
-    let first = send_from_all(&daemons, Verdict::NoEvidence, true).await;
-    let second = send_from_all(&daemons, Verdict::NoEvidence, true).await;
+    let first = send_from_all(&daemons, AttemptOutcome::NoEvidence, true).await;
+    let second = send_from_all(&daemons, AttemptOutcome::NoEvidence, true).await;
     assert!(first > REQUESTS && second > REQUESTS, "{first}, {second}");
 }
 
@@ -181,10 +185,10 @@
 #[tokio::test]
 async fn an_ejected_replica_returns_by_items() {
     let daemons = fleet(Policy::default()).await;
-    send_from_all(&daemons, Verdict::Served, false).await;
-    send_from_all(&daemons, Verdict::Failed, false).await;
+    send_from_all(&daemons, AttemptOutcome::Served, false).await;
+    send_from_all(&daemons, AttemptOutcome::Failed, false).await;
     tokio::time::sleep(Duration::from_millis(1_100)).await;
-    let item = ItemRoom {
+    let item = ItemSlack {
         slack: Duration::from_secs(9),
     };
     let mut tried = 0;
@@ -200,12 +204,12 @@
             BAD,
             "not with one that runs once only"
         );
-        probe.conclude(Verdict::Served);
+        probe.conclude(AttemptOutcome::Served);
         drop((probe, other, online));
         tokio::time::sleep(Duration::from_millis(30)).await;
     }
     assert_eq!(tried, 3, "items try it");
-    let sent = send_from_all(&daemons, Verdict::Served, false).await;
+    let sent = send_from_all(&daemons, AttemptOutcome::Served, false).await;
     assert!(sent > REQUESTS / 2, "{sent}: it is back");
 }
 
@@ -218,7 +222,7 @@
         let place = enter(&daemons[number % DAEMONS], None, false).await;
         let place = place.expect("a slot");
         replicas.insert(place.replica().hash);
-        place.conclude(Verdict::Failed);
+        place.conclude(AttemptOutcome::Failed);
     }
     assert_eq!(replicas.len(), REPLICAS);
     assert!(enter(&daemons[0], None, false).await.is_some());
--- a/crates/edge/tests/half_ejected.rs
+++ b/crates/edge/tests/half_ejected.rs
@@ -7,8 +7,8 @@
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_edge::SlotService;
 use harrierward_serving::{
-    Choice, ItemRoom, LeaseEnd, Location, Prompt, PromptLength, ReplicaRecord, ReplicaSet,
-    SelectionCosts, SlotAnswer, SlotLeases, SlotQuery, Verdict, short_hash,
+    AttemptOutcome, Choice, ItemSlack, Location, Prompt, PromptLength, ReleaseReport,
+    ReplicaRecord, ReplicaSet, SelectionCosts, SlotLeases, SlotQuery, SlotReply, short_hash,
 };
 use harrierward_tenants::AllowedRegions;
 use harrierward_wire::{HeldSlot, SlotReport, node_datagram::Kind};
@@ -19,7 +19,7 @@
 const GOOD: &str = "good";
 const SLOTS: u32 = 4;
 
-const ITEM: ItemRoom = ItemRoom {
+const ITEM: ItemSlack = ItemSlack {
     slack: Duration::from_secs(9),
 };
 
@@ -59,12 +59,12 @@
         Self { slots, replicas }
     }
 
-    fn end(&self, replica: &str, verdict: Verdict, first_event: Duration) {
+    fn end(&self, replica: &str, verdict: AttemptOutcome, first_event: Duration) {
         let view = self.replicas.view();
         let replica = view.by_hash(short_hash(replica)).expect("listed");
         let lease = self.slots.take(replica, None);
         let first_event = Some(first_event).filter(|time| !time.is_zero());
-        let end = LeaseEnd {
+        let end = ReleaseReport {
             verdict,
             first_event,
         };
@@ -76,19 +76,19 @@
         for _ in 0..10 {
             // Times are compared ten times a second at the most.
             advance(Duration::from_millis(110)).await;
-            self.end(BAD, Verdict::Served, Duration::from_millis(10));
-            self.end(GOOD, Verdict::Served, good_takes);
+            self.end(BAD, AttemptOutcome::Served, Duration::from_millis(10));
+            self.end(GOOD, AttemptOutcome::Served, good_takes);
         }
         for _ in 0..10 {
-            self.end(BAD, Verdict::Failed, Duration::ZERO);
+            self.end(BAD, AttemptOutcome::Failed, Duration::ZERO);
         }
     }
 
-    async fn ask(&self, item: Option<ItemRoom>, may_return: Option<Duration>) -> SlotAnswer {
+    async fn ask(&self, item: Option<ItemSlack>, may_return: Option<Duration>) -> SlotReply {
         let query = SlotQuery {
             service: SERVICE,
             prompt: &Prompt::default(),
-            length: PromptLength::Alike,
+            length: PromptLength::Uniform,
             excluded: &[],
             regions: &AllowedRegions::Any,
             objective: Duration::from_millis(300),
@@ -100,9 +100,9 @@
         self.slots.ask(query).await
     }
 
-    async fn choose(&self, item: Option<ItemRoom>) -> Option<Choice> {
+    async fn choose(&self, item: Option<ItemSlack>) -> Option<Choice> {
         match self.ask(item, None).await {
-            SlotAnswer::Given { choice, .. } => Some(choice),
+            SlotReply::Granted { choice, .. } => Some(choice),
             _ => None,
         }
     }
@@ -154,7 +154,7 @@
     let mut told = Vec::new();
     for _ in 0..2 {
         match group.ask(None, longest).await {
-            SlotAnswer::ComeBack { after } => told.push(after),
+            SlotReply::RetryLater { after } => told.push(after),
             answer => panic!("{answer:?}"),
         }
     }
--- a/crates/edge/tests/rates.rs
+++ b/crates/edge/tests/rates.rs
@@ -7,7 +7,7 @@
 use arc_swap::ArcSwapOption;
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_edge::{CoordinatorCandidate, RateService, SharedFleet};
-use harrierward_serving::{Location, RateAnswer, RateLimits, RouteTable, ServingConfiguration};
+use harrierward_serving::{Location, RateLimits, RateStatus, RouteTable, ServingConfiguration};
 use harrierward_tenants::{
     AllowedRegions, RateBounds, RateLimit, Tenant, TenantDirectory, TenantSpec,
 };
@@ -140,7 +140,7 @@
     for _ in 0..30 {
         for daemon in daemons {
             let answer = daemon.rates.admit(tenant, "r").await;
-            admitted += usize::from(answer == RateAnswer::Within);
+            admitted += usize::from(answer == RateStatus::Within);
         }
     }
     admitted
@@ -167,13 +167,13 @@
         let began = Instant::now();
         let answer = daemons[0].rates.admit(&tenant, "r").await;
         assert!(began.elapsed() < Duration::from_millis(150), "{began:?}");
-        assert!(matches!(answer, RateAnswer::Within | RateAnswer::Unknown));
+        assert!(matches!(answer, RateStatus::Within | RateStatus::Unknown));
     }
     let mut unknown = 0;
     let began = Instant::now();
     for tenant in tenants() {
         let answer = daemons[0].rates.admit(&tenant, "r").await;
-        unknown += usize::from(answer == RateAnswer::Unknown);
+        unknown += usize::from(answer == RateStatus::Unknown);
     }
     assert!(unknown > 0, "some tenants are the silent one's");
     assert!(began.elapsed() < Duration::from_millis(200), "asked again");
@@ -197,7 +197,7 @@
         let other = daemons.iter().find(answers).expect("another one");
         let of_other = |tenant: &&Arc<Tenant>| other.rates.coordinates(&tenant.name);
         let tenant = tenants.iter().find(of_other).expect("a tenant of it");
-        assert_eq!(daemon.rates.admit(tenant, "r").await, RateAnswer::Within);
+        assert_eq!(daemon.rates.admit(tenant, "r").await, RateStatus::Within);
     }
     tokio::time::sleep(SHORT.in_doubt_for()).await;
     daemons
@@ -221,8 +221,8 @@
                 answers.push(asker.rates.admit(tenant, "r").await);
             }
         }
-        let within = |answers: &[RateAnswer]| {
-            let within = answers.iter().filter(|one| **one == RateAnswer::Within);
+        let within = |answers: &[RateStatus]| {
+            let within = answers.iter().filter(|one| **one == RateStatus::Within);
             within.count()
         };
         // Whoever has waited for the silent one for long does not go on to the next with the same request.
@@ -241,7 +241,7 @@
         for _ in 0..15 {
             for asker in askers {
                 let answer = asker.rates.admit(tenant, "r").await;
-                more += usize::from(answer == RateAnswer::Within);
+                more += usize::from(answer == RateStatus::Within);
             }
         }
         let accrued = RATE * began.elapsed().as_secs_f64();
@@ -271,7 +271,7 @@
     let mut seen = 0;
     for tenant in changed.iter().filter(silent) {
         let answer = daemons[0].rates.admit(tenant, "r").await;
-        assert_eq!(answer, RateAnswer::Unknown);
+        assert_eq!(answer, RateStatus::Unknown);
         seen += 1;
     }
     assert!(seen > 0, "some tenants went to the silent one");
@@ -304,7 +304,7 @@
     alone.rates.set_members(vec![alone.candidate.clone()]);
     for tenant in tenants() {
         let answer = alone.rates.admit(&tenant, "r").await;
-        assert_eq!(answer, RateAnswer::Unknown);
+        assert_eq!(answer, RateStatus::Unknown);
     }
 }
 
@@ -327,6 +327,6 @@
     tokio::time::sleep(2 * ONE_WAY).await;
     for tenant in &of_far[1..6] {
         let answer = near.rates.admit(tenant, "r").await;
-        assert_eq!(answer, RateAnswer::Within);
+        assert_eq!(answer, RateStatus::Within);
     }
 }
--- a/crates/edge/tests/regions.rs
+++ b/crates/edge/tests/regions.rs
@@ -10,8 +10,8 @@
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_edge::{CoordinatorCandidate, SlotService};
 use harrierward_serving::{
-    ChosenBy, InProgress, ItemRoom, LeftRegion, Location, Prompt, PromptLength, ReplicaRecord,
-    ReplicaSet, SelectionCosts, SlotAnswer, SlotLease, SlotLeases, SlotQuery,
+    ChosenBy, CrossRegionReason, InProgress, ItemSlack, Location, Prompt, PromptLength,
+    ReplicaRecord, ReplicaSet, SelectionCosts, SlotLease, SlotLeases, SlotQuery, SlotReply,
 };
 use harrierward_tenants::AllowedRegions;
 use harrierward_wire::{NodeDatagram, decode, node_datagram::Kind};
@@ -174,16 +174,16 @@
     output_tokens: 0,
 };
 
-const ITEM: ItemRoom = ItemRoom {
+const ITEM: ItemSlack = ItemSlack {
     slack: Duration::from_secs(9),
 };
 
-fn query<'a>(regions: &'a AllowedRegions, item: Option<ItemRoom>) -> SlotQuery<'a> {
+fn query<'a>(regions: &'a AllowedRegions, item: Option<ItemSlack>) -> SlotQuery<'a> {
     SlotQuery {
         may_repeat: true,
         service: SERVICE,
         prompt: &PROMPT,
-        length: PromptLength::Alike,
+        length: PromptLength::Uniform,
         excluded: &[],
         regions,
         objective: OBJECTIVE,
@@ -196,14 +196,14 @@
 /// A request that holds its slot.
 struct Held {
     region: String,
-    left: Option<LeftRegion>,
+    left: Option<CrossRegionReason>,
     _in_progress: InProgress,
 }
 
 async fn enter_in(daemon: &Daemon, regions: &AllowedRegions) -> Option<Held> {
     let query = query(regions, None);
     let answer = daemon.slots.ask(query).await;
-    let SlotAnswer::Given { choice, lease } = answer else {
+    let SlotReply::Granted { choice, lease } = answer else {
         return None;
     };
     assert_eq!(choice.by, ChosenBy::Coordinator);
@@ -261,7 +261,7 @@
     for _ in 0..4 {
         for turn in 0..3 {
             let held = enter(fleet.at(0, turn)).await.expect("an answer");
-            assert_eq!(held.left, Some(LeftRegion::NoReplica));
+            assert_eq!(held.left, Some(CrossRegionReason::NoReplica));
         }
     }
 }
@@ -277,7 +277,7 @@
     assert!(left > 0, "nobody left the full region");
     let why = more.iter().filter(|one| one.region != REGIONS[0]);
     for one in why {
-        assert_eq!(one.left, Some(LeftRegion::Full));
+        assert_eq!(one.left, Some(CrossRegionReason::Full));
     }
     held.extend(more);
     drop(held);
@@ -331,7 +331,7 @@
     });
     let at_home = at_home.await;
     assert!(
-        matches!(at_home, SlotAnswer::ComeBack { .. }),
+        matches!(at_home, SlotReply::RetryLater { .. }),
         "{at_home:?}"
     );
     // A daemon that knows how long the way is, and nothing of its region's queues.
@@ -342,10 +342,10 @@
     }
     fleet.network.far_asks.store(0, Ordering::Relaxed);
     let answer = asker.slots.ask(newcomer).await;
-    let SlotAnswer::Given { choice, .. } = answer else {
+    let SlotReply::Granted { choice, .. } = answer else {
         panic!("{answer:?}");
     };
-    assert_eq!(choice.left_region, Some(LeftRegion::Full));
+    assert_eq!(choice.left_region, Some(CrossRegionReason::Full));
     settle().await;
     assert_eq!(fleet.network.far_asks.load(Ordering::Relaxed), 1);
 }
@@ -380,7 +380,7 @@
     }
     for turn in 0..3 {
         let held = enter(fleet.at(0, turn)).await.expect("a slot elsewhere");
-        assert_eq!(held.left, Some(LeftRegion::NoReplica));
+        assert_eq!(held.left, Some(CrossRegionReason::NoReplica));
     }
     let other = enter_many(&fleet, 1, 3).await;
     assert_eq!(away(&other, 1), 0, "only the dark region's leave");
@@ -418,7 +418,7 @@
     for turn in 0..6 {
         let held = enter_in(fleet.at(0, turn), &south).await.expect("a slot");
         assert_eq!(held.region, REGIONS[2]);
-        assert_eq!(held.left, Some(LeftRegion::NoReplica));
+        assert_eq!(held.left, Some(CrossRegionReason::NoReplica));
     }
     let north = AllowedRegions::only([REGIONS[0].to_owned()]);
     for turn in 0..3 * IN_A_REGION * SLOTS as usize {
@@ -436,7 +436,7 @@
         let daemon = fleet.at(0, turn);
         let answer = daemon.slots.ask(query(&AllowedRegions::Any, Some(ITEM)));
         let answer = answer.await;
-        assert!(matches!(answer, SlotAnswer::NoRoom), "{answer:?}");
+        assert!(matches!(answer, SlotReply::NoCapacity), "{answer:?}");
     }
     drop(held);
     settle().await;
@@ -444,7 +444,7 @@
         .at(0, 0)
         .slots
         .ask(query(&AllowedRegions::Any, Some(ITEM)));
-    assert!(matches!(answer.await, SlotAnswer::Given { .. }));
+    assert!(matches!(answer.await, SlotReply::Granted { .. }));
 }
 
 /// One replica less and the groups reach over all regions: their coordinator learns of all leases at the holders' next
--- a/crates/edge/tests/slots.rs
+++ b/crates/edge/tests/slots.rs
@@ -8,8 +8,8 @@
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_edge::{CoordinatorCandidate, SlotService, YieldItems};
 use harrierward_serving::{
-    InProgress, ItemRoom, Location, Prompt, PromptLength, Replica, ReplicaRecord, ReplicaSet,
-    SelectionCosts, SlotAnswer, SlotLease, SlotLeases, SlotQuery, WorkClass,
+    InProgress, ItemSlack, Location, Prompt, PromptLength, Replica, ReplicaRecord, ReplicaSet,
+    SelectionCosts, SlotLease, SlotLeases, SlotQuery, SlotReply, WorkClass,
 };
 use harrierward_tenants::AllowedRegions;
 use harrierward_wire::{NodeDatagram, decode};
@@ -118,11 +118,11 @@
     }
 }
 
-fn query<'a>(prompt: &'a Prompt, item: Option<ItemRoom>) -> SlotQuery<'a> {
+fn query<'a>(prompt: &'a Prompt, item: Option<ItemSlack>) -> SlotQuery<'a> {
     SlotQuery {
         service: SERVICE,
         prompt,
-        length: PromptLength::Alike,
+        length: PromptLength::Uniform,
         excluded: &[],
         regions: &AllowedRegions::Any,
         objective: OBJECTIVE,
@@ -133,7 +133,7 @@
     }
 }
 
-const ITEM: ItemRoom = ItemRoom {
+const ITEM: ItemSlack = ItemSlack {
     slack: Duration::from_secs(9),
 };
 
@@ -160,10 +160,10 @@
 }
 
 /// A place, entered as a request does.
-async fn enter(daemon: &Daemon, item: Option<ItemRoom>) -> Option<InProgress> {
+async fn enter(daemon: &Daemon, item: Option<ItemSlack>) -> Option<InProgress> {
     let prompt = Prompt::default();
     let answer = daemon.slots.ask(query(&prompt, item)).await;
-    let SlotAnswer::Given { choice, lease } = answer else {
+    let SlotReply::Granted { choice, lease } = answer else {
         return None;
     };
     let class = query(&prompt, item).class();
@@ -271,14 +271,14 @@
     }
     for daemon in &daemons {
         let answer = daemon.slots.ask(overdue).await;
-        assert!(matches!(answer, SlotAnswer::NoRoom), "{answer:?}");
+        assert!(matches!(answer, SlotReply::NoCapacity), "{answer:?}");
         assert!(enter(daemon, None).await.is_some(), "one that is in time");
     }
     places.truncate(REPLICAS);
     tokio::time::sleep(Duration::from_millis(100)).await;
     for daemon in &daemons {
         let answer = daemon.slots.ask(overdue).await;
-        assert!(matches!(answer, SlotAnswer::Given { .. }), "{answer:?}");
+        assert!(matches!(answer, SlotReply::Granted { .. }), "{answer:?}");
     }
 }
 
@@ -314,7 +314,7 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     for daemon in &daemons {
         let answer = daemon.slots.ask(newcomer).await;
-        assert!(matches!(answer, SlotAnswer::Given { .. }), "{answer:?}");
+        assert!(matches!(answer, SlotReply::Granted { .. }), "{answer:?}");
     }
     let mut places = Vec::new();
     for number in 0..REPLICAS * (SLOTS as usize + WAITING) {
@@ -324,13 +324,13 @@
     for number in 0..8 {
         let daemon = &daemons[number % 4];
         let answer = daemon.slots.ask(newcomer).await;
-        let SlotAnswer::ComeBack { after } = answer else {
+        let SlotReply::RetryLater { after } = answer else {
             panic!("{answer:?}");
         };
         assert!(after > Duration::ZERO && after <= MAY_RETURN, "{after:?}");
         moments.insert(after);
         let answer = daemon.slots.ask(query(&prompt, None)).await;
-        assert!(matches!(answer, SlotAnswer::Given { .. }), "{answer:?}");
+        assert!(matches!(answer, SlotReply::Granted { .. }), "{answer:?}");
     }
     assert!(moments.len() >= 4, "{moments:?}");
 }
--- a/crates/edge/tests/suspended.rs
+++ b/crates/edge/tests/suspended.rs
@@ -13,8 +13,8 @@
 };
 use harrierward_quarantine::{ContentId, Standing};
 use harrierward_serving::{
-    ItemRoom, Location, Prompt, PromptLength, Quarantine, Replica, ReplicaRecord, ReplicaSet,
-    SelectionCosts, SlotAnswer, SlotLeases, SlotQuery,
+    ItemSlack, Location, Prompt, PromptLength, Quarantine, Replica, ReplicaRecord, ReplicaSet,
+    SelectionCosts, SlotLeases, SlotQuery, SlotReply,
 };
 use harrierward_tenants::AllowedRegions;
 use harrierward_wire::{
@@ -109,7 +109,7 @@
     SlotQuery {
         service: SERVICE,
         prompt,
-        length: PromptLength::Alike,
+        length: PromptLength::Uniform,
         excluded: &[],
         regions: &AllowedRegions::Any,
         objective: Duration::from_secs(3),
@@ -152,7 +152,7 @@
     let prompt = Prompt::default();
     let (answer, lease) = tokio::join!(holder.ask(query(&prompt)), granting);
     assert!(
-        matches!(answer, SlotAnswer::NoCoordinator),
+        matches!(answer, SlotReply::NoCoordinator),
         "the lease is old"
     );
     receiving.await.expect("no panic");
@@ -280,7 +280,7 @@
 /// The replica at which an item is placed.
 async fn place_item(coordinator: &SlotService) -> Arc<Replica> {
     let prompt = Prompt::default();
-    let item = ItemRoom {
+    let item = ItemSlack {
         slack: Duration::from_secs(9),
     };
     let query = SlotQuery {
@@ -288,7 +288,7 @@
         ..query(&prompt)
     };
     match coordinator.ask(query).await {
-        SlotAnswer::Given { choice, .. } => choice.replica,
+        SlotReply::Granted { choice, .. } => choice.replica,
         _ => panic!("no place"),
     }
 }
--- a/crates/inline-jobs/src/item_run.rs
+++ b/crates/inline-jobs/src/item_run.rs
@@ -4,8 +4,8 @@
 
 use futures::StreamExt;
 use harrierward_serving::{
-    AttemptFailure, AttemptTimes, EventSplitter, Forwarder, Placement, Sending, ServingRequest,
-    StreamEvent, Verdict, wait_for_progress,
+    AttemptFailure, AttemptOptions, AttemptOutcome, AttemptTimeouts, EventSplitter, Forwarder,
+    Placement, ServingRequest, StreamEvent, wait_for_progress,
 };
 use tokio::time::Instant;
 
@@ -45,12 +45,12 @@
     failed_before: bool,
 ) -> RunOutcome {
     let resume_after = lock(progress).last_event;
-    let times = AttemptTimes {
+    let times = AttemptTimeouts {
         time_left: None,
         dark: DARK,
         longest: LONGEST_SILENCE,
     };
-    let sending = Sending {
+    let sending = AttemptOptions {
         resume_after,
         fresh_connection: false,
         number: 1,
@@ -61,7 +61,7 @@
         .await;
     let attempt = match attempt {
         Ok(attempt) => attempt,
-        Err(AttemptFailure::NoReplica | AttemptFailure::ComeBack { .. }) => {
+        Err(AttemptFailure::NoReplica | AttemptFailure::RetryLater { .. }) => {
             return RunOutcome::NotRun("no replica".to_owned());
         }
         Err(AttemptFailure::NotRun { cause, .. } | AttemptFailure::Unattributed { cause }) => {
@@ -84,7 +84,7 @@
         let bytes = match next {
             None => {
                 replica.suspect();
-                in_progress.conclude(Verdict::Silent);
+                in_progress.conclude(AttemptOutcome::Unresponsive);
                 return RunOutcome::Broken("no event in time".to_owned());
             }
             Some(None) if splitter.left_over() > 0 => {
@@ -92,7 +92,7 @@
                 return RunOutcome::Broken("the stream ended within an event".to_owned());
             }
             Some(None) => {
-                in_progress.conclude(Verdict::Served);
+                in_progress.conclude(AttemptOutcome::Served);
                 in_progress.note_whole();
                 return RunOutcome::Finished;
             }
@@ -106,7 +106,7 @@
         splitter.push(&bytes);
         while let Some(event) = splitter.next_event() {
             if let Err(cause) = take_event(progress, &event) {
-                in_progress.conclude(Verdict::Spoilt);
+                in_progress.conclude(AttemptOutcome::Corrupt);
                 return RunOutcome::Broken(cause.to_owned());
             }
         }
--- a/crates/inline-jobs/src/ready.rs
+++ b/crates/inline-jobs/src/ready.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use harrierward_serving::{ItemRoom, ServingRequest};
+use harrierward_serving::{ItemSlack, ServingRequest};
 use harrierward_tenants::AllowedRegions;
 
 use crate::book::StartableItem;
@@ -15,7 +15,7 @@
     /// Service that runs it.
     pub service: String,
     /// How long it could rest.
-    pub room: ItemRoom,
+    pub room: ItemSlack,
     /// Items like it found no room lately: all others come first.
     pub is_behind: bool,
 }
--- a/crates/inline-jobs/src/runner.rs
+++ b/crates/inline-jobs/src/runner.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use harrierward_decisions::Record;
-use harrierward_serving::{ItemRoom, Mechanism, Placement, Route, RouteTable, WorkClass};
+use harrierward_serving::{ItemSlack, Mechanism, Placement, Route, RouteTable, WorkClass};
 use tokio::time::{Instant, sleep};
 
 use crate::book::{StartableItem, YieldedItem};
@@ -71,7 +71,7 @@
                 self.give_up_held(&routes, &item);
                 continue;
             }
-            let room = ItemRoom { slack };
+            let room = ItemSlack { slack };
             let Some(ready) = self.ready(&routes, item, room) else {
                 // It waits, and must not hold up those that can run.
                 continue;
@@ -112,7 +112,12 @@
     }
 
     /// The item as it may run by the configuration in force; `None` if nothing takes it now.
-    fn ready(&self, routes: &RouteTable, item: StartableItem, room: ItemRoom) -> Option<ReadyItem> {
+    fn ready(
+        &self,
+        routes: &RouteTable,
+        item: StartableItem,
+        room: ItemSlack,
+    ) -> Option<ReadyItem> {
         let route = routes.configuration.route(&item.route)?;
         let entry = routes.find(&route.host, &route.prefix);
         let service = entry.and_then(|entry| entry.next_service())?;
--- a/crates/inline-jobs/tests/stale_listing.rs
+++ b/crates/inline-jobs/tests/stale_listing.rs
@@ -25,9 +25,9 @@
 };
 use harrierward_ownership::OwnerStanding;
 use harrierward_serving::{
-    ExchangeError, Forwarder, ForwarderParts, ForwarderSettings, ItemRoom, KeyTrust, LeaseEnd,
-    NoQuarantine, RateAnswer, RateLimits, Replica, ReplicaAnswer, ReplicaClient, ReplicaRequest,
-    ReplicaSet, SelectionCosts, SlotAnswer, SlotLeases, SlotQuery,
+    ExchangeError, Forwarder, ForwarderParts, ForwarderSettings, ItemSlack, KeyTrust, NoQuarantine,
+    RateLimits, RateStatus, ReleaseReport, Replica, ReplicaClient, ReplicaRequest, ReplicaResponse,
+    ReplicaSet, SelectionCosts, SlotLeases, SlotQuery, SlotReply,
 };
 use harrierward_tenants::Tenant;
 use harrierward_wire::{ItemHeadRow, JobHeadRow, QuotaOutcome, ResultPieceRow, encode};
@@ -165,14 +165,14 @@
 
 #[async_trait]
 impl RateLimits for Nothing {
-    async fn admit(&self, _tenant: &Tenant, _request: &str) -> RateAnswer {
-        RateAnswer::Within
+    async fn admit(&self, _tenant: &Tenant, _request: &str) -> RateStatus {
+        RateStatus::Within
     }
 }
 
 #[async_trait]
 impl ReplicaClient for Nothing {
-    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaAnswer, ExchangeError> {
+    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError> {
         Err(ExchangeError::NotSent {
             step: "test",
             peer: request.address.to_owned(),
@@ -183,15 +183,15 @@
 
 #[async_trait]
 impl SlotLeases for Nothing {
-    async fn ask(&self, _query: SlotQuery<'_>) -> SlotAnswer {
-        SlotAnswer::NoCoordinator
+    async fn ask(&self, _query: SlotQuery<'_>) -> SlotReply {
+        SlotReply::NoCoordinator
     }
 
-    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemRoom>) -> u32 {
+    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         1
     }
 
-    fn release(&self, _place: u32, _end: LeaseEnd) {}
+    fn release(&self, _place: u32, _end: ReleaseReport) {}
 
     fn is_coordinated(&self, _replica: &Replica) -> bool {
         false
--- a/crates/node/src/runner/mod.rs
+++ b/crates/node/src/runner/mod.rs
@@ -14,7 +14,7 @@
 use harrierward_capacity::{RunningBatchItem, SlotBudget, SlotSettings};
 use harrierward_external::EngineLoad;
 use harrierward_gateway::Replica;
-use harrierward_routing::CONFIRMATION_LIFETIME_MICROS;
+use harrierward_routing::CONFIRMATION_TTL_MICROS;
 use harrierward_wire::{Grant, HandBack, ItemResult, ReplicaReport, RunningItem};
 use tokio::sync::Notify;
 
@@ -313,7 +313,7 @@
 }
 
 /// A replica whose availability was not confirmed for this long gets nothing new.
-const CONFIRMATION_LIFETIME: Duration = Duration::from_micros(CONFIRMATION_LIFETIME_MICROS);
+const CONFIRMATION_LIFETIME: Duration = Duration::from_micros(CONFIRMATION_TTL_MICROS);
 
 impl ReplicaWork {
     /// True if new items may be started on the replica.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -9,7 +9,7 @@
 mod subset;
 mod table;
 
-pub use load::{CONFIRMATION_LIFETIME_MICROS, CostModel, LoadReport, ReplicaLoad};
+pub use load::{CONFIRMATION_TTL_MICROS, CostModel, LoadReport, ReplicaLoad};
 pub use prefix_index::{PrefixIndex, PrefixOverlap};
 pub use subset::{SubsetMember, rank_by_rendezvous, rendezvous_owner, stable_subset};
 pub use table::{Choice, ReplicaEntry, RouteRequest, RoutingTable};
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -57,7 +57,7 @@
 }
 
 /// A replica whose availability was not confirmed for this long gets nothing new: it may have left meanwhile.
-pub const CONFIRMATION_LIFETIME_MICROS: u64 = 2_500_000;
+pub const CONFIRMATION_TTL_MICROS: u64 = 2_500_000;
 
 impl ReplicaLoad {
     /// A request of `uncached_tokens` was sent.
@@ -124,7 +124,7 @@
     pub fn is_usable(&self, now_micros: u64) -> bool {
         !self.unavailable.load(Ordering::Relaxed)
             && self.penalty_until_micros.load(Ordering::Relaxed) <= now_micros
-            && self.confirmation_age(now_micros) <= CONFIRMATION_LIFETIME_MICROS
+            && self.confirmation_age(now_micros) <= CONFIRMATION_TTL_MICROS
     }
 
     /// Online sequences believed to run: the report corrected by what this gateway did since.
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use harrierward_routing::{
-    CONFIRMATION_LIFETIME_MICROS, CostModel, PrefixIndex, ReplicaEntry, ReplicaLoad, RouteRequest,
+    CONFIRMATION_TTL_MICROS, CostModel, PrefixIndex, ReplicaEntry, ReplicaLoad, RouteRequest,
     RoutingTable, rank_by_rendezvous, rendezvous_owner,
 };
 use rand::SeedableRng;
@@ -63,7 +63,7 @@
         let chosen = choose(&table, &index, &[], seed);
         assert!(matches!(chosen, Some(2 | 3)), "{chosen:?}");
     }
-    assert!(!loads[2].is_usable(NOW + CONFIRMATION_LIFETIME_MICROS + 1));
+    assert!(!loads[2].is_usable(NOW + CONFIRMATION_TTL_MICROS + 1));
     loads[0].confirm(false, NOW);
     assert!(!loads[0].is_usable(NOW), "older word does not count");
 }
--- a/crates/serving/src/admission.rs
+++ b/crates/serving/src/admission.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::configuration::Route;
-use crate::reply::RefusalCause;
+use crate::response::RefusalCause;
 use crate::routes::RouteTable;
 
 /// Age of the configuration from which on a daemon does not take its own copy for the newest: what it does not know may
@@ -18,7 +18,7 @@
 
 /// Whether a tenant's next request lies within its rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RateAnswer {
+pub enum RateStatus {
     /// It does.
     Within,
     /// The tenant is at its limit.
@@ -34,7 +34,7 @@
 #[async_trait]
 pub trait RateLimits: Send + Sync {
     /// Counts one request of a tenant, if it may run.
-    async fn admit(&self, tenant: &Tenant, request: &str) -> RateAnswer;
+    async fn admit(&self, tenant: &Tenant, request: &str) -> RateStatus;
 }
 
 /// When the configuration in force was last known to be the newest.
--- a/crates/serving/src/attempt.rs
+++ b/crates/serving/src/attempt.rs
@@ -7,20 +7,20 @@
 use harrierward_execution::Execution;
 use tokio::time::{Instant, timeout};
 
-use crate::choice::{LeftRegion, Placement, ROOMY_PERMILLE};
-use crate::exchange::{ExchangeError, ReplicaAnswer, ReplicaRequest, ServingRequest};
+use crate::choice::{CrossRegionReason, MIN_FREE_PERMILLE, Placement};
+use crate::exchange::{ExchangeError, ReplicaRequest, ReplicaResponse, ServingRequest};
 use crate::forwarder::Forwarder;
-use crate::gate::{Passage, barred, may_give_copy};
+use crate::gate::{GateRequest, barred, may_give_copy};
 use crate::in_progress::InProgress;
-use crate::outcome::{Evidence, Verdict};
-use crate::placing::NoPlace;
+use crate::outcome::{AttemptOutcome, Evidence};
+use crate::placement::NoPlace;
 use crate::policy::Mechanism;
 use crate::replica::{Replica, WorkClass};
 use crate::request_state::RequestState;
 
 /// Bounds of one attempt.
 #[derive(Debug, Clone, Copy)]
-pub struct AttemptTimes {
+pub struct AttemptTimeouts {
     /// Time left to the replica.
     pub time_left: Option<Duration>,
     /// Silence after which a replica that is silent to everybody is given up.
@@ -31,7 +31,7 @@
 
 /// How an attempt is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Sending {
+pub struct AttemptOptions {
     /// Last event that is already there.
     pub resume_after: Option<u64>,
     /// Use a connection that carried nothing before.
@@ -48,7 +48,7 @@
     /// No replica takes the work.
     NoReplica,
     /// It would be late, and its caller is to come back.
-    ComeBack {
+    RetryLater {
         /// After so long.
         after: Duration,
     },
@@ -76,14 +76,14 @@
     /// What it shows of the request's execution.
     pub fn execution(&self) -> Execution {
         match self {
-            Self::NoReplica | Self::ComeBack { .. } | Self::NotRun { .. } => Execution::NotRun,
+            Self::NoReplica | Self::RetryLater { .. } | Self::NotRun { .. } => Execution::NotRun,
             Self::Unattributed { .. } | Self::MayHaveRun { .. } => Execution::Unknown,
         }
     }
 
     fn cause(&self) -> &str {
         match self {
-            Self::NoReplica | Self::ComeBack { .. } => "no replica",
+            Self::NoReplica | Self::RetryLater { .. } => "no replica",
             Self::NotRun { cause, .. }
             | Self::Unattributed { cause }
             | Self::MayHaveRun { cause } => cause,
@@ -94,7 +94,7 @@
 /// An answer that has begun.
 pub struct Attempt {
     /// The answer.
-    pub answer: ReplicaAnswer,
+    pub answer: ReplicaResponse,
     /// Keeps the request counted.
     pub in_progress: InProgress,
 }
@@ -169,8 +169,8 @@
     pub(crate) async fn attempt(
         &self,
         state: &RequestState,
-        times: impl FnOnce() -> AttemptTimes,
-        sending: Sending,
+        times: impl FnOnce() -> AttemptTimeouts,
+        sending: AttemptOptions,
     ) -> (Option<String>, Result<Attempt, AttemptFailure>) {
         let request = &state.request;
         let objective = state.route.objective;
@@ -192,8 +192,8 @@
         let placement = match placement {
             Ok(placement) => placement,
             Err(NoPlace::NoReplica) => return (None, Err(AttemptFailure::NoReplica)),
-            Err(NoPlace::ComeBack { after }) => {
-                return (None, Err(AttemptFailure::ComeBack { after }));
+            Err(NoPlace::RetryLater { after }) => {
+                return (None, Err(AttemptFailure::RetryLater { after }));
             }
         };
         let replica_id = placement.in_progress.replica().record.id.clone();
@@ -208,15 +208,15 @@
         &self,
         request: &ServingRequest,
         placement: Placement,
-        times: AttemptTimes,
-        sending: Sending,
+        times: AttemptTimeouts,
+        sending: AttemptOptions,
     ) -> Result<Attempt, AttemptFailure> {
         let Placement {
             mut in_progress,
             choice,
         } = placement;
         let replica = choice.replica;
-        let passage = Passage {
+        let passage = GateRequest {
             regions: &request.regions,
             cold_until: choice.cold_until,
         };
@@ -249,7 +249,7 @@
             replica: &replica.record.id,
             chosen_by: choice.by.name(),
             region: &replica.record.region,
-            left_region: choice.left_region.map(LeftRegion::name),
+            left_region: choice.left_region.map(CrossRegionReason::name),
             load: choice.load,
             slots: replica.slots(),
             free_permille: choice.free_permille,
@@ -262,7 +262,7 @@
         });
         replica.note_prompt(&request.prompt);
         // Where all slots are taken a request waits for one, and sending it once more adds to the queue.
-        let is_queue = choice.free_permille < ROOMY_PERMILLE;
+        let is_queue = choice.free_permille < MIN_FREE_PERMILLE;
         if let Some(evidence) = in_progress.evidence() {
             let has_room = !is_queue && choice.load < replica.slots();
             evidence.note_sent(has_room, self.prefill_time(request));
@@ -309,9 +309,9 @@
         &self,
         request: &ServingRequest,
         in_progress: &InProgress,
-        answer: Option<Result<ReplicaAnswer, ExchangeError>>,
+        answer: Option<Result<ReplicaResponse, ExchangeError>>,
         failed_before: bool,
-    ) -> Result<ReplicaAnswer, AttemptFailure> {
+    ) -> Result<ReplicaResponse, AttemptFailure> {
         let replica = in_progress.replica();
         let answer = match answer {
             None => {
@@ -319,7 +319,7 @@
                 if evidence.is_none_or(Evidence::was_patient) {
                     self.suspect(replica);
                 }
-                in_progress.conclude(Verdict::Silent);
+                in_progress.conclude(AttemptOutcome::Unresponsive);
                 let cause = "no answer in time".to_owned();
                 return Err(AttemptFailure::MayHaveRun { cause });
             }
@@ -327,7 +327,7 @@
                 self.suspect(replica);
                 let cause = error.to_string();
                 if error.is_not_run() {
-                    in_progress.conclude(Verdict::Cut);
+                    in_progress.conclude(AttemptOutcome::Disconnected);
                     return Err(AttemptFailure::NotRun { cause, full: false });
                 }
                 in_progress.break_off();
@@ -339,7 +339,7 @@
         if is_own_failure {
             // Progress would clear the suspicion, and a replica that fails at once has the least load of all.
             self.suspect(replica);
-            in_progress.conclude(Verdict::Failed);
+            in_progress.conclude(AttemptOutcome::Failed);
         } else {
             replica.note_progress();
         }
@@ -348,7 +348,7 @@
         }
         // Whose answer it is comes first: a refusal that is left over from an earlier request says nothing of this one.
         if answer.answers.as_deref().is_some_and(|id| id != request.id) {
-            in_progress.conclude(Verdict::Spoilt);
+            in_progress.conclude(AttemptOutcome::Corrupt);
             let cause = "the answer belongs to another request".to_owned();
             return Err(AttemptFailure::MayHaveRun { cause });
         }
@@ -360,12 +360,12 @@
         }
         if answer.not_run {
             replica.note_full();
-            in_progress.conclude(Verdict::NotRun);
+            in_progress.conclude(AttemptOutcome::NotRun);
             let cause = format!("refused with status {}", answer.status);
             return Err(refused(cause, true, is_attributed));
         }
         if answer.answers.is_none() {
-            in_progress.conclude(Verdict::Spoilt);
+            in_progress.conclude(AttemptOutcome::Corrupt);
             let cause = format!("an answer without id, status {}", answer.status);
             return Err(AttemptFailure::MayHaveRun { cause });
         }
--- a/crates/serving/src/choice.rs
+++ b/crates/serving/src/choice.rs
@@ -38,7 +38,7 @@
 
 /// Why a request leaves the region of the daemon that it came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeftRegion {
+pub enum CrossRegionReason {
     /// The own region's replicas are full, and the way costs less than their queues.
     Full,
     /// The own region has no replica that may take it and answers.
@@ -47,7 +47,7 @@
     Price,
 }
 
-impl LeftRegion {
+impl CrossRegionReason {
     /// Name in the log.
     pub fn name(self) -> &'static str {
         match self {
@@ -72,7 +72,7 @@
     /// Until when the request may be sent there although the replica is cold; `None` if it was not counted there.
     pub cold_until: Option<Instant>,
     /// Why a replica in another region was looked for; `None` where the own region's were.
-    pub left_region: Option<LeftRegion>,
+    pub left_region: Option<CrossRegionReason>,
     /// The replica was out of service and is tried for its return.
     pub is_probe: bool,
     /// Another one that probably keeps more of the prompt: its memory of it is copied instead of being made anew.
@@ -110,7 +110,7 @@
 /// Part of the slots looked at that must be free to online requests for their replicas to count as roomy, in
 /// thousandths. Below it a replica's silence is more likely a queue than a fault (issue 21: 15 % free or less where
 /// all attempts were given up for silence), and a group is not asked for its prompt's sake.
-pub const ROOMY_PERMILLE: u32 = 150;
+pub const MIN_FREE_PERMILLE: u32 = 150;
 
 /// Fewest shared tokens for which a copy is made: below, reading them anew takes no longer.
 const LEAST_COPIED_TOKENS: u32 = 1_000;
@@ -207,7 +207,7 @@
 pub fn own_region_first(
     replicas: Vec<Arc<Replica>>,
     query: &ChoiceQuery<'_>,
-) -> (Vec<Arc<Replica>>, Option<LeftRegion>) {
+) -> (Vec<Arc<Replica>>, Option<CrossRegionReason>) {
     let may_take = |replica: &&Arc<Replica>| {
         (query.is_own_region)(replica)
             && !(query.is_excluded)(replica)
@@ -216,7 +216,7 @@
     };
     let near: Vec<Arc<Replica>> = replicas.iter().filter(may_take).cloned().collect();
     if near.is_empty() {
-        (replicas, Some(LeftRegion::NoReplica))
+        (replicas, Some(CrossRegionReason::NoReplica))
     } else {
         (near, None)
     }
@@ -245,7 +245,7 @@
         match query.length {
             PromptLength::Long => home,
             PromptLength::Short => !home && (query.is_own_zone)(replica),
-            PromptLength::Alike => (query.is_own_zone)(replica),
+            PromptLength::Uniform => (query.is_own_zone)(replica),
         }
     };
     let weight = |replica: &&Arc<Replica>| preference_weight(part, &replica.record.id);
@@ -282,8 +282,8 @@
 
 fn separation(length: PromptLength, home: bool) -> Separation {
     match (length, home) {
-        (PromptLength::Long, false) => Separation::LongAway,
-        (PromptLength::Short, true) => Separation::ShortBesideLong,
+        (PromptLength::Long, false) => Separation::LongWithoutAffinity,
+        (PromptLength::Short, true) => Separation::ShortAmongLong,
         _ => Separation::Fits,
     }
 }
--- a/crates/serving/src/evacuation.rs
+++ b/crates/serving/src/evacuation.rs
@@ -15,7 +15,7 @@
 
 /// What is known of a zone's evacuation. A greater mark is the newer knowledge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ZoneMark {
+pub struct EvacuationState {
     /// Revision at which the row was written.
     pub revision: u64,
     /// That row is gone: the zone is back in service.
@@ -24,11 +24,11 @@
 
 /// What somebody knows of all zones.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct EvacuationNews {
+pub struct EvacuationUpdate {
     /// Revision at which all rows were read together: an older row that is not named here is gone. 0 if never.
     pub complete_at: u64,
     /// Zones by name.
-    pub zones: BTreeMap<String, ZoneMark>,
+    pub zones: BTreeMap<String, EvacuationState>,
 }
 
 /// A zone went out of service, or came back.
@@ -44,7 +44,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct KnownZone {
-    mark: ZoneMark,
+    mark: EvacuationState,
     learned_at: Instant,
     returned_at: Option<Instant>,
 }
@@ -58,7 +58,7 @@
 
 impl EvacuatedZones {
     /// Takes what somebody else knows; tells what changes here.
-    pub fn merge(&mut self, news: &EvacuationNews, now: Instant) -> Vec<ZoneChange> {
+    pub fn merge(&mut self, news: &EvacuationUpdate, now: Instant) -> Vec<ZoneChange> {
         let mut changes = self.end_those_missing(news, now);
         for (zone, mark) in &news.zones {
             changes.extend(self.raise(zone, self.judged(zone, *mark), now));
@@ -68,21 +68,21 @@
     }
 
     /// Rows that the news should name and does not are gone.
-    fn end_those_missing(&mut self, news: &EvacuationNews, now: Instant) -> Vec<ZoneChange> {
-        let is_missing = |zone: &String, mark: ZoneMark| {
+    fn end_those_missing(&mut self, news: &EvacuationUpdate, now: Instant) -> Vec<ZoneChange> {
+        let is_missing = |zone: &String, mark: EvacuationState| {
             let told = news.zones.get(zone);
             !mark.is_over
                 && mark.revision <= news.complete_at
                 && told.is_none_or(|told| told.revision < mark.revision)
         };
-        let missing: Vec<(String, ZoneMark)> = self
+        let missing: Vec<(String, EvacuationState)> = self
             .zones
             .iter()
             .filter(|(zone, known)| is_missing(zone, known.mark))
             .map(|(zone, known)| (zone.clone(), known.mark))
             .collect();
         let ended = missing.into_iter().filter_map(|(zone, mark)| {
-            let over = ZoneMark {
+            let over = EvacuationState {
                 is_over: true,
                 ..mark
             };
@@ -92,16 +92,16 @@
     }
 
     /// A mark in the light of what was read here: an older row that was not there then is gone.
-    fn judged(&self, zone: &str, mark: ZoneMark) -> ZoneMark {
+    fn judged(&self, zone: &str, mark: EvacuationState) -> EvacuationState {
         let known = self.zones.get(zone).map_or(0, |known| known.mark.revision);
         let was_gone = mark.revision <= self.complete_at && known < mark.revision;
-        ZoneMark {
+        EvacuationState {
             is_over: mark.is_over || was_gone,
             ..mark
         }
     }
 
-    fn raise(&mut self, zone: &str, mark: ZoneMark, now: Instant) -> Option<ZoneChange> {
+    fn raise(&mut self, zone: &str, mark: EvacuationState, now: Instant) -> Option<ZoneChange> {
         let known = self.zones.get(zone).copied();
         if known.is_some_and(|known| known.mark >= mark) {
             return None;
@@ -143,9 +143,9 @@
     }
 
     /// All that is known, for others.
-    pub fn news(&self) -> EvacuationNews {
+    pub fn news(&self) -> EvacuationUpdate {
         let zones = self.zones.iter();
-        EvacuationNews {
+        EvacuationUpdate {
             complete_at: self.complete_at,
             zones: zones
                 .map(|(zone, known)| (zone.clone(), known.mark))
@@ -199,7 +199,7 @@
         written: Vec<(String, u64)>,
         gone: &[String],
         complete_at: Option<u64>,
-    ) -> EvacuationNews {
+    ) -> EvacuationUpdate {
         let mut zones = BTreeMap::new();
         for (zone, revision) in written {
             self.rows.insert(zone.clone(), revision);
@@ -210,21 +210,21 @@
                 continue;
             };
             let is_over = true;
-            zones.insert(zone.clone(), ZoneMark { revision, is_over });
+            zones.insert(zone.clone(), EvacuationState { revision, is_over });
         }
         if complete_at.is_some() {
             let standing = self.rows.iter();
             zones.extend(standing.map(|(zone, revision)| (zone.clone(), in_force(*revision))));
         }
-        EvacuationNews {
+        EvacuationUpdate {
             complete_at: complete_at.unwrap_or_default(),
             zones,
         }
     }
 }
 
-fn in_force(revision: u64) -> ZoneMark {
-    ZoneMark {
+fn in_force(revision: u64) -> EvacuationState {
+    EvacuationState {
         revision,
         is_over: false,
     }
--- a/crates/serving/src/exchange.rs
+++ b/crates/serving/src/exchange.rs
@@ -82,10 +82,10 @@
 }
 
 /// Bytes of an answer. Ends without an error only if the answer is whole; dropping it closes the connection.
-pub type AnswerBody = Pin<Box<dyn Stream<Item = Result<Bytes, BodyError>> + Send>>;
+pub type ReplicaBody = Pin<Box<dyn Stream<Item = Result<Bytes, BodyError>> + Send>>;
 
 /// A replica's answer.
-pub struct ReplicaAnswer {
+pub struct ReplicaResponse {
     /// Status.
     pub status: u16,
     /// Request that it answers, as the replica says.
@@ -101,7 +101,7 @@
     /// Headers for the caller.
     pub headers: HeaderMap,
     /// The body.
-    pub body: AnswerBody,
+    pub body: ReplicaBody,
 }
 
 /// Why no answer came.
@@ -140,5 +140,5 @@
 #[async_trait]
 pub trait ReplicaClient: Send + Sync {
     /// Sends a request and waits for the head of its answer. Dropping the future closes the connection.
-    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaAnswer, ExchangeError>;
+    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError>;
 }
--- a/crates/serving/src/forwarder.rs
+++ b/crates/serving/src/forwarder.rs
@@ -10,8 +10,8 @@
 use harrierward_quarantine::{ContentId, Hold, Standing};
 use tokio::time::Instant;
 
-use crate::admission::{ConfigurationProof, KeyTrust, RateAnswer, RateLimits, caller_of};
-use crate::attempt::{Attempt, AttemptFailure, Sending};
+use crate::admission::{ConfigurationProof, KeyTrust, RateLimits, RateStatus, caller_of};
+use crate::attempt::{Attempt, AttemptFailure, AttemptOptions};
 use crate::exchange::{ReplicaClient, ServingRequest};
 use crate::leases::SlotLeases;
 use crate::policy::{Mechanism, Policy};
@@ -20,8 +20,8 @@
 use crate::relay::Relay;
 use crate::replica::Replica;
 use crate::replica_set::ReplicaSet;
-use crate::reply::{CallerAnswer, Refusal, RefusalCause, Reply};
 use crate::request_state::{RequestClock, RequestState};
+use crate::response::{CallerResponse, Refusal, RefusalCause, Reply};
 use crate::routes::{RouteEntry, RouteTable};
 use crate::selection::SelectionCosts;
 
@@ -202,12 +202,12 @@
             return Ok(entry);
         }
         match self.parts.rates.admit(&tenant, &request.id).await {
-            RateAnswer::Within => Ok(entry),
-            RateAnswer::Over { retry_after } => {
+            RateStatus::Within => Ok(entry),
+            RateStatus::Over { retry_after } => {
                 let cause = RefusalCause::RateLimited;
                 Err(Refusal::not_run(cause, Some(retry_after)))
             }
-            RateAnswer::Unknown => Err(refuse_unsent(RefusalCause::RateUnknown)),
+            RateStatus::Unknown => Err(refuse_unsent(RefusalCause::RateUnknown)),
         }
     }
 
@@ -244,7 +244,7 @@
         request: &Arc<ServingRequest>,
         entry: &RouteEntry,
         arrived: Instant,
-    ) -> Result<CallerAnswer, Refusal> {
+    ) -> Result<CallerResponse, Refusal> {
         let service = entry
             .next_service()
             .ok_or_else(|| refuse_unsent(RefusalCause::NoReplica))?;
@@ -283,7 +283,7 @@
             };
             state.execution.learn(failure.execution());
             match failure {
-                AttemptFailure::ComeBack { after } => {
+                AttemptFailure::RetryLater { after } => {
                     let cause = RefusalCause::Overloaded;
                     return Err(Refusal::new(cause, state.execution, Some(after)));
                 }
@@ -331,7 +331,7 @@
     ) -> (Option<String>, Result<Attempt, AttemptFailure>) {
         // A connection that was used before may carry a late answer, or be closing: an attempt that cannot be
         // repeated takes a new one. So does one that follows a lost answer: kept connections fall silent together.
-        let sending = Sending {
+        let sending = AttemptOptions {
             resume_after: state.request.resume_after,
             fresh_connection: !state.route.may_repeat() || state.sends > 1,
             number: state.sends,
@@ -369,14 +369,14 @@
     let left = hold
         .until
         .saturating_duration_since(harrierward_clock::now());
-    Refusal::new(RefusalCause::HeldBack, state.execution, Some(left))
+    Refusal::new(RefusalCause::Quarantined, state.execution, Some(left))
 }
 
 fn answer(
     forwarder: &Forwarder,
     mut state: RequestState,
     attempt: Attempt,
-) -> Result<CallerAnswer, Refusal> {
+) -> Result<CallerResponse, Refusal> {
     state.execution.learn(Execution::Ran);
     let status = attempt.answer.status;
     if promises_not_run(status) {
@@ -385,7 +385,7 @@
     }
     let headers = attempt.answer.headers.clone();
     let relay = Relay::new(forwarder.clone(), state, attempt);
-    Ok(CallerAnswer {
+    Ok(CallerResponse {
         status,
         headers,
         body: relay.into_stream().boxed(),
--- a/crates/serving/src/gate.rs
+++ b/crates/serving/src/gate.rs
@@ -8,7 +8,7 @@
 
 /// Why a request must not go to a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Barred {
+pub enum GateDenial {
     /// The replica leaves.
     Leaving,
     /// It has ended.
@@ -21,7 +21,7 @@
     ColdWithoutGrant,
 }
 
-impl Barred {
+impl GateDenial {
     /// Name in the log.
     pub fn name(self) -> &'static str {
         match self {
@@ -36,7 +36,7 @@
 
 /// What a request brings to the gate.
 #[derive(Debug, Clone, Copy)]
-pub struct Passage<'a> {
+pub struct GateRequest<'a> {
     /// Regions in which it may be served.
     pub regions: &'a AllowedRegions,
     /// Until when it may be sent to a replica that is cold; `None` if it was not counted there.
@@ -44,17 +44,17 @@
 }
 
 /// Why the request must not go to the replica now; `None` if it may.
-pub fn barred(replica: &Replica, passage: &Passage<'_>, now: Instant) -> Option<Barred> {
+pub fn barred(replica: &Replica, passage: &GateRequest<'_>, now: Instant) -> Option<GateDenial> {
     if replica.is_draining() {
-        Some(Barred::Leaving)
+        Some(GateDenial::Leaving)
     } else if replica.has_ended() {
-        Some(Barred::Ended)
+        Some(GateDenial::Ended)
     } else if replica.is_zone_evacuated() {
-        Some(Barred::ZoneEvacuated)
+        Some(GateDenial::ZoneEvacuated)
     } else if !passage.regions.allows(&replica.record.region) {
-        Some(Barred::RegionNotAllowed)
+        Some(GateDenial::RegionNotAllowed)
     } else if replica.is_cold(now) && passage.cold_until.is_none_or(|until| now >= until) {
-        Some(Barred::ColdWithoutGrant)
+        Some(GateDenial::ColdWithoutGrant)
     } else {
         None
     }
--- a/crates/serving/src/in_progress.rs
+++ b/crates/serving/src/in_progress.rs
@@ -5,7 +5,7 @@
 use harrierward_quarantine::ContentId;
 
 use crate::leases::SlotLease;
-use crate::outcome::{Evidence, Verdict};
+use crate::outcome::{AttemptOutcome, Evidence};
 use crate::quarantine::Quarantine;
 use crate::replica::{Replica, WorkClass};
 
@@ -54,7 +54,7 @@
 
     /// The connection broke after the request may have been begun.
     pub fn break_off(&self) {
-        self.conclude(Verdict::Cut);
+        self.conclude(AttemptOutcome::Disconnected);
         if let Some(watched) = &self.content {
             watched
                 .quarantine
@@ -90,7 +90,7 @@
     }
 
     /// The request ended so.
-    pub fn conclude(&self, verdict: Verdict) {
+    pub fn conclude(&self, verdict: AttemptOutcome) {
         if let Some(evidence) = self.evidence() {
             evidence.conclude(verdict);
         }
--- a/crates/serving/src/leases.rs
+++ b/crates/serving/src/leases.rs
@@ -7,14 +7,14 @@
 use harrierward_tenants::AllowedRegions;
 
 use crate::choice::Choice;
-use crate::outcome::{Evidence, LeaseEnd};
+use crate::outcome::{Evidence, ReleaseReport};
 use crate::profile::PromptLength;
 use crate::prompt::Prompt;
 use crate::replica::{Replica, WorkClass};
 
 /// What a batch item adds to a question for a lease.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ItemRoom {
+pub struct ItemSlack {
     /// Time until the item must run again if it is ended at once.
     pub slack: Duration,
 }
@@ -35,7 +35,7 @@
     /// Objective of the request, from which the patience with a coordinator follows.
     pub objective: Duration,
     /// Set for a batch item.
-    pub item: Option<ItemRoom>,
+    pub item: Option<ItemSlack>,
     /// An online request whose objective has passed: it waits while those that can still be in time take all slots.
     pub overdue: bool,
     /// It may be sent again elsewhere if it fails: a replica that failed may be tried with it.
@@ -57,18 +57,18 @@
 
 /// What became of a question for a lease.
 #[derive(Debug)]
-pub enum SlotAnswer {
+pub enum SlotReply {
     /// The coordinator gave this lease out.
-    Given {
+    Granted {
         /// The replica.
         choice: Choice,
         /// Number of the lease.
         lease: u32,
     },
     /// The coordinator has no room now for an item or an overdue request.
-    NoRoom,
+    NoCapacity,
     /// The request would be late; its caller is to come back.
-    ComeBack {
+    RetryLater {
         /// When a slot is expected to be free for it.
         after: Duration,
     },
@@ -83,13 +83,13 @@
 #[async_trait]
 pub trait SlotLeases: Send + Sync {
     /// Asks the coordinator of the replicas for a lease.
-    async fn ask(&self, query: SlotQuery<'_>) -> SlotAnswer;
+    async fn ask(&self, query: SlotQuery<'_>) -> SlotReply;
 
     /// A lease that this daemon chose itself. Returns its number.
-    fn take(&self, replica: &Arc<Replica>, item: Option<ItemRoom>) -> u32;
+    fn take(&self, replica: &Arc<Replica>, item: Option<ItemSlack>) -> u32;
 
     /// The lease is free again; `end` is what its request saw of the replica. Does not wait.
-    fn release(&self, lease: u32, end: LeaseEnd);
+    fn release(&self, lease: u32, end: ReleaseReport);
 
     /// True if the coordinator of the replica's group has just said that all of the group are cold, which this daemon may
     /// not have heard from their rows.
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -17,7 +17,7 @@
 mod in_progress;
 mod leases;
 mod outcome;
-mod placing;
+mod placement;
 mod policy;
 mod profile;
 mod prompt;
@@ -25,43 +25,45 @@
 mod relay;
 mod replica;
 mod replica_set;
-mod reply;
 mod request_state;
+mod response;
 mod routes;
 mod selection;
 mod suspicion;
 mod topology;
 mod warmth;
 
-pub use admission::{ConfigurationProof, KeyTrust, RateAnswer, RateLimits, caller_of, tenant_of};
-pub use attempt::{Attempt, AttemptFailure, AttemptTimes, Sending, wait_for_progress};
+pub use admission::{ConfigurationProof, KeyTrust, RateLimits, RateStatus, caller_of, tenant_of};
+pub use attempt::{Attempt, AttemptFailure, AttemptOptions, AttemptTimeouts, wait_for_progress};
 pub use choice::{
-    Choice, ChoiceQuery, ChosenBy, LeftRegion, Placement, ROOMY_PERMILLE, choose_replica,
+    Choice, ChoiceQuery, ChosenBy, CrossRegionReason, MIN_FREE_PERMILLE, Placement, choose_replica,
     own_region_first, reserved_slots,
 };
 pub use configuration::{
     BatchBounds, CallerLimits, Route, RouteKind, Service, ServingConfiguration, Warmup,
     WeightedService,
 };
-pub use evacuation::{EvacuatedZones, EvacuationNews, EvacuationRows, ZoneChange, ZoneMark};
+pub use evacuation::{
+    EvacuatedZones, EvacuationRows, EvacuationState, EvacuationUpdate, ZoneChange,
+};
 pub use events::{EventSplitter, StreamEvent};
 pub use exchange::{
-    AnswerBody, BodyError, ExchangeError, ReplicaAnswer, ReplicaClient, ReplicaLoad,
-    ReplicaRequest, ServingRequest,
+    BodyError, ExchangeError, ReplicaBody, ReplicaClient, ReplicaLoad, ReplicaRequest,
+    ReplicaResponse, ServingRequest,
 };
 pub use forwarder::{Forwarder, ForwarderParts, ForwarderSettings, SharedRoutes};
-pub use gate::{Barred, Passage, barred};
+pub use gate::{GateDenial, GateRequest, barred};
 pub use in_progress::InProgress;
-pub use leases::{ItemRoom, SlotAnswer, SlotLease, SlotLeases, SlotQuery};
-pub use outcome::{Evidence, LeaseEnd, Verdict};
+pub use leases::{ItemSlack, SlotLease, SlotLeases, SlotQuery, SlotReply};
+pub use outcome::{AttemptOutcome, Evidence, ReleaseReport};
 pub use policy::{Mechanism, Policy, UnknownMechanism};
 pub use profile::{PromptLength, PromptProfiles};
-pub use prompt::{Prompt, PromptMemory, PromptPart};
+pub use prompt::{PrefixCacheEstimate, Prompt, PromptPart};
 pub use quarantine::{NoQuarantine, Quarantine};
-pub use relay::Cut;
+pub use relay::ResponseAborted;
 pub use replica::{Replica, ReplicaRecord, WorkClass, short_hash};
 pub use replica_set::{ReplicaSet, ReplicaView};
-pub use reply::{CallerAnswer, CallerBody, Refusal, RefusalCause, Reply};
+pub use response::{CallerBody, CallerResponse, Refusal, RefusalCause, Reply};
 pub use routes::{RouteEntry, RouteTable};
 pub use selection::{
     Candidate, SelectionCosts, Separation, choose, cost, expected_wait_ms, preference_weight,
--- a/crates/serving/src/outcome.rs
+++ b/crates/serving/src/outcome.rs
@@ -14,7 +14,7 @@
 
 /// What a request's end says of its replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AttemptOutcome {
     /// Nothing: the caller left, the item was ended, or the request itself was at fault.
     #[default]
     NoEvidence,
@@ -23,11 +23,11 @@
     /// It answered with a failure of its own.
     Failed,
     /// Its answer broke off, or its connection was refused or reset.
-    Cut,
+    Disconnected,
     /// Nothing came from it in time.
-    Silent,
+    Unresponsive,
     /// Its bytes formed no answer, or that of another request.
-    Spoilt,
+    Corrupt,
     /// It refused although it had room.
     NotRun,
     /// Nothing was sent to it: the lease was not needed.
@@ -36,9 +36,9 @@
 
 /// A verdict and how long the first event took.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LeaseEnd {
+pub struct ReleaseReport {
     /// The verdict.
-    pub verdict: Verdict,
+    pub verdict: AttemptOutcome,
     /// Time from sending to the first event without that for reading the prompt, where the replica had room; `None` if that says nothing.
     pub first_event: Option<Duration>,
 }
@@ -48,7 +48,7 @@
     sent: Option<Instant>,
     has_room: bool,
     prefill: Duration,
-    end: LeaseEnd,
+    end: ReleaseReport,
 }
 
 impl Seen {
@@ -96,20 +96,20 @@
     }
 
     /// The request ended so.
-    pub fn conclude(&self, verdict: Verdict) {
+    pub fn conclude(&self, verdict: AttemptOutcome) {
         let mut seen = self.lock();
         let excused = match verdict {
-            Verdict::Silent => !seen.has_room || !seen.was_patient(),
-            Verdict::NotRun => !seen.has_room,
+            AttemptOutcome::Unresponsive => !seen.has_room || !seen.was_patient(),
+            AttemptOutcome::NotRun => !seen.has_room,
             _ => false,
         };
-        if seen.end.verdict == Verdict::NoEvidence && !excused {
+        if seen.end.verdict == AttemptOutcome::NoEvidence && !excused {
             seen.end.verdict = verdict;
         }
     }
 
     /// What was gathered.
-    pub fn end(&self) -> LeaseEnd {
+    pub fn end(&self) -> ReleaseReport {
         self.lock().end
     }
 
--- a/crates/serving/src/placing.rs
+++ b/crates/serving/src/placement.rs
@@ -10,8 +10,8 @@
 use crate::choice::{Choice, ChoiceQuery, Placement, choose_replica, own_region_first};
 use crate::exchange::ServingRequest;
 use crate::forwarder::Forwarder;
-use crate::gate::{Barred, Passage, barred};
-use crate::leases::{ItemRoom, SlotAnswer, SlotLease, SlotQuery};
+use crate::gate::{GateDenial, GateRequest, barred};
+use crate::leases::{ItemSlack, SlotLease, SlotQuery, SlotReply};
 use crate::policy::Mechanism;
 use crate::profile::PromptLength;
 use crate::replica::WorkClass;
@@ -30,7 +30,7 @@
     /// No replica takes it.
     NoReplica,
     /// It would be late; its caller is to come back.
-    ComeBack {
+    RetryLater {
         /// After so long.
         after: Duration,
     },
@@ -44,11 +44,11 @@
         service: &str,
         excluded: &[String],
         objective: Duration,
-        item: Option<ItemRoom>,
+        item: Option<ItemSlack>,
     ) -> Option<Placement> {
         let length = match item {
             None => self.length_of(service, request),
-            Some(_) => PromptLength::Alike,
+            Some(_) => PromptLength::Uniform,
         };
         let query = SlotQuery {
             service,
@@ -118,19 +118,19 @@
                 break;
             }
             match self.places().ask(query).await {
-                SlotAnswer::NoRoom if Instant::now() < until => {
+                SlotReply::NoCapacity if Instant::now() < until => {
                     // Not all at the same moment.
                     sleep(pause.mul_f64(rand::random_range(0.75..1.25))).await;
                 }
-                SlotAnswer::Given { choice, lease } => {
+                SlotReply::Granted { choice, lease } => {
                     self.log_overdue(request, began);
                     let held = SlotLease::new(self.places().clone(), lease);
                     return Some(choice.enter(query.class(), held));
                 }
-                SlotAnswer::NoRoom
-                | SlotAnswer::ComeBack { .. }
-                | SlotAnswer::AllCold
-                | SlotAnswer::NoCoordinator => {
+                SlotReply::NoCapacity
+                | SlotReply::RetryLater { .. }
+                | SlotReply::AllCold
+                | SlotReply::NoCoordinator => {
                     break;
                 }
             }
@@ -144,7 +144,7 @@
         if self.policy().has(Mechanism::LongPromptsApart) {
             self.profiles().observe(service, request.prompt.tokens)
         } else {
-            PromptLength::Alike
+            PromptLength::Uniform
         }
     }
 
@@ -168,7 +168,7 @@
         }
         drop(view);
         let answer = self.places().ask(query).await;
-        if matches!(answer, SlotAnswer::AllCold) {
+        if matches!(answer, SlotReply::AllCold) {
             self.log().record(&Record::ColdPassedOver {
                 request: &request.id,
                 service: query.service,
@@ -176,7 +176,7 @@
             });
         }
         match answer {
-            SlotAnswer::Given { choice, lease } => {
+            SlotReply::Granted { choice, lease } => {
                 let held = SlotLease::new(self.places().clone(), lease);
                 if self.overrules(&choice, query.regions) {
                     drop(held);
@@ -184,11 +184,11 @@
                 }
                 Ok(choice.enter(query.class(), held))
             }
-            SlotAnswer::NoRoom => Err(NoPlace::NoReplica),
-            SlotAnswer::ComeBack { after } => Err(NoPlace::ComeBack { after }),
+            SlotReply::NoCapacity => Err(NoPlace::NoReplica),
+            SlotReply::RetryLater { after } => Err(NoPlace::RetryLater { after }),
             // An item can wait for a coordinator's room; a caller cannot.
-            SlotAnswer::AllCold if query.item.is_some() => Err(NoPlace::NoReplica),
-            SlotAnswer::AllCold | SlotAnswer::NoCoordinator => {
+            SlotReply::AllCold if query.item.is_some() => Err(NoPlace::NoReplica),
+            SlotReply::AllCold | SlotReply::NoCoordinator => {
                 self.choose_alone(query).ok_or(NoPlace::NoReplica)
             }
         }
@@ -197,13 +197,14 @@
     /// True if this daemon knows that the request must not go where the coordinator sends it: one that has not heard of an
     /// evacuation would grant the zone's replicas one after the other until the request is given up.
     fn overrules(&self, choice: &Choice, regions: &AllowedRegions) -> bool {
-        let passage = Passage {
+        let passage = GateRequest {
             regions,
             cold_until: choice.cold_until,
         };
         let reason = barred(&choice.replica, &passage, harrierward_clock::now());
-        let Some(reason @ (Barred::ZoneEvacuated | Barred::RegionNotAllowed | Barred::Ended)) =
-            reason
+        let Some(
+            reason @ (GateDenial::ZoneEvacuated | GateDenial::RegionNotAllowed | GateDenial::Ended),
+        ) = reason
         else {
             return false;
         };
--- a/crates/serving/src/profile.rs
+++ b/crates/serving/src/profile.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PromptLength {
     /// No long prompts come: nothing is kept apart.
-    Alike,
+    Uniform,
     /// Shorter than those kept apart.
     Short,
     /// Kept apart.
@@ -55,7 +55,7 @@
             profiles.insert(service.to_owned(), first);
         }
         let Some(profile) = profiles.get_mut(service) else {
-            return PromptLength::Alike;
+            return PromptLength::Uniform;
         };
         let is_long = tokens > profile.mean_tokens * LONG_FACTOR;
         profile.mean_tokens += (tokens - profile.mean_tokens) * MEAN_WEIGHT;
@@ -73,7 +73,7 @@
         if apart {
             PromptLength::Short
         } else {
-            PromptLength::Alike
+            PromptLength::Uniform
         }
     }
 }
--- a/crates/serving/src/prompt.rs
+++ b/crates/serving/src/prompt.rs
@@ -38,13 +38,13 @@
 
 /// What a replica probably keeps: the parts this daemon sent there, least recently used first out.
 #[derive(Debug)]
-pub struct PromptMemory {
+pub struct PrefixCacheEstimate {
     parts: lru::LruCache<u64, u32>,
     capacity_tokens: u64,
     tokens: u64,
 }
 
-impl PromptMemory {
+impl PrefixCacheEstimate {
     /// A memory that holds at most `capacity_tokens`.
     pub fn new(capacity_tokens: u64) -> Self {
         Self {
--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -9,19 +9,19 @@
 use harrierward_decisions::Record;
 use tokio::time::sleep;
 
-use crate::attempt::{Attempt, AttemptFailure, Sending, wait_for_progress};
+use crate::attempt::{Attempt, AttemptFailure, AttemptOptions, wait_for_progress};
 use crate::events::EventSplitter;
-use crate::exchange::AnswerBody;
+use crate::exchange::ReplicaBody;
 use crate::forwarder::Forwarder;
 use crate::in_progress::InProgress;
-use crate::outcome::{Evidence, Verdict};
+use crate::outcome::{AttemptOutcome, Evidence};
 use crate::replica::Replica;
 use crate::request_state::{RequestClock, RequestState};
 
 /// The answer could not be brought to its end; the caller's connection must be broken off.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("answer cut: {cause}")]
-pub struct Cut {
+pub struct ResponseAborted {
     /// Cause in words.
     pub cause: String,
 }
@@ -43,7 +43,7 @@
     forwarder: Forwarder,
     state: RequestState,
     status: u16,
-    body: Option<AnswerBody>,
+    body: Option<ReplicaBody>,
     in_progress: Option<InProgress>,
     splitter: EventSplitter,
     ready: VecDeque<Bytes>,
@@ -78,14 +78,14 @@
     }
 
     /// The body as a stream for the caller.
-    pub fn into_stream(self) -> impl Stream<Item = Result<Bytes, Cut>> + Send {
+    pub fn into_stream(self) -> impl Stream<Item = Result<Bytes, ResponseAborted>> + Send {
         stream::unfold(self, |mut relay| async move {
             let item = relay.next().await?;
             Some((item, relay))
         })
     }
 
-    fn conclude(&self, verdict: Verdict) {
+    fn conclude(&self, verdict: AttemptOutcome) {
         if let Some(in_progress) = &self.in_progress {
             in_progress.conclude(verdict);
         }
@@ -101,7 +101,7 @@
         self.state.route.is_resumable() && self.status < 300
     }
 
-    async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
+    async fn next(&mut self) -> Option<Result<Bytes, ResponseAborted>> {
         loop {
             if let Some(bytes) = self.ready.pop_front() {
                 return Some(Ok(bytes));
@@ -122,7 +122,7 @@
                 }
                 Step::End => {
                     if self.status < FIRST_ERROR {
-                        self.conclude(Verdict::Served);
+                        self.conclude(AttemptOutcome::Served);
                     }
                     if let Some(in_progress) = &self.in_progress {
                         in_progress.note_whole();
@@ -162,14 +162,14 @@
                 // One that has sent something may only have had little time.
                 let began = in_progress.evidence().is_some_and(Evidence::has_begun);
                 if !began {
-                    in_progress.conclude(Verdict::Silent);
+                    in_progress.conclude(AttemptOutcome::Unresponsive);
                 }
                 Step::Broken("the route's time is over".to_owned())
             }
             None if movable && !self.has_elsewhere() => Step::Wait,
             None => {
                 replica.suspect();
-                in_progress.conclude(Verdict::Silent);
+                in_progress.conclude(AttemptOutcome::Unresponsive);
                 Step::Broken("no event in time".to_owned())
             }
             Some(None) => Step::End,
@@ -214,7 +214,7 @@
     }
 
     /// Goes on at another replica after the last event delivered, if that is allowed.
-    async fn go_on(&mut self, cause: String) -> Result<(), Cut> {
+    async fn go_on(&mut self, cause: String) -> Result<(), ResponseAborted> {
         // The connection is closed before another replica starts.
         self.body = None;
         let left = self.in_progress.take();
@@ -263,7 +263,7 @@
                         self.forgive_end(&replica).await;
                     }
                 }
-                Err(AttemptFailure::NoReplica | AttemptFailure::ComeBack { .. }) => {
+                Err(AttemptFailure::NoReplica | AttemptFailure::RetryLater { .. }) => {
                     self.state.sends -= 1;
                     first_cause = Some("no replica".to_owned());
                     if !self.wait_for_room(&mut room_waits).await {
@@ -299,7 +299,7 @@
     async fn try_again(&mut self) -> (Option<String>, Result<Attempt, AttemptFailure>) {
         let state = &self.state;
         let times = || state.clock.attempt_times(&state.route, state.sends);
-        let sending = Sending {
+        let sending = AttemptOptions {
             resume_after: self.delivered,
             fresh_connection: true,
             number: state.sends,
@@ -320,7 +320,7 @@
         });
     }
 
-    fn cut(&mut self, cause: String) -> Cut {
+    fn cut(&mut self, cause: String) -> ResponseAborted {
         self.finish("cut");
         self.forwarder.log().record(&Record::AttemptFailed {
             request: &self.state.request.id,
@@ -330,7 +330,7 @@
             not_run: false,
             after_ms: self.state.clock.elapsed_ms(),
         });
-        Cut { cause }
+        ResponseAborted { cause }
     }
 
     fn finish(&mut self, outcome: &'static str) {
--- a/crates/serving/src/replica.rs
+++ b/crates/serving/src/replica.rs
@@ -11,7 +11,7 @@
 use crate::exchange::ReplicaLoad;
 use crate::in_progress::InProgress;
 use crate::leases::SlotLease;
-use crate::prompt::{Prompt, PromptMemory};
+use crate::prompt::{PrefixCacheEstimate, Prompt};
 use crate::suspicion::Suspicion;
 use crate::topology::Location;
 use crate::warmth::Warmth;
@@ -117,7 +117,7 @@
     listening_since: Instant,
     suspicion: Suspicion,
     report: Mutex<Option<LoadReport>>,
-    memory: Mutex<PromptMemory>,
+    memory: Mutex<PrefixCacheEstimate>,
 }
 
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -159,7 +159,7 @@
             listening_since: Instant::now(),
             suspicion: Suspicion::default(),
             report: Mutex::new(None),
-            memory: Mutex::new(PromptMemory::new(kept_tokens)),
+            memory: Mutex::new(PrefixCacheEstimate::new(kept_tokens)),
         };
         replica.note_row_warmup(left, replica.started);
         replica
--- a/crates/serving/src/request_state.rs
+++ b/crates/serving/src/request_state.rs
@@ -7,7 +7,7 @@
 use harrierward_quarantine::ContentId;
 use tokio::time::Instant;
 
-use crate::attempt::AttemptTimes;
+use crate::attempt::AttemptTimeouts;
 use crate::configuration::Route;
 use crate::exchange::ServingRequest;
 
@@ -99,19 +99,19 @@
     }
 
     /// Bounds of the attempt numbered `number`, from 1.
-    pub fn attempt_times(&self, route: &Route, number: u32) -> AttemptTimes {
+    pub fn attempt_times(&self, route: &Route, number: u32) -> AttemptTimeouts {
         let left = self.hold_left();
         let time_left = self.deadline.map(|_| left);
         if number < route.attempts && route.may_repeat() {
             let dark = (route.objective * DARK_FIRST_PERCENT / 100).max(LEAST_FIRST);
             let longest = (route.objective * LONGEST_FIRST_FACTOR).max(LEAST_FIRST);
-            return AttemptTimes {
+            return AttemptTimeouts {
                 time_left,
                 dark: dark.min(left),
                 longest: longest.min(left),
             };
         }
-        AttemptTimes {
+        AttemptTimeouts {
             time_left,
             dark: left,
             longest: left,
--- a/crates/serving/src/reply.rs
+++ b/crates/serving/src/response.rs
@@ -7,14 +7,14 @@
 use harrierward_execution::{Execution, FinalAnswer};
 use http::HeaderMap;
 
-use crate::relay::Cut;
+use crate::relay::ResponseAborted;
 
 /// Bytes for the caller. An error means that the connection must be broken off, so that the answer does not
 /// look complete.
-pub type CallerBody = BoxStream<'static, Result<Bytes, Cut>>;
+pub type CallerBody = BoxStream<'static, Result<Bytes, ResponseAborted>>;
 
 /// A replica's answer on its way to the caller.
-pub struct CallerAnswer {
+pub struct CallerResponse {
     /// Status.
     pub status: u16,
     /// Headers.
@@ -53,7 +53,7 @@
     /// A replica broke off, and the request must not run again.
     Broken,
     /// Replicas have ended each time that they ran it: it is sent to none.
-    HeldBack,
+    Quarantined,
     /// The daemon is stopping.
     Stopping,
 }
@@ -95,7 +95,7 @@
             Self::NoTimeLeft => "no_time_left",
             Self::TimedOut => "timed_out",
             Self::Broken => "broken",
-            Self::HeldBack => "held_back",
+            Self::Quarantined => "held_back",
             Self::Stopping => "stopping",
         }
     }
@@ -113,7 +113,7 @@
             | Self::Full
             | Self::Overloaded
             | Self::NoTimeLeft
-            | Self::HeldBack
+            | Self::Quarantined
             | Self::Stopping => 503,
             Self::TimedOut => 504,
             Self::Broken => 502,
@@ -162,7 +162,7 @@
 /// What became of a request.
 pub enum Reply {
     /// A replica's answer.
-    Answer(CallerAnswer),
+    Answer(CallerResponse),
     /// A refusal.
     Refusal(Refusal),
 }
--- a/crates/serving/src/selection.rs
+++ b/crates/serving/src/selection.rs
@@ -86,9 +86,9 @@
     /// As good as any.
     Fits,
     /// A long prompt would leave the replicas for long prompts.
-    LongAway,
+    LongWithoutAffinity,
     /// A short prompt would wait behind long ones.
-    ShortBesideLong,
+    ShortAmongLong,
 }
 
 /// One replica as the choice sees it.
@@ -144,8 +144,8 @@
     };
     let separation = match candidate.separation {
         Separation::Fits => 0.0,
-        Separation::LongAway => costs.long_away_ms,
-        Separation::ShortBesideLong => costs.short_beside_long_ms,
+        Separation::LongWithoutAffinity => costs.long_away_ms,
+        Separation::ShortAmongLong => costs.short_beside_long_ms,
     };
     prefill + place + connection + suspected + separation + congestion(costs, candidate)
 }
--- a/crates/serving/tests/choice.rs
+++ b/crates/serving/tests/choice.rs
@@ -12,10 +12,10 @@
 use bytes::Bytes;
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_serving::{
-    Candidate, ExchangeError, Forwarder, ForwarderParts, ForwarderSettings, ItemRoom, KeyTrust,
-    LeaseEnd, LeftRegion, NoQuarantine, Prompt, PromptPart, Replica, ReplicaAnswer, ReplicaClient,
-    ReplicaRecord, ReplicaRequest, ReplicaSet, SelectionCosts, Separation, ServingRequest,
-    SlotAnswer, SlotLeases, SlotQuery, cost, reserved_slots,
+    Candidate, CrossRegionReason, ExchangeError, Forwarder, ForwarderParts, ForwarderSettings,
+    ItemSlack, KeyTrust, NoQuarantine, Prompt, PromptPart, ReleaseReport, Replica, ReplicaClient,
+    ReplicaRecord, ReplicaRequest, ReplicaResponse, ReplicaSet, SelectionCosts, Separation,
+    ServingRequest, SlotLeases, SlotQuery, SlotReply, cost, reserved_slots,
 };
 use harrierward_tenants::AllowedRegions;
 use http::{HeaderMap, Method};
@@ -31,7 +31,7 @@
 
 #[async_trait]
 impl ReplicaClient for NoClient {
-    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaAnswer, ExchangeError> {
+    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError> {
         Err(ExchangeError::NotSent {
             step: "test",
             peer: request.address.to_owned(),
@@ -49,16 +49,16 @@
 
 #[async_trait]
 impl SlotLeases for NoCoordinators {
-    async fn ask(&self, _query: SlotQuery<'_>) -> SlotAnswer {
-        SlotAnswer::NoCoordinator
+    async fn ask(&self, _query: SlotQuery<'_>) -> SlotReply {
+        SlotReply::NoCoordinator
     }
 
-    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemRoom>) -> u32 {
+    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         self.held.fetch_add(1, Ordering::Relaxed);
         1
     }
 
-    fn release(&self, _place: u32, _end: LeaseEnd) {
+    fn release(&self, _place: u32, _end: ReleaseReport) {
         self.held.fetch_sub(1, Ordering::Relaxed);
     }
 
@@ -166,7 +166,7 @@
 }
 
 /// Slots that are asked for when a request goes to a replica with so many others of peers.
-async fn slots_asked_for(item: Option<ItemRoom>, online: u32, batch: u32) -> usize {
+async fn slots_asked_for(item: Option<ItemSlack>, online: u32, batch: u32) -> usize {
     let places = Arc::new(NoCoordinators::default());
     let forwarder = forwarder_over(places.clone());
     for replica in forwarder.replicas().view().all() {
@@ -186,7 +186,7 @@
 #[tokio::test]
 async fn without_a_coordinator_an_online_request_asks_for_a_slot_where_batch_items_hold_the_last_ones()
  {
-    let item = ItemRoom {
+    let item = ItemSlack {
         slack: Duration::from_secs(1),
     };
     assert_eq!(slots_asked_for(None, 3, 5).await, 1);
@@ -198,7 +198,7 @@
 
 #[tokio::test]
 async fn items_leave_slots_free_for_as_many_requests_as_online_varies_by() {
-    let item = ItemRoom {
+    let item = ItemSlack {
         slack: Duration::from_secs(1),
     };
     let online = u32::try_from(REPLICAS).expect("a small number") * 8;
@@ -286,7 +286,7 @@
     for replica in view.all().skip(WARM) {
         replica.set_cold_until(until);
     }
-    let item = Some(ItemRoom {
+    let item = Some(ItemSlack {
         slack: Duration::from_secs(9),
     });
     for number in 0..100 {
@@ -334,8 +334,8 @@
     let away = forwarder.place(&request, "model", &[], OBJECTIVE, None);
     let away = away.await.expect("a replica of another region");
     assert_eq!(away.choice.replica.record.region, "far");
-    assert_eq!(away.choice.left_region, Some(LeftRegion::NoReplica));
-    let item = ItemRoom {
+    assert_eq!(away.choice.left_region, Some(CrossRegionReason::NoReplica));
+    let item = ItemSlack {
         slack: Duration::from_secs(9),
     };
     let item = forwarder.place(&request, "model", &[], OBJECTIVE, Some(item));
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use harrierward_serving::{EvacuatedZones, EvacuationNews, EvacuationRows, ZoneMark};
+use harrierward_serving::{EvacuatedZones, EvacuationRows, EvacuationState, EvacuationUpdate};
 use proptest::prelude::*;
 use tokio::time::Instant;
 
@@ -49,25 +49,25 @@
 
 /// What a daemon believes: the real thing, or one that believes whoever spoke last.
 trait Belief: Default {
-    fn merge(&mut self, news: &EvacuationNews);
-    fn news(&self) -> EvacuationNews;
+    fn merge(&mut self, news: &EvacuationUpdate);
+    fn news(&self) -> EvacuationUpdate;
 }
 
 impl Belief for EvacuatedZones {
-    fn merge(&mut self, news: &EvacuationNews) {
+    fn merge(&mut self, news: &EvacuationUpdate) {
         Self::merge(self, news, Instant::now());
     }
 
-    fn news(&self) -> EvacuationNews {
+    fn news(&self) -> EvacuationUpdate {
         Self::news(self)
     }
 }
 
 #[derive(Default)]
-struct LastWordWins(EvacuationNews);
+struct LastWordWins(EvacuationUpdate);
 
 impl Belief for LastWordWins {
-    fn merge(&mut self, news: &EvacuationNews) {
+    fn merge(&mut self, news: &EvacuationUpdate) {
         if news.complete_at > 0 {
             self.0 = news.clone();
         } else {
@@ -75,7 +75,7 @@
         }
     }
 
-    fn news(&self) -> EvacuationNews {
+    fn news(&self) -> EvacuationUpdate {
         self.0.clone()
     }
 }
@@ -87,7 +87,7 @@
     listed: BTreeMap<usize, u64>,
     fed_to: u64,
     /// Words of peers on the way.
-    late: Vec<EvacuationNews>,
+    late: Vec<EvacuationUpdate>,
 }
 
 impl<B: Belief> Daemon<B> {
@@ -157,7 +157,7 @@
     ]
 }
 
-fn evacuated(news: &EvacuationNews) -> Vec<&str> {
+fn evacuated(news: &EvacuationUpdate) -> Vec<&str> {
     let zones = news.zones.iter();
     let standing = zones.filter(|(_, mark)| !mark.is_over);
     standing.map(|(zone, _)| zone.as_str()).collect()
@@ -169,7 +169,7 @@
     store.toggle(0);
     let mut daemons: Vec<Daemon<B>> = (0..DAEMONS).map(|_| Daemon::default()).collect();
     for step in steps {
-        let before: Vec<EvacuationNews> = daemons.iter().map(|one| one.belief.news()).collect();
+        let before: Vec<EvacuationUpdate> = daemons.iter().map(|one| one.belief.news()).collect();
         let mut restarted = None;
         match step {
             Step::Toggle(zone) => store.toggle(*zone),
@@ -214,7 +214,7 @@
     Ok(())
 }
 
-fn check_forward(before: &EvacuationNews, after: &EvacuationNews) -> Result<(), String> {
+fn check_forward(before: &EvacuationUpdate, after: &EvacuationUpdate) -> Result<(), String> {
     for (zone, mark) in &before.zones {
         if after.zones.get(zone).is_none_or(|now| now < mark) {
             return Err(format!("{zone} went back: {before:?} to {after:?}"));
@@ -224,7 +224,7 @@
 }
 
 /// Whoever says that it knows all up to a revision does.
-fn check_complete(store: &Store, news: &EvacuationNews) -> Result<(), String> {
+fn check_complete(store: &Store, news: &EvacuationUpdate) -> Result<(), String> {
     let mut then = BTreeMap::new();
     let known = store.changes.iter();
     for change in known.filter(|change| change.revision <= news.complete_at) {
@@ -272,15 +272,15 @@
     assert!(play::<LastWordWins>(&steps).is_err());
 }
 
-fn news(complete_at: u64, zones: &[(&str, u64, bool)]) -> EvacuationNews {
+fn news(complete_at: u64, zones: &[(&str, u64, bool)]) -> EvacuationUpdate {
     let marks = zones.iter().map(|(zone, revision, is_over)| {
-        let mark = ZoneMark {
+        let mark = EvacuationState {
             revision: *revision,
             is_over: *is_over,
         };
         ((*zone).to_owned(), mark)
     });
-    EvacuationNews {
+    EvacuationUpdate {
         complete_at,
         zones: marks.collect(),
     }
--- a/crates/serving/tests/failing.rs
+++ b/crates/serving/tests/failing.rs
@@ -12,11 +12,11 @@
 use futures::StreamExt;
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_serving::{
-    BodyError, ExchangeError, Forwarder, ForwarderParts, ForwarderSettings, ItemRoom, KeyTrust,
-    LeaseEnd, NoQuarantine, Prompt, Replica, ReplicaAnswer, ReplicaClient, ReplicaRecord,
-    ReplicaRequest, ReplicaSet, Reply, Route, RouteKind, RouteTable, SelectionCosts,
-    ServingConfiguration, ServingRequest, SlotAnswer, SlotLeases, SlotQuery, Verdict,
-    WeightedService,
+    AttemptOutcome, BodyError, ExchangeError, Forwarder, ForwarderParts, ForwarderSettings,
+    ItemSlack, KeyTrust, NoQuarantine, Prompt, ReleaseReport, Replica, ReplicaClient,
+    ReplicaRecord, ReplicaRequest, ReplicaResponse, ReplicaSet, Reply, Route, RouteKind,
+    RouteTable, SelectionCosts, ServingConfiguration, ServingRequest, SlotLeases, SlotQuery,
+    SlotReply, WeightedService,
 };
 use harrierward_tenants::AllowedRegions;
 use http::{HeaderMap, Method};
@@ -46,9 +46,9 @@
     sent_to_first: AtomicUsize,
 }
 
-fn answer(request: &ReplicaRequest<'_>, status: u16) -> ReplicaAnswer {
+fn answer(request: &ReplicaRequest<'_>, status: u16) -> ReplicaResponse {
     let bytes = Bytes::from_static(b"id: 1\ndata: x\n\n");
-    ReplicaAnswer {
+    ReplicaResponse {
         status,
         answers: Some(request.request.id.clone()),
         is_first_on_connection: true,
@@ -62,7 +62,7 @@
 
 #[async_trait]
 impl ReplicaClient for Replicas {
-    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaAnswer, ExchangeError> {
+    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError> {
         let is_first = request.replica == "replica-0";
         if !is_first {
             return Ok(answer(&request, 200));
@@ -77,7 +77,7 @@
             }
             Conduct::Fails => Ok(answer(&request, 500)),
             Conduct::FindsFault => Ok(answer(&request, 422)),
-            Conduct::Refuses => Ok(ReplicaAnswer {
+            Conduct::Refuses => Ok(ReplicaResponse {
                 not_run: true,
                 ..answer(&request, 503)
             }),
@@ -92,7 +92,7 @@
                     detail: "reset".to_owned(),
                 };
                 let body = good.body.chain(futures::stream::iter([Err(error)]));
-                Ok(ReplicaAnswer {
+                Ok(ReplicaResponse {
                     body: body.boxed(),
                     ..good_head(&request)
                 })
@@ -101,11 +101,11 @@
                 sleep(Duration::from_secs(60)).await;
                 Ok(good)
             }
-            Conduct::IsMute => Ok(ReplicaAnswer {
+            Conduct::IsMute => Ok(ReplicaResponse {
                 body: futures::stream::pending().boxed(),
                 ..good_head(&request)
             }),
-            Conduct::AnswersAnother => Ok(ReplicaAnswer {
+            Conduct::AnswersAnother => Ok(ReplicaResponse {
                 answers: Some("another".to_owned()),
                 ..good
             }),
@@ -113,7 +113,7 @@
     }
 }
 
-fn good_head(request: &ReplicaRequest<'_>) -> ReplicaAnswer {
+fn good_head(request: &ReplicaRequest<'_>) -> ReplicaResponse {
     answer(request, 200)
 }
 
@@ -121,22 +121,22 @@
 #[derive(Default)]
 struct Leases {
     taken: Mutex<Vec<String>>,
-    ended: Mutex<Vec<(String, LeaseEnd)>>,
+    ended: Mutex<Vec<(String, ReleaseReport)>>,
 }
 
 #[async_trait]
 impl SlotLeases for Leases {
-    async fn ask(&self, _query: SlotQuery<'_>) -> SlotAnswer {
-        SlotAnswer::NoCoordinator
+    async fn ask(&self, _query: SlotQuery<'_>) -> SlotReply {
+        SlotReply::NoCoordinator
     }
 
-    fn take(&self, replica: &Arc<Replica>, _item: Option<ItemRoom>) -> u32 {
+    fn take(&self, replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         let mut taken = self.taken.lock().expect("a lock");
         taken.push(replica.record.id.clone());
         u32::try_from(taken.len() - 1).expect("few leases")
     }
 
-    fn release(&self, place: u32, end: LeaseEnd) {
+    fn release(&self, place: u32, end: ReleaseReport) {
         let replica = self.taken.lock().expect("a lock")[place as usize].clone();
         self.ended.lock().expect("a lock").push((replica, end));
     }
@@ -258,7 +258,7 @@
 }
 
 /// What the lease of a single request at a replica of this conduct comes back with.
-async fn end_at(conduct: Conduct) -> LeaseEnd {
+async fn end_at(conduct: Conduct) -> ReleaseReport {
     let site = site(conduct, 1, 1);
     call(&site).await;
     let ended = site.leases.ended.lock().expect("a lock");
@@ -269,16 +269,16 @@
 #[tokio::test(start_paused = true)]
 async fn a_lease_goes_back_with_what_its_request_came_to() {
     let expected = [
-        (Conduct::Serves, Verdict::Served),
-        (Conduct::ServesSlowly, Verdict::Served),
-        (Conduct::Fails, Verdict::Failed),
-        (Conduct::FindsFault, Verdict::NoEvidence),
-        (Conduct::Refuses, Verdict::NotRun),
-        (Conduct::CutsOff, Verdict::Cut),
-        (Conduct::CutsTheBody, Verdict::Cut),
-        (Conduct::IsSilent, Verdict::Silent),
-        (Conduct::IsMute, Verdict::Silent),
-        (Conduct::AnswersAnother, Verdict::Spoilt),
+        (Conduct::Serves, AttemptOutcome::Served),
+        (Conduct::ServesSlowly, AttemptOutcome::Served),
+        (Conduct::Fails, AttemptOutcome::Failed),
+        (Conduct::FindsFault, AttemptOutcome::NoEvidence),
+        (Conduct::Refuses, AttemptOutcome::NotRun),
+        (Conduct::CutsOff, AttemptOutcome::Disconnected),
+        (Conduct::CutsTheBody, AttemptOutcome::Disconnected),
+        (Conduct::IsSilent, AttemptOutcome::Unresponsive),
+        (Conduct::IsMute, AttemptOutcome::Unresponsive),
+        (Conduct::AnswersAnother, AttemptOutcome::Corrupt),
     ];
     for (conduct, verdict) in expected {
         assert_eq!(end_at(conduct).await.verdict, verdict, "{conduct:?}");
@@ -294,7 +294,7 @@
     let called = tokio::time::timeout(OBJECTIVE, call(&site)).await;
     assert!(called.is_err(), "the replica is silent");
     let ended = site.leases.ended.lock().expect("a lock");
-    assert_eq!(ended[0].1, LeaseEnd::default());
+    assert_eq!(ended[0].1, ReleaseReport::default());
 }
 
 /// A request that comes with hardly any time left ends before any replica could have answered it.
@@ -317,7 +317,7 @@
         let ended = site.leases.ended.lock().expect("a lock");
         let at_first = ended.iter().filter(|(replica, _)| replica == "replica-0");
         for (_, end) in at_first {
-            assert_eq!(end.verdict, Verdict::NoEvidence, "{conduct:?}");
+            assert_eq!(end.verdict, AttemptOutcome::NoEvidence, "{conduct:?}");
         }
     }
 }
--- a/crates/serving/tests/gate.rs
+++ b/crates/serving/tests/gate.rs
@@ -13,11 +13,11 @@
 use futures::StreamExt;
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_serving::{
-    AttemptFailure, AttemptTimes, Choice, ChosenBy, ExchangeError, Forwarder, ForwarderParts,
-    ForwarderSettings, ItemRoom, KeyTrust, LeaseEnd, NoQuarantine, Prompt, Replica, ReplicaAnswer,
-    ReplicaClient, ReplicaRecord, ReplicaRequest, ReplicaSet, Reply, Route, RouteKind, RouteTable,
-    SelectionCosts, Sending, ServingConfiguration, ServingRequest, SlotAnswer, SlotLease,
-    SlotLeases, SlotQuery, WeightedService, WorkClass,
+    AttemptFailure, AttemptOptions, AttemptTimeouts, Choice, ChosenBy, ExchangeError, Forwarder,
+    ForwarderParts, ForwarderSettings, ItemSlack, KeyTrust, NoQuarantine, Prompt, ReleaseReport,
+    Replica, ReplicaClient, ReplicaRecord, ReplicaRequest, ReplicaResponse, ReplicaSet, Reply,
+    Route, RouteKind, RouteTable, SelectionCosts, ServingConfiguration, ServingRequest, SlotLease,
+    SlotLeases, SlotQuery, SlotReply, WeightedService, WorkClass,
 };
 use harrierward_tenants::AllowedRegions;
 use http::{HeaderMap, Method};
@@ -44,11 +44,11 @@
 
 #[async_trait]
 impl ReplicaClient for Client {
-    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaAnswer, ExchangeError> {
+    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError> {
         let source = request.copy_from.map(str::to_owned);
         let mut sent = self.sent.lock().unwrap_or_else(PoisonError::into_inner);
         sent.push((request.replica.to_owned(), source));
-        Ok(ReplicaAnswer {
+        Ok(ReplicaResponse {
             status: 200,
             answers: Some(request.request.id.clone()),
             is_first_on_connection: true,
@@ -70,27 +70,27 @@
 
 #[async_trait]
 impl SlotLeases for Deaf {
-    async fn ask(&self, query: SlotQuery<'_>) -> SlotAnswer {
+    async fn ask(&self, query: SlotQuery<'_>) -> SlotReply {
         if self.is_all_cold {
-            return SlotAnswer::AllCold;
+            return SlotReply::AllCold;
         }
         let view = self.replicas.view();
         let in_zone = view.all().filter(|one| one.record.zone == "zone-a");
         let mut left = in_zone.filter(|one| !query.excluded.contains(&one.record.id));
         let Some(replica) = left.next() else {
-            return SlotAnswer::NoCoordinator;
+            return SlotReply::NoCoordinator;
         };
-        SlotAnswer::Given {
+        SlotReply::Granted {
             choice: choice(replica),
             lease: 1,
         }
     }
 
-    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemRoom>) -> u32 {
+    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         1
     }
 
-    fn release(&self, _place: u32, _end: LeaseEnd) {}
+    fn release(&self, _place: u32, _end: ReleaseReport) {}
 
     fn is_coordinated(&self, _replica: &Replica) -> bool {
         true
@@ -211,12 +211,12 @@
         let place = SlotLease::new(self.forwarder.places().clone(), 1);
         let placement = choice.enter(WorkClass::Online, place);
         let long = Duration::from_secs(1);
-        let times = AttemptTimes {
+        let times = AttemptTimeouts {
             time_left: None,
             dark: long,
             longest: long,
         };
-        let sending = Sending {
+        let sending = AttemptOptions {
             failed_before: false,
             resume_after: None,
             fresh_connection: false,
--- a/crates/serving/tests/silence.rs
+++ b/crates/serving/tests/silence.rs
@@ -12,10 +12,11 @@
 use futures::StreamExt;
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_serving::{
-    Choice, ChosenBy, ExchangeError, Forwarder, ForwarderParts, ForwarderSettings, ItemRoom,
-    KeyTrust, LeaseEnd, NoQuarantine, Prompt, RefusalCause, Replica, ReplicaAnswer, ReplicaClient,
-    ReplicaRecord, ReplicaRequest, ReplicaSet, Reply, Route, RouteKind, RouteTable, SelectionCosts,
-    ServingConfiguration, ServingRequest, SlotAnswer, SlotLeases, SlotQuery, WeightedService,
+    Choice, ChosenBy, ExchangeError, Forwarder, ForwarderParts, ForwarderSettings, ItemSlack,
+    KeyTrust, NoQuarantine, Prompt, RefusalCause, ReleaseReport, Replica, ReplicaClient,
+    ReplicaRecord, ReplicaRequest, ReplicaResponse, ReplicaSet, Reply, Route, RouteKind,
+    RouteTable, SelectionCosts, ServingConfiguration, ServingRequest, SlotLeases, SlotQuery,
+    SlotReply, WeightedService,
 };
 use harrierward_tenants::AllowedRegions;
 use http::{HeaderMap, Method};
@@ -35,10 +36,10 @@
 
 #[async_trait]
 impl ReplicaClient for QueueingClient {
-    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaAnswer, ExchangeError> {
+    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError> {
         self.sends.fetch_add(1, Ordering::Relaxed);
         sleep(QUEUED_FOR).await;
-        Ok(ReplicaAnswer {
+        Ok(ReplicaResponse {
             status: 200,
             answers: Some(request.request.id.clone()),
             is_first_on_connection: true,
@@ -61,17 +62,17 @@
 
 #[async_trait]
 impl SlotLeases for Group {
-    async fn ask(&self, query: SlotQuery<'_>) -> SlotAnswer {
+    async fn ask(&self, query: SlotQuery<'_>) -> SlotReply {
         if let Some(after) = self.come_back.filter(|_| query.may_return.is_some()) {
-            return SlotAnswer::ComeBack { after };
+            return SlotReply::RetryLater { after };
         }
         let view = self.replicas.view();
         let mut all = view.all();
         let replica = all.find(|replica| !query.excluded.contains(&replica.record.id));
         let Some(replica) = replica else {
-            return SlotAnswer::NoCoordinator;
+            return SlotReply::NoCoordinator;
         };
-        SlotAnswer::Given {
+        SlotReply::Granted {
             choice: Choice {
                 replica: replica.clone(),
                 by: ChosenBy::Coordinator,
@@ -86,11 +87,11 @@
         }
     }
 
-    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemRoom>) -> u32 {
+    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         1
     }
 
-    fn release(&self, _place: u32, _end: LeaseEnd) {}
+    fn release(&self, _place: u32, _end: ReleaseReport) {}
 
     fn is_coordinated(&self, _replica: &Replica) -> bool {
         false
--- a/crates/serving/tests/support/mod.rs
+++ b/crates/serving/tests/support/mod.rs
@@ -13,10 +13,11 @@
 use futures::StreamExt;
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_serving::{
-    BodyError, ExchangeError, Forwarder, ForwarderParts, ForwarderSettings, ItemRoom, KeyTrust,
-    LeaseEnd, NoQuarantine, Prompt, RateAnswer, RateLimits, Replica, ReplicaAnswer, ReplicaClient,
-    ReplicaRecord, ReplicaRequest, ReplicaSet, Route, RouteKind, RouteTable, SelectionCosts,
-    ServingConfiguration, ServingRequest, SlotAnswer, SlotLeases, SlotQuery, WeightedService,
+    BodyError, ExchangeError, Forwarder, ForwarderParts, ForwarderSettings, ItemSlack, KeyTrust,
+    NoQuarantine, Prompt, RateLimits, RateStatus, ReleaseReport, Replica, ReplicaClient,
+    ReplicaRecord, ReplicaRequest, ReplicaResponse, ReplicaSet, Route, RouteKind, RouteTable,
+    SelectionCosts, ServingConfiguration, ServingRequest, SlotLeases, SlotQuery, SlotReply,
+    WeightedService,
 };
 use harrierward_tenants::{AllowedRegions, Tenant};
 use http::{HeaderMap, Method};
@@ -122,8 +123,8 @@
     }
 }
 
-fn answer(status: u16, answers: Answers, not_run: bool, id: &str) -> ReplicaAnswer {
-    ReplicaAnswer {
+fn answer(status: u16, answers: Answers, not_run: bool, id: &str) -> ReplicaResponse {
+    ReplicaResponse {
         status,
         answers: match answers {
             Answers::Own => Some(id.to_owned()),
@@ -141,7 +142,7 @@
 
 #[async_trait]
 impl ReplicaClient for Scripted {
-    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaAnswer, ExchangeError> {
+    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError> {
         let end = {
             let mut script = self.lock();
             let mut end = script.ends.pop_front().unwrap_or(End::Whole);
@@ -161,7 +162,7 @@
             End::CutAfterHead => {
                 let cut = BodyError { peer, detail };
                 let body = futures::stream::iter([Err::<Bytes, _>(cut)]).boxed();
-                Ok(ReplicaAnswer {
+                Ok(ReplicaResponse {
                     body,
                     ..answer(200, Answers::Own, false, id)
                 })
@@ -178,8 +179,8 @@
 
 #[async_trait]
 impl RateLimits for NoLimits {
-    async fn admit(&self, _tenant: &Tenant, _request: &str) -> RateAnswer {
-        RateAnswer::Within
+    async fn admit(&self, _tenant: &Tenant, _request: &str) -> RateStatus {
+        RateStatus::Within
     }
 }
 
@@ -188,15 +189,15 @@
 
 #[async_trait]
 impl SlotLeases for Uncoordinated {
-    async fn ask(&self, _query: SlotQuery<'_>) -> SlotAnswer {
-        SlotAnswer::NoCoordinator
+    async fn ask(&self, _query: SlotQuery<'_>) -> SlotReply {
+        SlotReply::NoCoordinator
     }
 
-    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemRoom>) -> u32 {
+    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         1
     }
 
-    fn release(&self, _place: u32, _end: LeaseEnd) {}
+    fn release(&self, _place: u32, _end: ReleaseReport) {}
 
     fn is_coordinated(&self, _replica: &Replica) -> bool {
         false
--- a/crates/serving/tests/warmth.rs
+++ b/crates/serving/tests/warmth.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use harrierward_serving::{
-    Barred, Passage, Replica, ReplicaRecord, ReplicaSet, Warmth, Warmup, barred,
+    GateDenial, GateRequest, Replica, ReplicaRecord, ReplicaSet, Warmth, Warmup, barred,
 };
 use harrierward_tenants::AllowedRegions;
 use tokio::time::{Instant, advance};
@@ -138,18 +138,18 @@
     set.replace(vec![record("one", WARMUP.lasts)], |_| 0);
     let replica = listed(&set, "one");
     let now = Instant::now();
-    let passage = |cold_until| Passage {
+    let passage = |cold_until| GateRequest {
         regions: &AllowedRegions::Any,
         cold_until,
     };
     let short = Duration::from_millis(250);
     assert_eq!(
         barred(&replica, &passage(None), now),
-        Some(Barred::ColdWithoutGrant)
+        Some(GateDenial::ColdWithoutGrant)
     );
     assert_eq!(barred(&replica, &passage(Some(now + short)), now), None);
     assert_eq!(
         barred(&replica, &passage(Some(now + short)), now + short),
-        Some(Barred::ColdWithoutGrant)
+        Some(GateDenial::ColdWithoutGrant)
     );
 }
