--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -154,7 +154,7 @@
             routes: routes.clone(),
             replicas: replicas.clone(),
             client,
-            places: slots.clone(),
+            leases: slots.clone(),
             rates,
             quarantine: Arc::new(quarantine.clone()),
             proof: proof.clone(),
--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -255,7 +255,7 @@
             }
         };
         let known = rows.replicas.get(&row.key).map(|(_, known)| known);
-        let is_restart = known.is_some_and(|known| known.is_other_start(&record));
+        let is_restart = known.is_some_and(|known| known.is_other_instance(&record));
         // An entry without a date speaks of the start that is known.
         record.born_ms = record.born_ms.or(known.and_then(|known| known.born_ms));
         let is_news = known.is_none_or(|known| is_news(known, &record));
@@ -328,7 +328,7 @@
         for record in readable {
             if let Some(replica) = view.get(&record.id) {
                 // Another start takes it from its own record.
-                if !replica.record.is_other_start(&record) {
+                if !replica.record.is_other_instance(&record) {
                     replica.note_row_warmup(record.warmup, seen);
                 }
             }
--- a/crates/edge/src/discovery/evacuations.rs
+++ b/crates/edge/src/discovery/evacuations.rs
@@ -37,7 +37,7 @@
             .iter()
             .filter_map(|key| zone_of(key))
             .collect();
-        let news = self.zones().rows.take(written, &gone, update.complete_at);
+        let news = self.zones().rows.apply(written, &gone, update.complete_at);
         self.take_evacuations(&news, origin);
         self.log_without_room(&news, origin);
     }
@@ -46,7 +46,7 @@
     fn log_without_room(&self, news: &EvacuationUpdate, origin: &str) {
         let standing = news.zones.iter().filter(|(_, mark)| !mark.is_over);
         for (zone, mark) in standing {
-            if self.zones().zones.is_kept(zone) {
+            if self.zones().zones.is_tracked(zone) {
                 continue;
             }
             self.log_zone(zone, mark.revision, "ignored", origin);
@@ -70,7 +70,7 @@
 
     /// What this daemon knows of evacuated zones.
     pub fn evacuations(&self) -> EvacuationUpdate {
-        self.zones().zones.news()
+        self.zones().zones.to_update()
     }
 
     /// When this daemon learned that the zone's last evacuation was over; `None` if there was none.
@@ -82,8 +82,9 @@
     fn running_in(&self, zone: &str) -> u32 {
         let view = self.replicas.view();
         let there = view.all().filter(|replica| replica.record.zone == zone);
-        let running =
-            there.map(|replica| replica.own(WorkClass::Online) + replica.own(WorkClass::Batch));
+        let running = there.map(|replica| {
+            replica.own_in_progress(WorkClass::Online) + replica.own_in_progress(WorkClass::Batch)
+        });
         running.sum()
     }
 
--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -212,7 +212,7 @@
         let Some(address) = address else {
             return;
         };
-        replica.note_peer_yield();
+        replica.note_peer_preemption();
         let request = YieldRequest {
             replica: hash,
             slots: 1,
--- a/crates/edge/src/members/notices.rs
+++ b/crates/edge/src/members/notices.rs
@@ -59,8 +59,8 @@
         let counts = view.all().filter_map(|replica| {
             let count = ReplicaCount {
                 replica: replica.hash,
-                online: replica.own(WorkClass::Online),
-                batch: replica.own(WorkClass::Batch),
+                online: replica.own_in_progress(WorkClass::Online),
+                batch: replica.own_in_progress(WorkClass::Batch),
             };
             (count.online + count.batch > 0).then_some(count)
         });
@@ -109,7 +109,7 @@
             };
             if !self.slots.coordinates(replica) {
                 let sum = sums.get(hash).copied().unwrap_or_default();
-                replica.set_peers(sum.online, sum.batch);
+                replica.set_peer_counts(sum.online, sum.batch);
             }
         }
         state.published = sums.into_keys().collect();
--- a/crates/edge/src/quarantine/mod.rs
+++ b/crates/edge/src/quarantine/mod.rs
@@ -129,7 +129,7 @@
 
     /// The replica has ended: whatever of this daemon was in progress there may have done it.
     fn confirm(&self, start: ReplicaStart, replica: &Arc<Replica>, known_by: &'static str) {
-        replica.set_ended();
+        replica.set_crashed();
         let Some((since, contents)) = self.inner.breaks.confirm(start) else {
             return;
         };
@@ -195,18 +195,18 @@
 
 #[async_trait]
 impl Quarantine for QuarantineService {
-    fn holds_any(&self) -> bool {
+    fn has_quarantined(&self) -> bool {
         !self.inner.standings.load().is_empty()
     }
 
-    fn standing(&self, content: ContentId) -> Standing {
+    fn status(&self, content: ContentId) -> Standing {
         self.inner
             .standings
             .load()
             .of(content, harrierward_clock::now())
     }
 
-    fn note_broken(&self, content: ContentId, replica: &Arc<Replica>) {
+    fn note_disconnect(&self, content: ContentId, replica: &Arc<Replica>) {
         let start = ReplicaStart(replica.hash);
         if self.inner.breaks.note(start, replica, content) {
             tokio::spawn(self.clone().probe(start, replica.clone()));
@@ -215,7 +215,7 @@
         }
     }
 
-    fn note_whole(&self, content: ContentId) {
+    fn note_complete(&self, content: ContentId) {
         if self.inner.breaks.is_quiet() && self.inner.standings.load().is_empty() {
             return;
         }
@@ -229,9 +229,9 @@
         }
     }
 
-    async fn has_ended(&self, replica: &Arc<Replica>) -> bool {
+    async fn has_crashed(&self, replica: &Arc<Replica>) -> bool {
         let start = ReplicaStart(replica.hash);
-        self.inner.breaks.wait(start).await || replica.has_ended()
+        self.inner.breaks.wait(start).await || replica.has_crashed()
     }
 }
 
--- a/crates/edge/src/slots/asking.rs
+++ b/crates/edge/src/slots/asking.rs
@@ -238,7 +238,7 @@
             spilled: false,
             may_repeat: query.may_repeat,
             objective_ms: millis(query.objective),
-            may_return_ms: query.may_return.map_or(0, millis),
+            may_return_ms: query.max_retry_after.map_or(0, millis),
             connected: connected.collect(),
             fleet_members: 0,
             fleet_seen_ms_ago: 0,
--- a/crates/edge/src/slots/choosing_group.rs
+++ b/crates/edge/src/slots/choosing_group.rs
@@ -30,7 +30,7 @@
     fn drop(&mut self) {
         if let Some(lease) = self.lease {
             let not_needed = ReleaseReport {
-                verdict: AttemptOutcome::NotSent,
+                outcome: AttemptOutcome::NotSent,
                 first_event: None,
             };
             self.service.release(lease, not_needed);
--- a/crates/edge/src/slots/granting.rs
+++ b/crates/edge/src/slots/granting.rs
@@ -49,7 +49,7 @@
             is_suspected: asker.is_suspected,
             is_item: asker.is_item,
             is_overdue: asker.is_overdue,
-            most_candidates: usize::MAX,
+            max_candidates: usize::MAX,
         };
         let work = work_of(asker.is_item, asker.may_repeat);
         let may_wait = asker.is_item || asker.is_overdue;
@@ -110,7 +110,7 @@
                 group,
                 &choice,
                 query.objective,
-                query.may_return,
+                query.max_retry_after,
             )
         {
             return SlotReply::RetryLater { after };
--- a/crates/edge/src/slots/leases.rs
+++ b/crates/edge/src/slots/leases.rs
@@ -13,7 +13,7 @@
 
 #[async_trait]
 impl SlotLeases for SlotService {
-    async fn ask(&self, query: SlotQuery<'_>) -> SlotReply {
+    async fn acquire(&self, query: SlotQuery<'_>) -> SlotReply {
         if !self.costs.policy.has(Mechanism::Coordinators) {
             return SlotReply::NoCoordinator;
         }
@@ -58,7 +58,7 @@
         answer
     }
 
-    fn take(&self, replica: &Arc<Replica>, item: Option<ItemSlack>) -> u32 {
+    fn acquire_locally(&self, replica: &Arc<Replica>, item: Option<ItemSlack>) -> u32 {
         let now = harrierward_clock::now();
         let coordinator = self.peer_coordinating(replica.hash);
         let mut state = self.lock();
@@ -84,7 +84,7 @@
         }
     }
 
-    fn is_told_cold(&self, replica: &Replica) -> bool {
+    fn is_reported_cold(&self, replica: &Replica) -> bool {
         self.was_told_cold(replica)
     }
 
@@ -100,11 +100,11 @@
         }
     }
 
-    fn free_slot(&self, replica: &Arc<Replica>) {
+    fn preempt_item(&self, replica: &Arc<Replica>) {
         if self.coordinates(replica) {
             self.end_an_item(replica);
         } else if let Some(items) = self.yielding.get() {
-            if replica.own(WorkClass::Batch) > 0 {
+            if replica.own_in_progress(WorkClass::Batch) > 0 {
                 items.yield_at(&replica.record.id, 1);
             } else {
                 items.ask_peer(replica);
--- a/crates/edge/src/slots/outcomes.rs
+++ b/crates/edge/src/slots/outcomes.rs
@@ -27,7 +27,7 @@
         let outcome = LeaseOutcome {
             lease,
             replica,
-            kind: kind_of(end.verdict).into(),
+            kind: kind_of(end.outcome).into(),
             first_event_ms: end.first_event.map_or(0, |time| millis(time).max(1)),
         };
         let Some(coordinator) = self.peer_coordinating(replica) else {
--- a/crates/edge/src/slots/pacing.rs
+++ b/crates/edge/src/slots/pacing.rs
@@ -170,7 +170,7 @@
     }
 
     fn log_counted(&self, replica: &Replica, share: f64, now: Instant) {
-        let cold_for = replica.cold_for(now).as_millis();
+        let cold_for = replica.remaining_warmup(now).as_millis();
         self.log.record(&Record::ColdCounted {
             replica: &replica.record.id,
             zone: &replica.record.zone,
@@ -218,7 +218,7 @@
             let zone = cold.entry(replica.record.zone.as_str()).or_default();
             if replica.is_cold(now) {
                 zone.0 += 1;
-                zone.1 = zone.1.max(replica.cold_for(now).as_millis());
+                zone.1 = zone.1.max(replica.remaining_warmup(now).as_millis());
             }
         }
         for (zone, (count, longest)) in cold {
--- a/crates/edge/src/slots/reports.rs
+++ b/crates/edge/src/slots/reports.rs
@@ -59,7 +59,7 @@
                 .by_hash(hash)
                 .filter(|replica| self.coordinates(replica))
             {
-                replica.set_peers(counts.online, counts.batch);
+                replica.set_peer_counts(counts.online, counts.batch);
             }
         }
     }
--- a/crates/edge/src/slots/silence.rs
+++ b/crates/edge/src/slots/silence.rs
@@ -18,7 +18,7 @@
         let now_ms = self.now_ms();
         let mut state = self.lock();
         let suspicion = state.silent.entry(coordinator.to_owned()).or_default();
-        suspicion.fail(now_ms);
+        suspicion.note_failure(now_ms);
         drop(state);
         self.log.record(&Record::DependencyLost {
             dependency: "slot coordinator",
--- a/crates/edge/tests/cold.rs
+++ b/crates/edge/tests/cold.rs
@@ -23,7 +23,7 @@
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
 const WARMUP: Warmup = Warmup {
-    lasts: Duration::from_secs(60),
+    duration: Duration::from_secs(60),
     per_second: 2.0,
 };
 
@@ -48,7 +48,7 @@
         born_ms: None,
         region: String::new(),
         warmup: if number < cold {
-            WARMUP.lasts
+            WARMUP.duration
         } else {
             Duration::ZERO
         },
@@ -158,9 +158,9 @@
         objective,
         item,
         overdue: false,
-        may_return: None,
+        max_retry_after: None,
     };
-    daemon.slots.ask(query).await
+    daemon.slots.acquire(query).await
 }
 
 async fn choose(daemon: &Daemon) -> Option<Choice> {
@@ -240,7 +240,7 @@
         .find(|daemon| !std::ptr::eq(*daemon, own))
         .expect("another");
     let view = asker.replicas.view();
-    let are_told_cold = || view.all().all(|one| asker.slots.is_told_cold(one));
+    let are_told_cold = || view.all().all(|one| asker.slots.is_reported_cold(one));
     for replica in view.all() {
         replica.note_row_warmup(Duration::ZERO, Instant::now());
     }
--- a/crates/edge/tests/ejection.rs
+++ b/crates/edge/tests/ejection.rs
@@ -101,9 +101,9 @@
         item,
         overdue: false,
         may_repeat,
-        may_return: None,
+        max_retry_after: None,
     };
-    let SlotReply::Granted { choice, lease } = daemon.ask(query).await else {
+    let SlotReply::Granted { choice, lease } = daemon.acquire(query).await else {
         return None;
     };
     let held = SlotLease::new(daemon.clone(), lease);
--- a/crates/edge/tests/half_ejected.rs
+++ b/crates/edge/tests/half_ejected.rs
@@ -62,10 +62,10 @@
     fn end(&self, replica: &str, verdict: AttemptOutcome, first_event: Duration) {
         let view = self.replicas.view();
         let replica = view.by_hash(short_hash(replica)).expect("listed");
-        let lease = self.slots.take(replica, None);
+        let lease = self.slots.acquire_locally(replica, None);
         let first_event = Some(first_event).filter(|time| !time.is_zero());
         let end = ReleaseReport {
-            verdict,
+            outcome: verdict,
             first_event,
         };
         self.slots.release(lease, end);
@@ -95,9 +95,9 @@
             item,
             overdue: false,
             may_repeat: true,
-            may_return,
+            max_retry_after: may_return,
         };
-        self.slots.ask(query).await
+        self.slots.acquire(query).await
     }
 
     async fn choose(&self, item: Option<ItemSlack>) -> Option<Choice> {
--- a/crates/edge/tests/regions.rs
+++ b/crates/edge/tests/regions.rs
@@ -189,7 +189,7 @@
         objective: OBJECTIVE,
         item,
         overdue: false,
-        may_return: None,
+        max_retry_after: None,
     }
 }
 
@@ -202,7 +202,7 @@
 
 async fn enter_in(daemon: &Daemon, regions: &AllowedRegions) -> Option<Held> {
     let query = query(regions, None);
-    let answer = daemon.slots.ask(query).await;
+    let answer = daemon.slots.acquire(query).await;
     let SlotReply::Granted { choice, lease } = answer else {
         return None;
     };
@@ -322,10 +322,10 @@
     settle().await;
     let regions = AllowedRegions::Any;
     let newcomer = SlotQuery {
-        may_return: Some(Duration::from_secs(5)),
+        max_retry_after: Some(Duration::from_secs(5)),
         ..query(&regions, None)
     };
-    let at_home = busy[0].slots.ask(SlotQuery {
+    let at_home = busy[0].slots.acquire(SlotQuery {
         regions: &home,
         ..newcomer
     });
@@ -341,7 +341,7 @@
         assert!(enter_in(asker, &there).await.is_some());
     }
     fleet.network.far_asks.store(0, Ordering::Relaxed);
-    let answer = asker.slots.ask(newcomer).await;
+    let answer = asker.slots.acquire(newcomer).await;
     let SlotReply::Granted { choice, .. } = answer else {
         panic!("{answer:?}");
     };
@@ -434,7 +434,9 @@
     let held = enter_many(&fleet, 0, IN_A_REGION * SLOTS as usize).await;
     for turn in 0..12 {
         let daemon = fleet.at(0, turn);
-        let answer = daemon.slots.ask(query(&AllowedRegions::Any, Some(ITEM)));
+        let answer = daemon
+            .slots
+            .acquire(query(&AllowedRegions::Any, Some(ITEM)));
         let answer = answer.await;
         assert!(matches!(answer, SlotReply::NoCapacity), "{answer:?}");
     }
@@ -443,7 +445,7 @@
     let answer = fleet
         .at(0, 0)
         .slots
-        .ask(query(&AllowedRegions::Any, Some(ITEM)));
+        .acquire(query(&AllowedRegions::Any, Some(ITEM)));
     assert!(matches!(answer.await, SlotReply::Granted { .. }));
 }
 
--- a/crates/edge/tests/slots.rs
+++ b/crates/edge/tests/slots.rs
@@ -129,7 +129,7 @@
         item,
         overdue: false,
         may_repeat: true,
-        may_return: None,
+        max_retry_after: None,
     }
 }
 
@@ -162,7 +162,7 @@
 /// A place, entered as a request does.
 async fn enter(daemon: &Daemon, item: Option<ItemSlack>) -> Option<InProgress> {
     let prompt = Prompt::default();
-    let answer = daemon.slots.ask(query(&prompt, item)).await;
+    let answer = daemon.slots.acquire(query(&prompt, item)).await;
     let SlotReply::Granted { choice, lease } = answer else {
         return None;
     };
@@ -229,7 +229,7 @@
         .iter()
         .filter(|place| place.class() == WorkClass::Batch)
         .filter(|place| place.replica().record.id == urgent.replica().record.id)
-        .filter_map(InProgress::place)
+        .filter_map(InProgress::lease)
         .collect();
     let orders = daemons.iter();
     let orders = orders.flat_map(|daemon| daemon.ended.lock().expect("a lock").clone());
@@ -270,14 +270,14 @@
         places.push(enter(&daemons[number % 4], None).await.expect("a slot"));
     }
     for daemon in &daemons {
-        let answer = daemon.slots.ask(overdue).await;
+        let answer = daemon.slots.acquire(overdue).await;
         assert!(matches!(answer, SlotReply::NoCapacity), "{answer:?}");
         assert!(enter(daemon, None).await.is_some(), "one that is in time");
     }
     places.truncate(REPLICAS);
     tokio::time::sleep(Duration::from_millis(100)).await;
     for daemon in &daemons {
-        let answer = daemon.slots.ask(overdue).await;
+        let answer = daemon.slots.acquire(overdue).await;
         assert!(matches!(answer, SlotReply::Granted { .. }), "{answer:?}");
     }
 }
@@ -302,7 +302,7 @@
     let daemons = fleet(&NAMES, &[]).await;
     let prompt = Prompt::default();
     let newcomer = SlotQuery {
-        may_return: Some(MAY_RETURN),
+        max_retry_after: Some(MAY_RETURN),
         ..query(&prompt, None)
     };
     hold_slots(
@@ -313,7 +313,7 @@
     .await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     for daemon in &daemons {
-        let answer = daemon.slots.ask(newcomer).await;
+        let answer = daemon.slots.acquire(newcomer).await;
         assert!(matches!(answer, SlotReply::Granted { .. }), "{answer:?}");
     }
     let mut places = Vec::new();
@@ -323,13 +323,13 @@
     let mut moments = HashSet::new();
     for number in 0..8 {
         let daemon = &daemons[number % 4];
-        let answer = daemon.slots.ask(newcomer).await;
+        let answer = daemon.slots.acquire(newcomer).await;
         let SlotReply::RetryLater { after } = answer else {
             panic!("{answer:?}");
         };
         assert!(after > Duration::ZERO && after <= MAY_RETURN, "{after:?}");
         moments.insert(after);
-        let answer = daemon.slots.ask(query(&prompt, None)).await;
+        let answer = daemon.slots.acquire(query(&prompt, None)).await;
         assert!(matches!(answer, SlotReply::Granted { .. }), "{answer:?}");
     }
     assert!(moments.len() >= 4, "{moments:?}");
--- a/crates/edge/tests/stored_news.rs
+++ b/crates/edge/tests/stored_news.rs
@@ -142,7 +142,7 @@
 }
 
 fn left(quarantine: &QuarantineService) -> Option<Duration> {
-    match quarantine.standing(CONTENT) {
+    match quarantine.status(CONTENT) {
         Standing::Held(hold) => Some(
             hold.until
                 .saturating_duration_since(harrierward_clock::now()),
@@ -172,8 +172,8 @@
     for age_ms in [END_LIFETIME_MS, NOW_MS] {
         let quarantine = quarantine();
         quarantine.take_stored(&row(NOW_MS - age_ms), NOW_MS);
-        assert_eq!(quarantine.standing(CONTENT), Standing::Clear);
-        assert!(!quarantine.holds_any(), "{age_ms} ms old");
+        assert_eq!(quarantine.status(CONTENT), Standing::Clear);
+        assert!(!quarantine.has_quarantined(), "{age_ms} ms old");
     }
 }
 
@@ -186,7 +186,7 @@
         ..row(NOW_MS)
     };
     quarantine.take_stored(&senseless, NOW_MS);
-    assert!(!quarantine.holds_any());
+    assert!(!quarantine.has_quarantined());
 }
 
 /// One that only heard of it, by datagram or from the store, writes nothing: each crash would cost a write a daemon.
@@ -227,7 +227,7 @@
         for one in order {
             later.take_stored(one, read_at_ms);
         }
-        assert_eq!(later.standing(CONTENT), Standing::Clear);
+        assert_eq!(later.status(CONTENT), Standing::Clear);
     }
 }
 
--- a/crates/edge/tests/support/mod.rs
+++ b/crates/edge/tests/support/mod.rs
@@ -11,7 +11,7 @@
 
 /// How the service of the configuration warms up.
 pub const WARMUP: Warmup = Warmup {
-    lasts: Duration::from_secs(6),
+    duration: Duration::from_secs(6),
     per_second: 2.0,
 };
 
--- a/crates/edge/tests/suspended.rs
+++ b/crates/edge/tests/suspended.rs
@@ -116,7 +116,7 @@
         item: None,
         overdue: false,
         may_repeat: true,
-        may_return: None,
+        max_retry_after: None,
     }
 }
 
@@ -150,7 +150,7 @@
         ask.lease
     };
     let prompt = Prompt::default();
-    let (answer, lease) = tokio::join!(holder.ask(query(&prompt)), granting);
+    let (answer, lease) = tokio::join!(holder.acquire(query(&prompt)), granting);
     assert!(
         matches!(answer, SlotReply::NoCoordinator),
         "the lease is old"
@@ -287,7 +287,7 @@
         item: Some(item),
         ..query(&prompt)
     };
-    match coordinator.ask(query).await {
+    match coordinator.acquire(query).await {
         SlotReply::Granted { choice, .. } => choice.replica,
         _ => panic!("no place"),
     }
@@ -334,7 +334,7 @@
         }],
     };
     assert!(quarantine.receive(Kind::CrashNews(news)).is_none());
-    let Standing::Held(hold) = quarantine.standing(ContentId(5)) else {
+    let Standing::Held(hold) = quarantine.status(ContentId(5)) else {
         panic!("not held");
     };
     harrierward_clock::imagine_suspension(Duration::from_secs(6));
@@ -346,6 +346,6 @@
     let passed = expected.saturating_sub(left);
     assert!(left <= expected && passed < PATIENCE, "{left:?}");
     harrierward_clock::imagine_suspension(HELD_FOR);
-    let standing = quarantine.standing(ContentId(5));
+    let standing = quarantine.status(ContentId(5));
     assert_eq!(standing, Standing::Suspect { ends: 3 });
 }
--- a/crates/gateway/src/gateway/attempt.rs
+++ b/crates/gateway/src/gateway/attempt.rs
@@ -44,7 +44,7 @@
     pub fn note_prefilled(&mut self) {
         if !self.prefilled {
             self.prefilled = true;
-            self.replica.load.prefilled(self.uncached_tokens);
+            self.replica.load.note_prefilled(self.uncached_tokens);
             self.replica.online.prefilled(self.uncached_tokens);
         }
     }
@@ -53,7 +53,7 @@
         self.note_prefilled();
         if !self.ended {
             self.ended = true;
-            self.replica.load.ended();
+            self.replica.load.note_completed();
             self.replica.online.ended();
         }
     }
--- a/crates/gateway/src/gateway/dispatch.rs
+++ b/crates/gateway/src/gateway/dispatch.rs
@@ -126,7 +126,7 @@
             epoch: None,
         };
         // Counted before sending, so that others see it, and taken back by the attempt's drop.
-        replica.load.sent(uncached);
+        replica.load.note_sent(uncached);
         replica.online.sent(uncached);
         let pending = futures::stream::pending();
         let mut attempt = Attempt::new(request_id, Box::pin(pending), replica.clone(), uncached);
--- a/crates/gateway/src/gateway/prefix_news.rs
+++ b/crates/gateway/src/gateway/prefix_news.rs
@@ -24,7 +24,7 @@
         let mut changed = false;
         while let Ok(sent) = news.try_recv() {
             for block in sent.blocks.iter() {
-                index.stored(*block, sent.replica, now);
+                index.insert(*block, sent.replica, now);
             }
             changed = true;
         }
--- a/crates/inline-jobs/src/item_run.rs
+++ b/crates/inline-jobs/src/item_run.rs
@@ -47,8 +47,8 @@
     let resume_after = lock(progress).last_event;
     let times = AttemptTimeouts {
         time_left: None,
-        dark: DARK,
-        longest: LONGEST_SILENCE,
+        stall_timeout: DARK,
+        max_wait: LONGEST_SILENCE,
     };
     let sending = AttemptOptions {
         resume_after,
@@ -69,7 +69,7 @@
         }
         Err(AttemptFailure::MayHaveRun { cause }) => return RunOutcome::Broken(cause),
     };
-    match attempt.answer.status {
+    match attempt.response.status {
         200..=299 => {}
         FAILED => return RunOutcome::Failed,
         IMPOSSIBLE => return RunOutcome::Impossible,
@@ -77,7 +77,7 @@
     }
     let in_progress = attempt.in_progress;
     let replica = in_progress.replica().clone();
-    let mut body = attempt.answer.body;
+    let mut body = attempt.response.body;
     let mut splitter = EventSplitter::default();
     loop {
         let next = wait_for_progress(body.next(), &replica, DARK, LONGEST_SILENCE).await;
@@ -87,17 +87,17 @@
                 in_progress.conclude(AttemptOutcome::Unresponsive);
                 return RunOutcome::Broken("no event in time".to_owned());
             }
-            Some(None) if splitter.left_over() > 0 => {
-                in_progress.break_off();
+            Some(None) if splitter.buffered_bytes() > 0 => {
+                in_progress.note_disconnect();
                 return RunOutcome::Broken("the stream ended within an event".to_owned());
             }
             Some(None) => {
                 in_progress.conclude(AttemptOutcome::Served);
-                in_progress.note_whole();
+                in_progress.note_complete();
                 return RunOutcome::Finished;
             }
             Some(Some(Err(error))) => {
-                in_progress.break_off();
+                in_progress.note_disconnect();
                 return RunOutcome::Broken(error.to_string());
             }
             Some(Some(Ok(bytes))) => bytes,
--- a/crates/inline-jobs/src/model.rs
+++ b/crates/inline-jobs/src/model.rs
@@ -193,7 +193,7 @@
         target: row.target,
         headers,
         body: Bytes::from(row.body),
-        patience: None,
+        timeout: None,
         resume_after: None,
         prompt: Prompt {
             parts,
--- a/crates/inline-jobs/src/runner.rs
+++ b/crates/inline-jobs/src/runner.rs
@@ -67,7 +67,7 @@
             if !self.is_due(urgency) {
                 return;
             }
-            if self.inner.forwarder.bars_item(&item.request) {
+            if self.inner.forwarder.is_item_quarantined(&item.request) {
                 self.give_up_held(&routes, &item);
                 continue;
             }
@@ -232,11 +232,11 @@
         if let Some(earlier) = item.ran_at {
             let view = forwarder.replicas().view();
             let policy = self.inner.forwarder.policy();
-            placement.choice.copy_from_earlier(&view, earlier, policy);
+            placement.choice.copy_from_previous(&view, earlier, policy);
         }
         let at = RunPlace {
             replica: placement.choice.replica.record.id.clone(),
-            place: placement.in_progress.place().unwrap_or_default(),
+            place: placement.in_progress.lease().unwrap_or_default(),
         };
         if let Some(entry) = self.book().item(&item.job, item.number) {
             entry.ran_at = Some(placement.choice.replica.hash);
@@ -343,9 +343,9 @@
     /// Ends runs at replicas where requests wait for slots that batch work holds, as far as no coordinator does.
     fn yield_to_online(&self) {
         let view = self.inner.forwarder.replicas().view();
-        let places = self.inner.forwarder.places();
+        let places = self.inner.forwarder.leases();
         for replica in view.all() {
-            let own = replica.own(WorkClass::Batch);
+            let own = replica.own_in_progress(WorkClass::Batch);
             if own == 0 {
                 continue;
             }
--- a/crates/inline-jobs/tests/stale_listing.rs
+++ b/crates/inline-jobs/tests/stale_listing.rs
@@ -183,11 +183,11 @@
 
 #[async_trait]
 impl SlotLeases for Nothing {
-    async fn ask(&self, _query: SlotQuery<'_>) -> SlotReply {
+    async fn acquire(&self, _query: SlotQuery<'_>) -> SlotReply {
         SlotReply::NoCoordinator
     }
 
-    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
+    fn acquire_locally(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         1
     }
 
@@ -197,7 +197,7 @@
         false
     }
 
-    fn free_slot(&self, _replica: &Arc<Replica>) {}
+    fn preempt_item(&self, _replica: &Arc<Replica>) {}
 }
 
 fn jobs_over(store: Arc<OneJob>, log: DecisionLog) -> InlineJobs {
@@ -205,7 +205,7 @@
         routes: Arc::new(ArcSwapOption::empty()),
         replicas: Arc::new(ReplicaSet::default()),
         client: Arc::new(Nothing),
-        places: Arc::new(Nothing),
+        leases: Arc::new(Nothing),
         rates: Arc::new(Nothing),
         quarantine: Arc::new(NoQuarantine),
         proof: Arc::default(),
--- a/crates/node/src/directory_task.rs
+++ b/crates/node/src/directory_task.rs
@@ -106,8 +106,8 @@
         waiting_online: load.waiting_online,
     };
     let as_of_micros = u64::try_from(as_of.as_micros()).unwrap_or(u64::MAX);
-    replica.load.report(report, as_of_micros);
-    replica.load.confirm(unavailable, as_of_micros);
+    replica.load.apply_report(report, as_of_micros);
+    replica.load.set_availability(unavailable, as_of_micros);
     let name = &replica.machine.replica.0;
     lock(&shared.runner).set_report(name, load, unavailable, as_of);
 }
@@ -211,7 +211,9 @@
         };
         // The answer may have waited since it was asked for, but not longer.
         let as_of_micros = asked_micros.saturating_sub(age_micros);
-        replica.load.report(load, as_of_micros);
-        replica.load.confirm(report.unavailable, as_of_micros);
+        replica.load.apply_report(load, as_of_micros);
+        replica
+            .load
+            .set_availability(report.unavailable, as_of_micros);
     }
 }
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -61,20 +61,20 @@
 
 impl ReplicaLoad {
     /// A request of `uncached_tokens` was sent.
-    pub fn sent(&self, uncached_tokens: u32) {
+    pub fn note_sent(&self, uncached_tokens: u32) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         self.prefill_tokens
             .fetch_add(u64::from(uncached_tokens), Ordering::Relaxed);
     }
 
     /// The first token came (or never will): its prefill no longer waits.
-    pub fn prefilled(&self, uncached_tokens: u32) {
+    pub fn note_prefilled(&self, uncached_tokens: u32) {
         self.prefill_tokens
             .fetch_sub(u64::from(uncached_tokens), Ordering::Relaxed);
     }
 
     /// The request ended.
-    pub fn ended(&self) {
+    pub fn note_completed(&self) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Takes a report that describes the replica at `as_of_micros`.
-    pub fn report(&self, report: LoadReport, as_of_micros: u64) {
+    pub fn apply_report(&self, report: LoadReport, as_of_micros: u64) {
         let set = |field: &AtomicU32, value| field.store(value, Ordering::Relaxed);
         set(&self.running_online, report.running_online);
         set(&self.running_batch, report.running_batch);
@@ -97,7 +97,7 @@
 
     /// Takes word of the replica, true at `as_of_micros`: it leaves or fails, or it may get new work.
     /// Older word than what is known is ignored.
-    pub fn confirm(&self, unavailable: bool, as_of_micros: u64) {
+    pub fn set_availability(&self, unavailable: bool, as_of_micros: u64) {
         let newest = self
             .confirmed_at_micros
             .fetch_max(as_of_micros, Ordering::Relaxed);
--- a/crates/routing/src/prefix_index.rs
+++ b/crates/routing/src/prefix_index.rs
@@ -46,7 +46,7 @@
     }
 
     /// The replica stored the block, or was sent a prompt with it.
-    pub fn stored(&mut self, block: u64, replica: u32, now_micros: u64) {
+    pub fn insert(&mut self, block: u64, replica: u32, now_micros: u64) {
         let holders = &mut self.blocks.entry(block).or_default().holders;
         if let Some(holder) = holders.iter_mut().find(|holder| holder.replica == replica) {
             holder.seen_micros = holder.seen_micros.max(now_micros);
@@ -63,7 +63,7 @@
     }
 
     /// The replica evicted the block.
-    pub fn evicted(&mut self, block: u64, replica: u32) {
+    pub fn remove(&mut self, block: u64, replica: u32) {
         let Some(entry) = self.blocks.get_mut(&block) else {
             return;
         };
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -14,7 +14,7 @@
 fn table(replicas: u32) -> (RoutingTable, Vec<Arc<ReplicaLoad>>) {
     let loads: Vec<Arc<ReplicaLoad>> = (0..replicas).map(|_| Arc::default()).collect();
     let entries = loads.iter().zip(0..).map(|(load, number)| {
-        load.confirm(false, NOW);
+        load.set_availability(false, NOW);
         ReplicaEntry {
             number,
             distance: 0,
@@ -42,11 +42,11 @@
     let blocks: Vec<u64> = (1..=30).collect();
     let mut index = PrefixIndex::new(60_000_000);
     for block in &blocks {
-        index.stored(*block, 7, NOW);
+        index.insert(*block, 7, NOW);
     }
     assert!((0..50).all(|seed| choose(&table, &index, &blocks, seed) == Some(7)));
     for _ in 0..40 {
-        loads[7].sent(500);
+        loads[7].note_sent(500);
     }
     assert!((0..50).all(|seed| choose(&table, &index, &blocks, seed) != Some(7)));
 }
@@ -55,7 +55,7 @@
 fn unconfirmed_leaving_and_penalized_replicas_get_nothing() {
     let (table, loads) = table(4);
     let index = PrefixIndex::new(60_000_000);
-    loads[0].confirm(true, NOW + 1);
+    loads[0].set_availability(true, NOW + 1);
     loads[1].penalize(NOW + 1);
     let fresh = ReplicaLoad::default();
     assert!(!fresh.is_usable(NOW), "nothing was ever heard of it");
@@ -64,7 +64,7 @@
         assert!(matches!(chosen, Some(2 | 3)), "{chosen:?}");
     }
     assert!(!loads[2].is_usable(NOW + CONFIRMATION_TTL_MICROS + 1));
-    loads[0].confirm(false, NOW);
+    loads[0].set_availability(false, NOW);
     assert!(!loads[0].is_usable(NOW), "older word does not count");
 }
 
--- a/crates/serving/src/attempt.rs
+++ b/crates/serving/src/attempt.rs
@@ -10,7 +10,7 @@
 use crate::choice::{CrossRegionReason, MIN_FREE_PERMILLE, Placement};
 use crate::exchange::{ExchangeError, ReplicaRequest, ReplicaResponse, ServingRequest};
 use crate::forwarder::Forwarder;
-use crate::gate::{GateRequest, barred, may_give_copy};
+use crate::gate::{GateRequest, check_gate, may_give_copy};
 use crate::in_progress::InProgress;
 use crate::outcome::{AttemptOutcome, Evidence};
 use crate::placement::NoPlace;
@@ -24,9 +24,9 @@
     /// Time left to the replica.
     pub time_left: Option<Duration>,
     /// Silence after which a replica that is silent to everybody is given up.
-    pub dark: Duration,
+    pub stall_timeout: Duration,
     /// Silence after which any replica is given up.
-    pub longest: Duration,
+    pub max_wait: Duration,
 }
 
 /// How an attempt is sent.
@@ -94,7 +94,7 @@
 /// An answer that has begun.
 pub struct Attempt {
     /// The answer.
-    pub answer: ReplicaResponse,
+    pub response: ReplicaResponse,
     /// Keeps the request counted.
     pub in_progress: InProgress,
 }
@@ -130,7 +130,7 @@
             return Some(done);
         }
         let waited = began.elapsed();
-        if waited < longest && (waited < dark || replica.silent_for() < dark) {
+        if waited < longest && (waited < dark || replica.time_since_progress() < dark) {
             look = (dark / LOOKS_A_SILENCE).min(longest - waited);
             continue;
         }
@@ -184,10 +184,16 @@
                 .await
                 .ok_or(NoPlace::NoReplica)
         } else {
-            let may_return = state.may_return();
+            let max_retry_after = state.max_retry_after();
             let may_repeat = state.route.may_repeat() && state.route.attempts > 1;
-            self.place_newcomer(request, &state.service, objective, may_repeat, may_return)
-                .await
+            self.place_newcomer(
+                request,
+                &state.service,
+                objective,
+                may_repeat,
+                max_retry_after,
+            )
+            .await
         };
         let placement = match placement {
             Ok(placement) => placement,
@@ -220,7 +226,7 @@
             regions: &request.regions,
             cold_until: choice.cold_until,
         };
-        if let Some(reason) = barred(&replica, &passage, harrierward_clock::now()) {
+        if let Some(reason) = check_gate(&replica, &passage, harrierward_clock::now()) {
             let cause = format!("barred: {}", reason.name());
             let failure = AttemptFailure::NotRun { cause, full: false };
             self.log_failure(request, &replica, &failure, Duration::ZERO);
@@ -229,7 +235,7 @@
         let content = request.content();
         let is_barred = match in_progress.class() {
             WorkClass::Online => self.is_held(content),
-            WorkClass::Batch => self.bars_item(request),
+            WorkClass::Batch => self.is_item_quarantined(request),
         };
         if is_barred {
             // It may have waited for its slot meanwhile.
@@ -278,17 +284,17 @@
             copy_from: copy_from.map(|source| source.address.as_str()),
         });
         let dark = if is_queue && self.policy().has(Mechanism::QueuePatience) {
-            times.longest
+            times.max_wait
         } else {
-            times.dark
+            times.stall_timeout
         };
-        let answer = wait_for_progress(exchange, &replica, dark, times.longest).await;
+        let answer = wait_for_progress(exchange, &replica, dark, times.max_wait).await;
         let result = self.judge(request, &in_progress, answer, sending.failed_before);
         if let Err(failure) = &result {
             self.log_failure(request, &replica, failure, started.elapsed());
         }
         result.map(|answer| Attempt {
-            answer,
+            response: answer,
             in_progress,
         })
     }
@@ -316,7 +322,7 @@
         let answer = match answer {
             None => {
                 let evidence = in_progress.evidence();
-                if evidence.is_none_or(Evidence::was_patient) {
+                if evidence.is_none_or(Evidence::waited_long_enough) {
                     self.suspect(replica);
                 }
                 in_progress.conclude(AttemptOutcome::Unresponsive);
@@ -330,7 +336,7 @@
                     in_progress.conclude(AttemptOutcome::Disconnected);
                     return Err(AttemptFailure::NotRun { cause, full: false });
                 }
-                in_progress.break_off();
+                in_progress.note_disconnect();
                 return Err(AttemptFailure::MayHaveRun { cause });
             }
             Some(Ok(answer)) => answer,
@@ -347,12 +353,16 @@
             replica.note_load(word);
         }
         // Whose answer it is comes first: a refusal that is left over from an earlier request says nothing of this one.
-        if answer.answers.as_deref().is_some_and(|id| id != request.id) {
+        if answer
+            .request_id
+            .as_deref()
+            .is_some_and(|id| id != request.id)
+        {
             in_progress.conclude(AttemptOutcome::Corrupt);
             let cause = "the answer belongs to another request".to_owned();
             return Err(AttemptFailure::MayHaveRun { cause });
         }
-        let is_attributed = answer.answers.is_some() || answer.is_first_on_connection;
+        let is_attributed = answer.request_id.is_some() || answer.is_first_on_connection;
         if answer.other_replica {
             replica.set_draining();
             let cause = "another replica has the address".to_owned();
@@ -364,7 +374,7 @@
             let cause = format!("refused with status {}", answer.status);
             return Err(refused(cause, true, is_attributed));
         }
-        if answer.answers.is_none() {
+        if answer.request_id.is_none() {
             in_progress.conclude(AttemptOutcome::Corrupt);
             let cause = format!("an answer without id, status {}", answer.status);
             return Err(AttemptFailure::MayHaveRun { cause });
--- a/crates/serving/src/choice.rs
+++ b/crates/serving/src/choice.rs
@@ -81,7 +81,7 @@
 
 impl Choice {
     /// The work ran at `earlier` before, which may still keep all of its prompt.
-    pub fn copy_from_earlier(&mut self, view: &ReplicaView, earlier: u32, policy: Policy) {
+    pub fn copy_from_previous(&mut self, view: &ReplicaView, earlier: u32, policy: Policy) {
         let source = view.by_hash(earlier);
         let source = source.filter(|_| policy.has(Mechanism::PromptCopies));
         if let Some(source) = source.filter(|source| can_copy(source, &self.replica)) {
@@ -139,7 +139,7 @@
     pub is_overdue: bool,
     /// Most replicas that are looked at beside the preferred one: few, where their loads are old, so that daemons
     /// that know the same do not all choose the same.
-    pub most_candidates: usize,
+    pub max_candidates: usize,
 }
 
 /// Chooses one of the replicas, which are those that take new work.
@@ -162,7 +162,7 @@
         usable
     };
     let preferred = preferred(&usable, view, query);
-    let replicas = narrow(usable, preferred.as_ref(), query.most_candidates);
+    let replicas = narrow(usable, preferred.as_ref(), query.max_candidates);
     let shared_tokens = query.prompt.shared_tokens();
     let candidates: Vec<Candidate> = replicas
         .iter()
@@ -178,7 +178,10 @@
             own_zone: (query.is_own_zone)(replica),
             own_region: (query.is_own_region)(replica),
             connected: (query.is_connected)(replica),
-            separation: separation(query.length, view.is_long_prompt_home(&replica.record.id)),
+            separation: separation(
+                query.length,
+                view.has_long_prompt_affinity(&replica.record.id),
+            ),
             suspected: (query.is_suspected)(replica),
         })
         .collect();
@@ -241,7 +244,7 @@
 ) -> Option<Arc<Replica>> {
     let part = query.prompt.shared().last()?.id;
     let fits = |replica: &&Arc<Replica>| {
-        let home = view.is_long_prompt_home(&replica.record.id);
+        let home = view.has_long_prompt_affinity(&replica.record.id);
         match query.length {
             PromptLength::Long => home,
             PromptLength::Short => !home && (query.is_own_zone)(replica),
--- a/crates/serving/src/configuration.rs
+++ b/crates/serving/src/configuration.rs
@@ -111,7 +111,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Warmup {
     /// How long a replica stays cold.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests a second that a cold replica bears, from all daemons together. Finite and not negative.
     pub per_second: f64,
 }
--- a/crates/serving/src/evacuation.rs
+++ b/crates/serving/src/evacuation.rs
@@ -143,7 +143,7 @@
     }
 
     /// All that is known, for others.
-    pub fn news(&self) -> EvacuationUpdate {
+    pub fn to_update(&self) -> EvacuationUpdate {
         let zones = self.zones.iter();
         EvacuationUpdate {
             complete_at: self.complete_at,
@@ -154,7 +154,7 @@
     }
 
     /// True if something is kept of the zone; a row of one that found no room is not in force.
-    pub fn is_kept(&self, zone: &str) -> bool {
+    pub fn is_tracked(&self, zone: &str) -> bool {
         self.zones.contains_key(zone)
     }
 
@@ -194,7 +194,7 @@
 impl EvacuationRows {
     /// Takes rows that were written, then those that are gone. `complete_at` is the revision of a read of all rows, if
     /// this follows from one. Gives what the store has told by that.
-    pub fn take(
+    pub fn apply(
         &mut self,
         written: Vec<(String, u64)>,
         gone: &[String],
--- a/crates/serving/src/events.rs
+++ b/crates/serving/src/events.rs
@@ -52,7 +52,7 @@
     }
 
     /// Bytes of an event that is not whole.
-    pub fn left_over(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
--- a/crates/serving/src/exchange.rs
+++ b/crates/serving/src/exchange.rs
@@ -28,7 +28,7 @@
     /// Body.
     pub body: Bytes,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Last event that the caller has.
     pub resume_after: Option<u64>,
     /// The prompt.
@@ -89,7 +89,7 @@
     /// Status.
     pub status: u16,
     /// Request that it answers, as the replica says.
-    pub answers: Option<String>,
+    pub request_id: Option<String>,
     /// The connection carried nothing before, so that no late answer to another request can come on it.
     pub is_first_on_connection: bool,
     /// The replica says that it did not run the request.
--- a/crates/serving/src/forwarder.rs
+++ b/crates/serving/src/forwarder.rs
@@ -56,7 +56,7 @@
     /// Their protocol.
     pub client: Arc<dyn ReplicaClient>,
     /// SlotLeases at the replicas.
-    pub places: Arc<dyn SlotLeases>,
+    pub leases: Arc<dyn SlotLeases>,
     /// Rates of tenants.
     pub rates: Arc<dyn RateLimits>,
     /// Contents that are held back.
@@ -100,8 +100,8 @@
     }
 
     /// Who grants slots.
-    pub fn places(&self) -> &Arc<dyn SlotLeases> {
-        &self.parts.places
+    pub fn leases(&self) -> &Arc<dyn SlotLeases> {
+        &self.parts.leases
     }
 
     pub(crate) fn log(&self) -> &DecisionLog {
@@ -120,12 +120,12 @@
         &self.parts.quarantine
     }
 
-    pub(crate) async fn has_ended(&self, replica: &Arc<Replica>) -> bool {
-        self.parts.quarantine.has_ended(replica).await
+    pub(crate) async fn has_crashed(&self, replica: &Arc<Replica>) -> bool {
+        self.parts.quarantine.has_crashed(replica).await
     }
 
     fn hold(&self, content: ContentId) -> Option<Hold> {
-        match self.parts.quarantine.standing(content) {
+        match self.parts.quarantine.status(content) {
             Standing::Held(hold) => Some(hold),
             Standing::Clear | Standing::Suspect { .. } => None,
         }
@@ -138,8 +138,8 @@
 
     /// True if an item must not run now since replicas have ended under its content. One that may have been there by chance
     /// gets one trial; its caller does not wait, and it is lost for nothing otherwise.
-    pub fn bars_item(&self, request: &ServingRequest) -> bool {
-        if !self.parts.quarantine.holds_any() {
+    pub fn is_item_quarantined(&self, request: &ServingRequest) -> bool {
+        if !self.parts.quarantine.has_quarantined() {
             return false;
         }
         let hold = self.hold(request.content());
@@ -169,7 +169,7 @@
         };
         let request = Arc::new(request);
         match self.serve(&request, &entry, arrived).await {
-            Ok(answer) => Reply::Answer(answer),
+            Ok(answer) => Reply::Response(answer),
             Err(refusal) => self.refuse(&request, refusal, arrived),
         }
     }
@@ -248,7 +248,7 @@
         let service = entry
             .next_service()
             .ok_or_else(|| refuse_unsent(RefusalCause::NoReplica))?;
-        let is_return = entry.is_overdue(request.patience);
+        let is_return = entry.is_overdue(request.timeout);
         let mut state = RequestState {
             request: request.clone(),
             content: request.content(),
@@ -314,7 +314,7 @@
         let Some(replica) = self.last_tried(state) else {
             return;
         };
-        if is_last && state.route.may_repeat() && self.has_ended(&replica).await {
+        if is_last && state.route.may_repeat() && self.has_crashed(&replica).await {
             state.forgive();
         }
     }
@@ -344,13 +344,13 @@
     /// True for a failure of the replica that another one may make good.
     fn shall_repeat(&self, attempt: &Attempt, state: &RequestState) -> bool {
         let route = &state.route;
-        attempt.answer.status >= 500 && route.may_repeat() && state.sends < route.attempts
+        attempt.response.status >= 500 && route.may_repeat() && state.sends < route.attempts
     }
 }
 
 /// The refusal of a request of which nothing was sent; the cause tells whether its caller may come back.
 fn refuse_unsent(cause: RefusalCause) -> Refusal {
-    Refusal::not_run(cause, cause.is_passing().then_some(RETRY_AFTER))
+    Refusal::not_run(cause, cause.is_transient().then_some(RETRY_AFTER))
 }
 
 /// The refusal of a request that is given up, by what its attempts have shown.
@@ -378,12 +378,12 @@
     attempt: Attempt,
 ) -> Result<CallerResponse, Refusal> {
     state.execution.learn(Execution::Ran);
-    let status = attempt.answer.status;
+    let status = attempt.response.status;
     if promises_not_run(status) {
         // The replica did not say that it has not run the request, so neither may this daemon.
         return Err(Refusal::new(RefusalCause::Broken, state.execution, None));
     }
-    let headers = attempt.answer.headers.clone();
+    let headers = attempt.response.headers.clone();
     let relay = Relay::new(forwarder.clone(), state, attempt);
     Ok(CallerResponse {
         status,
--- a/crates/serving/src/gate.rs
+++ b/crates/serving/src/gate.rs
@@ -44,10 +44,14 @@
 }
 
 /// Why the request must not go to the replica now; `None` if it may.
-pub fn barred(replica: &Replica, passage: &GateRequest<'_>, now: Instant) -> Option<GateDenial> {
+pub fn check_gate(
+    replica: &Replica,
+    passage: &GateRequest<'_>,
+    now: Instant,
+) -> Option<GateDenial> {
     if replica.is_draining() {
         Some(GateDenial::Leaving)
-    } else if replica.has_ended() {
+    } else if replica.has_crashed() {
         Some(GateDenial::Ended)
     } else if replica.is_zone_evacuated() {
         Some(GateDenial::ZoneEvacuated)
--- a/crates/serving/src/in_progress.rs
+++ b/crates/serving/src/in_progress.rs
@@ -53,19 +53,19 @@
     }
 
     /// The connection broke after the request may have been begun.
-    pub fn break_off(&self) {
+    pub fn note_disconnect(&self) {
         self.conclude(AttemptOutcome::Disconnected);
         if let Some(watched) = &self.content {
             watched
                 .quarantine
-                .note_broken(watched.content, &self.replica);
+                .note_disconnect(watched.content, &self.replica);
         }
     }
 
     /// The whole answer came, whatever it says: the replica has outlived the request.
-    pub fn note_whole(&self) {
+    pub fn note_complete(&self) {
         if let Some(watched) = &self.content {
-            watched.quarantine.note_whole(watched.content);
+            watched.quarantine.note_complete(watched.content);
         }
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Number of its place.
-    pub fn place(&self) -> Option<u32> {
+    pub fn lease(&self) -> Option<u32> {
         self.place.as_ref().map(SlotLease::number)
     }
 
--- a/crates/serving/src/leases.rs
+++ b/crates/serving/src/leases.rs
@@ -42,7 +42,7 @@
     pub may_repeat: bool,
     /// Longest time after which the caller of an online request still comes back, if it is told to; `None` if the
     /// request must be placed.
-    pub may_return: Option<Duration>,
+    pub max_retry_after: Option<Duration>,
 }
 
 impl SlotQuery<'_> {
@@ -83,17 +83,17 @@
 #[async_trait]
 pub trait SlotLeases: Send + Sync {
     /// Asks the coordinator of the replicas for a lease.
-    async fn ask(&self, query: SlotQuery<'_>) -> SlotReply;
+    async fn acquire(&self, query: SlotQuery<'_>) -> SlotReply;
 
     /// A lease that this daemon chose itself. Returns its number.
-    fn take(&self, replica: &Arc<Replica>, item: Option<ItemSlack>) -> u32;
+    fn acquire_locally(&self, replica: &Arc<Replica>, item: Option<ItemSlack>) -> u32;
 
     /// The lease is free again; `end` is what its request saw of the replica. Does not wait.
     fn release(&self, lease: u32, end: ReleaseReport);
 
     /// True if the coordinator of the replica's group has just said that all of the group are cold, which this daemon may
     /// not have heard from their rows.
-    fn is_told_cold(&self, _replica: &Replica) -> bool {
+    fn is_reported_cold(&self, _replica: &Replica) -> bool {
         false
     }
 
@@ -102,7 +102,7 @@
     fn is_coordinated(&self, replica: &Replica) -> bool;
 
     /// One batch item at the replica is to give its slot back: of this daemon, or of a peer. Does not wait.
-    fn free_slot(&self, replica: &Arc<Replica>);
+    fn preempt_item(&self, replica: &Arc<Replica>);
 }
 
 /// A lease that is held for as long as this lives.
@@ -136,7 +136,7 @@
 
 impl Drop for SlotLease {
     fn drop(&mut self) {
-        self.leases.release(self.number, self.evidence.end());
+        self.leases.release(self.number, self.evidence.report());
     }
 }
 
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -52,7 +52,7 @@
     ReplicaResponse, ServingRequest,
 };
 pub use forwarder::{Forwarder, ForwarderParts, ForwarderSettings, SharedRoutes};
-pub use gate::{GateDenial, GateRequest, barred};
+pub use gate::{GateDenial, GateRequest, check_gate};
 pub use in_progress::InProgress;
 pub use leases::{ItemSlack, SlotLease, SlotLeases, SlotQuery, SlotReply};
 pub use outcome::{AttemptOutcome, Evidence, ReleaseReport};
--- a/crates/serving/src/outcome.rs
+++ b/crates/serving/src/outcome.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReleaseReport {
     /// The verdict.
-    pub verdict: AttemptOutcome,
+    pub outcome: AttemptOutcome,
     /// Time from sending to the first event without that for reading the prompt, where the replica had room; `None` if that says nothing.
     pub first_event: Option<Duration>,
 }
@@ -52,7 +52,7 @@
 }
 
 impl Seen {
-    fn was_patient(&self) -> bool {
+    fn waited_long_enough(&self) -> bool {
         let waited = self.sent.map(|sent| sent.elapsed());
         waited.is_none_or(|waited| waited >= self.prefill + LEAST_SILENCE)
     }
@@ -91,25 +91,25 @@
     }
 
     /// True if the request was under way for long enough that its replica's silence says something.
-    pub fn was_patient(&self) -> bool {
-        self.lock().was_patient()
+    pub fn waited_long_enough(&self) -> bool {
+        self.lock().waited_long_enough()
     }
 
     /// The request ended so.
     pub fn conclude(&self, verdict: AttemptOutcome) {
         let mut seen = self.lock();
         let excused = match verdict {
-            AttemptOutcome::Unresponsive => !seen.has_room || !seen.was_patient(),
+            AttemptOutcome::Unresponsive => !seen.has_room || !seen.waited_long_enough(),
             AttemptOutcome::NotRun => !seen.has_room,
             _ => false,
         };
-        if seen.end.verdict == AttemptOutcome::NoEvidence && !excused {
-            seen.end.verdict = verdict;
+        if seen.end.outcome == AttemptOutcome::NoEvidence && !excused {
+            seen.end.outcome = verdict;
         }
     }
 
     /// What was gathered.
-    pub fn end(&self) -> ReleaseReport {
+    pub fn report(&self) -> ReleaseReport {
         self.lock().end
     }
 
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -10,7 +10,7 @@
 use crate::choice::{Choice, ChoiceQuery, Placement, choose_replica, own_region_first};
 use crate::exchange::ServingRequest;
 use crate::forwarder::Forwarder;
-use crate::gate::{GateDenial, GateRequest, barred};
+use crate::gate::{GateDenial, GateRequest, check_gate};
 use crate::leases::{ItemSlack, SlotLease, SlotQuery, SlotReply};
 use crate::policy::Mechanism;
 use crate::profile::PromptLength;
@@ -60,7 +60,7 @@
             item,
             overdue: false,
             may_repeat: item.is_some(),
-            may_return: None,
+            max_retry_after: None,
         };
         self.ask_or_choose(query, request).await.ok()
     }
@@ -72,7 +72,7 @@
         service: &str,
         objective: Duration,
         may_repeat: bool,
-        may_return: Option<Duration>,
+        max_retry_after: Option<Duration>,
     ) -> Result<Placement, NoPlace> {
         let query = SlotQuery {
             service,
@@ -84,7 +84,7 @@
             item: None,
             overdue: false,
             may_repeat,
-            may_return,
+            max_retry_after,
         };
         self.ask_or_choose(query, request).await
     }
@@ -110,21 +110,21 @@
             item: None,
             overdue: true,
             may_repeat: false,
-            may_return: None,
+            max_retry_after: None,
         };
         let began = Instant::now();
         loop {
             if !self.replicas().view().has_usable(service, &request.regions) {
                 break;
             }
-            match self.places().ask(query).await {
+            match self.leases().acquire(query).await {
                 SlotReply::NoCapacity if Instant::now() < until => {
                     // Not all at the same moment.
                     sleep(pause.mul_f64(rand::random_range(0.75..1.25))).await;
                 }
                 SlotReply::Granted { choice, lease } => {
                     self.log_overdue(request, began);
-                    let held = SlotLease::new(self.places().clone(), lease);
+                    let held = SlotLease::new(self.leases().clone(), lease);
                     return Some(choice.enter(query.class(), held));
                 }
                 SlotReply::NoCapacity
@@ -167,7 +167,7 @@
             return Err(NoPlace::NoReplica);
         }
         drop(view);
-        let answer = self.places().ask(query).await;
+        let answer = self.leases().acquire(query).await;
         if matches!(answer, SlotReply::AllCold) {
             self.log().record(&Record::ColdPassedOver {
                 request: &request.id,
@@ -177,7 +177,7 @@
         }
         match answer {
             SlotReply::Granted { choice, lease } => {
-                let held = SlotLease::new(self.places().clone(), lease);
+                let held = SlotLease::new(self.leases().clone(), lease);
                 if self.overrules(&choice, query.regions) {
                     drop(held);
                     return self.choose_alone(query).ok_or(NoPlace::NoReplica);
@@ -201,7 +201,7 @@
             regions,
             cold_until: choice.cold_until,
         };
-        let reason = barred(&choice.replica, &passage, harrierward_clock::now());
+        let reason = check_gate(&choice.replica, &passage, harrierward_clock::now());
         let Some(
             reason @ (GateDenial::ZoneEvacuated | GateDenial::RegionNotAllowed | GateDenial::Ended),
         ) = reason
@@ -217,7 +217,7 @@
 
     fn choose_alone(&self, query: SlotQuery<'_>) -> Option<Placement> {
         let view = self.replicas().view();
-        let places = self.places();
+        let places = self.leases();
         let zone = &self.settings().zone;
         let region = &self.settings().region;
         let wanted = ChoiceQuery {
@@ -231,7 +231,7 @@
             is_suspected: &|replica| replica.is_suspected(),
             is_item: query.item.is_some(),
             is_overdue: false,
-            most_candidates: if self.policy().has(Mechanism::Sampling) {
+            max_candidates: if self.policy().has(Mechanism::Sampling) {
                 OWN_CANDIDATES
             } else {
                 usize::MAX
@@ -240,17 +240,17 @@
         let now = harrierward_clock::now();
         let mut usable = view.usable(query.service);
         // Only a coordinator counts what a cold replica gets, and it may have heard sooner that one is cold.
-        usable.retain(|replica| !replica.is_cold(now) && !places.is_told_cold(replica));
+        usable.retain(|replica| !replica.is_cold(now) && !places.is_reported_cold(replica));
         let (replicas, left) = own_region_first(usable, &wanted);
         let mut choice = choose_replica(&view, replicas, &self.settings().costs, &wanted)?;
         choice.left_region = left.filter(|_| choice.replica.record.region != *region);
-        let number = places.take(&choice.replica, query.item);
+        let number = places.acquire_locally(&choice.replica, query.item);
         let held = SlotLease::new(Arc::clone(places), number);
         let replica = choice.replica.clone();
         let placement = choice.enter(query.class(), held);
         let may_preempt = self.policy().has(Mechanism::Preemption);
         if may_preempt && query.class() == WorkClass::Online && replica.is_crowded_by_batch() {
-            places.free_slot(&replica);
+            places.preempt_item(&replica);
         }
         Some(placement)
     }
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -11,19 +11,19 @@
 #[async_trait]
 pub trait Quarantine: Send + Sync {
     /// True if any content is held back. Takes no lock.
-    fn holds_any(&self) -> bool;
+    fn has_quarantined(&self) -> bool;
 
     /// What is thought of a content. Takes no lock.
-    fn standing(&self, content: ContentId) -> Standing;
+    fn status(&self, content: ContentId) -> Standing;
 
     /// The connection to the replica broke while the content was in progress there. Does not wait.
-    fn note_broken(&self, content: ContentId, replica: &Arc<Replica>);
+    fn note_disconnect(&self, content: ContentId, replica: &Arc<Replica>);
 
     /// The content came to a whole answer. Takes no lock while nothing is known against any.
-    fn note_whole(&self, content: ContentId);
+    fn note_complete(&self, content: ContentId);
 
     /// True if the replica has ended by now. Waits a moment for the word on one whose connection has just broken.
-    async fn has_ended(&self, replica: &Arc<Replica>) -> bool;
+    async fn has_crashed(&self, replica: &Arc<Replica>) -> bool;
 }
 
 /// Holds nothing back, and learns nothing.
@@ -31,19 +31,19 @@
 
 #[async_trait]
 impl Quarantine for NoQuarantine {
-    fn holds_any(&self) -> bool {
+    fn has_quarantined(&self) -> bool {
         false
     }
 
-    fn standing(&self, _content: ContentId) -> Standing {
+    fn status(&self, _content: ContentId) -> Standing {
         Standing::Clear
     }
 
-    fn note_broken(&self, _content: ContentId, _replica: &Arc<Replica>) {}
+    fn note_disconnect(&self, _content: ContentId, _replica: &Arc<Replica>) {}
 
-    fn note_whole(&self, _content: ContentId) {}
+    fn note_complete(&self, _content: ContentId) {}
 
-    async fn has_ended(&self, _replica: &Arc<Replica>) -> bool {
+    async fn has_crashed(&self, _replica: &Arc<Replica>) -> bool {
         false
     }
 }
--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -66,8 +66,8 @@
         Self {
             forwarder,
             state,
-            status: attempt.answer.status,
-            body: Some(attempt.answer.body),
+            status: attempt.response.status,
+            body: Some(attempt.response.body),
             in_progress: Some(attempt.in_progress),
             splitter: EventSplitter::default(),
             ready: VecDeque::new(),
@@ -91,9 +91,9 @@
         }
     }
 
-    fn break_off(&self) {
+    fn note_disconnect(&self) {
         if let Some(in_progress) = &self.in_progress {
-            in_progress.break_off();
+            in_progress.note_disconnect();
         }
     }
 
@@ -113,9 +113,9 @@
                 Step::Wait => {}
                 Step::Bytes(bytes) if self.splits_events() => self.split(&bytes),
                 Step::Bytes(bytes) => return Some(Ok(bytes)),
-                Step::End if self.splits_events() && self.splitter.left_over() > 0 => {
+                Step::End if self.splits_events() && self.splitter.buffered_bytes() > 0 => {
                     let cause = "the stream ended within an event".to_owned();
-                    self.break_off();
+                    self.note_disconnect();
                     if let Err(cut) = self.go_on(cause).await {
                         return Some(Err(cut));
                     }
@@ -125,7 +125,7 @@
                         self.conclude(AttemptOutcome::Served);
                     }
                     if let Some(in_progress) = &self.in_progress {
-                        in_progress.note_whole();
+                        in_progress.note_complete();
                     }
                     self.finish("whole");
                     return None;
@@ -182,7 +182,7 @@
                 Step::Bytes(bytes)
             }
             Some(Some(Err(error))) => {
-                in_progress.break_off();
+                in_progress.note_disconnect();
                 Step::Broken(error.to_string())
             }
         }
@@ -237,13 +237,13 @@
             let (replica, result) = self.try_again().await;
             self.state.tried.extend(replica);
             match result {
-                Ok(attempt) if attempt.answer.status < 300 => {
-                    self.body = Some(attempt.answer.body);
+                Ok(attempt) if attempt.response.status < 300 => {
+                    self.body = Some(attempt.response.body);
                     self.in_progress = Some(attempt.in_progress);
                     return Ok(());
                 }
                 Ok(attempt) => {
-                    let status = attempt.answer.status;
+                    let status = attempt.response.status;
                     first_cause = Some(format!("resumed with status {status}"));
                 }
                 Err(
@@ -279,7 +279,7 @@
     /// with the second one that it ends.
     async fn forgive_end(&mut self, replica: &Arc<Replica>) {
         let is_last = self.state.sends >= self.state.route.attempts;
-        if self.splits_events() && is_last && self.forwarder.has_ended(replica).await {
+        if self.splits_events() && is_last && self.forwarder.has_crashed(replica).await {
             self.state.forgive();
         }
     }
--- a/crates/serving/src/replica.rs
+++ b/crates/serving/src/replica.rs
@@ -52,12 +52,12 @@
 impl ReplicaRecord {
     /// True if `told` speaks of another start than this: whatever is known of this one does not hold for it. A date that is
     /// missing says nothing; one that goes back is another start whose clock was set.
-    pub fn is_other_start(&self, told: &Self) -> bool {
+    pub fn is_other_instance(&self, told: &Self) -> bool {
         told.born_ms.is_some() && told.born_ms != self.born_ms
     }
 
     /// Hash of this start, by which daemons tell each other of it.
-    pub fn start_hash(&self) -> u32 {
+    pub fn instance_hash(&self) -> u32 {
         self.born_ms.map_or_else(
             || short_hash(&self.id),
             |born| short_hash(&format!("{}@{born}", self.id)),
@@ -140,7 +140,7 @@
         let left = record.warmup;
         let kept_tokens = memory_tokens * MEMORY_SHARE_PERCENT / 100;
         let replica = Self {
-            hash: record.start_hash(),
+            hash: record.instance_hash(),
             location: Location::new(&record.zone, &record.region),
             record,
             draining: AtomicBool::new(draining),
@@ -196,7 +196,7 @@
     /// Its zone is evacuated, or not any more: then it may be cold, whatever its last row said.
     pub fn set_zone_evacuated(&self, evacuated: bool) {
         if self.zone_evacuated.swap(evacuated, Ordering::Relaxed) && !evacuated {
-            self.change_warmth(|warmth| warmth.take_return(harrierward_clock::now()));
+            self.change_warmth(|warmth| warmth.note_zone_return(harrierward_clock::now()));
         }
     }
 
@@ -208,13 +208,13 @@
 
     /// It has ended: it gets nothing until its entry goes or another start of it is named. Where that does not come, it is
     /// tried again after a while.
-    pub fn set_ended(&self) {
+    pub fn set_crashed(&self) {
         let until = self.now_ms() + millis(ENDED_FOR);
         self.ended_until_ms.store(until, Ordering::Relaxed);
     }
 
     /// True while it counts as ended.
-    pub fn has_ended(&self) -> bool {
+    pub fn has_crashed(&self) -> bool {
         let until = self.ended_until_ms.load(Ordering::Relaxed);
         // Asked of every replica for every request; nearly all have not, and need no look at the clock for that.
         until > 0 && self.now_ms() < until
@@ -223,7 +223,7 @@
     /// True while it may take new work: it is there, does not leave, and its zone is in service.
     pub fn accepts_work(&self) -> bool {
         let is_listed = !self.is_unlisted.load(Ordering::Relaxed);
-        is_listed && !self.is_draining() && !self.is_zone_evacuated() && !self.has_ended()
+        is_listed && !self.is_draining() && !self.is_zone_evacuated() && !self.has_crashed()
     }
 
     /// True while it is cold: it bears few requests a second, which its coordinator counts.
@@ -239,12 +239,12 @@
 
     /// Its row was seen at `seen` and says that it stays cold for `left`; zero says that it is warm.
     pub fn note_row_warmup(&self, left: Duration, seen: Instant) {
-        self.change_warmth(|warmth| warmth.take_row(left, seen));
+        self.change_warmth(|warmth| warmth.apply_row(left, seen));
     }
 
     /// The configuration tells how replicas of its service warm up.
     pub fn set_service_warmup(&self, warmup: Option<Warmup>) {
-        self.change_warmth(|warmth| warmth.take_service(warmup));
+        self.change_warmth(|warmth| warmth.set_service(warmup));
     }
 
     /// How replicas of its service warm up.
@@ -253,7 +253,7 @@
     }
 
     /// How much longer it is taken for cold.
-    pub fn cold_for(&self, now: Instant) -> Duration {
+    pub fn remaining_warmup(&self, now: Instant) -> Duration {
         let until = lock(&self.warmth).cold_until();
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
@@ -269,7 +269,7 @@
     }
 
     /// Requests of this daemon in progress there, of one class.
-    pub fn own(&self, class: WorkClass) -> u32 {
+    pub fn own_in_progress(&self, class: WorkClass) -> u32 {
         match class {
             WorkClass::Online => self.own_online.load(Ordering::Relaxed),
             WorkClass::Batch => self.own_batch.load(Ordering::Relaxed),
@@ -277,11 +277,11 @@
     }
 
     fn own_total(&self) -> u32 {
-        self.own(WorkClass::Online) + self.own(WorkClass::Batch)
+        self.own_in_progress(WorkClass::Online) + self.own_in_progress(WorkClass::Batch)
     }
 
     /// Takes the other daemons' counts.
-    pub fn set_peers(&self, online: u32, batch: u32) {
+    pub fn set_peer_counts(&self, online: u32, batch: u32) {
         let now = self.now_ms().max(1);
         self.peers_told_at_ms.store(now, Ordering::Relaxed);
         self.peers_online.store(online, Ordering::Relaxed);
@@ -289,7 +289,7 @@
     }
 
     /// A peer was asked to end a batch item there.
-    pub fn note_peer_yield(&self) {
+    pub fn note_peer_preemption(&self) {
         let one_less = |batch: u32| batch.checked_sub(1);
         let _ = self
             .peers_batch
@@ -298,12 +298,12 @@
 
     /// Online requests there, of all daemons.
     pub fn online(&self) -> u32 {
-        self.own(WorkClass::Online) + self.peers_online.load(Ordering::Relaxed)
+        self.own_in_progress(WorkClass::Online) + self.peers_online.load(Ordering::Relaxed)
     }
 
     /// Batch items there, of all daemons.
     pub fn batch(&self) -> u32 {
-        self.own(WorkClass::Batch) + self.peers_batch.load(Ordering::Relaxed)
+        self.own_in_progress(WorkClass::Batch) + self.peers_batch.load(Ordering::Relaxed)
     }
 
     /// Estimated requests running and waiting there.
@@ -363,13 +363,13 @@
     }
 
     /// Time since bytes last came from the replica, as far as this daemon could hear them: suspensions are left out.
-    pub fn silent_for(&self) -> Duration {
-        Duration::from_millis(self.suspicion.silent_for_ms(self.listened_ms()))
+    pub fn time_since_progress(&self) -> Duration {
+        Duration::from_millis(self.suspicion.ms_since_progress(self.listened_ms()))
     }
 
     /// Avoids the replica for a while: longer each time that nothing comes from it in between.
     pub fn suspect(&self) {
-        self.suspicion.fail(self.now_ms());
+        self.suspicion.note_failure(self.now_ms());
     }
 
     /// True while the replica is avoided.
--- a/crates/serving/src/replica_set.rs
+++ b/crates/serving/src/replica_set.rs
@@ -33,7 +33,7 @@
     /// Hashes of their regions, likewise.
     regions: Vec<u32>,
     /// Found when first asked for: most daemons never choose for long prompts of most services.
-    long_prompt_homes: OnceLock<HashSet<String>>,
+    long_prompt_affinity: OnceLock<HashSet<String>>,
 }
 
 /// All replicas at one moment. The next view shares with this one what has not changed.
@@ -112,10 +112,10 @@
     }
 
     /// True if the replica is among those for long prompts.
-    pub fn is_long_prompt_home(&self, id: &str) -> bool {
+    pub fn has_long_prompt_affinity(&self, id: &str) -> bool {
         let service = self.by_id.get(id).map(|one| &one.record.service);
         let replicas = service.and_then(|service| self.by_service.get(service));
-        replicas.is_some_and(|replicas| replicas.long_prompt_homes().contains(id))
+        replicas.is_some_and(|replicas| replicas.long_prompt_affinity().contains(id))
     }
 
     /// All listed replicas.
@@ -281,16 +281,16 @@
             zones: areas_of(&list, |location| location.zone),
             regions: areas_of(&list, |location| location.region),
             list,
-            long_prompt_homes: OnceLock::new(),
+            long_prompt_affinity: OnceLock::new(),
         };
         self.by_service.insert(service, Arc::new(replicas));
     }
 }
 
 impl ServiceReplicas {
-    fn long_prompt_homes(&self) -> &HashSet<String> {
+    fn long_prompt_affinity(&self) -> &HashSet<String> {
         let found = || homes(&self.list).into_iter().collect();
-        self.long_prompt_homes.get_or_init(found)
+        self.long_prompt_affinity.get_or_init(found)
     }
 }
 
@@ -337,7 +337,7 @@
     match kept {
         Some(replica)
             if replica.record.address == record.address
-                && !replica.record.is_other_start(&record) =>
+                && !replica.record.is_other_instance(&record) =>
         {
             replica.set_unlisted(false);
             if record.draining {
--- a/crates/serving/src/request_state.rs
+++ b/crates/serving/src/request_state.rs
@@ -63,9 +63,9 @@
 
     /// Longest time after which the caller still comes back; `None` for one that has come back before, which is not
     /// sent away again, and for one that waits without a bound.
-    pub fn may_return(&self) -> Option<Duration> {
+    pub fn max_retry_after(&self) -> Option<Duration> {
         self.request
-            .patience
+            .timeout
             .filter(|_| !self.is_return)
             .map(|patience| patience / RETURN_PART)
     }
@@ -83,12 +83,12 @@
     /// The time of a request that arrived then: it is held for the route's time-out or its caller's patience.
     pub fn new(arrived: Instant, request: &ServingRequest, route: &Route) -> Self {
         let held = request
-            .patience
+            .timeout
             .map_or(route.timeout, |patience| patience.min(route.timeout));
         Self {
             arrived,
             hold_until: arrived + held,
-            deadline: request.patience.map(|patience| arrived + patience),
+            deadline: request.timeout.map(|patience| arrived + patience),
         }
     }
 
@@ -107,14 +107,14 @@
             let longest = (route.objective * LONGEST_FIRST_FACTOR).max(LEAST_FIRST);
             return AttemptTimeouts {
                 time_left,
-                dark: dark.min(left),
-                longest: longest.min(left),
+                stall_timeout: dark.min(left),
+                max_wait: longest.min(left),
             };
         }
         AttemptTimeouts {
             time_left,
-            dark: left,
-            longest: left,
+            stall_timeout: left,
+            max_wait: left,
         }
     }
 }
--- a/crates/serving/src/response.rs
+++ b/crates/serving/src/response.rs
@@ -75,7 +75,7 @@
     }
 
     /// True if the same request may be served later.
-    pub fn is_passing(self) -> bool {
+    pub fn is_transient(self) -> bool {
         self.is_not_run() && !matches!(self, Self::NoRoute | Self::NoKey | Self::UnknownKey)
     }
 
@@ -162,7 +162,7 @@
 /// What became of a request.
 pub enum Reply {
     /// A replica's answer.
-    Answer(CallerResponse),
+    Response(CallerResponse),
     /// A refusal.
     Refusal(Refusal),
 }
--- a/crates/serving/src/selection.rs
+++ b/crates/serving/src/selection.rs
@@ -28,9 +28,9 @@
     /// Share of uncached shared tokens that counts at the replica which all daemons prefer for the prompt.
     pub preferred_share: f64,
     /// Cost of a replica that is not among those for long prompts, for a long prompt, milliseconds.
-    pub long_away_ms: f64,
+    pub long_without_affinity_ms: f64,
     /// Cost of a replica for long prompts, for a short one, milliseconds.
-    pub short_beside_long_ms: f64,
+    pub short_among_long_ms: f64,
     /// Largest random addition, so that daemons with the same view do not all choose the same, milliseconds.
     pub jitter_ms: f64,
     /// Mechanisms in use.
@@ -72,8 +72,8 @@
             new_connection_ms: 2.5,
             suspected_ms: 2_000.0,
             preferred_share: 0.3,
-            long_away_ms: 60.0,
-            short_beside_long_ms: 30.0,
+            long_without_affinity_ms: 60.0,
+            short_among_long_ms: 30.0,
             jitter_ms: 1.5,
             policy: Policy::default(),
         }
@@ -144,8 +144,8 @@
     };
     let separation = match candidate.separation {
         Separation::Fits => 0.0,
-        Separation::LongWithoutAffinity => costs.long_away_ms,
-        Separation::ShortAmongLong => costs.short_beside_long_ms,
+        Separation::LongWithoutAffinity => costs.long_without_affinity_ms,
+        Separation::ShortAmongLong => costs.short_among_long_ms,
     };
     prefill + place + connection + suspected + separation + congestion(costs, candidate)
 }
--- a/crates/serving/src/suspicion.rs
+++ b/crates/serving/src/suspicion.rs
@@ -18,7 +18,7 @@
 
 impl Suspicion {
     /// A request failed there: avoids the replica, longer each time that nothing came from it in between.
-    pub fn fail(&self, now_ms: u64) {
+    pub fn note_failure(&self, now_ms: u64) {
         let failures = self.failures_in_a_row.fetch_add(1, Ordering::Relaxed);
         let lasting = FIRST_MS << failures.min(MOST_DOUBLINGS);
         self.until_ms.fetch_max(now_ms + lasting, Ordering::Relaxed);
@@ -31,7 +31,7 @@
     }
 
     /// Time since bytes last came, milliseconds.
-    pub fn silent_for_ms(&self, now_ms: u64) -> u64 {
+    pub fn ms_since_progress(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.progress_at_ms.load(Ordering::Relaxed))
     }
 
--- a/crates/serving/src/warmth.rs
+++ b/crates/serving/src/warmth.rs
@@ -30,14 +30,14 @@
     }
 
     /// The configuration tells how the service's replicas warm up.
-    pub fn take_service(&mut self, warmup: Option<Warmup>) {
+    pub fn set_service(&mut self, warmup: Option<Warmup>) {
         self.service = warmup;
     }
 
     /// A row of the replica was seen at `seen`, which says that it stays cold for `left` from its writing; zero says
     /// that it is warm. Counted from when the row was seen, so a row that came late keeps it cold for longer, never for
     /// less. Shortly after an assumption a row does not shorten it: it may have been written before its cause.
-    pub fn take_row(&mut self, left: Duration, seen: Instant) {
+    pub fn apply_row(&mut self, left: Duration, seen: Instant) {
         let until = (!left.is_zero()).then(|| seen + left.min(LONGEST));
         let may_be_older = |assumed: Instant| seen < assumed + ROW_LAG;
         if self.assumed_at.is_some_and(may_be_older) {
@@ -49,11 +49,11 @@
     }
 
     /// Its zone is in service again: it may have turned cold while nothing was sent there, and its row may not tell yet.
-    pub fn take_return(&mut self, now: Instant) {
+    pub fn note_zone_return(&mut self, now: Instant) {
         let Some(warmup) = self.service else {
             return;
         };
-        let until = now + warmup.lasts.min(LONGEST);
+        let until = now + warmup.duration.min(LONGEST);
         self.cold_until = Some(self.cold_until.map_or(until, |known| known.max(until)));
         self.assumed_at = Some(now);
     }
--- a/crates/serving/tests/admission.rs
+++ b/crates/serving/tests/admission.rs
@@ -86,7 +86,7 @@
     assert_eq!(judge(true, None), Ok(None));
     assert_eq!(judge(true, Some("bad")), Ok(None));
     assert_eq!(RefusalCause::UnknownKey.status(), 401);
-    assert!(!RefusalCause::UnknownKey.is_passing());
+    assert!(!RefusalCause::UnknownKey.is_transient());
 }
 
 #[tokio::test(start_paused = true)]
@@ -101,7 +101,7 @@
     );
     assert_eq!(judge("good", KeyTrust::For(TRUST)), stale);
     assert_eq!(RefusalCause::StaleConfiguration.status(), 503);
-    assert!(RefusalCause::StaleConfiguration.is_passing());
+    assert!(RefusalCause::StaleConfiguration.is_transient());
 }
 
 proptest! {
--- a/crates/serving/tests/choice.rs
+++ b/crates/serving/tests/choice.rs
@@ -49,11 +49,11 @@
 
 #[async_trait]
 impl SlotLeases for NoCoordinators {
-    async fn ask(&self, _query: SlotQuery<'_>) -> SlotReply {
+    async fn acquire(&self, _query: SlotQuery<'_>) -> SlotReply {
         SlotReply::NoCoordinator
     }
 
-    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
+    fn acquire_locally(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         self.held.fetch_add(1, Ordering::Relaxed);
         1
     }
@@ -66,7 +66,7 @@
         false
     }
 
-    fn free_slot(&self, _replica: &Arc<Replica>) {
+    fn preempt_item(&self, _replica: &Arc<Replica>) {
         self.asked.fetch_add(1, Ordering::Relaxed);
     }
 }
@@ -100,7 +100,7 @@
         routes: Arc::new(ArcSwapOption::empty()),
         replicas: Arc::new(replicas),
         client: Arc::new(NoClient),
-        places,
+        leases: places,
         rates: Arc::new(NoLimits),
         quarantine: Arc::new(NoQuarantine),
         proof: Arc::default(),
@@ -133,7 +133,7 @@
         target: "/ask/x".to_owned(),
         headers: HeaderMap::new(),
         body: Bytes::new(),
-        patience: None,
+        timeout: None,
         resume_after: None,
         prompt: Prompt {
             parts,
@@ -170,7 +170,7 @@
     let places = Arc::new(NoCoordinators::default());
     let forwarder = forwarder_over(places.clone());
     for replica in forwarder.replicas().view().all() {
-        replica.set_peers(online, batch);
+        replica.set_peer_counts(online, batch);
     }
     let request = request(1);
     let placement = forwarder
@@ -211,7 +211,7 @@
         let forwarder = forwarder();
         let view = forwarder.replicas().view();
         for (number, replica) in (0..).zip(view.all()) {
-            replica.set_peers(if number < free { 7 } else { 8 }, 0);
+            replica.set_peer_counts(if number < free { 7 } else { 8 }, 0);
         }
         let request = request(1);
         let placement = forwarder.place(&request, "model", &[], OBJECTIVE, Some(item));
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -59,7 +59,7 @@
     }
 
     fn news(&self) -> EvacuationUpdate {
-        Self::news(self)
+        Self::to_update(self)
     }
 }
 
@@ -104,7 +104,7 @@
             .filter(|(zone, revision)| self.listed.get(*zone) != Some(revision))
             .map(|(zone, revision)| (ZONES[*zone].to_owned(), *revision))
             .collect();
-        let news = self.rows.take(written, &gone, Some(store.revision));
+        let news = self.rows.apply(written, &gone, Some(store.revision));
         self.listed = rows;
         self.fed_to = store.revision;
         self.belief.merge(&news);
@@ -121,10 +121,10 @@
             let zone = ZONES[change.zone].to_owned();
             let news = if change.is_written {
                 self.listed.insert(change.zone, change.revision);
-                self.rows.take(vec![(zone, change.revision)], &[], None)
+                self.rows.apply(vec![(zone, change.revision)], &[], None)
             } else {
                 self.listed.remove(&change.zone);
-                self.rows.take(Vec::new(), &[zone], None)
+                self.rows.apply(Vec::new(), &[zone], None)
             };
             self.belief.merge(&news);
         }
--- a/crates/serving/tests/failing.rs
+++ b/crates/serving/tests/failing.rs
@@ -50,7 +50,7 @@
     let bytes = Bytes::from_static(b"id: 1\ndata: x\n\n");
     ReplicaResponse {
         status,
-        answers: Some(request.request.id.clone()),
+        request_id: Some(request.request.id.clone()),
         is_first_on_connection: true,
         not_run: false,
         other_replica: false,
@@ -106,7 +106,7 @@
                 ..good_head(&request)
             }),
             Conduct::AnswersAnother => Ok(ReplicaResponse {
-                answers: Some("another".to_owned()),
+                request_id: Some("another".to_owned()),
                 ..good
             }),
         }
@@ -126,11 +126,11 @@
 
 #[async_trait]
 impl SlotLeases for Leases {
-    async fn ask(&self, _query: SlotQuery<'_>) -> SlotReply {
+    async fn acquire(&self, _query: SlotQuery<'_>) -> SlotReply {
         SlotReply::NoCoordinator
     }
 
-    fn take(&self, replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
+    fn acquire_locally(&self, replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         let mut taken = self.taken.lock().expect("a lock");
         taken.push(replica.record.id.clone());
         u32::try_from(taken.len() - 1).expect("few leases")
@@ -145,7 +145,7 @@
         false
     }
 
-    fn free_slot(&self, _replica: &Arc<Replica>) {}
+    fn preempt_item(&self, _replica: &Arc<Replica>) {}
 }
 
 struct Site {
@@ -202,7 +202,7 @@
         ))),
         replicas: Arc::new(set),
         client: client.clone(),
-        places: leases.clone(),
+        leases: leases.clone(),
         rates: Arc::new(NoLimits),
         quarantine: Arc::new(NoQuarantine),
         proof: Arc::default(),
@@ -230,7 +230,7 @@
         target: "/ask/x".to_owned(),
         headers: HeaderMap::new(),
         body: Bytes::new(),
-        patience: Some(Duration::from_secs(3)),
+        timeout: Some(Duration::from_secs(3)),
         resume_after: None,
         prompt: Prompt::default(),
         key: None,
@@ -241,7 +241,7 @@
 /// Sends one request and reads its answer to the end.
 async fn call(site: &Site) {
     let reply = site.forwarder.forward(request(), Instant::now()).await;
-    if let Reply::Answer(answer) = reply {
+    if let Reply::Response(answer) = reply {
         let _ = answer.body.collect::<Vec<_>>().await;
     }
 }
@@ -281,7 +281,7 @@
         (Conduct::AnswersAnother, AttemptOutcome::Corrupt),
     ];
     for (conduct, verdict) in expected {
-        assert_eq!(end_at(conduct).await.verdict, verdict, "{conduct:?}");
+        assert_eq!(end_at(conduct).await.outcome, verdict, "{conduct:?}");
     }
     let slow = end_at(Conduct::ServesSlowly).await.first_event;
     assert_eq!(slow, Some(OBJECTIVE / 2));
@@ -304,11 +304,11 @@
         let site = site(conduct, 2, 1);
         for _ in 0..40 {
             let hurried = ServingRequest {
-                patience: Some(Duration::from_millis(20)),
+                timeout: Some(Duration::from_millis(20)),
                 ..request()
             };
             let reply = site.forwarder.forward(hurried, Instant::now()).await;
-            if let Reply::Answer(answer) = reply {
+            if let Reply::Response(answer) = reply {
                 let _ = answer.body.collect::<Vec<_>>().await;
             }
         }
@@ -317,7 +317,7 @@
         let ended = site.leases.ended.lock().expect("a lock");
         let at_first = ended.iter().filter(|(replica, _)| replica == "replica-0");
         for (_, end) in at_first {
-            assert_eq!(end.verdict, AttemptOutcome::NoEvidence, "{conduct:?}");
+            assert_eq!(end.outcome, AttemptOutcome::NoEvidence, "{conduct:?}");
         }
     }
 }
--- a/crates/serving/tests/gate.rs
+++ b/crates/serving/tests/gate.rs
@@ -50,7 +50,7 @@
         sent.push((request.replica.to_owned(), source));
         Ok(ReplicaResponse {
             status: 200,
-            answers: Some(request.request.id.clone()),
+            request_id: Some(request.request.id.clone()),
             is_first_on_connection: true,
             not_run: false,
             other_replica: false,
@@ -70,7 +70,7 @@
 
 #[async_trait]
 impl SlotLeases for Deaf {
-    async fn ask(&self, query: SlotQuery<'_>) -> SlotReply {
+    async fn acquire(&self, query: SlotQuery<'_>) -> SlotReply {
         if self.is_all_cold {
             return SlotReply::AllCold;
         }
@@ -86,7 +86,7 @@
         }
     }
 
-    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
+    fn acquire_locally(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         1
     }
 
@@ -96,11 +96,11 @@
         true
     }
 
-    fn is_told_cold(&self, replica: &Replica) -> bool {
+    fn is_reported_cold(&self, replica: &Replica) -> bool {
         self.is_all_cold && replica.record.zone == "zone-a"
     }
 
-    fn free_slot(&self, _replica: &Arc<Replica>) {}
+    fn preempt_item(&self, _replica: &Arc<Replica>) {}
 }
 
 fn choice(replica: &Arc<Replica>) -> Choice {
@@ -178,7 +178,7 @@
         routes: Arc::new(ArcSwapOption::from_pointee(routes())),
         replicas: replicas.clone(),
         client: client.clone(),
-        places: Arc::new(Deaf {
+        leases: Arc::new(Deaf {
             replicas: replicas.clone(),
             is_all_cold,
         }),
@@ -208,13 +208,13 @@
 
     /// Sends a request to a replica that was chosen for it.
     async fn send_to(&self, choice: Choice) -> Result<(), AttemptFailure> {
-        let place = SlotLease::new(self.forwarder.places().clone(), 1);
+        let place = SlotLease::new(self.forwarder.leases().clone(), 1);
         let placement = choice.enter(WorkClass::Online, place);
         let long = Duration::from_secs(1);
         let times = AttemptTimeouts {
             time_left: None,
-            dark: long,
-            longest: long,
+            stall_timeout: long,
+            max_wait: long,
         };
         let sending = AttemptOptions {
             failed_before: false,
@@ -239,7 +239,7 @@
         target: "/ask/x".to_owned(),
         headers: HeaderMap::new(),
         body: Bytes::new(),
-        patience: Some(Duration::from_secs(5)),
+        timeout: Some(Duration::from_secs(5)),
         resume_after: None,
         prompt: Prompt::default(),
         key: None,
@@ -252,7 +252,7 @@
     let fixture = fixture();
     fixture.evacuate("zone-a");
     let reply = fixture.forwarder.forward(request(), Instant::now()).await;
-    assert!(matches!(reply, Reply::Answer(_)), "an answer");
+    assert!(matches!(reply, Reply::Response(_)), "an answer");
     assert_eq!(fixture.client.sent(), [("b".to_owned(), None)]);
 }
 
@@ -261,7 +261,7 @@
 async fn a_daemon_that_chooses_itself_believes_a_coordinator_that_calls_a_group_cold() {
     let fixture = fixture_before(true);
     let reply = fixture.forwarder.forward(request(), Instant::now()).await;
-    assert!(matches!(reply, Reply::Answer(_)), "an answer");
+    assert!(matches!(reply, Reply::Response(_)), "an answer");
     assert_eq!(fixture.client.sent(), [("b".to_owned(), None)]);
 }
 
--- a/crates/serving/tests/not_run.rs
+++ b/crates/serving/tests/not_run.rs
@@ -16,7 +16,7 @@
     let reply = fixture.forwarder.forward(request("r"), Instant::now());
     let refusal = match reply.await {
         Reply::Refusal(refusal) => Some(refusal),
-        Reply::Answer(_) => None,
+        Reply::Response(_) => None,
     };
     (fixture, refusal)
 }
--- a/crates/serving/tests/set_changes.rs
+++ b/crates/serving/tests/set_changes.rs
@@ -55,7 +55,7 @@
             view.regions(service)
         ));
         let homes = view.listed(service).iter();
-        let homes = homes.filter(|one| view.is_long_prompt_home(&one.record.id));
+        let homes = homes.filter(|one| view.has_long_prompt_affinity(&one.record.id));
         seen.push(format!("{} homes", homes.count()));
     }
     seen.push(format!("{} listed", view.len()));
--- a/crates/serving/tests/silence.rs
+++ b/crates/serving/tests/silence.rs
@@ -41,7 +41,7 @@
         sleep(QUEUED_FOR).await;
         Ok(ReplicaResponse {
             status: 200,
-            answers: Some(request.request.id.clone()),
+            request_id: Some(request.request.id.clone()),
             is_first_on_connection: true,
             not_run: false,
             other_replica: false,
@@ -62,8 +62,8 @@
 
 #[async_trait]
 impl SlotLeases for Group {
-    async fn ask(&self, query: SlotQuery<'_>) -> SlotReply {
-        if let Some(after) = self.come_back.filter(|_| query.may_return.is_some()) {
+    async fn acquire(&self, query: SlotQuery<'_>) -> SlotReply {
+        if let Some(after) = self.come_back.filter(|_| query.max_retry_after.is_some()) {
             return SlotReply::RetryLater { after };
         }
         let view = self.replicas.view();
@@ -87,7 +87,7 @@
         }
     }
 
-    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
+    fn acquire_locally(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         1
     }
 
@@ -97,7 +97,7 @@
         false
     }
 
-    fn free_slot(&self, _replica: &Arc<Replica>) {}
+    fn preempt_item(&self, _replica: &Arc<Replica>) {}
 }
 
 fn routes() -> RouteTable {
@@ -147,7 +147,7 @@
         routes: Arc::new(ArcSwapOption::from_pointee(routes())),
         replicas: replicas.clone(),
         client: client.clone(),
-        places: Arc::new(Group {
+        leases: Arc::new(Group {
             replicas,
             free_permille,
             come_back,
@@ -175,7 +175,7 @@
         target: "/ask/x".to_owned(),
         headers: HeaderMap::new(),
         body: Bytes::new(),
-        patience: Some(patience),
+        timeout: Some(patience),
         resume_after: None,
         prompt: Prompt::default(),
         key: None,
@@ -190,7 +190,7 @@
 async fn sends_where_free(free_permille: u32) -> usize {
     let (forwarder, client) = forwarder(free_permille, None);
     let reply = forwarder.forward(request(PATIENCE), Instant::now()).await;
-    assert!(matches!(reply, Reply::Answer(_)), "an answer");
+    assert!(matches!(reply, Reply::Response(_)), "an answer");
     client.sends.load(Ordering::Relaxed)
 }
 
@@ -215,7 +215,7 @@
     let reply = forwarder
         .forward(request(PATIENCE - after), Instant::now())
         .await;
-    assert!(matches!(reply, Reply::Answer(_)), "an answer");
+    assert!(matches!(reply, Reply::Response(_)), "an answer");
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/serving/tests/support/mod.rs
+++ b/crates/serving/tests/support/mod.rs
@@ -126,7 +126,7 @@
 fn answer(status: u16, answers: Answers, not_run: bool, id: &str) -> ReplicaResponse {
     ReplicaResponse {
         status,
-        answers: match answers {
+        request_id: match answers {
             Answers::Own => Some(id.to_owned()),
             Answers::Another => Some("another".to_owned()),
             Answers::Nobody | Answers::NobodyLate => None,
@@ -189,11 +189,11 @@
 
 #[async_trait]
 impl SlotLeases for Uncoordinated {
-    async fn ask(&self, _query: SlotQuery<'_>) -> SlotReply {
+    async fn acquire(&self, _query: SlotQuery<'_>) -> SlotReply {
         SlotReply::NoCoordinator
     }
 
-    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
+    fn acquire_locally(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         1
     }
 
@@ -203,11 +203,11 @@
         false
     }
 
-    fn is_told_cold(&self, _replica: &Replica) -> bool {
+    fn is_reported_cold(&self, _replica: &Replica) -> bool {
         false
     }
 
-    fn free_slot(&self, _replica: &Arc<Replica>) {}
+    fn preempt_item(&self, _replica: &Arc<Replica>) {}
 }
 
 /// Attempts of the route.
@@ -272,7 +272,7 @@
             routes: Arc::new(ArcSwapOption::from_pointee(routes(kind))),
             replicas: set.clone(),
             client: client.clone(),
-            places: Arc::new(Uncoordinated),
+            leases: Arc::new(Uncoordinated),
             rates: Arc::new(NoLimits),
             quarantine: Arc::new(NoQuarantine),
             proof: Arc::default(),
@@ -302,7 +302,7 @@
         target: "/ask/x".to_owned(),
         headers: HeaderMap::new(),
         body: Bytes::from_static(b"body"),
-        patience: Some(Duration::from_secs(5)),
+        timeout: Some(Duration::from_secs(5)),
         resume_after: None,
         prompt: Prompt::default(),
         key: None,
--- a/crates/serving/tests/suspended.rs
+++ b/crates/serving/tests/suspended.rs
@@ -50,16 +50,16 @@
         waiting: 3,
         slots: 4,
     });
-    replica.set_peers(1, 0);
+    replica.set_peer_counts(1, 0);
     replica.note_row_warmup(Duration::from_secs(6), harrierward_clock::now());
     assert_eq!(replica.load(), 7);
     assert!(replica.is_cold(harrierward_clock::now()));
     replica.suspect();
-    replica.set_ended();
-    assert!(replica.is_suspected() && replica.has_ended());
+    replica.set_crashed();
+    assert!(replica.is_suspected() && replica.has_crashed());
     harrierward_clock::imagine_suspension(SUSPENSION);
     assert!(!replica.is_suspected(), "its time is over");
-    assert!(!replica.has_ended(), "it may have started again");
+    assert!(!replica.has_crashed(), "it may have started again");
     assert_eq!(replica.load(), 1, "its word on its load is old");
     assert!(replica.report_age_ms() >= Some(10_000));
     assert!(replica.peers_age_ms() >= Some(10_000));
@@ -73,9 +73,9 @@
     let (_set, replica) = one_replica();
     replica.note_progress();
     harrierward_clock::imagine_suspension(SUSPENSION);
-    assert_eq!(replica.silent_for(), Duration::ZERO);
+    assert_eq!(replica.time_since_progress(), Duration::ZERO);
     tokio::time::advance(Duration::from_millis(300)).await;
-    assert_eq!(replica.silent_for(), Duration::from_millis(300));
+    assert_eq!(replica.time_since_progress(), Duration::from_millis(300));
 }
 
 /// An entry that vanished is believed for a moment, since the store may be away.
--- a/crates/serving/tests/suspicion.rs
+++ b/crates/serving/tests/suspicion.rs
@@ -5,12 +5,12 @@
 #[test]
 fn failures_in_a_row_last_longer_and_progress_ends_the_row() {
     let replica = Suspicion::default();
-    replica.fail(1_000);
+    replica.note_failure(1_000);
     assert!(replica.is_active(1_499) && !replica.is_active(1_500));
-    replica.fail(2_000);
+    replica.note_failure(2_000);
     assert!(replica.is_active(2_999) && !replica.is_active(3_000));
     replica.note_progress(3_100);
-    replica.fail(4_000);
+    replica.note_failure(4_000);
     assert!(!replica.is_active(4_500));
-    assert_eq!(replica.silent_for_ms(4_500), 1_400);
+    assert_eq!(replica.ms_since_progress(4_500), 1_400);
 }
--- a/crates/serving/tests/warmth.rs
+++ b/crates/serving/tests/warmth.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use harrierward_serving::{
-    GateDenial, GateRequest, Replica, ReplicaRecord, ReplicaSet, Warmth, Warmup, barred,
+    GateDenial, GateRequest, Replica, ReplicaRecord, ReplicaSet, Warmth, Warmup, check_gate,
 };
 use harrierward_tenants::AllowedRegions;
 use tokio::time::{Instant, advance};
 
 const WARMUP: Warmup = Warmup {
-    lasts: Duration::from_secs(6),
+    duration: Duration::from_secs(6),
     per_second: 2.0,
 };
 
@@ -42,14 +42,14 @@
     let at = |ms| start + Duration::from_millis(ms);
     let mut warmth = Warmth::default();
     assert!(!is_cold(&warmth, start));
-    warmth.take_row(Duration::from_secs(6), at(0));
+    warmth.apply_row(Duration::from_secs(6), at(0));
     assert!(is_cold(&warmth, at(5_999)));
     assert!(!is_cold(&warmth, at(6_000)));
-    warmth.take_row(Duration::from_secs(2), at(1_200));
+    warmth.apply_row(Duration::from_secs(2), at(1_200));
     assert!(!is_cold(&warmth, at(3_200)));
-    warmth.take_row(Duration::from_secs(6), at(3_000));
+    warmth.apply_row(Duration::from_secs(6), at(3_000));
     assert!(is_cold(&warmth, at(8_000)), "it turned cold again");
-    warmth.take_row(Duration::ZERO, at(8_000));
+    warmth.apply_row(Duration::ZERO, at(8_000));
     assert!(!is_cold(&warmth, at(8_000)), "it says that it is warm");
 }
 
@@ -59,15 +59,15 @@
     let start = Instant::now();
     let boundless = Duration::MAX;
     let mut warmth = Warmth::default();
-    warmth.take_row(boundless, start);
-    assert!(is_cold(&warmth, start + WARMUP.lasts));
-    warmth.take_row(Duration::ZERO, start);
-    warmth.take_service(Some(Warmup {
-        lasts: boundless,
+    warmth.apply_row(boundless, start);
+    assert!(is_cold(&warmth, start + WARMUP.duration));
+    warmth.apply_row(Duration::ZERO, start);
+    warmth.set_service(Some(Warmup {
+        duration: boundless,
         ..WARMUP
     }));
-    warmth.take_return(start);
-    assert!(is_cold(&warmth, start + WARMUP.lasts));
+    warmth.note_zone_return(start);
+    assert!(is_cold(&warmth, start + WARMUP.duration));
 }
 
 /// After an evacuation a row that was written before its end must not make a replica warm; one written later does.
@@ -76,14 +76,14 @@
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut warmth = Warmth::default();
-    warmth.take_return(at(0));
+    warmth.note_zone_return(at(0));
     assert!(!is_cold(&warmth, at(0)), "its service needs no warmup");
-    warmth.take_service(Some(WARMUP));
-    warmth.take_return(at(0));
+    warmth.set_service(Some(WARMUP));
+    warmth.note_zone_return(at(0));
     assert!(is_cold(&warmth, at(5_999)));
-    warmth.take_row(Duration::ZERO, at(1_000));
+    warmth.apply_row(Duration::ZERO, at(1_000));
     assert!(is_cold(&warmth, at(1_000)), "written before, perhaps");
-    warmth.take_row(Duration::ZERO, at(2_500));
+    warmth.apply_row(Duration::ZERO, at(2_500));
     assert!(!is_cold(&warmth, at(2_500)));
 }
 
@@ -93,13 +93,13 @@
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut warmth = Warmth::default();
-    warmth.take_service(Some(WARMUP));
-    warmth.take_return(at(0));
-    warmth.take_row(Duration::from_millis(300), at(1_000));
+    warmth.set_service(Some(WARMUP));
+    warmth.note_zone_return(at(0));
+    warmth.apply_row(Duration::from_millis(300), at(1_000));
     assert!(is_cold(&warmth, at(5_999)), "written before, perhaps");
-    warmth.take_row(Duration::from_secs(8), at(1_200));
+    warmth.apply_row(Duration::from_secs(8), at(1_200));
     assert!(is_cold(&warmth, at(9_199)), "it says that it is for longer");
-    warmth.take_row(Duration::from_millis(300), at(2_500));
+    warmth.apply_row(Duration::from_millis(300), at(2_500));
     assert!(!is_cold(&warmth, at(2_801)));
 }
 
@@ -114,7 +114,7 @@
     replica.set_zone_evacuated(true);
     replica.set_zone_evacuated(false);
     assert!(replica.is_cold(Instant::now()));
-    advance(WARMUP.lasts + Duration::from_millis(2)).await;
+    advance(WARMUP.duration + Duration::from_millis(2)).await;
     assert!(!replica.is_cold(Instant::now()));
 }
 
@@ -125,9 +125,9 @@
     set.replace(vec![record("one", Duration::ZERO)], |_| 0);
     set.replace(vec![], |_| 0);
     advance(Duration::from_millis(500)).await;
-    set.replace(vec![record("one", WARMUP.lasts)], |_| 0);
+    set.replace(vec![record("one", WARMUP.duration)], |_| 0);
     assert!(listed(&set, "one").is_cold(Instant::now()));
-    set.replace(vec![record("new", WARMUP.lasts)], |_| 0);
+    set.replace(vec![record("new", WARMUP.duration)], |_| 0);
     assert!(listed(&set, "new").is_cold(Instant::now()));
 }
 
@@ -135,7 +135,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_gate_lets_only_counted_requests_pass_and_not_for_long() {
     let set = ReplicaSet::default();
-    set.replace(vec![record("one", WARMUP.lasts)], |_| 0);
+    set.replace(vec![record("one", WARMUP.duration)], |_| 0);
     let replica = listed(&set, "one");
     let now = Instant::now();
     let passage = |cold_until| GateRequest {
@@ -144,12 +144,12 @@
     };
     let short = Duration::from_millis(250);
     assert_eq!(
-        barred(&replica, &passage(None), now),
+        check_gate(&replica, &passage(None), now),
         Some(GateDenial::ColdWithoutGrant)
     );
-    assert_eq!(barred(&replica, &passage(Some(now + short)), now), None);
+    assert_eq!(check_gate(&replica, &passage(Some(now + short)), now), None);
     assert_eq!(
-        barred(&replica, &passage(Some(now + short)), now + short),
+        check_gate(&replica, &passage(Some(now + short)), now + short),
         Some(GateDenial::ColdWithoutGrant)
     );
 }
