--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,8 +1,8 @@
-//! Choosing a replica: pure selection over a table of replicas, their estimated loads and a prefix index.
+//! Replica selection over a table of replicas, their estimated loads and an index of cached prompt prefixes.
 //!
-//! Why estimates: load reports are a second or two old and many gateways choose at once. A gateway therefore
-//! ages each report and adds what it has itself in flight, and looks at a few replicas only, so that gateways
-//! with the same reports do not all choose the same one.
+//! Load reports are seconds old and many gateways choose at once. A gateway therefore ages each report, adds its own
+//! requests in flight and samples few replicas, so that gateways with the same reports don't all pick the same
+//! replica.
 
 mod load;
 mod prefix_index;
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -1,17 +1,17 @@
-//! What a gateway believes of a replica's load: the last report, aged, plus its own requests in flight.
+//! Load estimate of one replica: the last report, aged, plus this gateway's own requests in flight.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 
-/// Prices of work at an engine, used to turn load into an expected wait.
+/// Engine timings that convert load into an expected wait.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CostModel {
     /// Fixed time of a step, microseconds.
     pub step_base_micros: f64,
-    /// Additional time of a step for each running sequence, microseconds.
+    /// Additional time of a step per running sequence, microseconds.
     pub step_sequence_micros: f64,
-    /// Time to prefill a token, microseconds.
+    /// Time to prefill one token, microseconds.
     pub prefill_token_micros: f64,
-    /// Distance to another zone, microseconds a rank.
+    /// Network cost per step of zone distance (see [`crate::ReplicaEntry::distance`]), microseconds.
     pub zone_rank_micros: f64,
 }
 
@@ -26,21 +26,20 @@
     }
 }
 
-/// A load report as the router uses it.
+/// Load of a replica as its node reports it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LoadReport {
-    /// Online sequences running.
+    /// Online sequences in the running batch.
     pub running_online: u32,
-    /// Batch sequences running.
+    /// Batch sequences in the running batch.
     pub running_batch: u32,
     /// Prompt tokens of online sequences not yet prefilled.
     pub waiting_prompt_tokens: u32,
-    /// Online sequences waiting.
+    /// Online sequences queued at the engine.
     pub waiting_online: u32,
 }
 
-/// Load of one replica, shared between the request path (which only adds and subtracts) and the task that takes
-/// reports.
+/// Load of one replica, shared without locks between the request path and the task that applies reports.
 #[derive(Debug, Default)]
 pub struct ReplicaLoad {
     in_flight: AtomicU32,
@@ -56,34 +55,34 @@
     confirmed_at_micros: AtomicU64,
 }
 
-/// A replica whose availability was not confirmed for this long gets nothing new: it may have left meanwhile.
+/// Maximum age of an availability report; a replica without a newer one receives no new requests.
 pub const CONFIRMATION_TTL_MICROS: u64 = 2_500_000;
 
 impl ReplicaLoad {
-    /// A request of `uncached_tokens` was sent.
+    /// Counts a request that was sent with `uncached_tokens` left to prefill.
     pub fn note_sent(&self, uncached_tokens: u32) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         self.prefill_tokens
             .fetch_add(u64::from(uncached_tokens), Ordering::Relaxed);
     }
 
-    /// The first token came (or never will): its prefill no longer waits.
+    /// Removes a request's prefill from the estimate: its first token arrived, or never will.
     pub fn note_prefilled(&self, uncached_tokens: u32) {
         self.prefill_tokens
             .fetch_sub(u64::from(uncached_tokens), Ordering::Relaxed);
     }
 
-    /// The request ended.
+    /// Counts a request out of flight.
     pub fn note_completed(&self) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Requests of this gateway in flight.
+    /// Returns the number of this gateway's requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Takes a report that describes the replica at `as_of_micros`.
+    /// Applies a report that describes the replica at `as_of_micros`.
     pub fn apply_report(&self, report: LoadReport, as_of_micros: u64) {
         let set = |field: &AtomicU32, value| field.store(value, Ordering::Relaxed);
         set(&self.running_online, report.running_online);
@@ -95,8 +94,7 @@
             .store(as_of_micros, Ordering::Relaxed);
     }
 
-    /// Takes word of the replica, true at `as_of_micros`: it leaves or fails, or it may get new work.
-    /// Older word than what is known is ignored.
+    /// Sets whether the replica is draining or failed, as observed at `as_of_micros`. Older observations are ignored.
     pub fn set_availability(&self, unavailable: bool, as_of_micros: u64) {
         let newest = self
             .confirmed_at_micros
@@ -106,13 +104,13 @@
         }
     }
 
-    /// The replica itself refused or broke: nothing new until `until_micros`.
+    /// Excludes the replica until `until_micros`, after it refused a request or failed one.
     pub fn penalize(&self, until_micros: u64) {
         self.penalty_until_micros
             .fetch_max(until_micros, Ordering::Relaxed);
     }
 
-    /// Age of the newest word of the replica, microseconds; without any, the greatest there is.
+    /// Returns the age of the newest availability report, microseconds; `u64::MAX` if there is none.
     pub fn confirmation_age(&self, now_micros: u64) -> u64 {
         match self.confirmed_at_micros.load(Ordering::Relaxed) {
             0 => u64::MAX,
@@ -120,14 +118,15 @@
         }
     }
 
-    /// True while the replica may get new work.
+    /// True if the replica may receive new requests.
     pub fn is_usable(&self, now_micros: u64) -> bool {
         !self.unavailable.load(Ordering::Relaxed)
             && self.penalty_until_micros.load(Ordering::Relaxed) <= now_micros
             && self.confirmation_age(now_micros) <= CONFIRMATION_TTL_MICROS
     }
 
-    /// Online sequences believed to run: the report corrected by what this gateway did since.
+    /// Estimated online sequences: the reported number, corrected by the change of this gateway's own since the
+    /// report.
     fn online_now(&self) -> f64 {
         let reported = f64::from(self.running_online.load(Ordering::Relaxed))
             + f64::from(self.waiting_online.load(Ordering::Relaxed));
@@ -136,7 +135,7 @@
         (reported + own - own_then).max(own)
     }
 
-    /// Expected time until a new request's first token, microseconds.
+    /// Returns the expected time until a new request's first token, microseconds.
     pub fn expected_wait(&self, uncached_tokens: f64, now_micros: u64, cost: &CostModel) -> f64 {
         let sequences = self.online_now() + f64::from(self.running_batch.load(Ordering::Relaxed));
         let step = cost.step_base_micros + sequences * cost.step_sequence_micros;
--- a/crates/routing/src/prefix_index.rs
+++ b/crates/routing/src/prefix_index.rs
@@ -1,12 +1,11 @@
-//! Which replicas probably hold which prompt prefixes.
+//! Index of the replicas that probably cache a prompt prefix.
 //!
-//! Cache events come late and with gaps, so entries are hints: they expire, and what a gateway sent itself
-//! counts as cached from the moment of sending. A persistent map makes a snapshot cheap, so that the request
-//! path reads one without a lock while a task writes the next.
+//! Cache events arrive late and with gaps, so entries are hints that expire; blocks of a request count as cached from
+//! the moment it is sent. Snapshots of the persistent map are cheap, and the request path reads one without a lock.
 
 use imbl::HashMap;
 
-/// Replicas remembered for a block.
+/// Maximum number of replicas tracked per block.
 const MOST_HOLDERS: usize = 6;
 
 #[derive(Debug, Clone, Copy)]
@@ -20,24 +19,24 @@
     holders: Vec<Holder>,
 }
 
-/// A snapshot of the index; cloning is cheap.
+/// Persistent map from prefix block to replicas; cloning is cheap.
 #[derive(Debug, Clone)]
 pub struct PrefixIndex {
     blocks: HashMap<u64, Holders>,
     lifetime_micros: u64,
 }
 
-/// How many leading blocks of a prompt a replica probably holds.
+/// Number of leading prompt blocks that a replica probably caches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PrefixOverlap {
-    /// Replica, by its number in the fleet.
+    /// Number of the replica in the fleet.
     pub replica: u32,
-    /// Leading blocks held.
+    /// Cached leading blocks.
     pub blocks: u32,
 }
 
 impl PrefixIndex {
-    /// An empty index whose entries are forgotten after `lifetime_micros` without news.
+    /// Creates an empty index whose entries expire `ttl_micros` after their last update.
     pub fn new(lifetime_micros: u64) -> Self {
         Self {
             blocks: HashMap::new(),
@@ -45,7 +44,7 @@
         }
     }
 
-    /// The replica stored the block, or was sent a prompt with it.
+    /// Records that the replica stored the block or was sent a prompt with it.
     pub fn insert(&mut self, block: u64, replica: u32, now_micros: u64) {
         let holders = &mut self.blocks.entry(block).or_default().holders;
         if let Some(holder) = holders.iter_mut().find(|holder| holder.replica == replica) {
@@ -62,7 +61,7 @@
         });
     }
 
-    /// The replica evicted the block.
+    /// Records that the replica evicted the block.
     pub fn remove(&mut self, block: u64, replica: u32) {
         let Some(entry) = self.blocks.get_mut(&block) else {
             return;
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Forgets entries without news for the lifetime; to be called now and then.
+    /// Removes expired entries; to be called periodically.
     pub fn expire(&mut self, now_micros: u64) {
         let lifetime = self.lifetime_micros;
         let live = |holder: &Holder| now_micros.saturating_sub(holder.seen_micros) <= lifetime;
@@ -93,7 +92,7 @@
         }
     }
 
-    /// Replicas that hold leading blocks, the longest overlap first.
+    /// Returns the replicas that cache leading blocks, the longest overlap first.
     pub fn overlaps(&self, blocks: &[u64], now_micros: u64) -> Vec<PrefixOverlap> {
         let mut overlaps: Vec<PrefixOverlap> = Vec::with_capacity(MOST_HOLDERS);
         for (index, block) in blocks.iter().enumerate().rev() {
@@ -120,12 +119,12 @@
         overlaps
     }
 
-    /// Number of blocks known.
+    /// Returns the number of indexed blocks.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// True if nothing is known.
+    /// True if no block is indexed.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! An immutable table of the replicas of one service, and the choice among them.
+//! Immutable table of the replicas of one service, and the choice among them.
 
 use std::sync::Arc;
 
@@ -7,47 +7,47 @@
 use crate::load::{CostModel, ReplicaLoad};
 use crate::prefix_index::PrefixIndex;
 
-/// Prompt tokens that a prefix block covers.
+/// Prompt tokens per prefix block.
 const TOKENS_A_BLOCK: u32 = 16;
 
-/// Replicas with the prefix that are looked at.
+/// Maximum number of candidates with a cached prefix.
 const AFFINITY_CANDIDATES: usize = 4;
 
-/// Replicas looked at whatever they hold.
+/// Number of candidates sampled regardless of their cache.
 const RANDOM_CANDIDATES: usize = 2;
 
-/// A replica in the table.
+/// Replica of a [`RoutingTable`].
 #[derive(Debug, Clone)]
 pub struct ReplicaEntry {
-    /// Number of the replica in the fleet, as the prefix index uses it.
+    /// Number of the replica in the fleet, as in the prefix index.
     pub number: u32,
-    /// 0 the same zone, 1 the same region, 2 elsewhere.
+    /// Zone distance: 0 same zone, 1 same region, 2 elsewhere.
     pub distance: u8,
-    /// Load, shared with whoever takes reports.
+    /// Load, shared with the task that applies reports.
     pub load: Arc<ReplicaLoad>,
 }
 
-/// What is to be routed.
+/// Properties of a request that the choice depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteRequest<'a> {
-    /// Hashes of the prompt's prefixes.
+    /// Hashes of the prompt's prefix blocks, in order.
     pub blocks: &'a [u64],
-    /// Tokens of the prompt.
+    /// Length of the whole prompt.
     pub prompt_tokens: u32,
 }
 
-/// A chosen replica.
+/// Result of [`RoutingTable::choose`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Choice {
-    /// Position in the table.
+    /// Index into [`RoutingTable::entries`].
     pub position: usize,
-    /// Prompt tokens expected not to be cached there.
+    /// Prompt tokens expected not to be cached at the replica.
     pub uncached_tokens: u32,
     /// Expected time until the first token, microseconds.
     pub expected_wait_micros: f64,
 }
 
-/// The replicas of one service that a gateway works with.
+/// Replicas of one service that a gateway works with.
 #[derive(Debug, Default)]
 pub struct RoutingTable {
     entries: Vec<ReplicaEntry>,
@@ -55,17 +55,17 @@
 }
 
 impl RoutingTable {
-    /// A table of `entries`.
+    /// Creates a table; `entries` must be sorted by number.
     pub fn new(entries: Vec<ReplicaEntry>, cost: CostModel) -> Self {
         Self { entries, cost }
     }
 
-    /// The replicas.
+    /// Returns the replicas, in the order that [`Choice::position`] refers to.
     pub fn entries(&self) -> &[ReplicaEntry] {
         &self.entries
     }
 
-    /// Chooses a replica that is available and not among `excluded` (positions); `None` if there is none.
+    /// Chooses a usable replica whose position is not in `excluded`; `None` if there is none.
     pub fn choose(
         &self,
         request: &RouteRequest<'_>,
@@ -128,7 +128,7 @@
             .ok()
     }
 
-    /// A usable replica, from a random start.
+    /// Returns the first usable replica from a random position on.
     fn random_usable(
         &self,
         excluded: &[usize],
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -1,4 +1,5 @@
-//! The choice of a replica: affinity loses to load, unusable replicas get nothing, ownership moves little.
+//! Guards against prefix affinity that overloads a replica, requests to unusable replicas, and needless ownership
+//! changes.
 
 use std::sync::Arc;
 
