--- a/crates/serving/src/admission.rs
+++ b/crates/serving/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a caller may call: its key's tenant, and the tenant's rate.
+//! Admission of callers by API key and by their tenant's rate limit.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,36 +12,35 @@
 use crate::response::RefusalCause;
 use crate::routes::RouteTable;
 
-/// Age of the configuration from which on a daemon does not take its own copy for the newest: what it does not know may
-/// exist. Above the age that a watch in good order reaches, two of its waits.
+/// Age from which the local configuration may be outdated: two timeouts of the configuration watch.
 const STALE_AFTER: Duration = Duration::from_millis(4_500);
 
-/// Whether a tenant's next request lies within its rate.
+/// Result of a rate limit check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RateStatus {
-    /// It does.
+    /// The request is within the tenant's rate.
     Within,
-    /// The tenant is at its limit.
+    /// The tenant has reached its limit.
     Over {
-        /// When a request of this caller will be within it.
+        /// Time after which a request of this tenant will be within the limit.
         retry_after: Duration,
     },
-    /// Nobody who counts the tenant's requests can be asked.
+    /// No process that counts the tenant's requests can be reached.
     Unknown,
 }
 
-/// Counts the requests of tenants over all daemons.
+/// Fleet-wide rate limits of tenants.
 #[async_trait]
 pub trait RateLimits: Send + Sync {
-    /// Counts one request of a tenant, if it may run.
+    /// Counts one request against the tenant's rate unless it exceeds the limit.
     async fn admit(&self, tenant: &Tenant, request: &str) -> RateStatus;
 }
 
-/// When the configuration in force was last known to be the newest.
+/// Time at which the configuration in force was last known to be the newest.
 #[derive(Debug)]
 pub struct ConfigurationProof {
     started: Instant,
-    /// Milliseconds after `started`, plus one; 0 while there is no proof.
+    /// Milliseconds after `started`, plus one; 0 without a proof.
     proven_ms: AtomicU64,
 }
 
@@ -55,36 +54,36 @@
 }
 
 impl ConfigurationProof {
-    /// The configuration in force was the newest at `moment`.
+    /// Records that the configuration in force was the newest at `moment`.
     pub fn prove(&self, moment: Instant) {
         let since = moment.saturating_duration_since(self.started).as_millis();
         let proven = u64::try_from(since).unwrap_or(u64::MAX).saturating_add(1);
         self.proven_ms.fetch_max(proven, Ordering::Relaxed);
     }
 
-    /// Time since the last proof; `None` if there was none.
+    /// Returns the time since the last proof; `None` if there was none.
     pub fn age(&self) -> Option<Duration> {
         let proven = self.proven_ms.load(Ordering::Relaxed).checked_sub(1)?;
         let since_start = harrierward_clock::age(self.started);
         Some(since_start.saturating_sub(Duration::from_millis(proven)))
     }
 
-    /// True if there may be a newer configuration.
+    /// True if a newer configuration may exist.
     pub fn is_stale(&self) -> bool {
         self.age().is_none_or(|age| age > STALE_AFTER)
     }
 }
 
-/// How long a daemon that does not learn of new configurations serves the keys that it knows.
+/// How long a daemon that receives no configuration updates accepts known keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyTrust {
-    /// For as long as it takes: keys that were taken away meanwhile are still served there.
+    /// Without limit; keys that were revoked in the meantime stay accepted.
     Unbounded,
-    /// So long after it last knew its configuration to be the newest.
+    /// For this long after the configuration was last known to be the newest.
     For(Duration),
 }
 
-/// The tenant that a request is for; `None` if its route asks for no key.
+/// Returns the tenant of a request; `None` on a public route without a known key, or if no tenants are configured.
 pub fn caller_of(
     routes: &RouteTable,
     route: &Route,
@@ -102,7 +101,7 @@
     known_caller(holder, key.is_some(), proof, trust).map(Some)
 }
 
-/// The tenant of a call that needs a key; `None` if the configuration knows no tenants.
+/// Returns the tenant of a call that requires a key; `None` if no tenants are configured.
 pub fn tenant_of(
     routes: &RouteTable,
     key: Option<&ApiKey>,
--- a/crates/serving/src/attempt.rs
+++ b/crates/serving/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one replica: send, and tell what the answer means.
+//! One attempt at one replica: sends the request and classifies the response.
 
 use std::future::Future;
 use std::time::Duration;
@@ -18,62 +18,61 @@
 use crate::replica::{Replica, WorkClass};
 use crate::request_state::RequestState;
 
-/// Bounds of one attempt.
+/// Time limits of one attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptTimeouts {
-    /// Time left to the replica.
+    /// Time left for the replica to complete the request; `None` if the caller set no timeout.
     pub time_left: Option<Duration>,
-    /// Silence after which a replica that is silent to everybody is given up.
+    /// Wait after which the attempt is abandoned, if nothing came from the replica on any connection for as long.
     pub stall_timeout: Duration,
-    /// Silence after which any replica is given up.
+    /// Wait after which the attempt is abandoned in any case.
     pub max_wait: Duration,
 }
 
-/// How an attempt is sent.
+/// Options of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptOptions {
-    /// Last event that is already there.
+    /// Id of the last event already delivered.
     pub resume_after: Option<u64>,
-    /// Use a connection that carried nothing before.
+    /// Requires a connection that has carried no other request.
     pub fresh_connection: bool,
     /// Number of the attempt, from 1.
     pub number: u32,
-    /// The work has failed at a replica before: if it fails again, that is its own fault rather than the replica's.
+    /// The request failed at another replica before; a further failure is attributed to the request.
     pub failed_before: bool,
 }
 
-/// Why an attempt gave no answer.
+/// Reason why an attempt produced no usable response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// No replica takes the work.
+    /// No replica accepts the request.
     NoReplica,
-    /// It would be late, and its caller is to come back.
+    /// The request would miss its objective; its caller shall retry.
     RetryLater {
-        /// After so long.
+        /// Time until the retry.
         after: Duration,
     },
-    /// The replica certainly did not run it.
+    /// The replica certainly did not run the request.
     NotRun {
-        /// Cause in words.
+        /// Value of `cause` in the decision log.
         cause: String,
-        /// It was full.
+        /// The replica had no capacity.
         full: bool,
     },
-    /// A refusal that names no request came on a connection that carried others before: it may be the late answer to one of
-    /// those, while the replica runs this one.
+    /// A refusal without request id on a reused connection: it may belong to an earlier request, while this one runs.
     Unattributed {
-        /// Cause in words.
+        /// Value of `cause` in the decision log.
         cause: String,
     },
-    /// It may have run.
+    /// The replica may have run the request.
     MayHaveRun {
-        /// Cause in words.
+        /// Value of `cause` in the decision log.
         cause: String,
     },
 }
 
 impl AttemptFailure {
-    /// What it shows of the request's execution.
+    /// Returns whether the request may have run.
     pub fn execution(&self) -> Execution {
         match self {
             Self::NoReplica | Self::RetryLater { .. } | Self::NotRun { .. } => Execution::NotRun,
@@ -91,28 +90,27 @@
     }
 }
 
-/// An answer that has begun.
+/// Response whose header has arrived.
 pub struct Attempt {
-    /// The answer.
+    /// Response with its body still to be read.
     pub response: ReplicaResponse,
-    /// Keeps the request counted.
+    /// Guard that counts the request at its replica.
     pub in_progress: InProgress,
 }
 
-/// A look that ends so much later than asked for says that this process was held up itself.
+/// Delay of a timer beyond which this process is considered stalled.
 const HELD_UP: Duration = Duration::from_millis(20);
 
-/// What is waited for once more after that: time for bytes that came meanwhile to be read. The timer that ends a look is heard
-/// in the same turn as they are, and may be heard first.
+/// Additional wait after a stall, so that bytes received meanwhile are read before the attempt is judged.
 const CATCH_UP: Duration = Duration::from_millis(10);
 
-/// Most such looks in one wait: under a quota of the processor each of them may be held up again.
+/// Maximum number of such waits: a process under a CPU quota may stall repeatedly.
 const MOST_CATCH_UPS: u32 = 5;
 
-/// Waits for `future`; gives up once the replica has been silent to everybody for `dark`, and after `longest` anyway.
+/// Waits for `future`; returns `None` after `max_wait`, or after `stall_timeout` if nothing came from the replica
+/// either.
 ///
-/// Silence is only what was listened to: a process that was held up (a quota that is spent, a freeze) reads what has come before
-/// it judges. Without that, daemons with an eighth of a processor cut 54 answers of sound replicas in six soaks of three rounds.
+/// A stall of this process doesn't count as a stall of the replica: data received meanwhile is read first.
 pub async fn wait_for_progress<T>(
     future: impl Future<Output = T>,
     replica: &Replica,
@@ -122,7 +120,7 @@
     let mut future = std::pin::pin!(future);
     let began = Instant::now();
     let mut catch_ups = 0;
-    // The replica may fall silent while this waits, so its silence is looked at more than once.
+    // The replica may stop making progress during the wait, so its progress is polled.
     let mut look = dark.min(longest);
     loop {
         let looked_at = Instant::now();
@@ -143,19 +141,19 @@
     }
 }
 
-/// Cause of an attempt that was not made since replicas have ended under its content.
+/// Cause of an attempt whose content is quarantined.
 const HELD_BACK: &str = "held back";
 
-/// Statuses from this one on are failures of the replica, not of the request.
+/// Lowest status that counts as a failure of the replica rather than of the request.
 const FIRST_FAILURE: u16 = 500;
 
-/// Looks at a replica's silence in the time after which it counts as dark.
+/// Progress checks per stall timeout.
 const LOOKS_A_SILENCE: u32 = 3;
 
-/// Part of the time that it may still be held for which an overdue request waits for slots that others leave.
+/// Divisor of the remaining hold time during which an overdue request waits for spare slots.
 const OVERDUE_HOLD_PART: u32 = 3;
 
-/// A replica's refusal, if it is known to be the answer to this request.
+/// Classifies a refusal by whether it certainly belongs to this request.
 fn refused(cause: String, full: bool, is_attributed: bool) -> AttemptFailure {
     if is_attributed {
         AttemptFailure::NotRun { cause, full }
@@ -165,7 +163,7 @@
 }
 
 impl Forwarder {
-    /// Sends the request to a replica chosen for it. Returns the replica's id, and what came of it.
+    /// Sends the request to a replica chosen for it. Returns the replica's id and the result.
     pub(crate) async fn attempt(
         &self,
         state: &RequestState,
@@ -203,13 +201,13 @@
             }
         };
         let replica_id = placement.in_progress.replica().record.id.clone();
-        // Placing may have taken time.
+        // Read only now, because placement takes time.
         let times = times();
         let result = self.attempt_at(request, placement, times, sending).await;
         (Some(replica_id), result)
     }
 
-    /// Sends the request to a replica already chosen, and tells what came of it.
+    /// Sends the request to a given replica.
     pub async fn attempt_at(
         &self,
         request: &ServingRequest,
@@ -238,7 +236,7 @@
             WorkClass::Batch => self.is_item_quarantined(request),
         };
         if is_barred {
-            // It may have waited for its slot meanwhile.
+            // The content may have been quarantined while the request waited for its slot.
             let cause = HELD_BACK.to_owned();
             let failure = AttemptFailure::NotRun { cause, full: false };
             self.log_failure(request, &replica, &failure, Duration::ZERO);
@@ -267,7 +265,7 @@
             resume_after: sending.resume_after,
         });
         replica.note_prompt(&request.prompt);
-        // Where all slots are taken a request waits for one, and sending it once more adds to the queue.
+        // Where all slots are taken the request is queued, and another attempt would only lengthen the queue.
         let is_queue = choice.free_permille < MIN_FREE_PERMILLE;
         if let Some(evidence) = in_progress.evidence() {
             let has_room = !is_queue && choice.load < replica.slots();
@@ -299,7 +297,7 @@
         })
     }
 
-    /// Time that reading the whole prompt should take.
+    /// Expected time to prefill the whole prompt.
     fn prefill_time(&self, request: &ServingRequest) -> Duration {
         let ms = f64::from(request.prompt.tokens) / self.settings().costs.prefill_tokens_per_ms;
         Duration::try_from_secs_f64(ms / 1_000.0).unwrap_or_default()
@@ -343,7 +341,8 @@
         };
         let is_own_failure = !answer.not_run && answer.status >= FIRST_FAILURE && !failed_before;
         if is_own_failure {
-            // Progress would clear the suspicion, and a replica that fails at once has the least load of all.
+            // No progress is noted, since that would clear the suspicion; a replica that fails fast has the lowest
+            // load of all.
             self.suspect(replica);
             in_progress.conclude(AttemptOutcome::Failed);
         } else {
@@ -352,7 +351,8 @@
         if let Some(word) = answer.load {
             replica.note_load(word);
         }
-        // Whose answer it is comes first: a refusal that is left over from an earlier request says nothing of this one.
+        // The request id is checked before the refusal: a late refusal of an earlier request says nothing about this
+        // one.
         if answer
             .request_id
             .as_deref()
--- a/crates/serving/src/choice.rs
+++ b/crates/serving/src/choice.rs
@@ -1,5 +1,4 @@
-//! Which replica a request goes to: the candidates as this daemon sees them, and the replica that all daemons prefer
-//! for a prompt, so that its shared parts are found again.
+//! Candidate replicas of a request as this daemon sees them, and the choice among them by load and prefix affinity.
 
 use std::sync::Arc;
 
@@ -17,17 +16,17 @@
 use crate::replica_set::ReplicaView;
 use crate::selection::{Candidate, SelectionCosts, Separation, choose, preference_weight};
 
-/// Who chose a replica.
+/// Process that chose a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChosenBy {
-    /// The coordinator of the replica's places.
+    /// The coordinator that grants the replica's slots.
     Coordinator,
     /// The daemon that sends the request.
     Sender,
 }
 
 impl ChosenBy {
-    /// Name in the log.
+    /// Returns the name in the decision log.
     pub fn name(self) -> &'static str {
         match self {
             Self::Coordinator => "coordinator",
@@ -36,19 +35,19 @@
     }
 }
 
-/// Why a request leaves the region of the daemon that it came to.
+/// Reason why a request is served outside of the region of its daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrossRegionReason {
-    /// The own region's replicas are full, and the way costs less than their queues.
+    /// The replicas of the own region are full, and the round trip costs less than their queues.
     Full,
-    /// The own region has no replica that may take it and answers.
+    /// No replica of the own region accepts the request or responds.
     NoReplica,
-    /// Its coordinator gives out slots of several regions, and one in another was the cheapest.
+    /// The coordinator grants slots of several regions, and the cheapest was in another one.
     Price,
 }
 
 impl CrossRegionReason {
-    /// Name in the log.
+    /// Returns the name in the decision log.
     pub fn name(self) -> &'static str {
         match self {
             Self::Full => "full",
@@ -58,29 +57,29 @@
     }
 }
 
-/// The replica for an attempt.
+/// Replica chosen for an attempt.
 #[derive(Debug, Clone)]
 pub struct Choice {
-    /// The replica.
+    /// Chosen replica.
     pub replica: Arc<Replica>,
-    /// Who chose it.
+    /// Process that made the choice.
     pub by: ChosenBy,
-    /// Requests there before this one, as the chooser counted them.
+    /// Requests at the replica before this one, as counted by the process that chose it.
     pub load: u32,
-    /// Slots that online requests could still take at the replicas looked at, in thousandths of all their slots.
+    /// Free share of the candidates' slots, in thousandths; preemptible slots count as free.
     pub free_permille: u32,
-    /// Until when the request may be sent there although the replica is cold; `None` if it was not counted there.
+    /// End of the permission to send to a cold replica; `None` if the request wasn't counted there.
     pub cold_until: Option<Instant>,
-    /// Why a replica in another region was looked for; `None` where the own region's were.
+    /// Reason for leaving the own region; `None` for a replica of the own region.
     pub left_region: Option<CrossRegionReason>,
-    /// The replica was out of service and is tried for its return.
+    /// True if the request probes an ejected replica.
     pub is_probe: bool,
-    /// Another one that probably keeps more of the prompt: its memory of it is copied instead of being made anew.
+    /// Replica that probably caches more of the prompt, and from which the prefix cache is copied.
     pub copy_from: Option<Arc<Replica>>,
 }
 
 impl Choice {
-    /// The work ran at `earlier` before, which may still keep all of its prompt.
+    /// Copies the prefix cache from the replica with the hash `earlier`, where the work ran before.
     pub fn copy_from_previous(&mut self, view: &ReplicaView, earlier: u32, policy: Policy) {
         let source = view.by_hash(earlier);
         let source = source.filter(|_| policy.has(Mechanism::PromptCopies));
@@ -89,7 +88,7 @@
         }
     }
 
-    /// Counts the request at the replica, in a place that is held.
+    /// Counts the request at the replica, under a lease that is held.
     pub fn enter(self, class: WorkClass, place: SlotLease) -> Placement {
         Placement {
             in_progress: self.replica.enter(class, Some(place)),
@@ -98,51 +97,50 @@
     }
 }
 
-/// A request that is counted at its replica.
+/// Request that is counted at its replica.
 #[derive(Debug)]
 pub struct Placement {
-    /// Keeps the request counted.
+    /// Guard that counts the request.
     pub in_progress: InProgress,
-    /// How its replica was chosen.
+    /// Chosen replica, with the reasons for the log.
     pub choice: Choice,
 }
 
-/// Part of the slots looked at that must be free to online requests for their replicas to count as roomy, in
-/// thousandths. Below it a replica's silence is more likely a queue than a fault (issue 21: 15 % free or less where
-/// all attempts were given up for silence), and a group is not asked for its prompt's sake.
+/// Minimum share of free slots, in thousandths, above which an unresponsive replica is considered faulty rather than
+/// queueing, and prefix affinity decides on the group.
 pub const MIN_FREE_PERMILLE: u32 = 150;
 
-/// Fewest shared tokens for which a copy is made: below, reading them anew takes no longer.
+/// Minimum number of shared tokens to copy; fewer are prefilled as fast.
 const LEAST_COPIED_TOKENS: u32 = 1_000;
 
-/// What a choice among replicas respects.
+/// Constraints and preferences of a choice among replicas.
 pub struct ChoiceQuery<'a> {
-    /// Zone whose replicas come first.
+    /// True for replicas of the own zone, which are preferred.
     pub is_own_zone: &'a dyn Fn(&Replica) -> bool,
-    /// Region whose replicas come next.
+    /// True for replicas of the own region, which come next.
     pub is_own_region: &'a dyn Fn(&Replica) -> bool,
-    /// The prompt.
+    /// Prompt, for prefix affinity.
     pub prompt: &'a Prompt,
-    /// How its length stands among the service's.
+    /// Length class of the prompt within its service.
     pub length: PromptLength,
     /// Regions in which the request may be served.
     pub regions: &'a AllowedRegions,
-    /// Replicas not to be used.
+    /// True for replicas that must not be used.
     pub is_excluded: &'a dyn Fn(&Replica) -> bool,
-    /// Replicas to which the asker keeps a connection.
+    /// True for replicas to which the requester keeps a connection.
     pub is_connected: &'a dyn Fn(&Replica) -> bool,
-    /// Replicas to be avoided.
+    /// True for replicas to avoid.
     pub is_suspected: &'a dyn Fn(&Replica) -> bool,
-    /// The work is a batch item: it takes only what online leaves, and never waits at a replica.
+    /// True for a batch item: it takes spare slots only and is never queued at a replica.
     pub is_item: bool,
-    /// The work is an online request whose objective has passed: it leaves the last slots to others.
+    /// True for an online request past its objective: it leaves the reserved slots to others.
     pub is_overdue: bool,
-    /// Most replicas that are looked at beside the preferred one: few, where their loads are old, so that daemons
-    /// that know the same do not all choose the same.
+    /// Maximum number of candidates besides the preferred replica; small where loads are outdated, so that daemons
+    /// with the same view don't all choose the same replica.
     pub max_candidates: usize,
 }
 
-/// Chooses one of the replicas, which are those that take new work.
+/// Chooses one of `replicas`, all of which must accept work.
 pub fn choose_replica(
     view: &ReplicaView,
     replicas: Vec<Arc<Replica>>,
@@ -203,10 +201,10 @@
     })
 }
 
-/// The replicas of the own region, if any of them may take the work; else all.
+/// Returns the replicas of the own region if any of them may take the request, otherwise all.
 ///
-/// Why not by price: a daemon that chooses by itself knows too little of the others' queues to send work far away for
-/// them. Batch work waits rather than leave its region; online work leaves replicas that are silent.
+/// A daemon without a coordinator has no reliable queue lengths by which to price other regions. Batch items wait in
+/// their region; online requests leave it if its replicas are suspected.
 pub fn own_region_first(
     replicas: Vec<Arc<Replica>>,
     query: &ChoiceQuery<'_>,
@@ -225,7 +223,7 @@
     }
 }
 
-/// Slots that online requests could take, those of items that would give way among them, in thousandths of all.
+/// Share of the slots that are free or preemptible, in thousandths.
 fn free_permille(candidates: &[Candidate]) -> u32 {
     let slots: u32 = candidates.iter().map(|one| one.slots).sum();
     let free = candidates.iter().map(|one| {
@@ -235,8 +233,8 @@
     free.sum::<u32>() * 1_000 / slots.max(1)
 }
 
-/// The replica that all daemons prefer for the prompt's last shared part: a long prompt's among the homes,
-/// another's within the zone.
+/// Replica that all daemons prefer for the prompt's last shared part: for long prompts among the replicas with
+/// affinity to them, for others within the zone.
 fn preferred(
     replicas: &[Arc<Replica>],
     view: &ReplicaView,
@@ -257,7 +255,7 @@
     preferred.cloned()
 }
 
-/// Of very many replicas: the preferred one, and others at random.
+/// Samples `max` replicas if there are more, and adds the preferred one.
 fn narrow(
     replicas: Vec<Arc<Replica>>,
     preferred: Option<&Arc<Replica>>,
@@ -274,7 +272,7 @@
     preferred.into_iter().chain(others).cloned().collect()
 }
 
-/// Requests at the replica that end as soon as an online request needs their slots.
+/// Number of requests that an online request may preempt.
 fn preemptible(replica: &Replica, policy: Policy) -> u32 {
     if policy.has(Mechanism::Preemption) {
         replica.batch()
@@ -291,24 +289,24 @@
     }
 }
 
-/// True if another replica may be asked for its memory; one that is silent or cold would hold the request up.
+/// True if the prefix cache can be copied from `source`; a suspected or cold replica would delay the request.
 fn can_copy(source: &Arc<Replica>, replica: &Arc<Replica>) -> bool {
     let may_send = !source.is_suspected() && !source.is_cold(harrierward_clock::now());
     !Arc::ptr_eq(source, replica) && may_send && source.accepts_work()
 }
 
-/// Standard deviations of online's requests in progress for which items leave slots free. Arrivals that do not depend
-/// on each other make the deviation the root of their number.
+/// Number of standard deviations of online load that items leave free. For independent arrivals the deviation is the
+/// square root of the number of requests.
 const RESERVE_DEVIATIONS: f64 = 1.0;
 
-/// Slots that items leave free at replicas with so many online requests together: an item that takes the last slots
-/// is ended by one of the next requests, and its prompt is read again for nothing.
+/// Returns the slots that items leave free at replicas with `online` requests in total. An item in the last slots
+/// would soon be preempted, and its prefill wasted.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 pub fn reserved_slots(online: u32) -> u32 {
     (f64::from(online).sqrt() * RESERVE_DEVIATIONS).round() as u32
 }
 
-/// True if online requests leave more slots than their number varies by. Those of items count as free.
+/// True if online requests leave more slots free than the reserve; slots of items count as free.
 fn has_room_for_overdue(replicas: &[Arc<Replica>]) -> bool {
     let free = |replica: &Arc<Replica>| replica.slots().saturating_sub(replica.online());
     let free: u32 = replicas.iter().map(free).sum();
@@ -316,7 +314,7 @@
     free > reserved_slots(online)
 }
 
-/// The replicas that an item may go to; none where all that is free is kept for online.
+/// Replicas that an item may use; none if all free slots are reserved for online requests.
 fn room_for_items(
     replicas: Vec<Arc<Replica>>,
     policy: Policy,
--- a/crates/serving/src/configuration.rs
+++ b/crates/serving/src/configuration.rs
@@ -1,76 +1,76 @@
-//! The operators' configuration of opaque serving: routes, services and limits on callers.
+//! Operator configuration of opaque serving: routes, services and caller limits.
 
 use std::time::Duration;
 
 use harrierward_tenants::{AllowedRegions, TenantDirectory};
 
-/// What may be repeated of a route's requests.
+/// Kind of a route, which determines whether its requests may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Requests may run more than once.
     Safe,
-    /// Runs at most once for each caller attempt.
+    /// Requests run at most once per caller attempt.
     Unsafe,
-    /// Answers with events; may be taken up again at another replica only if `resumable`.
+    /// Responses are event streams.
     Stream {
-        /// A cut stream goes on elsewhere after the last event delivered.
+        /// An interrupted stream resumes at another replica after the last event delivered.
         resumable: bool,
     },
-    /// Takes batch jobs.
+    /// Requests are batch jobs.
     Batch(BatchBounds),
 }
 
-/// Bounds of a route that takes batch jobs.
+/// Limits of a route that takes batch jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BatchBounds {
-    /// All results are due this long after the job was first sent.
+    /// Time from submission until all results are due.
     pub target: Duration,
-    /// An item may be given up this long after the job was first sent.
+    /// Time from submission after which unfinished items may be abandoned.
     pub give_up_after: Duration,
-    /// Tokens that may wait on the route over all daemons; 0 means no limit.
+    /// Maximum tokens queued on the route over all daemons; 0 means no limit.
     pub waiting_tokens: u64,
 }
 
-/// A service that takes a share of a route's requests.
+/// Service that receives a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightedService {
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// Weight among the route's services.
+    /// Share relative to the sum of the route's weights.
     pub weight: u32,
 }
 
-/// One route.
+/// Route from a host and path prefix to services.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// Name.
+    /// Name, unique within the configuration.
     pub name: String,
-    /// Host that callers name.
+    /// Host header of the requests, compared without case.
     pub host: String,
-    /// Beginning of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: RouteKind,
-    /// Where requests go.
+    /// Target services.
     pub services: Vec<WeightedService>,
-    /// Replicas that one caller attempt may be sent to.
+    /// Maximum number of replicas that one caller attempt may be sent to.
     pub attempts: u32,
-    /// Longest time that a request is held.
+    /// Maximum time that a request is held.
     pub timeout: Duration,
-    /// Time within which an answer has its full worth.
+    /// Target time to the response, or to the first event of a stream.
     pub objective: Duration,
-    /// Longest pause between events that keeps an answer in time.
+    /// Target time between events; `None` for the default.
     pub gap_objective: Option<Duration>,
-    /// Rank; 0 is the highest.
+    /// Priority rank; 0 is the highest.
     pub priority: u32,
-    /// Requests need no key.
+    /// True if no key is required.
     pub is_public: bool,
-    /// Regions in which requests may be served and kept.
+    /// Regions in which requests may be served and stored.
     pub allowed_regions: AllowedRegions,
 }
 
 impl Route {
-    /// True if a request may be sent to another replica although it may have run.
+    /// True if a request that may have run can be sent to another replica.
     pub fn may_repeat(&self) -> bool {
         match self.kind {
             RouteKind::Safe | RouteKind::Stream { resumable: true } | RouteKind::Batch(_) => true,
@@ -78,12 +78,12 @@
         }
     }
 
-    /// True if a cut stream may go on at another replica.
+    /// True if an interrupted stream can resume at another replica.
     pub fn is_resumable(&self) -> bool {
         matches!(self.kind, RouteKind::Stream { resumable: true })
     }
 
-    /// Bounds of batch jobs, if the route takes them.
+    /// Returns the limits of batch jobs if the route takes them.
     pub fn batch(&self) -> Option<BatchBounds> {
         match self.kind {
             RouteKind::Batch(bounds) => Some(bounds),
@@ -92,43 +92,43 @@
     }
 }
 
-/// A service and its replicas' engine.
+/// Service and the capacity of its replicas.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// Name.
+    /// Name, unique within the configuration.
     pub name: String,
-    /// Requests that a replica works on at once, unless the replica says otherwise.
+    /// Requests that a replica serves concurrently, unless its record states otherwise.
     pub slots: u32,
-    /// Tokens that a replica's memory holds; 0 if unknown.
+    /// Tokens that a replica's KV cache holds; 0 if unknown.
     pub memory_tokens: u64,
-    /// Connections that a replica takes from all callers together; 0 if unknown.
+    /// Connections that a replica accepts from all callers together; 0 if unknown.
     pub connections: u32,
-    /// How its replicas warm up; `None` if they need not.
+    /// Warmup after a replica starts; `None` if none is needed.
     pub warmup: Option<Warmup>,
 }
 
-/// How a service's replicas warm up after a start.
+/// Warmup of a service's replicas.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Warmup {
-    /// How long a replica stays cold.
+    /// Time for which a replica stays cold.
     pub duration: Duration,
-    /// Requests a second that a cold replica bears, from all daemons together. Finite and not negative.
+    /// Requests per second that a cold replica sustains, from all daemons together. Finite and not negative.
     pub per_second: f64,
 }
 
-// The rate is finite, which the decoder checks.
+// The decoder rejects rates that aren't finite.
 impl Eq for Warmup {}
 
-/// Limits on what a caller may send.
+/// Limits on requests of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head of a request, bytes.
+    /// Maximum size of a request header, bytes.
     pub header_bytes: usize,
-    /// Largest body of a request, bytes.
+    /// Maximum size of a request body, bytes.
     pub body_bytes: usize,
-    /// Longest time to send a head.
+    /// Maximum time to receive a request header.
     pub header_timeout: Duration,
-    /// Longest time that a connection may rest.
+    /// Maximum time that a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
@@ -143,24 +143,24 @@
     }
 }
 
-/// A whole configuration.
+/// Full configuration of one version.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ServingConfiguration {
-    /// Version; rises with each change.
+    /// Version, which increases with each change.
     pub version: u64,
-    /// Routes.
+    /// Routes in the order of the configuration.
     pub routes: Vec<Route>,
-    /// Services.
+    /// Services that routes refer to.
     pub services: Vec<Service>,
-    /// Limits on callers.
+    /// Limits on all callers.
     pub limits: CallerLimits,
-    /// Tenants and their keys; `None` if callers need no keys.
+    /// Tenants and their keys; `None` if no keys are required.
     pub tenants: Option<TenantDirectory>,
 }
 
 impl ServingConfiguration {
-    /// Regions in which requests of a tenant on a route may be served and kept: what both allow. A route or tenant that
-    /// is not there says nothing.
+    /// Returns the regions allowed by both the route and the tenant. An unknown route or tenant imposes no
+    /// restriction.
     pub fn allowed_regions(&self, route: &str, tenant: &str) -> AllowedRegions {
         let of_route = self.route(route).map(|route| &route.allowed_regions);
         let tenants = self.tenants.as_ref();
@@ -174,12 +174,12 @@
         }
     }
 
-    /// A service by name.
+    /// Returns the service of this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// A route by name.
+    /// Returns the route of this name.
     pub fn route(&self, name: &str) -> Option<&Route> {
         self.routes.iter().find(|route| route.name == name)
     }
--- a/crates/serving/src/content.rs
+++ b/crates/serving/src/content.rs
@@ -1,4 +1,4 @@
-//! What a request asks for, whoever carries it and however often it comes.
+//! Content digest of a request, equal for all repetitions of the same request.
 
 use harrierward_quarantine::ContentId;
 use harrierward_tenants::ApiKey;
@@ -6,8 +6,8 @@
 use crate::exchange::ServingRequest;
 
 impl ServingRequest {
-    /// Digest of path, caller and body. A caller is known by its key; an item of a batch job by the job's tenant. A request
-    /// without a body says all that it asks for in its query, which then counts too.
+    /// Returns the digest of method, host, path, caller and body. The caller is identified by its key, or by the
+    /// tenant for items of batch jobs. The query counts only for requests without a body.
     pub fn content(&self) -> ContentId {
         let path = self.target.split('?').next().unwrap_or(&self.target);
         let path = if self.body.is_empty() {
--- a/crates/serving/src/evacuation.rs
+++ b/crates/serving/src/evacuation.rs
@@ -1,44 +1,42 @@
-//! Zones that an operator has taken out of service, as one daemon knows them: pure, and the same for all daemons that
-//! have heard the same, in whatever order.
+//! Evacuated zones as one daemon knows them: a state that converges on all daemons whatever the order of updates.
 //!
-//! A zone is evacuated by a row and comes back when the row goes. What is known of a zone is the revision of its newest
-//! row and whether that row is gone, so news from the store and from peers can be merged without asking who was first:
-//! a row that is gone stays gone, and only a newer one evacuates the zone again.
+//! A zone is evacuated by a row in the store and returns to service when the row is removed. Per zone the revision of
+//! the newest row and whether it was removed are kept, so updates from the store and from peers merge without
+//! conflicts.
 
 use std::collections::{BTreeMap, HashSet};
 
 use tokio::time::Instant;
 
-/// Most zones of which something is kept: far above the number that a fleet has, so that rows with made-up names cannot
-/// fill the notices between daemons.
+/// Maximum number of zones tracked; bounds the size of notices between daemons.
 const MOST_ZONES: usize = 64;
 
-/// What is known of a zone's evacuation. A greater mark is the newer knowledge.
+/// State of a zone's evacuation, ordered from older to newer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvacuationState {
     /// Revision at which the row was written.
     pub revision: u64,
-    /// That row is gone: the zone is back in service.
+    /// True if that row was removed: the zone is back in service.
     pub is_over: bool,
 }
 
-/// What somebody knows of all zones.
+/// Evacuation states to merge, from the store or from a peer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EvacuationUpdate {
-    /// Revision at which all rows were read together: an older row that is not named here is gone. 0 if never.
+    /// Revision of a full read of the rows: rows up to it that are missing here were removed. 0 without a full read.
     pub complete_at: u64,
-    /// Zones by name.
+    /// States by zone name.
     pub zones: BTreeMap<String, EvacuationState>,
 }
 
-/// A zone went out of service, or came back.
+/// Change of a zone's state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneChange {
-    /// Zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Revision of the row that was written, or that is gone.
+    /// Revision of the row that was written or removed.
     pub revision: u64,
-    /// It takes nothing from now on; otherwise it is back.
+    /// True if the zone went out of service, false if it returned.
     pub is_evacuated: bool,
 }
 
@@ -49,7 +47,7 @@
     returned_at: Option<Instant>,
 }
 
-/// The zones, with what is known of each; nothing goes back.
+/// Merged state of all zones; never reverts to an older state.
 #[derive(Debug, Clone, Default)]
 pub struct EvacuatedZones {
     complete_at: u64,
@@ -57,7 +55,7 @@
 }
 
 impl EvacuatedZones {
-    /// Takes what somebody else knows; tells what changes here.
+    /// Merges an update; returns the resulting changes.
     pub fn merge(&mut self, news: &EvacuationUpdate, now: Instant) -> Vec<ZoneChange> {
         let mut changes = self.end_those_missing(news, now);
         for (zone, mark) in &news.zones {
@@ -67,7 +65,7 @@
         changes
     }
 
-    /// Rows that the news should name and does not are gone.
+    /// Ends evacuations whose rows the full read no longer contains.
     fn end_those_missing(&mut self, news: &EvacuationUpdate, now: Instant) -> Vec<ZoneChange> {
         let is_missing = |zone: &String, mark: EvacuationState| {
             let told = news.zones.get(zone);
@@ -91,7 +89,7 @@
         ended.collect()
     }
 
-    /// A mark in the light of what was read here: an older row that was not there then is gone.
+    /// Marks a row as removed if the last full read did not contain it.
     fn judged(&self, zone: &str, mark: EvacuationState) -> EvacuationState {
         let known = self.zones.get(zone).map_or(0, |known| known.mark.revision);
         let was_gone = mark.revision <= self.complete_at && known < mark.revision;
@@ -110,7 +108,7 @@
             return None;
         }
         let was_evacuated = known.is_some_and(|known| !known.mark.is_over);
-        // Of an evacuation that was over before this daemon knew anything nobody needs the end.
+        // An end is reported only if the evacuation, or any full read, was known here before.
         let ends_now = mark.is_over && (was_evacuated || self.complete_at > 0);
         let entry = KnownZone {
             mark,
@@ -128,7 +126,7 @@
         })
     }
 
-    /// True if a further zone may be kept; the oldest one that is over gives way.
+    /// True if a further zone can be tracked; evicts the oldest zone that is back in service.
     fn has_room(&mut self) -> bool {
         if self.zones.len() < MOST_ZONES {
             return true;
@@ -142,7 +140,7 @@
         true
     }
 
-    /// All that is known, for others.
+    /// Returns the full state, to be sent to peers.
     pub fn to_update(&self) -> EvacuationUpdate {
         let zones = self.zones.iter();
         EvacuationUpdate {
@@ -153,47 +151,47 @@
         }
     }
 
-    /// True if something is kept of the zone; a row of one that found no room is not in force.
+    /// True if a state of the zone is tracked; a row that exceeded the limit is not in force.
     pub fn is_tracked(&self, zone: &str) -> bool {
         self.zones.contains_key(zone)
     }
 
-    /// True if the zone takes nothing.
+    /// True if the zone is out of service.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         self.zones
             .get(zone)
             .is_some_and(|known| !known.mark.is_over)
     }
 
-    /// Names of the zones that take nothing.
+    /// Returns the names of the zones that are out of service.
     pub fn evacuated(&self) -> HashSet<String> {
         let zones = self.zones.iter();
         let evacuated = zones.filter(|(_, known)| !known.mark.is_over);
         evacuated.map(|(zone, _)| zone.clone()).collect()
     }
 
-    /// When this daemon learned of the zone's present state.
+    /// Returns when this daemon learned the zone's current state.
     pub fn learned_at(&self, zone: &str) -> Option<Instant> {
         self.zones.get(zone).map(|known| known.learned_at)
     }
 
-    /// When this daemon learned that the zone's last evacuation was over: its replicas may be cold from then on. `None`
-    /// if there was none, or if it was over before this daemon knew anything.
+    /// Returns when this daemon learned that the zone's last evacuation was over, since when its replicas may be
+    /// cold. `None` if none ended while this daemon ran.
     pub fn returned_at(&self, zone: &str) -> Option<Instant> {
         self.zones.get(zone).and_then(|known| known.returned_at)
     }
 }
 
-/// The store's rows of evacuations, as one daemon has read them.
+/// Evacuation rows of the store, as last read by this daemon.
 #[derive(Debug, Clone, Default)]
 pub struct EvacuationRows {
-    /// Revision of each zone's row.
+    /// Revisions by zone.
     rows: BTreeMap<String, u64>,
 }
 
 impl EvacuationRows {
-    /// Takes rows that were written, then those that are gone. `complete_at` is the revision of a read of all rows, if
-    /// this follows from one. Gives what the store has told by that.
+    /// Applies written rows, then removed ones. `complete_at` is the revision if this follows a full read. Returns
+    /// the update to merge.
     pub fn apply(
         &mut self,
         written: Vec<(String, u64)>,
--- a/crates/serving/src/events.rs
+++ b/crates/serving/src/events.rs
@@ -1,18 +1,18 @@
-//! Splitting an event stream into whole events.
+//! Splitting of an event stream (server-sent events) into events.
 
 use bytes::{Bytes, BytesMut};
 
-/// One whole event.
+/// Complete event of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its id, if it has one.
+    /// Value of the `id` field; `None` if missing or not a number.
     pub id: Option<u64>,
-    /// The event as it came, blank line included.
+    /// The event's bytes as received, including the closing blank line.
     pub raw: Bytes,
 }
 
 impl StreamEvent {
-    /// The event's data lines, joined by line feeds.
+    /// Returns the values of the data lines, joined by line feeds.
     pub fn data(&self) -> String {
         let text = String::from_utf8_lossy(&self.raw);
         let lines: Vec<&str> = text
@@ -23,13 +23,13 @@
     }
 }
 
-/// The value of a line of the field `name`.
+/// Value of a line of the field `name`.
 fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     let rest = line.strip_prefix(name)?.strip_prefix(':')?;
     Some(rest.strip_prefix(' ').unwrap_or(rest))
 }
 
-/// Gathers bytes until an event is whole.
+/// Buffers bytes of a stream until an event is complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
@@ -37,12 +37,12 @@
 }
 
 impl EventSplitter {
-    /// Adds bytes of the stream.
+    /// Appends bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
         let raw = self.buffer.split_to(end).freeze();
@@ -51,12 +51,12 @@
         Some(StreamEvent { id, raw })
     }
 
-    /// Bytes of an event that is not whole.
+    /// Returns the size of the incomplete event in the buffer.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// End of the first blank line, which closes an event.
+    /// End of the first blank line, which terminates an event.
     fn find_end(&mut self) -> Option<usize> {
         let bytes = &self.buffer[..];
         let mut line_start = self.scanned;
--- a/crates/serving/src/exchange.rs
+++ b/crates/serving/src/exchange.rs
@@ -1,4 +1,4 @@
-//! What the request path needs of a replica's protocol.
+//! Interface between the request path and the protocol of the replicas.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -12,119 +12,119 @@
 
 use crate::prompt::Prompt;
 
-/// A caller's request, its body opaque.
+/// Request of a caller; the body is opaque.
 #[derive(Debug, Clone)]
 pub struct ServingRequest {
     /// Id of this caller attempt.
     pub id: String,
-    /// Host named by the caller.
+    /// Host header, which selects the route.
     pub host: String,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub target: String,
-    /// Headers that travel along unread.
+    /// Headers passed through to the replica.
     pub headers: HeaderMap,
-    /// Body.
+    /// Body, passed through.
     pub body: Bytes,
-    /// How long the caller waits.
+    /// Time that the caller waits, from the request's arrival; `None` if not stated.
     pub timeout: Option<Duration>,
-    /// Last event that the caller has.
+    /// Id of the last event that the caller received.
     pub resume_after: Option<u64>,
-    /// The prompt.
+    /// Metadata of the prompt.
     pub prompt: Prompt,
-    /// The caller's key, if it sent one; it goes no further than this daemon.
+    /// The caller's key, if any; never sent to a replica.
     pub key: Option<ApiKey>,
-    /// The tenant for which the replica runs it: found by the key, or that of an item's job.
+    /// Tenant on whose behalf the replica runs the request: the owner of the key, or of the item's job.
     pub tenant: Option<Arc<str>>,
-    /// Regions in which it may be served: those that its route and its tenant allow.
+    /// Regions allowed by both the route and the tenant.
     pub regions: AllowedRegions,
 }
 
-/// A request to one replica.
+/// Request as sent to one replica.
 #[derive(Debug, Clone)]
 pub struct ReplicaRequest<'a> {
-    /// The request.
+    /// The caller's request.
     pub request: &'a ServingRequest,
     /// Address of the replica.
     pub address: &'a str,
-    /// Incarnation that must answer; any other refuses.
+    /// Id of the replica that must respond; any other refuses.
     pub replica: &'a str,
-    /// Time left to the replica.
+    /// Time left for the replica to complete the request.
     pub time_left: Option<Duration>,
-    /// Last event that is already there.
+    /// Id of the last event already delivered.
     pub resume_after: Option<u64>,
-    /// Use a connection that carried nothing before.
+    /// Requires a connection that has carried no other request.
     pub fresh_connection: bool,
-    /// Address of a replica from which it shall copy what that one keeps of the prompt.
+    /// Address of a replica from which to copy the prefix cache of the prompt.
     pub copy_from: Option<&'a str>,
 }
 
-/// Load as a replica tells it with an answer.
+/// Load that a replica reports with a response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicaLoad {
-    /// Requests running.
+    /// Requests in the running batch.
     pub running: u32,
-    /// Requests waiting.
+    /// Requests queued.
     pub waiting: u32,
-    /// Requests it works on at once.
+    /// Requests served concurrently.
     pub slots: u32,
 }
 
-/// Why an answer's body did not come whole.
+/// Failure to read a response body to its end.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("replica.body at {peer}: {detail}")]
 pub struct BodyError {
-    /// Replica's address.
+    /// Address of the replica.
     pub peer: String,
-    /// Cause in words.
+    /// Cause, for the log.
     pub detail: String,
 }
 
-/// Bytes of an answer. Ends without an error only if the answer is whole; dropping it closes the connection.
+/// Bytes of a response body. Ends without an error only if the body is complete; dropping it closes the connection.
 pub type ReplicaBody = Pin<Box<dyn Stream<Item = Result<Bytes, BodyError>> + Send>>;
 
-/// A replica's answer.
+/// Response of a replica, with its body still to be read.
 pub struct ReplicaResponse {
-    /// Status.
+    /// HTTP status.
     pub status: u16,
-    /// Request that it answers, as the replica says.
+    /// Id of the request to which the replica responds; `None` if it names none.
     pub request_id: Option<String>,
-    /// The connection carried nothing before, so that no late answer to another request can come on it.
+    /// True if the connection carried no other request before, so that no late response to one can arrive on it.
     pub is_first_on_connection: bool,
-    /// The replica says that it did not run the request.
+    /// True if the replica states that it did not run the request.
     pub not_run: bool,
-    /// Another replica has the address.
+    /// True if another replica has taken over the address.
     pub other_replica: bool,
-    /// Load of the replica.
+    /// Load reported with the response.
     pub load: Option<ReplicaLoad>,
-    /// Headers for the caller.
+    /// Headers passed through to the caller.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body still to be read.
     pub body: ReplicaBody,
 }
 
-/// Why no answer came.
+/// Reason why no response was received.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
     /// No byte of the request can have reached the replica.
     #[error("{step} at {peer}: not sent: {detail}")]
     NotSent {
-        /// What was being done.
+        /// Failed step.
         step: &'static str,
-        /// Replica's address.
+        /// Address of the replica.
         peer: String,
-        /// Cause in words.
+        /// Cause, for the log.
         detail: String,
     },
     /// The request may have run.
     #[error("{step} at {peer}: perhaps run: {detail}")]
     Lost {
-        /// What was being done.
+        /// Failed step.
         step: &'static str,
-        /// Replica's address.
+        /// Address of the replica.
         peer: String,
-        /// Cause in words.
+        /// Cause, for the log.
         detail: String,
     },
 }
@@ -136,9 +136,9 @@
     }
 }
 
-/// Client of the replicas.
+/// HTTP client of the replicas.
 #[async_trait]
 pub trait ReplicaClient: Send + Sync {
-    /// Sends a request and waits for the head of its answer. Dropping the future closes the connection.
+    /// Sends a request and waits for the response header. Dropping the future closes the connection.
     async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError>;
 }
--- a/crates/serving/src/forwarder.rs
+++ b/crates/serving/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! The path of a request: route, replica, further tries, answer.
+//! Request path: admission, replica selection, retries and response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,48 +28,48 @@
 /// The routes in force; `None` until a configuration is known.
 pub type SharedRoutes = Arc<ArcSwapOption<RouteTable>>;
 
-/// Most replicas that refuse one request before it is given up.
+/// Maximum number of refusals by replicas per request.
 const MOST_REFUSALS: u32 = 3;
 
-/// When a caller whose request found no place shall come back.
+/// Retry interval for callers whose request could not be served.
 const RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// Bounds and prices of the request path.
+/// Settings of the request path.
 #[derive(Debug, Clone)]
 pub struct ForwarderSettings {
     /// Zone of the daemon.
     pub zone: String,
     /// Region of the daemon.
     pub region: String,
-    /// Prices of the choice of a replica.
+    /// Costs of replica selection.
     pub costs: SelectionCosts,
-    /// How long keys are served without contact.
+    /// How long keys are accepted without configuration updates.
     pub key_trust: KeyTrust,
 }
 
-/// What a forwarder works with.
+/// Dependencies of a [`Forwarder`].
 pub struct ForwarderParts {
-    /// The routes.
+    /// Routes in force.
     pub routes: SharedRoutes,
-    /// The replicas.
+    /// Known replicas.
     pub replicas: Arc<ReplicaSet>,
-    /// Their protocol.
+    /// Client of the replicas.
     pub client: Arc<dyn ReplicaClient>,
-    /// SlotLeases at the replicas.
+    /// Grants leases of slots.
     pub leases: Arc<dyn SlotLeases>,
-    /// Rates of tenants.
+    /// Rate limits of tenants.
     pub rates: Arc<dyn RateLimits>,
-    /// Contents that are held back.
+    /// Quarantined contents.
     pub quarantine: Arc<dyn Quarantine>,
-    /// Age of the routes.
+    /// Freshness of the configuration.
     pub proof: Arc<ConfigurationProof>,
-    /// The decision log.
+    /// Log of routing and admission decisions.
     pub log: DecisionLog,
-    /// Settings.
+    /// Location, costs and key trust of this daemon.
     pub settings: ForwarderSettings,
 }
 
-/// The request path of one daemon; cheap to clone.
+/// Request path of one daemon; cheap to clone.
 #[derive(Clone)]
 pub struct Forwarder {
     parts: Arc<ForwarderParts>,
@@ -77,7 +77,7 @@
 }
 
 impl Forwarder {
-    /// A forwarder over these parts.
+    /// Creates a forwarder.
     pub fn new(parts: ForwarderParts) -> Self {
         Self {
             parts: Arc::new(parts),
@@ -85,12 +85,12 @@
         }
     }
 
-    /// The replicas.
+    /// Returns the known replicas.
     pub fn replicas(&self) -> &Arc<ReplicaSet> {
         &self.parts.replicas
     }
 
-    /// The routes in force.
+    /// Returns the routes in force.
     pub fn routes(&self) -> Option<Arc<RouteTable>> {
         self.parts.routes.load_full()
     }
@@ -99,7 +99,7 @@
         self.parts.client.as_ref()
     }
 
-    /// Who grants slots.
+    /// Returns the service that grants leases of slots.
     pub fn leases(&self) -> &Arc<dyn SlotLeases> {
         &self.parts.leases
     }
@@ -131,13 +131,13 @@
         }
     }
 
-    /// True if replicas have ended under the content, so that it is sent to none.
+    /// True if the content is quarantined, so that it is sent to no replica.
     pub(crate) fn is_held(&self, content: ContentId) -> bool {
         self.hold(content).is_some()
     }
 
-    /// True if an item must not run now since replicas have ended under its content. One that may have been there by chance
-    /// gets one trial; its caller does not wait, and it is lost for nothing otherwise.
+    /// True if the item's content is quarantined. A content that may have been present at the crashes by coincidence
+    /// is allowed one trial, since its caller doesn't wait.
     pub fn is_item_quarantined(&self, request: &ServingRequest) -> bool {
         if !self.parts.quarantine.has_quarantined() {
             return false;
@@ -146,22 +146,22 @@
         hold.is_some_and(|hold| !hold.allows_trial(harrierward_clock::now()))
     }
 
-    /// Mechanisms in use.
+    /// Returns the mechanisms in use.
     pub fn policy(&self) -> Policy {
         self.parts.settings.costs.policy
     }
 
-    /// Age of the routes.
+    /// Returns the freshness of the configuration.
     pub fn proof(&self) -> &ConfigurationProof {
         &self.parts.proof
     }
 
-    /// How long keys are served without contact.
+    /// Returns how long keys are accepted without configuration updates.
     pub fn key_trust(&self) -> KeyTrust {
         self.parts.settings.key_trust
     }
 
-    /// Serves a request. Dropping the future, or the answer's body, closes the replica's connection.
+    /// Serves a request. Dropping the future, or the response body, closes the connection to the replica.
     pub async fn forward(&self, mut request: ServingRequest, arrived: Instant) -> Reply {
         let entry = match self.admit(&mut request).await {
             Ok(entry) => entry,
@@ -174,7 +174,7 @@
         }
     }
 
-    /// The route of a request that its caller may make now; the request is then its tenant's.
+    /// Finds the route, checks key and rate limit, and sets the request's tenant and regions.
     async fn admit(&self, request: &mut ServingRequest) -> Result<Arc<RouteEntry>, Refusal> {
         let routes = self
             .routes()
@@ -216,8 +216,8 @@
         Reply::Refusal(refusal)
     }
 
-    /// Refuses a request that became whole while this daemon stops: its answer might not come to its end in the time that
-    /// is left. No pause is asked of the caller, since other daemons take it at once.
+    /// Refuses a request received completely while this daemon stops, since its response might not complete in time.
+    /// No retry interval is set, because other daemons accept it at once.
     pub fn refuse_while_stopping(&self, request_id: &str, arrived: Instant) -> Refusal {
         let refusal = Refusal::not_run(RefusalCause::Stopping, None);
         self.log_refusal(request_id, None, refusal, arrived);
@@ -308,7 +308,7 @@
         }
     }
 
-    /// A replica that has ended does not count among the attempts of a request that may be repeated.
+    /// Excludes the last attempt from the count if its replica crashed and the request may be repeated.
     async fn forgive_end(&self, state: &mut RequestState) {
         let is_last = state.sends >= state.route.attempts;
         let Some(replica) = self.last_tried(state) else {
@@ -319,7 +319,7 @@
         }
     }
 
-    /// The replica that a request was sent to last, if it is still known.
+    /// Returns the replica of the last attempt, if it is still known.
     pub(crate) fn last_tried(&self, state: &RequestState) -> Option<Arc<Replica>> {
         let last = state.tried.last()?;
         self.replicas().view().get(last).cloned()
@@ -329,8 +329,8 @@
         &self,
         state: &RequestState,
     ) -> (Option<String>, Result<Attempt, AttemptFailure>) {
-        // A connection that was used before may carry a late answer, or be closing: an attempt that cannot be
-        // repeated takes a new one. So does one that follows a lost answer: kept connections fall silent together.
+        // A reused connection may deliver a late response or be closing, so an attempt that can't be repeated opens a
+        // new one; so does one after a lost response, since reused connections tend to fail together.
         let sending = AttemptOptions {
             resume_after: state.request.resume_after,
             fresh_connection: !state.route.may_repeat() || state.sends > 1,
@@ -341,19 +341,19 @@
         self.attempt(state, times, sending).await
     }
 
-    /// True for a failure of the replica that another one may make good.
+    /// True if the replica failed and another one may serve the request.
     fn shall_repeat(&self, attempt: &Attempt, state: &RequestState) -> bool {
         let route = &state.route;
         attempt.response.status >= 500 && route.may_repeat() && state.sends < route.attempts
     }
 }
 
-/// The refusal of a request of which nothing was sent; the cause tells whether its caller may come back.
+/// Refusal of a request that was sent to no replica, with a retry interval if the cause is transient.
 fn refuse_unsent(cause: RefusalCause) -> Refusal {
     Refusal::not_run(cause, cause.is_transient().then_some(RETRY_AFTER))
 }
 
-/// The refusal of a request that is given up, by what its attempts have shown.
+/// Refusal of a request that is abandoned after its attempts.
 fn given_up(cause: RefusalCause, state: &RequestState) -> Refusal {
     let is_late = state.clock.hold_left().is_zero();
     let cause = if is_late && !state.execution.is_not_run() {
@@ -364,7 +364,7 @@
     Refusal::new(cause, state.execution, Some(RETRY_AFTER))
 }
 
-/// The refusal of a request under whose content replicas have ended. To come back earlier is of no use.
+/// Refusal of a request with quarantined content; an earlier retry would be refused as well.
 fn held_back(hold: &Hold, state: &RequestState) -> Refusal {
     let left = hold
         .until
@@ -380,7 +380,7 @@
     state.execution.learn(Execution::Ran);
     let status = attempt.response.status;
     if promises_not_run(status) {
-        // The replica did not say that it has not run the request, so neither may this daemon.
+        // The status would promise that the request did not run, which the replica did not state.
         return Err(Refusal::new(RefusalCause::Broken, state.execution, None));
     }
     let headers = attempt.response.headers.clone();
--- a/crates/serving/src/gate.rs
+++ b/crates/serving/src/gate.rs
@@ -1,28 +1,28 @@
-//! The gate before a replica: asked when a replica is chosen and again just before a request leaves for it, so that what
-//! was granted, queued or resumed earlier does not pass on an old belief.
+//! Final check before a request goes to a replica, made at selection and again right before sending, so that a lease
+//! or choice based on outdated state is not used.
 
 use harrierward_tenants::AllowedRegions;
 use tokio::time::Instant;
 
 use crate::replica::Replica;
 
-/// Why a request must not go to a replica.
+/// Reason why a request must not be sent to a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GateDenial {
-    /// The replica leaves.
+    /// The replica is draining.
     Leaving,
-    /// It has ended.
+    /// The replica has crashed.
     Ended,
-    /// Its zone is evacuated.
+    /// The replica's zone is evacuated.
     ZoneEvacuated,
-    /// Its region is not among those that the request's route and tenant allow.
+    /// The request's route or tenant doesn't allow the replica's region.
     RegionNotAllowed,
-    /// It is cold, and nobody who counts its requests has let this one pass lately.
+    /// The replica is cold, and no coordinator has recently counted this request there.
     ColdWithoutGrant,
 }
 
 impl GateDenial {
-    /// Name in the log.
+    /// Returns the name in the decision log.
     pub fn name(self) -> &'static str {
         match self {
             Self::Leaving => "leaving",
@@ -34,16 +34,16 @@
     }
 }
 
-/// What a request brings to the gate.
+/// Properties of a request that the gate checks.
 #[derive(Debug, Clone, Copy)]
 pub struct GateRequest<'a> {
-    /// Regions in which it may be served.
+    /// Regions in which the request may be served.
     pub regions: &'a AllowedRegions,
-    /// Until when it may be sent to a replica that is cold; `None` if it was not counted there.
+    /// End of the permission to send to a cold replica; `None` if the request wasn't counted there.
     pub cold_until: Option<Instant>,
 }
 
-/// Why the request must not go to the replica now; `None` if it may.
+/// Returns why the request must not go to the replica now; `None` if it may.
 pub fn check_gate(
     replica: &Replica,
     passage: &GateRequest<'_>,
@@ -64,8 +64,8 @@
     }
 }
 
-/// True if what a replica keeps of a prompt may be copied from there now: it takes work, and lies where the request's own
-/// prompt may be kept. Asked just before the request leaves, like the gate itself.
+/// True if the prefix cache may be copied from `source` now: it accepts work and lies in an allowed region. Checked
+/// right before the request is sent.
 pub fn may_give_copy(source: &Replica, regions: &AllowedRegions) -> bool {
     source.accepts_work() && regions.allows(&source.record.region)
 }
--- a/crates/serving/src/in_progress.rs
+++ b/crates/serving/src/in_progress.rs
@@ -1,4 +1,4 @@
-//! Requests in progress at replicas: each counts at its replica until it ends.
+//! Guards of requests in progress at replicas.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::quarantine::Quarantine;
 use crate::replica::{Replica, WorkClass};
 
-/// A request in progress at a replica.
+/// Guard of a request in progress; counts it at its replica until dropped.
 pub struct InProgress {
     replica: Arc<Replica>,
     class: WorkClass,
@@ -17,7 +17,7 @@
     content: Option<WatchedContent>,
 }
 
-/// The content that is in progress, and who learns how that ends.
+/// Content in progress, and the quarantine that is notified of its result.
 struct WatchedContent {
     content: ContentId,
     quarantine: Arc<dyn Quarantine>,
@@ -34,7 +34,6 @@
 }
 
 impl InProgress {
-    /// One that its replica has counted.
     pub(crate) fn new(replica: Arc<Replica>, class: WorkClass, place: Option<SlotLease>) -> Self {
         Self {
             replica,
@@ -44,7 +43,7 @@
         }
     }
 
-    /// The content is sent now: how it ends says something of it as well as of the replica.
+    /// Records that the content is sent, so that its result is reported to the quarantine.
     pub(crate) fn begin(&mut self, content: ContentId, quarantine: Arc<dyn Quarantine>) {
         self.content = Some(WatchedContent {
             content,
@@ -52,7 +51,7 @@
         });
     }
 
-    /// The connection broke after the request may have been begun.
+    /// Records that the connection broke after the request may have started.
     pub fn note_disconnect(&self) {
         self.conclude(AttemptOutcome::Disconnected);
         if let Some(watched) = &self.content {
@@ -62,41 +61,42 @@
         }
     }
 
-    /// The whole answer came, whatever it says: the replica has outlived the request.
+    /// Records a complete response, whatever its status: the replica has survived the content.
     pub fn note_complete(&self) {
         if let Some(watched) = &self.content {
             watched.quarantine.note_complete(watched.content);
         }
     }
 
-    /// Class of the request.
+    /// Returns the class of the request.
     pub fn class(&self) -> WorkClass {
         self.class
     }
 
-    /// The replica.
+    /// Returns the replica at which the request is counted.
     pub fn replica(&self) -> &Arc<Replica> {
         &self.replica
     }
 
-    /// Number of its place.
+    /// Returns the number of its lease; `None` without one.
     pub fn lease(&self) -> Option<u32> {
         self.place.as_ref().map(SlotLease::number)
     }
 
-    /// What the request sees of the replica; goes back with its place.
+    /// Returns the observations about the replica that are reported when the lease is released; `None` without a
+    /// lease.
     pub fn evidence(&self) -> Option<&Evidence> {
         self.place.as_ref().map(SlotLease::evidence)
     }
 
-    /// The request ended so.
+    /// Records the outcome, unless one was recorded before.
     pub fn conclude(&self, verdict: AttemptOutcome) {
         if let Some(evidence) = self.evidence() {
             evidence.conclude(verdict);
         }
     }
 
-    /// Bytes of the answer's content came.
+    /// Records that bytes of the response body arrived.
     pub fn note_event(&self) {
         self.replica.note_progress();
         if let Some(evidence) = self.evidence() {
--- a/crates/serving/src/leases.rs
+++ b/crates/serving/src/leases.rs
@@ -1,4 +1,4 @@
-//! Who gives requests their leases at replicas, as the request path sees it.
+//! Leases of replica slots, as the request path uses them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,41 +12,41 @@
 use crate::prompt::Prompt;
 use crate::replica::{Replica, WorkClass};
 
-/// What a batch item adds to a question for a lease.
+/// Batch-specific part of a [`SlotQuery`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ItemSlack {
-    /// Time until the item must run again if it is ended at once.
+    /// Time until the item must run again if it is preempted at once.
     pub slack: Duration,
 }
 
-/// A question for a lease.
+/// Request for a lease.
 #[derive(Debug, Clone, Copy)]
 pub struct SlotQuery<'a> {
-    /// Service.
+    /// Name of the service.
     pub service: &'a str,
-    /// The prompt.
+    /// Prompt, for prefix affinity.
     pub prompt: &'a Prompt,
-    /// How its length stands among the service's.
+    /// Length class of the prompt within its service.
     pub length: PromptLength,
-    /// Replicas not to be used again.
+    /// Ids of replicas not to be used again.
     pub excluded: &'a [String],
-    /// Regions in which it may be served.
+    /// Regions in which the request may be served.
     pub regions: &'a AllowedRegions,
-    /// Objective of the request, from which the patience with a coordinator follows.
+    /// Objective of the request, from which the timeout of the coordinator's reply is derived.
     pub objective: Duration,
-    /// Set for a batch item.
+    /// Set for batch items only.
     pub item: Option<ItemSlack>,
-    /// An online request whose objective has passed: it waits while those that can still be in time take all slots.
+    /// True for an online request past its objective, which waits while requests that can still meet theirs take all
+    /// slots.
     pub overdue: bool,
-    /// It may be sent again elsewhere if it fails: a replica that failed may be tried with it.
+    /// True if the request can be retried elsewhere, so that it may probe an ejected replica.
     pub may_repeat: bool,
-    /// Longest time after which the caller of an online request still comes back, if it is told to; `None` if the
-    /// request must be placed.
+    /// Longest delay after which the caller would still retry; `None` if the request must be placed.
     pub max_retry_after: Option<Duration>,
 }
 
 impl SlotQuery<'_> {
-    /// Class of the work.
+    /// Returns the class of the work.
     pub fn class(&self) -> WorkClass {
         match self.item {
             None => WorkClass::Online,
@@ -55,57 +55,56 @@
     }
 }
 
-/// What became of a question for a lease.
+/// Result of [`SlotLeases::acquire`].
 #[derive(Debug)]
 pub enum SlotReply {
-    /// The coordinator gave this lease out.
+    /// The coordinator granted a lease.
     Granted {
-        /// The replica.
+        /// Replica of the lease.
         choice: Choice,
         /// Number of the lease.
         lease: u32,
     },
-    /// The coordinator has no room now for an item or an overdue request.
+    /// The coordinator has no free capacity for an item or an overdue request.
     NoCapacity,
-    /// The request would be late; its caller is to come back.
+    /// The request would miss its objective; its caller shall retry.
     RetryLater {
-        /// When a slot is expected to be free for it.
+        /// Time until a slot is expected to be free for it.
         after: Duration,
     },
-    /// Nothing was granted: the replicas asked for are cold, and got all that they bear now. The daemon may choose a warm
-    /// one itself.
+    /// All queried replicas are cold and get as many requests as they sustain. The daemon may choose a warm one
+    /// itself.
     AllCold,
-    /// No coordinator answers: the daemon chooses by what it knows itself.
+    /// No coordinator replies; the daemon chooses a replica itself.
     NoCoordinator,
 }
 
-/// Gives out leases at replicas, and takes them back.
+/// Grants and releases leases of replica slots.
 #[async_trait]
 pub trait SlotLeases: Send + Sync {
-    /// Asks the coordinator of the replicas for a lease.
+    /// Requests a lease from the coordinator of the replicas.
     async fn acquire(&self, query: SlotQuery<'_>) -> SlotReply;
 
-    /// A lease that this daemon chose itself. Returns its number.
+    /// Records a lease for a replica that this daemon chose itself. Returns its number.
     fn acquire_locally(&self, replica: &Arc<Replica>, item: Option<ItemSlack>) -> u32;
 
-    /// The lease is free again; `end` is what its request saw of the replica. Does not wait.
+    /// Releases a lease and reports the outcome of its request. Does not block.
     fn release(&self, lease: u32, end: ReleaseReport);
 
-    /// True if the coordinator of the replica's group has just said that all of the group are cold, which this daemon may
-    /// not have heard from their rows.
+    /// True if the coordinator recently reported the replica's whole group as cold, which its rows may not show yet.
     fn is_reported_cold(&self, _replica: &Replica) -> bool {
         false
     }
 
-    /// True if a coordinator that answers grants the replica's slots: it ends items where online requests need them,
-    /// and this daemon need not go by its own estimate of what the others have there.
+    /// True if a responsive coordinator grants the replica's slots. It preempts items when online requests need their
+    /// slots.
     fn is_coordinated(&self, replica: &Replica) -> bool;
 
-    /// One batch item at the replica is to give its slot back: of this daemon, or of a peer. Does not wait.
+    /// Preempts one batch item at the replica, of this daemon or of a peer. Does not block.
     fn preempt_item(&self, replica: &Arc<Replica>);
 }
 
-/// A lease that is held for as long as this lives.
+/// Guard of a lease; releases it when dropped.
 pub struct SlotLease {
     leases: Arc<dyn SlotLeases>,
     number: u32,
@@ -113,7 +112,7 @@
 }
 
 impl SlotLease {
-    /// Holds a lease that was given out or taken.
+    /// Creates the guard of a lease that was granted or recorded locally.
     pub fn new(leases: Arc<dyn SlotLeases>, number: u32) -> Self {
         let evidence = Evidence::default();
         Self {
@@ -123,12 +122,12 @@
         }
     }
 
-    /// What its request sees of the replica.
+    /// Returns the observations about the replica, reported on release.
     pub fn evidence(&self) -> &Evidence {
         &self.evidence
     }
 
-    /// Its number.
+    /// Returns the number of the lease.
     pub fn number(&self) -> u32 {
         self.number
     }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,8 +1,8 @@
-//! Serving opaque generation requests: routes, replicas, the choice among them, and the path of a request from
-//! caller to replica and back.
+//! Serving of opaque generation requests: routes, replica selection, and the path of a request from caller to replica
+//! and back.
 //!
-//! Why beside `gateway`: the gateway renders prompts itself and speaks in tokens; here bodies and answers are
-//! opaque and only typed metadata decides. Nothing here opens a socket.
+//! Unlike `gateway`, which renders prompts and processes tokens, this crate treats bodies as opaque and decides by
+//! typed metadata only. It opens no sockets.
 
 mod admission;
 mod attempt;
--- a/crates/serving/src/outcome.rs
+++ b/crates/serving/src/outcome.rs
@@ -1,45 +1,46 @@
-//! What the end of a request says of the replica that it ran at.
+//! Outcome of a request as evidence about its replica.
 //!
-//! Why: a daemon sees few of a replica's requests. What they came to goes back with their leases, so that the replica's
-//! coordinator, which sees all of them, can tell a replica that fails from one that had bad luck.
+//! A daemon sees only few of a replica's requests. Outcomes are reported with the released leases, so that the
+//! coordinator, which receives all of them, can tell a faulty replica from chance.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Time beyond that for reading the prompt below which silence says nothing of a replica: a request that came with less
-/// time left would end before any replica could answer. Half of the shortest objective known (200 ms).
+/// Minimum time beyond the prefill before an unresponsive replica counts as such: no replica could respond to a
+/// request with less time left.
 const LEAST_SILENCE: Duration = Duration::from_millis(100);
 
-/// What a request's end says of its replica.
+/// Outcome of a request, as far as it depends on its replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Nothing: the caller left, the item was ended, or the request itself was at fault.
+    /// No evidence: the caller left, the item was preempted, or the request itself was at fault.
     #[default]
     NoEvidence,
-    /// The replica answered in full.
+    /// The response was complete.
     Served,
-    /// It answered with a failure of its own.
+    /// The replica failed the request.
     Failed,
-    /// Its answer broke off, or its connection was refused or reset.
+    /// The response was interrupted, or the connection refused or reset.
     Disconnected,
-    /// Nothing came from it in time.
+    /// No response arrived in time.
     Unresponsive,
-    /// Its bytes formed no answer, or that of another request.
+    /// The bytes formed no valid response, or belonged to another request.
     Corrupt,
-    /// It refused although it had room.
+    /// The replica refused although it had free capacity.
     NotRun,
-    /// Nothing was sent to it: the lease was not needed.
+    /// Nothing was sent; the lease was not needed.
     NotSent,
 }
 
-/// A verdict and how long the first event took.
+/// Outcome and latency of a request, reported when its lease is released.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReleaseReport {
-    /// The verdict.
+    /// Recorded outcome.
     pub outcome: AttemptOutcome,
-    /// Time from sending to the first event without that for reading the prompt, where the replica had room; `None` if that says nothing.
+    /// Time from sending to the first event, less the prefill time; `None` if the replica had no free capacity or
+    /// sent no event.
     pub first_event: Option<Duration>,
 }
 
@@ -58,15 +59,15 @@
     }
 }
 
-/// Gathers what one request saw of its replica. The first verdict stays: what follows it is a consequence.
+/// Observations of one request about its replica. Only the first outcome is kept, since later ones follow from it.
 #[derive(Debug, Default)]
 pub struct Evidence {
     seen: Mutex<Seen>,
 }
 
 impl Evidence {
-    /// The request is sent now. A replica without room may rightly be slow, silent or refuse; reading the prompt should
-    /// take `prefill`, which is not counted as its slowness.
+    /// Records that the request is sent. A replica without free capacity may be slow, unresponsive or refuse;
+    /// `prefill` is the expected time for the prompt, which doesn't count as latency.
     pub fn note_sent(&self, has_room: bool, prefill: Duration) {
         let mut seen = self.lock();
         seen.sent = Some(Instant::now());
@@ -74,7 +75,7 @@
         seen.prefill = prefill;
     }
 
-    /// Something of the answer's content came.
+    /// Records the first event; later calls have no effect.
     pub fn note_event(&self) {
         let mut seen = self.lock();
         if !seen.has_room || seen.end.first_event.is_some() {
@@ -85,17 +86,17 @@
         seen.end.first_event = elapsed.map(|elapsed| elapsed.saturating_sub(prefill));
     }
 
-    /// True if the first event came.
+    /// True if the first event was recorded.
     pub fn has_begun(&self) -> bool {
         self.lock().end.first_event.is_some()
     }
 
-    /// True if the request was under way for long enough that its replica's silence says something.
+    /// True if the request waited long enough for a missing response to be evidence.
     pub fn waited_long_enough(&self) -> bool {
         self.lock().waited_long_enough()
     }
 
-    /// The request ended so.
+    /// Records the outcome, unless one is recorded or it is no evidence.
     pub fn conclude(&self, verdict: AttemptOutcome) {
         let mut seen = self.lock();
         let excused = match verdict {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// What was gathered.
+    /// Returns the report for the release of the lease.
     pub fn report(&self) -> ReleaseReport {
         self.lock().end
     }
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -1,4 +1,4 @@
-//! A request's place: the coordinator's word, or this daemon's own choice where no coordinator answers.
+//! Placement of a request: by the coordinator, or by this daemon where no coordinator replies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,28 +16,29 @@
 use crate::profile::PromptLength;
 use crate::replica::WorkClass;
 
-/// Replicas that a daemon looks at for one request where it chooses itself, beside the preferred one: its view of
-/// the others' requests is old, and daemons with the same view must not all choose the same.
+/// Maximum number of candidates besides the preferred replica when the daemon chooses itself: its view of peers' load
+/// is outdated, and daemons with the same view must not all choose the same replica.
 const OWN_CANDIDATES: usize = 5;
 
-/// Part of the objective after which an overdue request asks again, and the longest such pause.
+/// Divisor of the objective that gives the retry interval of an overdue request, and the upper bound of that
+/// interval.
 const OVERDUE_PAUSE_PART: u32 = 3;
 const LONGEST_OVERDUE_PAUSE: Duration = Duration::from_millis(150);
 
-/// Why a request has no place.
+/// Reason why a request was not placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NoPlace {
-    /// No replica takes it.
+    /// No replica accepts the request.
     NoReplica,
-    /// It would be late; its caller is to come back.
+    /// The request would miss its objective; its caller shall retry.
     RetryLater {
-        /// After so long.
+        /// Time until the retry.
         after: Duration,
     },
 }
 
 impl Forwarder {
-    /// A place for a request, online or, if `item` is set, batch.
+    /// Places a request; `item` is set for batch items.
     pub async fn place(
         &self,
         request: &ServingRequest,
@@ -65,7 +66,7 @@
         self.ask_or_choose(query, request).await.ok()
     }
 
-    /// A place for an online request that comes for the first time: its caller may be told to come back instead.
+    /// Places a new online request, whose caller may be asked to retry instead.
     pub(crate) async fn place_newcomer(
         &self,
         request: &ServingRequest,
@@ -89,8 +90,8 @@
         self.ask_or_choose(query, request).await
     }
 
-    /// A place for an online request whose objective has passed: it waits up to `longest` while those that can still
-    /// be in time take all slots. It loses nothing by that, and they would wait behind it at the replicas.
+    /// Places an online request past its objective. It waits up to `max_wait` for slots left by requests that can
+    /// still meet theirs, which would otherwise queue behind it.
     pub(crate) async fn place_overdue(
         &self,
         request: &ServingRequest,
@@ -119,7 +120,7 @@
             }
             match self.leases().acquire(query).await {
                 SlotReply::NoCapacity if Instant::now() < until => {
-                    // Not all at the same moment.
+                    // Jitter keeps requests from retrying at the same moment.
                     sleep(pause.mul_f64(rand::random_range(0.75..1.25))).await;
                 }
                 SlotReply::Granted { choice, lease } => {
@@ -161,7 +162,7 @@
         query: SlotQuery<'_>,
         request: &ServingRequest,
     ) -> Result<Placement, NoPlace> {
-        // No coordinator has a place where nobody may serve the request: its caller is told at once.
+        // Without a usable replica no coordinator has a slot, so the caller is refused at once.
         let view = self.replicas().view();
         if !view.has_usable(query.service, query.regions) {
             return Err(NoPlace::NoReplica);
@@ -186,7 +187,7 @@
             }
             SlotReply::NoCapacity => Err(NoPlace::NoReplica),
             SlotReply::RetryLater { after } => Err(NoPlace::RetryLater { after }),
-            // An item can wait for a coordinator's room; a caller cannot.
+            // An item can wait for the coordinator's capacity, a caller can't.
             SlotReply::AllCold if query.item.is_some() => Err(NoPlace::NoReplica),
             SlotReply::AllCold | SlotReply::NoCoordinator => {
                 self.choose_alone(query).ok_or(NoPlace::NoReplica)
@@ -194,8 +195,8 @@
         }
     }
 
-    /// True if this daemon knows that the request must not go where the coordinator sends it: one that has not heard of an
-    /// evacuation would grant the zone's replicas one after the other until the request is given up.
+    /// True if this daemon must not use the granted replica. A coordinator with an outdated view would otherwise
+    /// grant all replicas of an evacuated zone one after the other.
     fn overrules(&self, choice: &Choice, regions: &AllowedRegions) -> bool {
         let passage = GateRequest {
             regions,
@@ -239,7 +240,7 @@
         };
         let now = harrierward_clock::now();
         let mut usable = view.usable(query.service);
-        // Only a coordinator counts what a cold replica gets, and it may have heard sooner that one is cold.
+        // Only a coordinator counts requests at cold replicas, and it may know earlier that one is cold.
         usable.retain(|replica| !replica.is_cold(now) && !places.is_reported_cold(replica));
         let (replicas, left) = own_region_first(usable, &wanted);
         let mut choice = choose_replica(&view, replicas, &self.settings().costs, &wanted)?;
--- a/crates/serving/src/policy.rs
+++ b/crates/serving/src/policy.rs
@@ -1,53 +1,52 @@
-//! Switches for single mechanisms of the serving policy, so that what each is worth can be measured by turning it
-//! off. Nothing that must hold depends on any of them.
+//! Switches for single mechanisms of the serving policy, for ablation. No correctness property depends on them.
 
 use std::fmt;
 
-/// A mechanism that can be switched off.
+/// Mechanism that can be switched off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[repr(u8)]
 pub enum Mechanism {
-    /// Prompts that share parts go to the replica that all daemons prefer for them.
+    /// Prompts with shared parts go to the replica that all daemons prefer for them.
     PreferredReplica,
-    /// A replica copies what another keeps of a prompt instead of reading it anew.
+    /// A replica copies the prefix cache of another one instead of repeating the prefill.
     PromptCopies,
-    /// Long prompts go to replicas of their own.
+    /// Long prompts go to dedicated replicas.
     LongPromptsApart,
-    /// An online request that finds no slot ends a batch item.
+    /// An online request that finds no free slot preempts a batch item.
     Preemption,
-    /// Items leave as many slots free as the number of online requests varies by.
+    /// Items leave as many slots free as online load varies by.
     ItemReserve,
-    /// Starts of items are spread by how urgent they are.
+    /// Starts of items are paced by urgency.
     Pacing,
-    /// Progress of running items is saved, and taken up by the next owner.
+    /// Progress of running items is saved and continued by the next owner.
     SavedProgress,
-    /// A replica where a request failed is avoided for a while.
+    /// A replica that failed a request is avoided for a while.
     Suspicion,
-    /// Daemons tell some peers what they have in progress.
+    /// Daemons send the load that they cause to some peers.
     LoadNotices,
-    /// Changes that the store tells of are gathered, the longer the larger the fleet.
+    /// Changes reported by the store are coalesced, for longer in larger fleets.
     GatheredChanges,
-    /// A daemon that finds no coordinator looks at few replicas.
+    /// A daemon without a coordinator samples few replicas.
     Sampling,
-    /// The choice has a small random part.
+    /// Costs have a small random part.
     Jitter,
-    /// Replicas of the own zone are cheaper.
+    /// Replicas of the own zone cost less.
     OwnZoneFirst,
-    /// One daemon for each group of replicas grants their slots.
+    /// One daemon per group of replicas grants their slots.
     Coordinators,
-    /// Groups lie in zones where these are large enough.
+    /// Groups don't span zones that are large enough.
     ZoneGroups,
-    /// Views of the members are compared by digest and what differs is exchanged.
+    /// Membership views are compared by digest and their differences exchanged.
     ViewSync,
-    /// The silence of a replica in a full group is borne longer.
+    /// Stall timeouts are longer in a fully loaded group.
     QueuePatience,
-    /// Overdue requests wait for slots that others leave.
+    /// Overdue requests wait for spare slots.
     OverdueLast,
-    /// Replicas to which the asking daemon keeps a connection are cheaper.
+    /// Replicas with an open connection from the requester cost less.
     KeptConnections,
-    /// An online request that would be late is refused at once, and its caller told to come back.
+    /// An online request that would miss its objective is refused at once, and its caller asked to retry.
     Admission,
-    /// A replica that fails or is slow beside the others of its group gets no or less work from its coordinator.
+    /// A replica that fails or is slow compared to its group gets less work or none.
     Ejection,
 }
 
@@ -58,7 +57,7 @@
 };
 
 impl Mechanism {
-    /// All of them, in the order of the ablation table.
+    /// All mechanisms, in the order of the ablation table.
     pub const ALL: [Self; 21] = [
         PreferredReplica,
         PromptCopies,
@@ -83,7 +82,7 @@
         Ejection,
     ];
 
-    /// Name in settings.
+    /// Returns the name in settings.
     pub fn name(self) -> &'static str {
         match self {
             PreferredReplica => "preferred-replica",
@@ -115,24 +114,24 @@
     }
 }
 
-/// A name that is no mechanism's.
+/// Error for an unknown mechanism.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("policy: {name:?} is none of {known}")]
 pub struct UnknownMechanism {
-    /// The name.
+    /// Name that was not found.
     pub name: String,
-    /// The names that there are.
+    /// Comma-separated names of all mechanisms.
     pub known: String,
 }
 
-/// Which mechanisms are on; all of them unless said otherwise.
+/// Set of mechanisms in use; all by default.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Policy {
     off: u32,
 }
 
 impl Policy {
-    /// The policy without the mechanisms of a comma-separated list of names.
+    /// Returns the policy without the mechanisms in a comma-separated list.
     pub fn without(names: &str) -> Result<Self, UnknownMechanism> {
         let mut policy = Self::default();
         for name in names.split(',').map(str::trim) {
@@ -149,14 +148,14 @@
         Ok(policy)
     }
 
-    /// True if the mechanism is on.
+    /// True if the mechanism is in use.
     pub fn has(self, mechanism: Mechanism) -> bool {
         self.off & mechanism.bit() == 0
     }
 }
 
 impl fmt::Display for Policy {
-    /// Names of what is off.
+    /// Writes the comma-separated names of the mechanisms that are switched off.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let off = Mechanism::ALL.into_iter().filter(|one| !self.has(*one));
         let names: Vec<&str> = off.map(Mechanism::name).collect();
--- a/crates/serving/src/profile.rs
+++ b/crates/serving/src/profile.rs
@@ -1,8 +1,8 @@
-//! How long a service's prompts are, so that the long ones can be kept apart from the short ones.
+//! Prompt length profiles of services, used to separate long prompts from short ones.
 //!
-//! Why: an engine reads a long prompt in many steps, and each of them holds up the tokens of all requests beside
-//! it. Other daemons' long prompts are not known in time, so the replicas that take them are fixed: all daemons
-//! compute the same set.
+//! The prefill of a long prompt takes many engine steps, each of which delays the tokens of all other requests at the
+//! replica. Peers' long prompts are not known in time, so all daemons compute the same fixed set of replicas for
+//! them.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -10,13 +10,13 @@
 
 use tokio::time::Instant;
 
-/// A prompt is long if it has so many times the tokens of the mean prompt.
+/// Ratio to the mean length from which a prompt counts as long.
 const LONG_FACTOR: f64 = 3.0;
 
-/// Weight of a new prompt in the mean.
+/// Weight of a new prompt in the moving average.
 const MEAN_WEIGHT: f64 = 0.02;
 
-/// Prompts are kept apart for this long after the last long one.
+/// Time after the last long prompt during which lengths are separated.
 const APART_FOR: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Clone, Copy)]
@@ -25,25 +25,25 @@
     long_seen_at: Option<Instant>,
 }
 
-/// How a request's prompt stands among its service's.
+/// Length class of a prompt within its service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PromptLength {
-    /// No long prompts come: nothing is kept apart.
+    /// No long prompts occurred recently, so lengths aren't separated.
     Uniform,
-    /// Shorter than those kept apart.
+    /// Goes to replicas without long prompts.
     Short,
-    /// Kept apart.
+    /// Goes to the replicas for long prompts.
     Long,
 }
 
-/// Profiles of all services.
+/// Length profiles of all services.
 #[derive(Debug, Default)]
 pub struct PromptProfiles {
     profiles: Mutex<HashMap<String, Profile>>,
 }
 
 impl PromptProfiles {
-    /// Takes an online request's prompt into account and classes it.
+    /// Adds the prompt of an online request to the service's profile and returns its class.
     pub fn observe(&self, service: &str, tokens: u32) -> PromptLength {
         let mut profiles = self.profiles.lock().unwrap_or_else(PoisonError::into_inner);
         let tokens = f64::from(tokens);
--- a/crates/serving/src/prompt.rs
+++ b/crates/serving/src/prompt.rs
@@ -1,42 +1,42 @@
-//! A prompt's parts, and an estimate of which replicas keep them in memory.
+//! Parts of a prompt, and an estimate of the parts that a replica caches.
 
-/// One part of a prompt. Requests that begin with the same parts share a replica's memory of them.
+/// Part of a prompt. Requests whose prompts begin with the same parts share a replica's prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct PromptPart {
-    /// Id of the part.
+    /// Id, equal for equal parts.
     pub id: u64,
-    /// Its tokens.
+    /// Length of the part.
     pub tokens: u32,
 }
 
-/// A request's prompt: parts in order. The last one belongs to the request itself or to its session.
+/// Prompt of a request. The last part is specific to the request or its session.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// The parts.
+    /// Parts in order.
     pub parts: Vec<PromptPart>,
-    /// Prompt tokens.
+    /// Length of the whole prompt.
     pub tokens: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub output_tokens: u32,
 }
 
 impl Prompt {
-    /// The parts that other requests may share.
+    /// Returns the parts that other requests may share.
     pub fn shared(&self) -> &[PromptPart] {
         let shared = self.parts.len().saturating_sub(1);
         &self.parts[..shared]
     }
 
-    /// Tokens of the shared parts.
+    /// Returns the total length of the shared parts.
     pub fn shared_tokens(&self) -> u32 {
         self.shared().iter().map(|part| part.tokens).sum()
     }
 }
 
-/// Most parts remembered for one replica.
+/// Maximum number of parts tracked per replica.
 const REMEMBERED_PARTS: usize = 4096;
 
-/// What a replica probably keeps: the parts this daemon sent there, least recently used first out.
+/// Estimate of a replica's prefix cache: the parts that this daemon sent there, evicted least recently used first.
 #[derive(Debug)]
 pub struct PrefixCacheEstimate {
     parts: lru::LruCache<u64, u32>,
@@ -45,17 +45,17 @@
 }
 
 impl PrefixCacheEstimate {
-    /// A memory that holds at most `capacity_tokens`.
+    /// Creates an empty estimate of at most `capacity_tokens`.
     pub fn new(capacity_tokens: u64) -> Self {
         Self {
-            // Not `new`, which takes the room for all parts at once, for each of thousands of replicas.
+            // `new` would allocate the full capacity for each of thousands of replicas.
             parts: lru::LruCache::unbounded(),
             capacity_tokens,
             tokens: 0,
         }
     }
 
-    /// Tokens at the beginning of the prompt that are kept.
+    /// Returns the length of the prompt's prefix that is probably cached.
     pub fn cached_tokens(&self, prompt: &Prompt) -> u32 {
         prompt
             .parts
@@ -65,7 +65,7 @@
             .sum()
     }
 
-    /// The prompt was sent to the replica.
+    /// Records that the prompt was sent to the replica.
     pub fn note(&mut self, prompt: &Prompt) {
         for part in &prompt.parts {
             if let Some((_, old)) = self.parts.push(part.id, part.tokens) {
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! What the request path asks and tells of contents under which replicas end.
+//! Quarantine of contents under which replicas crash, as the request path uses it.
 
 use std::sync::Arc;
 
@@ -7,26 +7,26 @@
 
 use crate::replica::Replica;
 
-/// Knows which contents are held back, and learns from how requests end.
+/// Status of contents, and receiver of the results that it is derived from.
 #[async_trait]
 pub trait Quarantine: Send + Sync {
-    /// True if any content is held back. Takes no lock.
+    /// True if any content is quarantined. Takes no lock.
     fn has_quarantined(&self) -> bool;
 
-    /// What is thought of a content. Takes no lock.
+    /// Returns the status of a content. Takes no lock.
     fn status(&self, content: ContentId) -> Standing;
 
-    /// The connection to the replica broke while the content was in progress there. Does not wait.
+    /// Records that the connection broke while the content was in progress at the replica. Does not block.
     fn note_disconnect(&self, content: ContentId, replica: &Arc<Replica>);
 
-    /// The content came to a whole answer. Takes no lock while nothing is known against any.
+    /// Records a complete response to the content. Takes no lock unless some content is suspect.
     fn note_complete(&self, content: ContentId);
 
-    /// True if the replica has ended by now. Waits a moment for the word on one whose connection has just broken.
+    /// True if the replica has crashed. Waits briefly for a report if its connection has just broken.
     async fn has_crashed(&self, replica: &Arc<Replica>) -> bool;
 }
 
-/// Holds nothing back, and learns nothing.
+/// Quarantine that ignores all results; every content is clear.
 pub struct NoQuarantine;
 
 #[async_trait]
--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -1,4 +1,4 @@
-//! An answer's body on its way to the caller: whole events of streams that may be resumed, raw bytes of others.
+//! Relay of a response body to the caller: by event for streams that can resume, otherwise as raw bytes.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -18,27 +18,27 @@
 use crate::replica::Replica;
 use crate::request_state::{RequestClock, RequestState};
 
-/// The answer could not be brought to its end; the caller's connection must be broken off.
+/// The response can't be completed; the caller's connection must be aborted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("answer cut: {cause}")]
 pub struct ResponseAborted {
-    /// Cause in words.
+    /// Cause, for the log.
     pub cause: String,
 }
 
-/// Share of the allowed pause between events after which a replica silent to everybody is given up, in percent.
+/// Share of the gap objective after which a replica without progress is abandoned, in percent.
 const DARK_GAP_PERCENT: u32 = 60;
 
-/// Pauses allowed after which any replica is given up.
+/// Multiple of the gap objective after which any replica is abandoned.
 const LONGEST_GAP_FACTOR: u32 = 3;
 
-/// Answers with this status or a higher one are no service of the replica's.
+/// Lowest status that doesn't count as service by the replica.
 const FIRST_ERROR: u16 = 400;
 
-/// Allowed pause between events where the route tells none.
+/// Gap objective of routes that set none.
 const DEFAULT_GAP: Duration = Duration::from_millis(500);
 
-/// One answer in progress.
+/// Response in progress.
 pub(crate) struct Relay {
     forwarder: Forwarder,
     state: RequestState,
@@ -54,7 +54,7 @@
 
 enum Step {
     Bytes(Bytes),
-    /// Nothing came, and nobody else would take it.
+    /// No data arrived, and no other replica could take over.
     Wait,
     End,
     Broken(String),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The body as a stream for the caller.
+    /// Returns the body as a stream for the caller.
     pub fn into_stream(self) -> impl Stream<Item = Result<Bytes, ResponseAborted>> + Send {
         stream::unfold(self, |mut relay| async move {
             let item = relay.next().await?;
@@ -159,7 +159,7 @@
         let next = wait_for_progress(body.next(), replica, dark.min(left), longest.min(left)).await;
         match next {
             None if self.state.clock.hold_left().is_zero() => {
-                // One that has sent something may only have had little time.
+                // A replica that has sent an event may only have had too little time.
                 let began = in_progress.evidence().is_some_and(Evidence::has_begun);
                 if !began {
                     in_progress.conclude(AttemptOutcome::Unresponsive);
@@ -207,13 +207,14 @@
         self.splits_events() && self.state.sends < self.state.route.attempts
     }
 
-    /// True if some replica takes the rest. Where all zones are evacuated a pause must not end an answer that runs.
+    /// True if another replica could take over. A response in progress is not interrupted for a stall if all zones
+    /// are evacuated.
     fn has_elsewhere(&self) -> bool {
         let view = self.forwarder.replicas().view();
         view.has_usable(&self.state.service, &self.state.request.regions)
     }
 
-    /// Goes on at another replica after the last event delivered, if that is allowed.
+    /// Resumes at another replica after the last event delivered, if allowed.
     async fn go_on(&mut self, cause: String) -> Result<(), ResponseAborted> {
         // The connection is closed before another replica starts.
         self.body = None;
@@ -275,8 +276,8 @@
         Err(self.cut(first_cause.unwrap_or_default()))
     }
 
-    /// A replica that has ended does not count among the attempts: what ran there beside the request to blame would be lost
-    /// with the second one that it ends.
+    /// Excludes the last attempt from the count if its replica crashed: requests that ran there next to the cause
+    /// would otherwise be lost with its second crash.
     async fn forgive_end(&mut self, replica: &Arc<Replica>) {
         let is_last = self.state.sends >= self.state.route.attempts;
         if self.splits_events() && is_last && self.forwarder.has_crashed(replica).await {
@@ -284,8 +285,8 @@
         }
     }
 
-    /// A pause after which all replicas are asked anew; false if there were enough. An answer that has begun is not broken off
-    /// because the others are full for a moment: what the caller has would be lost, and the rest is wanted also late.
+    /// Waits before all replicas are tried again; returns false if the limit is reached. Temporary overload must not
+    /// interrupt a response that has begun.
     async fn wait_for_room(&mut self, waits: &mut u32) -> bool {
         if *waits == MOST_ROOM_WAITS {
             return false;
@@ -349,7 +350,7 @@
 }
 
 impl Drop for Relay {
-    /// A caller that leaves, or whose connection breaks, drops the answer before its end.
+    /// A caller that leaves drops the response before its end.
     fn drop(&mut self) {
         if !self.ended {
             self.finish("caller left");
@@ -357,18 +358,18 @@
     }
 }
 
-/// Pause before all replicas are asked anew for the rest of an answer.
+/// Interval before all replicas are tried again.
 const ROOM_PAUSE: Duration = Duration::from_millis(100);
 
-/// Most such pauses: 1.5 s in all. Callers give a stream up after a gap of two seconds, and may take it up through another
-/// daemon before that.
+/// Maximum number of such waits, 1.5 s in total: callers abandon a stream after a gap of 2 s, and may resume it
+/// through another daemon earlier.
 const MOST_ROOM_WAITS: u32 = 15;
 
-/// Most replicas that are tried for one request, refusals included.
+/// Maximum number of replicas tried per request, including refusals.
 const MOST_REFUSALS: usize = 5;
 
 impl RequestClock {
-    /// Milliseconds since the request arrived.
+    /// Returns the milliseconds since the request arrived.
     pub fn elapsed_ms(&self) -> u64 {
         let elapsed = harrierward_clock::age(self.arrived);
         u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
--- a/crates/serving/src/replica.rs
+++ b/crates/serving/src/replica.rs
@@ -1,4 +1,4 @@
-//! A replica that discovery names, and what this daemon knows of its load and memory.
+//! State of a replica as this daemon knows it: record, load, warmth and cached prompts.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -16,47 +16,47 @@
 use crate::topology::Location;
 use crate::warmth::Warmth;
 
-/// How long a replica's own load word is trusted beside the daemons' counts.
+/// Time for which a load report of the replica is used in addition to the daemons' counts.
 const REPLICA_LOAD_LIFETIME: Duration = Duration::from_millis(400);
 
-/// Share of a replica's memory that shared prompt parts are believed to keep.
+/// Share of a replica's KV cache that shared prompt parts are assumed to occupy, in percent.
 const MEMORY_SHARE_PERCENT: u64 = 70;
 
-/// How long a replica whose port is dead counts as ended. Entries go after three heartbeats of silence, 3.6 s on the smallest
-/// sites; one that is back earlier under the same name is found by the next request.
+/// Time for which a replica with a closed port counts as crashed. Its entry is removed after three missed heartbeats;
+/// one that restarts earlier under the same id is detected by the next request.
 const ENDED_FOR: Duration = Duration::from_millis(4_000);
 
-/// What a replica says of itself in discovery.
+/// Record that a replica publishes in discovery.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaRecord {
-    /// Name under which it is listed. It may start again under the same one.
+    /// Id under which it is listed; stays the same over restarts.
     pub id: String,
-    /// When this start of it began, by its own clock, milliseconds since 1970; `None` if it does not say.
+    /// Start time of this instance by the replica's own clock, milliseconds since 1970; `None` if not published.
     pub born_ms: Option<u64>,
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// Address.
+    /// Address and port.
     pub address: String,
-    /// Zone.
+    /// Zone in which it runs.
     pub zone: String,
-    /// Region of the zone; empty if it is not known.
+    /// Region of the zone; empty if unknown.
     pub region: String,
-    /// Requests that it works on at once.
+    /// Requests that it serves concurrently.
     pub slots: u32,
-    /// Says that it leaves: gets no new work.
+    /// True if it leaves and must get no new work.
     pub draining: bool,
-    /// How much longer it stays cold, from the moment at which it wrote this.
+    /// Remaining time for which it stays cold, from the moment at which the record was written.
     pub warmup: Duration,
 }
 
 impl ReplicaRecord {
-    /// True if `told` speaks of another start than this: whatever is known of this one does not hold for it. A date that is
-    /// missing says nothing; one that goes back is another start whose clock was set.
+    /// True if `reported` belongs to another instance, so that what is known of this one doesn't apply. A missing
+    /// start time proves nothing; an earlier one is another instance whose clock was set back.
     pub fn is_other_instance(&self, told: &Self) -> bool {
         told.born_ms.is_some() && told.born_ms != self.born_ms
     }
 
-    /// Hash of this start, by which daemons tell each other of it.
+    /// Returns the hash of this instance, by which daemons refer to it in datagrams.
     pub fn instance_hash(&self) -> u32 {
         self.born_ms.map_or_else(
             || short_hash(&self.id),
@@ -68,9 +68,9 @@
 /// Class of a request in the load counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkClass {
-    /// A caller waits.
+    /// Request whose caller waits.
     Online,
-    /// An item of a batch job.
+    /// Item of a batch job.
     Batch,
 }
 
@@ -81,39 +81,39 @@
     own_then: u32,
 }
 
-/// The short form of a name in datagrams between daemons.
+/// Returns the short hash of a name, as used in datagrams between daemons.
 pub fn short_hash(name: &str) -> u32 {
     let bytes = xxh3_64(name.as_bytes()).to_le_bytes();
     u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]])
 }
 
-/// One replica.
+/// Replica with the state that the request path needs; updated without replacing the value.
 #[derive(Debug)]
 pub struct Replica {
-    /// Its record.
+    /// Record from discovery; immutable for one instance.
     pub record: ReplicaRecord,
-    /// Hash of its start.
+    /// Hash of the instance.
     pub hash: u32,
-    /// Where it is.
+    /// Zone and region.
     pub location: Location,
     draining: AtomicBool,
     zone_evacuated: AtomicBool,
     is_unlisted: AtomicBool,
-    /// Until when it counts as ended, on its own clock; 0 if it does not.
+    /// Time until which it counts as crashed, after `started`; 0 if it doesn't.
     ended_until_ms: AtomicU64,
-    /// Copy of the warmth's end for the request path, which takes no lock.
+    /// End of the warmup, after `started`; a copy of `warmth` for the request path, which takes no lock.
     cold_until_ms: AtomicU64,
     warmth: Mutex<Warmth>,
     own_online: AtomicU32,
     own_batch: AtomicU32,
-    /// Requests of this daemon in progress at all replicas.
+    /// Requests of this daemon in progress, summed over all replicas.
     in_progress: Arc<AtomicUsize>,
     peers_online: AtomicU32,
     peers_batch: AtomicU32,
     peers_told_at_ms: AtomicU64,
-    /// On the clock that counts suspensions, as are all times of what is believed of it.
+    /// Origin of all stored times, on the clock that includes suspensions.
     started: Instant,
-    /// On the steady clock: nobody listens while the machine is suspended.
+    /// Origin of progress times, on the clock that excludes suspensions, during which no data can be received.
     listening_since: Instant,
     suspicion: Suspicion,
     report: Mutex<Option<LoadReport>>,
@@ -173,7 +173,7 @@
         millis(self.listening_since.elapsed())
     }
 
-    /// Requests that the replica works on at once.
+    /// Returns the number of requests that the replica serves concurrently, at least 1.
     pub fn slots(&self) -> u32 {
         self.record.slots.max(1)
     }
@@ -183,76 +183,75 @@
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Takes it out of service at once.
+    /// Excludes it from new work at once.
     pub fn set_draining(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
-    /// True if its zone is evacuated: it gets nothing until that is taken back.
+    /// True if its zone is evacuated, so that it gets no work.
     pub fn is_zone_evacuated(&self) -> bool {
         self.zone_evacuated.load(Ordering::Relaxed)
     }
 
-    /// Its zone is evacuated, or not any more: then it may be cold, whatever its last row said.
+    /// Sets whether its zone is evacuated. After an evacuation it is assumed cold, whatever its last row states.
     pub fn set_zone_evacuated(&self, evacuated: bool) {
         if self.zone_evacuated.swap(evacuated, Ordering::Relaxed) && !evacuated {
             self.change_warmth(|warmth| warmth.note_zone_return(harrierward_clock::now()));
         }
     }
 
-    /// Its entry cannot be read, or can be again. Unlike one whose entry has vanished, which happens while the store is down,
-    /// it is not used for a moment more.
+    /// Sets whether its entry is unreadable. Unlike a replica whose entry vanished, which happens while the store is
+    /// down, it is excluded at once.
     pub fn set_unlisted(&self, is_unlisted: bool) {
         self.is_unlisted.store(is_unlisted, Ordering::Relaxed);
     }
 
-    /// It has ended: it gets nothing until its entry goes or another start of it is named. Where that does not come, it is
-    /// tried again after a while.
+    /// Marks it as crashed until its entry is removed, another instance is listed, or a timeout expires.
     pub fn set_crashed(&self) {
         let until = self.now_ms() + millis(ENDED_FOR);
         self.ended_until_ms.store(until, Ordering::Relaxed);
     }
 
-    /// True while it counts as ended.
+    /// True while it counts as crashed.
     pub fn has_crashed(&self) -> bool {
         let until = self.ended_until_ms.load(Ordering::Relaxed);
-        // Asked of every replica for every request; nearly all have not, and need no look at the clock for that.
+        // Checked for every replica and request; the clock is read only where needed.
         until > 0 && self.now_ms() < until
     }
 
-    /// True while it may take new work: it is there, does not leave, and its zone is in service.
+    /// True if it may receive new work: listed, not draining or crashed, and in a zone that is in service.
     pub fn accepts_work(&self) -> bool {
         let is_listed = !self.is_unlisted.load(Ordering::Relaxed);
         is_listed && !self.is_draining() && !self.is_zone_evacuated() && !self.has_crashed()
     }
 
-    /// True while it is cold: it bears few requests a second, which its coordinator counts.
+    /// True while it is cold, so that its coordinator limits its request rate.
     pub fn is_cold(&self, now: Instant) -> bool {
         let since = now.saturating_duration_since(self.started);
         millis(since) < self.cold_until_ms.load(Ordering::Relaxed)
     }
 
-    /// It stays cold until then, if it is not for longer already.
+    /// Extends the warmup to `until`, if it doesn't last longer already.
     pub fn set_cold_until(&self, until: Instant) {
         self.change_warmth(|warmth| warmth.extend(until));
     }
 
-    /// Its row was seen at `seen` and says that it stays cold for `left`; zero says that it is warm.
+    /// Applies a row seen at `seen`: `left` is the remaining warmup, zero if the replica is warm.
     pub fn note_row_warmup(&self, left: Duration, seen: Instant) {
         self.change_warmth(|warmth| warmth.apply_row(left, seen));
     }
 
-    /// The configuration tells how replicas of its service warm up.
+    /// Sets the warmup that the configuration defines for its service.
     pub fn set_service_warmup(&self, warmup: Option<Warmup>) {
         self.change_warmth(|warmth| warmth.set_service(warmup));
     }
 
-    /// How replicas of its service warm up.
+    /// Returns the warmup of its service.
     pub fn service_warmup(&self) -> Option<Warmup> {
         lock(&self.warmth).service()
     }
 
-    /// How much longer it is taken for cold.
+    /// Returns the remaining time for which it is considered cold.
     pub fn remaining_warmup(&self, now: Instant) -> Duration {
         let until = lock(&self.warmth).cold_until();
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
@@ -263,12 +262,12 @@
         change(&mut warmth);
         let until = warmth.cold_until();
         let since = until.map(|until| until.saturating_duration_since(self.started));
-        // Rounded up: it is not warm before its time.
+        // Rounded up, so that the warmup doesn't end early.
         let until_ms = since.map_or(0, |since| millis(since).saturating_add(1));
         self.cold_until_ms.store(until_ms, Ordering::Relaxed);
     }
 
-    /// Requests of this daemon in progress there, of one class.
+    /// Returns this daemon's requests of one class in progress at the replica.
     pub fn own_in_progress(&self, class: WorkClass) -> u32 {
         match class {
             WorkClass::Online => self.own_online.load(Ordering::Relaxed),
@@ -280,7 +279,7 @@
         self.own_in_progress(WorkClass::Online) + self.own_in_progress(WorkClass::Batch)
     }
 
-    /// Takes the other daemons' counts.
+    /// Sets the peers' counts of requests in progress there.
     pub fn set_peer_counts(&self, online: u32, batch: u32) {
         let now = self.now_ms().max(1);
         self.peers_told_at_ms.store(now, Ordering::Relaxed);
@@ -288,7 +287,7 @@
         self.peers_batch.store(batch, Ordering::Relaxed);
     }
 
-    /// A peer was asked to end a batch item there.
+    /// Decrements the peers' batch items after a peer was requested to preempt one.
     pub fn note_peer_preemption(&self) {
         let one_less = |batch: u32| batch.checked_sub(1);
         let _ = self
@@ -296,17 +295,17 @@
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, one_less);
     }
 
-    /// Online requests there, of all daemons.
+    /// Returns the online requests of all daemons there.
     pub fn online(&self) -> u32 {
         self.own_in_progress(WorkClass::Online) + self.peers_online.load(Ordering::Relaxed)
     }
 
-    /// Batch items there, of all daemons.
+    /// Returns the batch items of all daemons there.
     pub fn batch(&self) -> u32 {
         self.own_in_progress(WorkClass::Batch) + self.peers_batch.load(Ordering::Relaxed)
     }
 
-    /// Estimated requests running and waiting there.
+    /// Returns the estimated number of requests running and waiting there.
     pub fn load(&self) -> u32 {
         let counted = self.online() + self.batch();
         let Some(report) = *lock(&self.report) else {
@@ -320,23 +319,23 @@
         counted.max(now)
     }
 
-    /// True if not all requests there have a slot, and batch items hold some.
+    /// True if some requests have no slot while batch items hold some.
     pub fn is_crowded_by_batch(&self) -> bool {
         self.batch() > 0 && self.load() > self.slots()
     }
 
-    /// Age of the last load word, milliseconds.
+    /// Returns the age of the last load report, milliseconds.
     pub fn report_age_ms(&self) -> Option<u64> {
         lock(&self.report).map(|report| millis(harrierward_clock::age(report.at)))
     }
 
-    /// Age of the other daemons' counts, milliseconds.
+    /// Returns the age of the peers' counts, milliseconds.
     pub fn peers_age_ms(&self) -> Option<u64> {
         let at = self.peers_told_at_ms.load(Ordering::Relaxed);
         (at > 0).then(|| self.now_ms().saturating_sub(at))
     }
 
-    /// Takes the replica's word on its load.
+    /// Applies a load report of the replica.
     pub fn note_load(&self, word: ReplicaLoad) {
         let report = LoadReport {
             word,
@@ -346,7 +345,7 @@
         *lock(&self.report) = Some(report);
     }
 
-    /// The replica refused a request because it is full.
+    /// Records a refusal for lack of capacity as a load report.
     pub fn note_full(&self) {
         let word = ReplicaLoad {
             running: self.slots(),
@@ -356,18 +355,18 @@
         self.note_load(word);
     }
 
-    /// Bytes came from the replica.
+    /// Records that bytes arrived from the replica.
     pub fn note_progress(&self) {
         self.ended_until_ms.store(0, Ordering::Relaxed);
         self.suspicion.note_progress(self.listened_ms());
     }
 
-    /// Time since bytes last came from the replica, as far as this daemon could hear them: suspensions are left out.
+    /// Returns the time since bytes last arrived from the replica, excluding suspensions of this machine.
     pub fn time_since_progress(&self) -> Duration {
         Duration::from_millis(self.suspicion.ms_since_progress(self.listened_ms()))
     }
 
-    /// Avoids the replica for a while: longer each time that nothing comes from it in between.
+    /// Avoids the replica for a while, longer after each failure without progress in between.
     pub fn suspect(&self) {
         self.suspicion.note_failure(self.now_ms());
     }
@@ -377,24 +376,24 @@
         self.suspicion.was_raised() && self.suspicion.is_active(self.now_ms())
     }
 
-    /// Tokens at the beginning of the prompt that the replica probably keeps.
+    /// Returns the length of the prompt's prefix that the replica probably caches.
     pub fn cached_tokens(&self, prompt: &Prompt) -> u32 {
         lock(&self.memory).cached_tokens(prompt)
     }
 
-    /// The prompt was read by the replica.
+    /// Records that the prompt was sent to the replica.
     pub fn note_prompt(&self, prompt: &Prompt) {
         lock(&self.memory).note(prompt);
     }
 
-    /// Counts a request for as long as the guard lives, and keeps its place.
+    /// Counts a request, and keeps its lease, until the guard is dropped.
     pub fn enter(self: &Arc<Self>, class: WorkClass, place: Option<SlotLease>) -> InProgress {
         self.count(class).fetch_add(1, Ordering::Relaxed);
         self.in_progress.fetch_add(1, Ordering::Relaxed);
         InProgress::new(self.clone(), class, place)
     }
 
-    /// A request that was counted has ended.
+    /// Removes a request from the counts.
     pub(crate) fn leave(&self, class: WorkClass) {
         self.count(class).fetch_sub(1, Ordering::Relaxed);
         self.in_progress.fetch_sub(1, Ordering::Relaxed);
--- a/crates/serving/src/replica_set.rs
+++ b/crates/serving/src/replica_set.rs
@@ -1,4 +1,4 @@
-//! The replicas that discovery names, as a whole: read without locks, replaced when the list or the evacuated zones change.
+//! Set of all listed replicas, read without locks and replaced when the list or the evacuated zones change.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,8 +13,8 @@
 use crate::selection::preference_weight;
 use crate::topology::Location;
 
-/// How long a replica whose record vanished is still used if its service has no other: records also vanish while
-/// the store is down.
+/// Time for which a replica whose record vanished is still used if its service has no other; records also vanish
+/// while the store is down.
 const VANISHED_LIFETIME: Duration = Duration::from_millis(1_700);
 
 #[derive(Debug, Clone)]
@@ -23,20 +23,20 @@
     at: Instant,
 }
 
-/// The listed replicas of one service.
+/// Listed replicas of one service.
 #[derive(Debug, Default)]
 struct ServiceReplicas {
-    /// In order of id.
+    /// Ordered by id.
     list: Vec<Arc<Replica>>,
-    /// Hashes of the zones that they are in, in order, each once.
+    /// Hashes of their zones, ordered, without duplicates.
     zones: Vec<u32>,
-    /// Hashes of their regions, likewise.
+    /// Hashes of their regions, ordered, without duplicates.
     regions: Vec<u32>,
-    /// Found when first asked for: most daemons never choose for long prompts of most services.
+    /// Ids of the replicas for long prompts; computed on first use, as most daemons need it for few services.
     long_prompt_affinity: OnceLock<HashSet<String>>,
 }
 
-/// All replicas at one moment. The next view shares with this one what has not changed.
+/// Snapshot of all replicas; shares unchanged parts with its successor.
 #[derive(Debug, Default, Clone)]
 pub struct ReplicaView {
     by_id: imbl::HashMap<String, Arc<Replica>>,
@@ -46,7 +46,7 @@
 }
 
 impl ReplicaView {
-    /// Replicas of a service that take new work, ready ones first; those that vanished only if there are no others.
+    /// Returns the replicas of a service that accept work; vanished ones only if there are no others.
     pub fn usable(&self, service: &str) -> Vec<Arc<Replica>> {
         let listed = self.listed(service);
         let ready: Vec<Arc<Replica>> = listed
@@ -67,14 +67,14 @@
             .collect()
     }
 
-    /// True if any replica of the service takes new work in these regions.
+    /// True if a replica of the service accepts work in one of these regions.
     pub fn has_usable(&self, service: &str, regions: &AllowedRegions) -> bool {
         let fits = |replica: &Arc<Replica>| regions.allows(&replica.record.region);
         let is_ready = |replica: &Arc<Replica>| replica.accepts_work() && fits(replica);
         self.listed(service).iter().any(is_ready) || self.usable(service).iter().any(fits)
     }
 
-    /// The name of a service and its listed replicas, from the hash of the name.
+    /// Returns the name and the listed replicas of the service whose name has this hash.
     pub fn service_by_hash(&self, hash: u32) -> Option<(&str, &[Arc<Replica>])> {
         let named = self.by_service.iter();
         let mut named = named.filter(|(name, _)| short_hash(name) == hash);
@@ -83,52 +83,52 @@
             .map(|(name, replicas)| (name.as_str(), &replicas.list[..]))
     }
 
-    /// All listed replicas of a service.
+    /// Returns the listed replicas of a service, ordered by id.
     pub fn listed(&self, service: &str) -> &[Arc<Replica>] {
         let replicas = self.by_service.get(service);
         replicas.map_or(&[][..], |replicas| &replicas.list)
     }
 
-    /// Hashes of the zones in which the service has replicas, each once.
+    /// Returns the hashes of the zones in which the service has replicas, without duplicates.
     pub fn zones(&self, service: &str) -> &[u32] {
         let replicas = self.by_service.get(service);
         replicas.map_or(&[][..], |replicas| &replicas.zones)
     }
 
-    /// Hashes of the regions in which the service has replicas, each once.
+    /// Returns the hashes of the regions in which the service has replicas, without duplicates.
     pub fn regions(&self, service: &str) -> &[u32] {
         let replicas = self.by_service.get(service);
         replicas.map_or(&[][..], |replicas| &replicas.regions)
     }
 
-    /// Names of the services that have replicas.
+    /// Returns the names of the services with listed replicas.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         self.by_service.keys().map(String::as_str)
     }
 
-    /// A replica by the hash of its start.
+    /// Returns a replica by the hash of its instance.
     pub fn by_hash(&self, hash: u32) -> Option<&Arc<Replica>> {
         self.by_hash.get(&hash)
     }
 
-    /// True if the replica is among those for long prompts.
+    /// True if the replica is one of those for long prompts.
     pub fn has_long_prompt_affinity(&self, id: &str) -> bool {
         let service = self.by_id.get(id).map(|one| &one.record.service);
         let replicas = service.and_then(|service| self.by_service.get(service));
         replicas.is_some_and(|replicas| replicas.long_prompt_affinity().contains(id))
     }
 
-    /// All listed replicas.
+    /// Returns all listed replicas, in no particular order.
     pub fn all(&self) -> impl Iterator<Item = &Arc<Replica>> {
         self.by_id.values()
     }
 
-    /// A replica by id.
+    /// Returns a replica by id.
     pub fn get(&self, id: &str) -> Option<&Arc<Replica>> {
         self.by_id.get(id)
     }
 
-    /// Number of replicas listed.
+    /// Returns the number of listed replicas.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
@@ -139,30 +139,28 @@
     }
 }
 
-/// The replicas, read without locks.
+/// Current [`ReplicaView`], read without locks.
 #[derive(Debug, Default)]
 pub struct ReplicaSet {
     view: ArcSwap<ReplicaView>,
     evacuated_zones: ArcSwap<HashSet<String>>,
     in_progress: Arc<AtomicUsize>,
-    /// Held while a view is made from the one before: a new list and a change of the zones come from different tasks.
+    /// Serializes updates: the list and the evacuated zones are changed by different tasks.
     changing: Mutex<()>,
 }
 
 impl ReplicaSet {
-    /// The replicas now.
+    /// Returns the current snapshot.
     pub fn view(&self) -> Arc<ReplicaView> {
         self.view.load_full()
     }
 
-    /// True if no request of this daemon is in progress at any replica, also at none that is no longer listed: nobody then needs to look
-    /// through all replicas for those that have some.
+    /// True if no request of this daemon is in progress at any replica, listed or not.
     pub fn is_idle(&self) -> bool {
         self.in_progress.load(Ordering::Relaxed) == 0
     }
 
-    /// Takes a whole new list; counts and memory of replicas that stay are kept. None is seen in service while its zone
-    /// is evacuated.
+    /// Replaces the full list; the state of replicas that stay is kept.
     pub fn replace(&self, records: Vec<ReplicaRecord>, memory_tokens: impl Fn(&str) -> u64) {
         let old = self.view();
         let named: HashSet<&str> = records.iter().map(|record| record.id.as_str()).collect();
@@ -171,8 +169,8 @@
         self.update(records, &gone, memory_tokens);
     }
 
-    /// Takes what has changed: records that are new or other than before, and ids of replicas that are not listed any more. What
-    /// this costs follows from the changes, and only a copy of pointers from the number of replicas.
+    /// Applies new or changed records, and the ids of removed replicas. Apart from copying pointers, the cost depends
+    /// on the number of changes only.
     pub fn update(
         &self,
         changed: Vec<ReplicaRecord>,
@@ -195,7 +193,7 @@
         self.view.store(Arc::new(next_view(&old, &changed, gone)));
     }
 
-    /// Takes the names of all zones that are evacuated; it holds for replicas that are listed later too.
+    /// Sets the evacuated zones, which also apply to replicas listed later.
     pub fn set_evacuated_zones(&self, zones: HashSet<String>) {
         let _changing = lock(&self.changing);
         let mut view = ReplicaView::clone(&self.view());
@@ -213,7 +211,7 @@
     }
 }
 
-/// The view that follows from `old` by these changes.
+/// Applies changes to the view `old`.
 fn next_view(old: &ReplicaView, changed: &[Arc<Replica>], gone: &[String]) -> ReplicaView {
     let mut view = old.clone();
     let mut edits: HashMap<String, ServiceEdit> = HashMap::new();
@@ -241,7 +239,7 @@
     view
 }
 
-/// What changes in the list of one service.
+/// Changes to the list of one service.
 #[derive(Default)]
 struct ServiceEdit {
     gone: HashSet<String>,
@@ -256,7 +254,7 @@
 }
 
 impl ReplicaView {
-    /// Another start may have taken the hash meanwhile.
+    /// Removes the hash unless another instance already uses it.
     fn forget_hash(&mut self, replica: &Arc<Replica>) {
         let known = self.by_hash.get(&replica.hash);
         if known.is_some_and(|known| Arc::ptr_eq(known, replica)) {
@@ -275,7 +273,7 @@
             self.by_service.remove(&service);
             return;
         }
-        // Nearly sorted: what stays is in order.
+        // Cheap, since the remaining replicas are in order already.
         list.sort_by(|left, right| left.record.id.cmp(&right.record.id));
         let replicas = ServiceReplicas {
             zones: areas_of(&list, |location| location.zone),
@@ -294,7 +292,7 @@
     }
 }
 
-/// The areas that replicas are in, in order, each once.
+/// Hashes of the replicas' areas, ordered, without duplicates.
 fn areas_of(list: &[Arc<Replica>], area: impl Fn(Location) -> u32) -> Vec<u32> {
     let areas: BTreeSet<u32> = list.iter().map(|one| area(one.location)).collect();
     areas.into_iter().collect()
@@ -303,10 +301,11 @@
 /// Share of a service's replicas that take the long prompts, in percent.
 const HOME_PERCENT: usize = 33;
 
-/// Fewest replicas that take the long prompts.
+/// Minimum number of replicas that take the long prompts.
 const FEWEST_HOMES: usize = 2;
 
-/// Replicas for long prompts: the first in an order that all daemons share. A service with too few replicas has none.
+/// Ids of the replicas for long prompts: the first of a ranking that is the same on all daemons. Empty if the service
+/// has too few replicas.
 fn homes(list: &[Arc<Replica>]) -> Vec<String> {
     let mut ready: Vec<&Arc<Replica>> = list.iter().filter(|one| one.accepts_work()).collect();
     let count = (ready.len() * HOME_PERCENT / 100).max(FEWEST_HOMES);
@@ -329,7 +328,7 @@
         let same = gone
             .iter()
             .find(|gone| gone.replica.record.id == record.id)?;
-        // It comes back with a row that nobody has taken into account, and may have turned cold meanwhile.
+        // The new row has not been applied to the vanished replica, which may have become cold meanwhile.
         same.replica
             .note_row_warmup(record.warmup, harrierward_clock::now());
         Some(same.replica.clone())
@@ -359,7 +358,7 @@
     gone: &[String],
 ) -> HashMap<String, Vec<Vanished>> {
     let now = harrierward_clock::now();
-    // One whose place another start has taken is listed by its name, and so is not among them.
+    // A replica replaced by another instance stays listed under its id, so it isn't among the vanished ones.
     let named = changed.iter().map(|replica| &replica.record.id);
     let named = named.chain(gone).filter(|id| !by_id.contains_key(*id));
     let just_gone = named
--- a/crates/serving/src/request_state.rs
+++ b/crates/serving/src/request_state.rs
@@ -1,4 +1,4 @@
-//! A request on its way: what it asks, how long it may take, where it has been, and what that has shown of it.
+//! State of a request over its attempts: time limits, replicas tried, and what is known of its execution.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,49 +11,46 @@
 use crate::configuration::Route;
 use crate::exchange::ServingRequest;
 
-/// Silence before the first event after which a replica silent to everybody is given up, in percent of the objective.
+/// Share of the objective after which a replica without progress is abandoned before the first event, in percent.
 const DARK_FIRST_PERCENT: u32 = 120;
 
-/// Objectives without a first event after which any replica is given up.
+/// Multiple of the objective after which any replica is abandoned before the first event.
 const LONGEST_FIRST_FACTOR: u32 = 3;
 
-/// Least silence before a replica is given up.
+/// Minimum wait before a replica is abandoned.
 const LEAST_FIRST: Duration = Duration::from_millis(250);
 
-/// One request.
+/// Request in progress over all of its attempts.
 pub(crate) struct RequestState {
-    /// The request.
     pub request: Arc<ServingRequest>,
-    /// Its content.
+    /// Digest under which it may be quarantined.
     pub content: ContentId,
-    /// Its route.
     pub route: Arc<Route>,
-    /// The service that its turn fell to.
+    /// Service chosen by the route's weights.
     pub service: String,
-    /// Its time.
     pub clock: RequestClock,
-    /// Replicas that were tried.
+    /// Ids of the replicas tried.
     pub tried: Vec<String>,
-    /// Replicas to which it was sent and that may have run it.
+    /// Number of replicas that may have run it, except those in `forgiven`.
     pub sends: u32,
-    /// What the attempts so far have shown of its execution.
+    /// What the attempts have shown of its execution.
     pub execution: Execution,
-    /// Replicas that ended while they ran it, and do not count among `sends`.
+    /// Number of replicas that crashed while running it, excluded from `sends`.
     pub forgiven: u32,
-    /// Its caller has been refused or cut off before.
+    /// True if the caller was probably refused or cut off before.
     pub is_return: bool,
-    /// Its objective had passed before it came, and it leaves slots to those that can be in time.
+    /// True if its objective had passed on arrival, so that it uses spare slots only.
     pub overdue: bool,
 }
 
-/// Most replicas that may end under one try without counting: as many as it takes to tell whether it is to blame.
+/// Maximum number of crashes excluded from the attempts; suffices to decide whether the content is the cause.
 const MOST_FORGIVEN: u32 = 3;
 
-/// Part of the time that a caller has left for which it still heeds when to come back.
+/// Divisor of the caller's timeout that gives the longest acceptable retry interval.
 const RETURN_PART: u32 = 3;
 
 impl RequestState {
-    /// The replica that ran it last has ended, and does not count.
+    /// Excludes the last attempt from the count, because its replica crashed.
     pub fn forgive(&mut self) {
         if self.forgiven < MOST_FORGIVEN && self.sends > 0 {
             self.forgiven += 1;
@@ -61,8 +58,8 @@
         }
     }
 
-    /// Longest time after which the caller still comes back; `None` for one that has come back before, which is not
-    /// sent away again, and for one that waits without a bound.
+    /// Longest acceptable retry interval; `None` for a caller that has retried already, which must be placed, and for
+    /// one without a timeout.
     pub fn max_retry_after(&self) -> Option<Duration> {
         self.request
             .timeout
@@ -71,7 +68,7 @@
     }
 }
 
-/// How long a request may still take.
+/// Time limits of a request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RequestClock {
     pub arrived: Instant,
@@ -80,7 +77,7 @@
 }
 
 impl RequestClock {
-    /// The time of a request that arrived then: it is held for the route's time-out or its caller's patience.
+    /// Holds the request for the shorter of the route's and the caller's timeout.
     pub fn new(arrived: Instant, request: &ServingRequest, route: &Route) -> Self {
         let held = request
             .timeout
@@ -92,13 +89,13 @@
         }
     }
 
-    /// Time for which the request may still be held.
+    /// Remaining time for which the request may be held.
     pub fn hold_left(&self) -> Duration {
         self.hold_until
             .saturating_duration_since(harrierward_clock::now())
     }
 
-    /// Bounds of the attempt numbered `number`, from 1.
+    /// Time limits of the attempt `number`, counted from 1.
     pub fn attempt_times(&self, route: &Route, number: u32) -> AttemptTimeouts {
         let left = self.hold_left();
         let time_left = self.deadline.map(|_| left);
--- a/crates/serving/src/response.rs
+++ b/crates/serving/src/response.rs
@@ -1,4 +1,4 @@
-//! What a caller gets: a replica's answer, or a refusal that says whether the request has run.
+//! Result for the caller: a replica's response, or a refusal that states whether the request may have run.
 
 use std::time::Duration;
 
@@ -9,50 +9,50 @@
 
 use crate::relay::ResponseAborted;
 
-/// Bytes for the caller. An error means that the connection must be broken off, so that the answer does not
-/// look complete.
+/// Response body for the caller. On an error the connection must be aborted, so that the response doesn't seem
+/// complete.
 pub type CallerBody = BoxStream<'static, Result<Bytes, ResponseAborted>>;
 
-/// A replica's answer on its way to the caller.
+/// Response of a replica, relayed to the caller.
 pub struct CallerResponse {
-    /// Status.
+    /// HTTP status.
     pub status: u16,
-    /// Headers.
+    /// Headers of the replica, passed through.
     pub headers: HeaderMap,
-    /// Body.
+    /// Body, relayed as it arrives.
     pub body: CallerBody,
 }
 
-/// Why a request is refused or given up.
+/// Reason why a request is refused or abandoned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RefusalCause {
-    /// No configuration is known yet.
+    /// No configuration has been received yet.
     NoConfiguration,
-    /// No route matches.
+    /// No route matches host and path.
     NoRoute,
-    /// The route asks for a key, and there is none.
+    /// The route requires a key, and the request has none.
     NoKey,
     /// No tenant has the key.
     UnknownKey,
-    /// Too long out of contact to tell whether the route or the key exists.
+    /// The configuration is too old to decide whether the route or the key exists.
     StaleConfiguration,
-    /// The tenant is at the limit of its rate.
+    /// The tenant has reached its rate limit.
     RateLimited,
-    /// Nobody who counts the tenant's requests can be asked.
+    /// No process that counts the tenant's requests can be reached.
     RateUnknown,
-    /// The service has no replica that takes work.
+    /// No replica of the service accepts work.
     NoReplica,
-    /// All replicas tried are full.
+    /// All replicas tried were full.
     Full,
-    /// It would be late now, and can be in time a moment later.
+    /// The request would miss its objective now, but not after a delay.
     Overloaded,
-    /// The time ran out before any replica took it.
+    /// The time ran out before any replica accepted the request.
     NoTimeLeft,
-    /// The time ran out while it may have run.
+    /// The time ran out while the request may have run.
     TimedOut,
-    /// A replica broke off, and the request must not run again.
+    /// A replica failed during the request, which must not run again.
     Broken,
-    /// Replicas have ended each time that they ran it: it is sent to none.
+    /// The content is quarantined, because replicas crashed whenever they ran it.
     Quarantined,
     /// The daemon is stopping.
     Stopping,
@@ -64,7 +64,7 @@
         !matches!(self, Self::TimedOut | Self::Broken)
     }
 
-    /// The cause that is told of a request of which this is known.
+    /// Cause to report for a request whose execution may have begun.
     fn after(self, execution: Execution) -> Self {
         match self {
             _ if execution.is_not_run() => self,
@@ -74,12 +74,12 @@
         }
     }
 
-    /// True if the same request may be served later.
+    /// True if the same request may succeed later.
     pub fn is_transient(self) -> bool {
         self.is_not_run() && !matches!(self, Self::NoRoute | Self::NoKey | Self::UnknownKey)
     }
 
-    /// Name for logs.
+    /// Returns the name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no_configuration",
@@ -100,7 +100,7 @@
         }
     }
 
-    /// HTTP status: 503 promises that the request has not run.
+    /// Returns the HTTP status. 503 promises that the request has not run.
     pub fn status(self) -> u16 {
         match self {
             Self::NoRoute => 404,
@@ -121,7 +121,8 @@
     }
 }
 
-/// A final answer without a replica's. Status and pause follow from what is known of the request's execution.
+/// Final response of the daemon itself. Status and retry interval follow from what is known of the request's
+/// execution.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     cause: RefusalCause,
@@ -129,7 +130,7 @@
 }
 
 impl Refusal {
-    /// The refusal of a request of which this is known; `retry_after` is when to come back if it has not run.
+    /// Creates a refusal; `retry_after` applies only if the request has not run.
     pub fn new(cause: RefusalCause, execution: Execution, retry_after: Option<Duration>) -> Self {
         let cause = cause.after(execution);
         Self {
@@ -138,31 +139,31 @@
         }
     }
 
-    /// The refusal of a request of which nothing was sent.
+    /// Creates the refusal of a request that was sent to no replica.
     pub fn not_run(cause: RefusalCause, retry_after: Option<Duration>) -> Self {
         Self::new(cause, Execution::NotRun, retry_after)
     }
 
-    /// Cause.
+    /// Returns the cause, adjusted to the request's execution.
     pub fn cause(&self) -> RefusalCause {
         self.cause
     }
 
-    /// HTTP status.
+    /// Returns the HTTP status.
     pub fn status(&self) -> u16 {
         self.answer.status()
     }
 
-    /// When to come back, if the request has not run.
+    /// Returns the retry interval; `None` if the request may have run.
     pub fn retry_after(&self) -> Option<Duration> {
         self.answer.retry_after()
     }
 }
 
-/// What became of a request.
+/// Result of [`Forwarder::forward`](crate::Forwarder::forward).
 pub enum Reply {
-    /// A replica's answer.
+    /// Response of a replica.
     Response(CallerResponse),
-    /// A refusal.
+    /// Refusal by the daemon.
     Refusal(Refusal),
 }
--- a/crates/serving/src/routes.rs
+++ b/crates/serving/src/routes.rs
@@ -1,4 +1,4 @@
-//! Finding a request's route, and the service that its turn falls to.
+//! Route lookup by host and path, and the weighted choice of a service.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,31 +7,31 @@
 
 use crate::configuration::{Route, ServingConfiguration, WeightedService};
 
-/// The odd multiplier of a golden-ratio sequence: any run of consecutive turns is spread evenly over the weights.
+/// Multiplier of a golden-ratio sequence, which spreads any run of consecutive turns evenly over the weights.
 const GOLDEN_RATIO: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// One route, its turn counter, and what was observed of its callers.
+/// Route with its turn counter and the observed timeouts of its callers.
 #[derive(Debug)]
 pub struct RouteEntry {
-    /// The route.
+    /// Configuration of the route.
     pub route: Route,
     turn: Arc<AtomicU64>,
     patience: Arc<ObservedPatience>,
 }
 
-/// How long a route's callers wait at the most, as far as was observed.
+/// Longest timeout observed of a route's callers.
 #[derive(Debug, Default)]
 struct ObservedPatience {
     longest_ms: AtomicU64,
     callers: AtomicU64,
 }
 
-/// Callers of a route that must have come before the longest of their waits is taken for the usual one. Until then
-/// the route's timeout is: right after a daemon has started, most callers have been refused or cut off before.
+/// Number of callers after which their longest timeout replaces the route's timeout as the usual one. Right after a
+/// start most callers are retries, whose timeouts are shorter.
 const CALLERS_TO_KNOW_PATIENCE: u64 = 16;
 
 impl ObservedPatience {
-    /// Takes one caller's patience into account. Returns the longest of all before.
+    /// Records a caller's timeout. Returns the longest one before it.
     fn observe(&self, patience_ms: u64, timeout: Duration) -> u64 {
         let longest_ms = self.longest_ms.fetch_max(patience_ms, Ordering::Relaxed);
         let callers = self.callers.fetch_add(1, Ordering::Relaxed);
@@ -48,8 +48,8 @@
 }
 
 impl RouteEntry {
-    /// Takes a request's patience into account. True if its objective has probably passed already: callers of the
-    /// route wait longer at their first attempt, by more than the objective, so this is one of their later ones.
+    /// Records the caller's timeout. True if the objective has probably passed: the timeout is shorter than that of
+    /// first attempts by more than the objective, so this is a retry.
     pub fn is_overdue(&self, patience: Option<Duration>) -> bool {
         let Some(patience) = patience else {
             return false;
@@ -60,20 +60,19 @@
         used > self.route.objective
     }
 
-    /// The service that the next request of the route goes to.
+    /// Returns the service for the route's next request.
     pub fn next_service(&self) -> Option<&str> {
         let turn = self.turn.fetch_add(1, Ordering::Relaxed);
         pick_by_weight(&self.route.services, turn.wrapping_mul(GOLDEN_RATIO))
     }
 }
 
-/// Where a route's turns begin: at another place on each daemon, or the first requests of a large fleet's daemons
-/// would all fall to the same service.
+/// Random first turn, so that the first requests of many daemons don't all go to the same service.
 fn first_turn() -> Arc<AtomicU64> {
     Arc::new(AtomicU64::new(rand::random()))
 }
 
-/// The service on which a point of the weights' line falls; the line is scaled to the whole range of `u64`.
+/// Service at `point` of the cumulated weights, which are scaled to the range of `u64`.
 fn pick_by_weight(services: &[WeightedService], point: u64) -> Option<&str> {
     let total: u64 = services
         .iter()
@@ -94,16 +93,16 @@
     None
 }
 
-/// All routes of a configuration, by host.
+/// Routes of a configuration, by host.
 #[derive(Debug, Default)]
 pub struct RouteTable {
-    /// The configuration that the table was built from.
+    /// Configuration from which the table was built.
     pub configuration: ServingConfiguration,
     hosts: HashMap<String, Vec<Arc<RouteEntry>>>,
 }
 
 impl RouteTable {
-    /// Builds the table; turn counters of routes that stay go on from `previous`.
+    /// Builds the table; routes that stay keep their turn counters and observed timeouts from `previous`.
     pub fn build(configuration: ServingConfiguration, previous: Option<&RouteTable>) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<RouteEntry>>> = HashMap::new();
         for route in &configuration.routes {
@@ -134,7 +133,7 @@
             .find(|entry| entry.route.name == name)
     }
 
-    /// The route of `host` with the longest prefix that begins `path`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteEntry>> {
         let entries = self.hosts.get(host).or_else(|| {
             let lower = host.to_ascii_lowercase();
--- a/crates/serving/src/selection.rs
+++ b/crates/serving/src/selection.rs
@@ -1,44 +1,42 @@
-//! Choosing a replica: pure, by expected time to the first token.
+//! Cost-based choice of a replica by expected time to the first token.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::policy::{Mechanism, Policy};
 
-/// Prices of the choice.
+/// Cost parameters of the choice.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SelectionCosts {
-    /// Prompt tokens read in a millisecond.
+    /// Prefill speed, prompt tokens per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// Cost of a replica whose slots are all but taken, milliseconds; grows with the square of the load before.
+    /// Cost of a replica with nearly all slots taken, milliseconds; proportional to the square of its load.
     pub full_ms: f64,
-    /// Cost of each request that waits for a slot, milliseconds, times the slots.
+    /// Cost of each request that waits for a slot, milliseconds, divided by the slots.
     pub waiting_ms: f64,
     /// Cost of a replica in another zone, milliseconds.
     pub other_zone_ms: f64,
-    /// Cost of a replica in another region, milliseconds: what a crossing must spare a request beyond the time on the
-    /// way. More than one request's wait at a full replica of eight slots and less than two requests', so that a region
-    /// keeps its requests until they would queue; an operator whose lines between regions are dearer sets more.
+    /// Cost of a replica in another region beyond the round trip, milliseconds. The default lies between the waits
+    /// behind one and two queued requests at a replica of eight slots, so requests leave only to avoid a queue.
     pub other_region_ms: f64,
-    /// Cost of a replica to which the asker keeps no connection, milliseconds: a round trip between zones and the
-    /// replica's work for a new connection (1 ms on the users' sites). Less than what one more request costs at a
-    /// replica that is a third full, so that it decides only among replicas that are alike.
+    /// Cost of opening a connection, milliseconds. Less than one more request at a replica that is a third full, so
+    /// that it only decides between replicas of similar load.
     pub new_connection_ms: f64,
-    /// Cost of a replica that was lately silent, milliseconds.
+    /// Cost of a recently failed or unresponsive replica, milliseconds.
     pub suspected_ms: f64,
-    /// Share of uncached shared tokens that counts at the replica which all daemons prefer for the prompt.
+    /// Factor for uncached shared tokens at the replica that all daemons prefer for the prompt.
     pub preferred_share: f64,
-    /// Cost of a replica that is not among those for long prompts, for a long prompt, milliseconds.
+    /// Cost of a long prompt at a replica that isn't for long prompts, milliseconds.
     pub long_without_affinity_ms: f64,
-    /// Cost of a replica for long prompts, for a short one, milliseconds.
+    /// Cost of a short prompt at a replica for long prompts, milliseconds.
     pub short_among_long_ms: f64,
-    /// Largest random addition, so that daemons with the same view do not all choose the same, milliseconds.
+    /// Maximum random addition, milliseconds, so that daemons with the same view don't all choose the same replica.
     pub jitter_ms: f64,
     /// Mechanisms in use.
     pub policy: Policy,
 }
 
 impl SelectionCosts {
-    /// The prices under a policy.
+    /// Returns the default costs without those of mechanisms that are switched off.
     pub fn under(policy: Policy) -> Self {
         let mut costs = Self {
             policy,
@@ -80,43 +78,43 @@
     }
 }
 
-/// A replica's place in the separation of long prompts from short ones, for one request.
+/// How well a replica fits the length class of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Separation {
-    /// As good as any.
+    /// The replica suits the prompt, or lengths aren't separated.
     Fits,
-    /// A long prompt would leave the replicas for long prompts.
+    /// A long prompt at a replica that isn't for long prompts.
     LongWithoutAffinity,
-    /// A short prompt would wait behind long ones.
+    /// A short prompt that would queue behind long ones.
     ShortAmongLong,
 }
 
-/// One replica as the choice sees it.
+/// Properties of a replica that the choice depends on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
     /// Requests running and waiting.
     pub load: u32,
-    /// Those of them that give way to online requests at once.
+    /// Those of them that an online request preempts.
     pub preemptible: u32,
-    /// Requests it works on at once.
+    /// Requests that it serves concurrently.
     pub slots: u32,
-    /// Shared prompt tokens that it does not keep.
+    /// Shared prompt tokens that it probably doesn't cache.
     pub uncached_shared_tokens: u32,
-    /// All daemons prefer it for prompts that begin like this one.
+    /// True for the replica that all daemons prefer for prompts with the same shared parts.
     pub preferred: bool,
-    /// In the daemon's own zone.
+    /// True in the daemon's own zone.
     pub own_zone: bool,
-    /// In the daemon's own region.
+    /// True in the daemon's own region.
     pub own_region: bool,
-    /// The daemon keeps a connection to it.
+    /// True if the daemon has an open connection to it.
     pub connected: bool,
-    /// Where it stands to the separation of long prompts from short ones.
+    /// Fit for the prompt's length class.
     pub separation: Separation,
-    /// Was silent or broke lately.
+    /// True if it recently failed or was unresponsive.
     pub suspected: bool,
 }
 
-/// Expected cost of a candidate, milliseconds.
+/// Returns the expected cost of a candidate, milliseconds.
 pub fn cost(costs: &SelectionCosts, candidate: &Candidate) -> f64 {
     let share = if candidate.preferred {
         costs.preferred_share
@@ -158,14 +156,14 @@
     costs.full_ms * fill * fill + expected_wait_ms(costs, staying, candidate.slots)
 }
 
-/// Expected wait for a slot at a replica with so many requests that stay before this one, milliseconds.
+/// Returns the expected wait for a slot behind `staying` requests that can't be preempted, milliseconds.
 pub fn expected_wait_ms(costs: &SelectionCosts, staying: u32, slots: u32) -> f64 {
     let slots = f64::from(slots.max(1));
     let waiting = (f64::from(staying) + 1.0 - slots).max(0.0);
     costs.waiting_ms * waiting / slots
 }
 
-/// Position of the cheapest candidate; `jitter` gives numbers from 0 to 1.
+/// Returns the position of the cheapest candidate; `jitter` returns numbers from 0 to 1.
 pub fn choose(
     costs: &SelectionCosts,
     candidates: &[Candidate],
@@ -181,7 +179,8 @@
     best.map(|(position, _)| position)
 }
 
-/// Weight of a replica for a prompt part; the greatest weight is the preferred replica (rendezvous hashing).
+/// Returns the weight of a replica for a prompt part; the greatest weight marks the preferred replica (rendezvous
+/// hashing).
 pub fn preference_weight(part: u64, replica: &str) -> u64 {
     xxh3_64_with_seed(replica.as_bytes(), part)
 }
--- a/crates/serving/src/suspicion.rs
+++ b/crates/serving/src/suspicion.rs
@@ -1,14 +1,13 @@
-//! Whether a replica is avoided for a while, because requests of this daemon failed there.
+//! Temporary avoidance of a replica after failures of this daemon's requests, with exponential backoff.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
-/// How long a replica that broke, refused to connect or was silent is avoided, milliseconds, and how often that
-/// doubles at most.
+/// First duration of the avoidance, milliseconds, and the maximum number of times that it doubles.
 const FIRST_MS: u64 = 500;
 const MOST_DOUBLINGS: u32 = 3;
 
-/// Suspicion of one replica. Times are milliseconds on clocks of the caller's that never go back: one for the suspicion, and one
-/// for progress and silence, which may leave out the time in which the caller could not listen.
+/// Suspicion of one replica. Times are milliseconds on two monotonic clocks of the caller: one for suspicion, and one
+/// for progress, which may exclude time during which the caller could not receive.
 #[derive(Debug, Default)]
 pub struct Suspicion {
     until_ms: AtomicU64,
@@ -17,25 +16,25 @@
 }
 
 impl Suspicion {
-    /// A request failed there: avoids the replica, longer each time that nothing came from it in between.
+    /// Records a failure and starts or extends the avoidance, longer after each failure without progress in between.
     pub fn note_failure(&self, now_ms: u64) {
         let failures = self.failures_in_a_row.fetch_add(1, Ordering::Relaxed);
         let lasting = FIRST_MS << failures.min(MOST_DOUBLINGS);
         self.until_ms.fetch_max(now_ms + lasting, Ordering::Relaxed);
     }
 
-    /// Bytes came from the replica.
+    /// Records that bytes arrived from the replica.
     pub fn note_progress(&self, now_ms: u64) {
         self.failures_in_a_row.store(0, Ordering::Relaxed);
         self.progress_at_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    /// Time since bytes last came, milliseconds.
+    /// Returns the time since bytes last arrived, milliseconds.
     pub fn ms_since_progress(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.progress_at_ms.load(Ordering::Relaxed))
     }
 
-    /// True if a request has ever failed there: else no look at a clock is needed.
+    /// True if any failure was ever recorded; otherwise the caller needn't read a clock.
     pub fn was_raised(&self) -> bool {
         self.until_ms.load(Ordering::Relaxed) > 0
     }
--- a/crates/serving/src/warmth.rs
+++ b/crates/serving/src/warmth.rs
@@ -1,4 +1,4 @@
-//! What a daemon believes of a replica's warmth: cold until when, and by whose word.
+//! Warmup state of a replica, derived from its rows and from the end of its zone's evacuation.
 
 use std::time::Duration;
 
@@ -6,37 +6,36 @@
 
 use crate::configuration::Warmup;
 
-/// Longest time between a change of a replica and the row that tells of it: a heartbeat of 1.2 s, and as much again for a
-/// row that is written late. A row that comes sooner after an assumption may have been written before its cause.
+/// Maximum delay between a change of a replica and the row that shows it: two heartbeats. An earlier row may have
+/// been written before the change.
 const ROW_LAG: Duration = Duration::from_millis(2_400);
 
-/// Longest time for which a replica is taken for cold by one word: far above any warm-up. Rows and configurations may
-/// hold more than a clock can add.
+/// Maximum warmup accepted from a row or configuration, which could otherwise overflow the clock.
 const LONGEST: Duration = Duration::from_secs(3_600);
 
-/// The belief. Pure: callers bring the time.
+/// Time until which a replica is cold; callers pass the current time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Warmth {
     service: Option<Warmup>,
     cold_until: Option<Instant>,
-    /// When it was last assumed cold without its own word.
+    /// Time at which the replica was last assumed cold without a row that states so.
     assumed_at: Option<Instant>,
 }
 
 impl Warmth {
-    /// How its service's replicas warm up; `None` if they need not.
+    /// Returns the warmup of its service; `None` if none is needed.
     pub fn service(&self) -> Option<Warmup> {
         self.service
     }
 
-    /// The configuration tells how the service's replicas warm up.
+    /// Sets the warmup that the configuration defines for its service.
     pub fn set_service(&mut self, warmup: Option<Warmup>) {
         self.service = warmup;
     }
 
-    /// A row of the replica was seen at `seen`, which says that it stays cold for `left` from its writing; zero says
-    /// that it is warm. Counted from when the row was seen, so a row that came late keeps it cold for longer, never for
-    /// less. Shortly after an assumption a row does not shorten it: it may have been written before its cause.
+    /// Applies a row seen at `seen`; `left` is the remaining warmup, zero if the replica is warm. It counts from when
+    /// the row was seen, so a delay only prolongs it. Shortly after an assumption the row can't shorten the warmup,
+    /// since it may be older.
     pub fn apply_row(&mut self, left: Duration, seen: Instant) {
         let until = (!left.is_zero()).then(|| seen + left.min(LONGEST));
         let may_be_older = |assumed: Instant| seen < assumed + ROW_LAG;
@@ -48,7 +47,8 @@
         }
     }
 
-    /// Its zone is in service again: it may have turned cold while nothing was sent there, and its row may not tell yet.
+    /// Assumes the replica cold after its zone's evacuation, during which it may have cooled without a row that shows
+    /// it.
     pub fn note_zone_return(&mut self, now: Instant) {
         let Some(warmup) = self.service else {
             return;
@@ -58,12 +58,12 @@
         self.assumed_at = Some(now);
     }
 
-    /// It stays cold until then, if it is not for longer already.
+    /// Extends the warmup to `until`, if it doesn't last longer already.
     pub fn extend(&mut self, until: Instant) {
         self.cold_until = Some(self.cold_until.map_or(until, |known| known.max(until)));
     }
 
-    /// Until when it is cold; `None` if it is taken for warm.
+    /// Returns the end of the warmup; `None` if the replica is considered warm.
     pub fn cold_until(&self) -> Option<Instant> {
         self.cold_until
     }
--- a/crates/serving/tests/admission.rs
+++ b/crates/serving/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Who may call: by the route, the key, and how long ago the daemon knew its configuration to be the newest.
+//! Guards admission by key: unknown keys are refused, and a daemon with an outdated configuration refuses without
+//! calling a key unknown.
 
 use std::time::Duration;
 
@@ -48,7 +49,7 @@
     }
 }
 
-/// What becomes of a call: the tenant's name, or why it is refused.
+/// Result of an admission: the tenant's name, or the cause of the refusal.
 fn judge(
     has_tenants: bool,
     is_public: bool,
@@ -105,8 +106,8 @@
 }
 
 proptest! {
-    /// Whatever the age: a key that is not known never passes a route that asks for one, a key that is known is never
-    /// called unknown, and under a bound on trust nothing is served beyond it.
+    /// At any configuration age an unknown key never passes a protected route, a known key is never reported as
+    /// unknown, and bounded trust is not exceeded.
     #[test]
     fn no_age_lets_an_unknown_key_pass(
         age_ms in 0..20_000_u64,
--- a/crates/serving/tests/choice.rs
+++ b/crates/serving/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which replica a request goes to in a large service.
+//! Guards the choice of a replica: prefix affinity, preemption, reserved slots, cold replicas and regions.
 
 mod support;
 
@@ -22,7 +22,7 @@
 use support::NoLimits;
 use tokio::time::Instant;
 
-/// Replicas of the service, more than are looked at for one request.
+/// More replicas than the maximum number of candidates.
 const REPLICAS: usize = 120;
 
 const ZONE: &str = "zone-a";
@@ -40,7 +40,7 @@
     }
 }
 
-/// Coordinators that do not answer; counts the slots asked for and the places held.
+/// Leases without a responsive coordinator; counts requested preemptions and leases held.
 #[derive(Default)]
 struct NoCoordinators {
     asked: AtomicUsize,
@@ -151,7 +151,7 @@
 async fn daemons_send_prompts_that_share_a_part_to_the_same_replica_however_many_there_are() {
     for part in 0..20 {
         let mut chosen: HashMap<String, usize> = HashMap::new();
-        // Each daemon sees one request of the part, and nothing of the others'.
+        // Each daemon receives one request and knows nothing of the others'.
         for _ in 0..10 {
             let forwarder = forwarder();
             let request = request(part);
@@ -165,7 +165,7 @@
     }
 }
 
-/// Slots that are asked for when a request goes to a replica with so many others of peers.
+/// Number of preemptions requested when a request goes to replicas with these counts of peers.
 async fn slots_asked_for(item: Option<ItemSlack>, online: u32, batch: u32) -> usize {
     let places = Arc::new(NoCoordinators::default());
     let forwarder = forwarder_over(places.clone());
@@ -243,7 +243,7 @@
     assert!(cost(&costs, &free) < cost(&costs, &of_batch));
 }
 
-/// A kept connection decides among replicas that are alike, and is no reason to wait for a slot.
+/// A connection must decide only between replicas of similar load, not outweigh the wait for a slot.
 #[test]
 fn a_kept_connection_is_worth_less_than_a_free_slot() {
     let costs = SelectionCosts::default();
@@ -276,7 +276,7 @@
     assert!(cost(&costs, &idle) < cost(&costs, &far), "zones first");
 }
 
-/// Nobody counts what a daemon sends that chooses alone, so a cold replica gets nothing from it.
+/// Without a coordinator requests at a cold replica are not counted, so it must get none.
 #[tokio::test]
 async fn without_a_coordinator_nothing_goes_to_a_cold_replica() {
     const WARM: usize = 3;
@@ -304,8 +304,8 @@
     assert!(placement.await.is_none(), "all are cold");
 }
 
-/// Of 24 replicas, a third in each of three regions, five of which a choice looks at: a daemon that finds no
-/// coordinator stays in its region while a replica there answers. Items stay even then.
+/// With more replicas than candidates, requests must not leave the region while a replica there responds, and items
+/// never.
 #[tokio::test]
 async fn a_daemon_that_chooses_itself_stays_in_its_region_while_a_replica_there_answers() {
     let in_region = |number: usize| {
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones, as daemons learn of them from the store and from each other.
+//! Guards against evacuation states that depend on the order of updates from the store and from peers.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// One change in the store; `None` takes the row away.
+/// Change of a zone's row; a removal if not `is_written`.
 #[derive(Debug, Clone)]
 struct Change {
     zone: usize,
@@ -16,7 +16,7 @@
     is_written: bool,
 }
 
-/// The store: all changes so far.
+/// Model of the store: all changes so far.
 #[derive(Default)]
 struct Store {
     changes: Vec<Change>,
@@ -47,7 +47,7 @@
     }
 }
 
-/// What a daemon believes: the real thing, or one that believes whoever spoke last.
+/// State under test, or a faulty implementation in which the last update wins.
 trait Belief: Default {
     fn merge(&mut self, news: &EvacuationUpdate);
     fn news(&self) -> EvacuationUpdate;
@@ -86,7 +86,7 @@
     rows: EvacuationRows,
     listed: BTreeMap<usize, u64>,
     fed_to: u64,
-    /// Words of peers on the way.
+    /// Delayed updates from peers.
     late: Vec<EvacuationUpdate>,
 }
 
@@ -110,7 +110,7 @@
         self.belief.merge(&news);
     }
 
-    /// Follows the feed, which may leave out every other change.
+    /// Follows the change feed; a leaky one skips every other change.
     fn follow(&mut self, store: &Store, is_leaky: bool) {
         let after = self.fed_to;
         let new = store
@@ -137,9 +137,9 @@
     Toggle(usize),
     ReadAll(usize),
     Follow(usize, bool),
-    /// A daemon's word sets out for another one.
+    /// Sends the state of one daemon to another.
     Tell(usize, usize),
-    /// A word that is on the way arrives; which one.
+    /// Delivers one of the delayed updates.
     Hear(usize, usize),
     Restart(usize),
 }
@@ -163,7 +163,7 @@
     standing.map(|(zone, _)| zone.as_str()).collect()
 }
 
-/// What is wrong with a run; `Ok` if nothing is.
+/// Runs the steps; returns the first violation as an error.
 fn play<B: Belief>(steps: &[Step]) -> Result<(), String> {
     let mut store = Store::default();
     store.toggle(0);
@@ -223,7 +223,7 @@
     Ok(())
 }
 
-/// Whoever says that it knows all up to a revision does.
+/// Checks that a state with `complete_at` includes all changes up to that revision.
 fn check_complete(store: &Store, news: &EvacuationUpdate) -> Result<(), String> {
     let mut then = BTreeMap::new();
     let known = store.changes.iter();
@@ -258,7 +258,7 @@
     }
 }
 
-/// A peer that froze while a zone was evacuated tells of it after the end.
+/// A peer that stalled during an evacuation must not revive it; the faulty implementation fails this check.
 #[test]
 fn the_check_finds_out_a_daemon_that_believes_whoever_spoke_last() {
     let steps = [
--- a/crates/serving/tests/failing.rs
+++ b/crates/serving/tests/failing.rs
@@ -1,4 +1,4 @@
-//! A replica that fails at once has the least load of all: the daemon avoids it, and says what its requests came to.
+//! Guards against a replica that attracts requests by failing fast, and against wrong outcomes in lease reports.
 
 mod support;
 
@@ -25,7 +25,7 @@
 
 const OBJECTIVE: Duration = Duration::from_millis(300);
 
-/// What a replica does with each request.
+/// Behaviour of a replica for each request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Conduct {
     Serves,
@@ -40,7 +40,7 @@
     AnswersAnother,
 }
 
-/// The first replica behaves; the others serve.
+/// Client whose first replica has a given behaviour; all others serve.
 struct Replicas {
     first: Conduct,
     sent_to_first: AtomicUsize,
@@ -117,7 +117,7 @@
     answer(request, 200)
 }
 
-/// Leases that the daemon takes itself; keeps what comes back of those at the first replica.
+/// Leases recorded locally; keeps the reports of their release.
 #[derive(Default)]
 struct Leases {
     taken: Mutex<Vec<String>>,
@@ -238,7 +238,7 @@
     }
 }
 
-/// Sends one request and reads its answer to the end.
+/// Sends one request and reads its response to the end.
 async fn call(site: &Site) {
     let reply = site.forwarder.forward(request(), Instant::now()).await;
     if let Reply::Response(answer) = reply {
@@ -257,7 +257,7 @@
     assert!(sent <= 2, "{sent} requests were sent to it");
 }
 
-/// What the lease of a single request at a replica of this conduct comes back with.
+/// Report of the lease of one request at a replica with this behaviour.
 async fn end_at(conduct: Conduct) -> ReleaseReport {
     let site = site(conduct, 1, 1);
     call(&site).await;
@@ -287,7 +287,7 @@
     assert_eq!(slow, Some(OBJECTIVE / 2));
 }
 
-/// A caller that leaves says nothing of the replica.
+/// A caller that leaves must not be counted against the replica.
 #[tokio::test(start_paused = true)]
 async fn a_caller_that_leaves_is_no_evidence() {
     let site = site(Conduct::IsSilent, 1, 1);
@@ -297,7 +297,7 @@
     assert_eq!(ended[0].1, ReleaseReport::default());
 }
 
-/// A request that comes with hardly any time left ends before any replica could have answered it.
+/// A request with too little time for any response must not be counted against the replica.
 #[tokio::test(start_paused = true)]
 async fn a_request_with_hardly_any_time_is_no_evidence() {
     for conduct in [Conduct::IsSilent, Conduct::IsMute] {
--- a/crates/serving/tests/gate.rs
+++ b/crates/serving/tests/gate.rs
@@ -1,5 +1,4 @@
-//! What was granted or chosen earlier is no permission: the gate is asked again when a lease comes and before a request
-//! leaves.
+//! Guards against requests sent on the basis of an outdated choice or lease.
 
 mod support;
 
@@ -24,10 +23,10 @@
 use support::NoLimits;
 use tokio::time::Instant;
 
-/// Replicas in the zone that is evacuated, more than a request is refused by before it is given up.
+/// Replicas in the evacuated zone, more than the maximum number of refusals per request.
 const EVACUATED_REPLICAS: usize = 6;
 
-/// A request as a replica got it: the replica, and where it was to copy its prompt from.
+/// Request received by a replica: the replica's id, and the address of the prefix cache to copy.
 type Sent = (String, Option<String>);
 
 #[derive(Default)]
@@ -61,10 +60,10 @@
     }
 }
 
-/// A coordinator that has not heard of any evacuation.
+/// Coordinator that has not received any evacuation.
 struct Deaf {
     replicas: Arc<ReplicaSet>,
-    /// It says that all of the zone is cold.
+    /// True if it reports the whole zone as cold.
     is_all_cold: bool,
 }
 
@@ -206,7 +205,7 @@
         self.replicas.set_evacuated_zones(zones);
     }
 
-    /// Sends a request to a replica that was chosen for it.
+    /// Sends a request to a chosen replica.
     async fn send_to(&self, choice: Choice) -> Result<(), AttemptFailure> {
         let place = SlotLease::new(self.forwarder.leases().clone(), 1);
         let placement = choice.enter(WorkClass::Online, place);
@@ -256,7 +255,7 @@
     assert_eq!(fixture.client.sent(), [("b".to_owned(), None)]);
 }
 
-/// The coordinator has heard sooner than this daemon that the zone's replicas are cold.
+/// A daemon that chooses itself must avoid a group that its coordinator reports as cold.
 #[tokio::test]
 async fn a_daemon_that_chooses_itself_believes_a_coordinator_that_calls_a_group_cold() {
     let fixture = fixture_before(true);
@@ -293,7 +292,7 @@
     assert_eq!(copies, [Some("a-0:80".to_owned()), None]);
 }
 
-/// Replicas that are listed anew, or come back after they vanished, are in the state of their zone.
+/// Replicas that are listed later, or that vanished and return, must inherit their zone's evacuation.
 #[tokio::test]
 async fn replicas_listed_later_find_their_zone_evacuated() {
     let fixture = fixture();
@@ -306,7 +305,7 @@
     let view = fixture.replicas.view();
     let any = AllowedRegions::Any;
     assert!(view.all().all(|one| !one.accepts_work()));
-    // The replica of the other zone has just vanished from the list, and is used meanwhile.
+    // The replica of the other zone has just vanished from the list and is still used.
     assert!(view.has_usable("model", &any));
     assert!(!view.has_usable("model", &AllowedRegions::only(["near".to_owned()])));
     fixture
--- a/crates/serving/tests/large_set.rs
+++ b/crates/serving/tests/large_set.rs
@@ -1,7 +1,5 @@
-//! What a change of one replica costs among very many.
-//!
-//! The pattern: the replicas of a whole fleet are replaced one after the other, and each of its daemons hears of each change. Where a
-//! change builds the whole list anew, the fleet works for daemons x replicas x changes.
+//! Guards against updates of one replica whose cost, beyond a copy of pointers, grows with the number of replicas. A
+//! rolling restart of a fleet would otherwise cost daemons x replicas x changes.
 
 use std::alloc::System;
 use std::time::Duration;
@@ -26,7 +24,7 @@
     }
 }
 
-/// Bytes that one change allocates among so many replicas, on the mean.
+/// Mean number of bytes allocated per change.
 fn bytes_a_change(replicas: usize) -> usize {
     const CHANGES: usize = 20;
     let set = ReplicaSet::default();
@@ -41,7 +39,7 @@
     region.change().bytes_allocated / CHANGES
 }
 
-/// Eight bytes a replica are the copied pointers; all else does not grow with their number.
+/// Only the pointers, eight bytes per replica, may grow with the number of replicas.
 #[test]
 fn a_change_among_very_many_replicas_copies_pointers_only() {
     for replicas in [10_000, 20_000] {
--- a/crates/serving/tests/not_run.rs
+++ b/crates/serving/tests/not_run.rs
@@ -1,4 +1,4 @@
-//! A refusal may say that the request has not run only if no replica has begun it.
+//! Guards against refusals that claim a request has not run although a replica may have started it.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use support::{Answers, End, Fixture, request};
 use tokio::time::Instant;
 
-/// Statuses by which a caller learns that its request has not run and never will.
+/// Statuses that promise that the request has not run and never will.
 const PROMISES: [u16; 4] = [408, 421, 429, 503];
 
 async fn play(kind: RouteKind, replicas: usize, ends: &[End]) -> (Fixture, Option<Refusal>) {
@@ -25,8 +25,8 @@
     PROMISES.contains(&refusal.status()) || refusal.retry_after().is_some()
 }
 
-/// An answer that is left over from an earlier request of the connection came in the place of this one's, and the replica
-/// ran this one meanwhile. It was a refusal, and was believed before its id was looked at: the caller was told "not run".
+/// A late refusal of an earlier request on the same connection must not be attributed to this one, which the replica
+/// runs meanwhile.
 #[tokio::test(start_paused = true)]
 async fn a_refusal_of_another_request_is_not_taken_for_this_ones() {
     let late = End::Refusal {
@@ -50,8 +50,7 @@
     assert_eq!(refusal.expect("a refusal").status(), 502);
 }
 
-/// Only requests that may be repeated go out on connections that carried others; without an id nobody can tell whose refusal
-/// comes there.
+/// On a reused connection a refusal without an id may belong to an earlier request.
 #[tokio::test(start_paused = true)]
 async fn a_late_refusal_without_an_id_is_no_proof() {
     let late = End::Refusal {
@@ -63,7 +62,7 @@
     assert_eq!(refusal.expect("a refusal").status(), 502);
 }
 
-/// True refusals keep their status and say when to come back.
+/// Genuine refusals must keep their status and retry interval.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_all_replicas_refuse_has_not_run() {
     for answers in [Answers::Own, Answers::Nobody] {
@@ -111,8 +110,8 @@
 }
 
 proptest! {
-    /// Whatever comes of the attempts: no refusal of a request that a replica has begun promises anything, and what may
-    /// run at most once is begun once.
+    /// Whatever the attempts result in, no refusal of a started request may promise that it has not run, and a
+    /// request that must run at most once starts once.
     #[test]
     fn no_request_that_a_replica_has_begun_is_refused_as_not_run(
         kind in any_kind(),
--- a/crates/serving/tests/policy.rs
+++ b/crates/serving/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Switches of the policy.
+//! Guards the parsing of the list of mechanisms to switch off.
 
 use harrierward_serving::{Mechanism, Policy};
 
--- a/crates/serving/tests/ranking.rs
+++ b/crates/serving/tests/ranking.rs
@@ -1,5 +1,5 @@
-//! Orders that all daemons derive for themselves stay what they are: another order in another build would give jobs and prompts two
-//! owners for as long as builds run side by side. The values are those of the build 9319f89.
+//! Guards the stability of rankings and hashes: builds that disagree would give jobs and prompts two owners during an
+//! upgrade.
 
 use harrierward_serving::{preference_weight, short_hash};
 
--- a/crates/serving/tests/replica_set.rs
+++ b/crates/serving/tests/replica_set.rs
@@ -1,4 +1,4 @@
-//! The set of replicas where several tasks change it.
+//! Guards against updates lost between tasks that change the set concurrently.
 
 use std::collections::HashSet;
 use std::sync::Barrier;
@@ -25,7 +25,7 @@
     (0..REPLICAS).map(record).collect()
 }
 
-/// The list comes from one watch and the zones from another, or from a peer: neither may undo the other.
+/// The list and the evacuated zones are updated by different tasks; neither may undo the other.
 #[test]
 fn a_new_list_and_an_evacuation_that_come_together_are_both_in_force() {
     let set = ReplicaSet::default();
--- a/crates/serving/tests/routes.rs
+++ b/crates/serving/tests/routes.rs
@@ -1,4 +1,4 @@
-//! The shares of a split route, over all daemons together.
+//! Guards the split of a route by weights over all daemons, and the detection of overdue requests.
 
 use harrierward_serving::{Route, RouteKind, RouteTable, ServingConfiguration, WeightedService};
 use harrierward_tenants::AllowedRegions;
@@ -50,8 +50,7 @@
     assert!((share - 0.1).abs() < 0.04, "{share}");
 }
 
-/// What a route's callers wait at their first attempt is observed; one that comes with much less has been refused or
-/// cut off before.
+/// A timeout much shorter than that of first attempts marks a retry, whose objective has passed.
 #[test]
 fn a_caller_with_less_patience_than_the_route_s_others_is_overdue() {
     let table = table(1, 0);
@@ -78,7 +77,7 @@
     );
 }
 
-/// Callers that all wait for less than the route's timeout are not overdue once that is known.
+/// Callers whose timeouts are all shorter than the route's must not stay classified as overdue.
 #[test]
 fn callers_with_less_patience_than_the_timeout_are_not_overdue_for_long() {
     let table = table(1, 0);
--- a/crates/serving/tests/set_changes.rs
+++ b/crates/serving/tests/set_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of a few replicas lead to the same as a whole new list.
+//! Guards against incremental updates that differ from a replacement by the full list.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     (written, gone).prop_map(|(written, gone)| Change { written, gone })
 }
 
-/// What a view shows of a service: ids, starts and states in order, zones, and the ids behind the hashes.
+/// Visible state of a set: ids, start times and draining flags in order, zones, regions and lookups by hash.
 fn seen(set: &ReplicaSet) -> Vec<String> {
     let view = set.view();
     let mut seen = Vec::new();
@@ -87,7 +87,7 @@
     }
 }
 
-/// Whoever tells others what is in progress looks through all replicas only if something is.
+/// A set must not report itself idle while requests are in progress, even at replicas that are no longer listed.
 #[tokio::test]
 async fn a_set_knows_whether_anything_is_in_progress() {
     let set = ReplicaSet::default();
@@ -96,7 +96,7 @@
     let replica = set.view().get(&record(0, 1).id).expect("listed").clone();
     let request = replica.enter(WorkClass::Online, None);
     let item = replica.enter(WorkClass::Batch, None);
-    // It goes on at one that is no longer listed.
+    // The requests continue at a replica that is no longer listed.
     set.update(Vec::new(), &[record(0, 1).id], |_| 1_000);
     assert!(!set.is_idle());
     drop(request);
--- a/crates/serving/tests/silence.rs
+++ b/crates/serving/tests/silence.rs
@@ -1,4 +1,4 @@
-//! How long a request waits for a replica that says nothing: a fault is left soon, a queue is not.
+//! Guards the timeouts of unresponsive replicas: a faulty one is abandoned early, a queueing one is not.
 
 mod support;
 
@@ -25,10 +25,10 @@
 
 const OBJECTIVE: Duration = Duration::from_millis(300);
 
-/// Longer than a silent replica is borne where others have room, shorter than any is.
+/// Longer than the stall timeout, shorter than the maximum wait.
 const QUEUED_FOR: Duration = Duration::from_millis(600);
 
-/// Answers after a while, as a replica with a queue does.
+/// Client that responds after a delay, like a replica with a queue.
 #[derive(Default)]
 struct QueueingClient {
     sends: AtomicUsize,
@@ -52,11 +52,11 @@
     }
 }
 
-/// A coordinator that says how much of its group is free.
+/// Coordinator that reports a given share of free slots.
 struct Group {
     replicas: Arc<ReplicaSet>,
     free_permille: u32,
-    /// What newcomers are told.
+    /// Retry interval sent to new requests.
     come_back: Option<Duration>,
 }
 
@@ -126,7 +126,7 @@
     RouteTable::build(configuration, None)
 }
 
-/// A forwarder before such a group.
+/// Forwarder with such a coordinator.
 fn forwarder(free_permille: u32, come_back: Option<Duration>) -> (Forwarder, Arc<QueueingClient>) {
     let replicas = ReplicaSet::default();
     let records = (0..2).map(|number| ReplicaRecord {
@@ -183,10 +183,10 @@
     }
 }
 
-/// Longest that a caller of the route waits.
+/// Longest timeout of the route's callers.
 const PATIENCE: Duration = Duration::from_secs(5);
 
-/// Sends of one request, in a group of which so much is free.
+/// Number of attempts of one request in a group with this share of free slots.
 async fn sends_where_free(free_permille: u32) -> usize {
     let (forwarder, client) = forwarder(free_permille, None);
     let reply = forwarder.forward(request(PATIENCE), Instant::now()).await;
@@ -194,8 +194,7 @@
     client.sends.load(Ordering::Relaxed)
 }
 
-/// A caller that is sent away gets a refusal that says when to come back, at once and with nothing sent; when it comes
-/// back with what is left of its time, it is not sent away again.
+/// A refused caller receives a retry interval at once, without an attempt; its retry must not be refused again.
 #[tokio::test(start_paused = true)]
 async fn a_caller_that_comes_back_is_not_sent_away_again() {
     let after = Duration::from_millis(700);
@@ -228,8 +227,8 @@
     assert_eq!(sends_where_free(0).await, 1);
 }
 
-/// A coordinator that has not heard that its replicas are cold grants them uncounted: nothing is sent, and the caller is
-/// told at once that its request has not run.
+/// A coordinator with an outdated view grants cold replicas uncounted; nothing may be sent, and the caller is refused
+/// at once.
 #[tokio::test(start_paused = true)]
 async fn a_grant_that_nobody_counted_is_no_permission_for_a_cold_replica() {
     let (forwarder, client) = forwarder(500, None);
--- a/crates/serving/tests/support/mod.rs
+++ b/crates/serving/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A forwarder before replicas whose answers follow a script.
+//! Fixture of a forwarder with replicas that follow a script.
 
-// Each test program uses a part of it.
+// Each test program uses only part of this module.
 #![allow(dead_code)]
 
 use std::collections::VecDeque;
@@ -22,16 +22,16 @@
 use harrierward_tenants::{AllowedRegions, Tenant};
 use http::{HeaderMap, Method};
 
-/// Whose id an answer carries.
+/// Request id that a response carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answers {
-    /// That of the request which it is taken for.
+    /// Id of the request itself.
     Own,
-    /// That of an earlier request on the connection.
+    /// Id of an earlier request on the connection.
     Another,
-    /// None.
+    /// No id, from the replica itself.
     Nobody,
-    /// None, where a connection that is used again has a late answer to an earlier request in its place.
+    /// No id, as a late response to an earlier request on a reused connection.
     NobodyLate,
 }
 
@@ -41,28 +41,27 @@
     }
 }
 
-/// What a replica does with a request.
+/// Result of one request at a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// It answers whole.
+    /// A complete response.
     Whole,
-    /// Nobody listens at its address.
+    /// The connection is refused.
     NotSent,
-    /// It has begun, and the connection breaks.
+    /// The connection breaks after the request has started.
     Lost,
-    /// It has begun and sent the head, and the connection breaks.
+    /// The connection breaks after the response header.
     CutAfterHead,
-    /// A refusal of this status that says "not run" stands where its answer is due. If it is not this request's, the
-    /// replica has begun this one.
+    /// A refusal that states "not run". If it belongs to another request, the replica has started this one.
     Refusal { status: u16, answers: Answers },
-    /// Another replica has the address; with the id or not.
+    /// Another replica has the address.
     OtherReplica { answers: Answers },
-    /// It has run, and fails with this status.
+    /// The replica ran the request and failed with this status.
     Failure(u16),
 }
 
 impl End {
-    /// True if a replica has begun the request.
+    /// True if a replica has started the request.
     pub fn began(self) -> bool {
         match self {
             Self::NotSent => false,
@@ -71,7 +70,7 @@
         }
     }
 
-    /// On a new connection no late answer without an id can come: then it is the replica's own refusal.
+    /// On a new connection a refusal without an id can't be late.
     fn on_new_connection(self) -> Self {
         let own = |answers: Answers| match answers {
             Answers::NobodyLate => Answers::Nobody,
@@ -96,7 +95,7 @@
     played: Vec<(String, End)>,
 }
 
-/// Replicas that follow a script, one end a request; once it is over they answer whole.
+/// Client with one scripted result per request, and complete responses afterwards.
 #[derive(Default)]
 pub struct Scripted {
     script: Mutex<Script>,
@@ -107,17 +106,17 @@
         self.script.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The next requests end so.
+    /// Sets the results of the next requests.
     pub fn play(&self, ends: &[End]) {
         self.lock().ends = ends.iter().copied().collect();
     }
 
-    /// What came of each request so far: replica and end.
+    /// Returns replica and result of each request so far.
     pub fn played(&self) -> Vec<(String, End)> {
         self.lock().played.clone()
     }
 
-    /// True if a replica has begun a request.
+    /// True if a replica has started a request.
     pub fn has_begun(&self) -> bool {
         self.lock().played.iter().any(|(_, end)| end.began())
     }
@@ -174,7 +173,7 @@
     }
 }
 
-/// No tenant has a limit.
+/// Rate limits that admit every request.
 pub struct NoLimits;
 
 #[async_trait]
@@ -184,7 +183,7 @@
     }
 }
 
-/// Nobody coordinates: the daemon chooses by itself.
+/// Leases without coordinators, so that the daemon chooses itself.
 struct Uncoordinated;
 
 #[async_trait]
@@ -210,7 +209,7 @@
     fn preempt_item(&self, _replica: &Arc<Replica>) {}
 }
 
-/// Attempts of the route.
+/// Maximum attempts of the route.
 pub const ATTEMPTS: u32 = 2;
 
 fn routes(kind: RouteKind) -> RouteTable {
@@ -239,14 +238,14 @@
     RouteTable::build(configuration, None)
 }
 
-/// A daemon's request path before scripted replicas.
+/// Request path of one daemon with scripted replicas.
 pub struct Fixture {
     pub forwarder: Forwarder,
     pub replicas: Arc<ReplicaSet>,
     pub client: Arc<Scripted>,
 }
 
-/// A record of a replica `id` in the only zone.
+/// Creates the record of a replica `id` in the only zone.
 pub fn record(id: &str) -> ReplicaRecord {
     ReplicaRecord {
         id: id.to_owned(),
@@ -262,7 +261,7 @@
 }
 
 impl Fixture {
-    /// A daemon that serves a route of this kind by so many replicas, `i-0` and on.
+    /// Creates a daemon with one route of this kind and replicas `i-0`, `i-1` and so on.
     pub fn new(kind: RouteKind, replicas: usize) -> Self {
         let set = Arc::new(ReplicaSet::default());
         let records = (0..replicas).map(|number| record(&format!("i-{number}")));
@@ -292,7 +291,7 @@
     }
 }
 
-/// A request of this id; all others are of the same path, caller and body.
+/// Creates a request with this id; content and caller are always the same.
 pub fn request(id: &str) -> ServingRequest {
     ServingRequest {
         regions: AllowedRegions::default(),
--- a/crates/serving/tests/suspended.rs
+++ b/crates/serving/tests/suspended.rs
@@ -1,4 +1,4 @@
-//! A machine that was suspended for seconds: what its daemon believed of a replica is as old as the world says.
+//! Guards against state of a replica that doesn't age while the machine is suspended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 
 const SERVICE: &str = "model";
 
-/// Longer than any belief of the test lasts.
+/// Longer than any lifetime in this test.
 const SUSPENSION: Duration = Duration::from_secs(10);
 
-/// The clock is the process's, so one test at a time may let it jump.
+/// The simulated clock is global to the process, so tests run one at a time.
 async fn one_at_a_time() -> MutexGuard<'static, ()> {
     static TURN: Mutex<()> = Mutex::const_new(());
     TURN.lock().await
@@ -43,7 +43,7 @@
 async fn what_is_believed_of_a_replica_ages_over_a_suspension() {
     let _turn = one_at_a_time().await;
     let (_set, replica) = one_replica();
-    // Peers' counts that came in its first millisecond are dated a millisecond later.
+    // Counts received in the first millisecond would be dated a millisecond later.
     tokio::time::advance(Duration::from_millis(5)).await;
     replica.note_load(ReplicaLoad {
         running: 4,
@@ -66,7 +66,7 @@
     assert!(!replica.is_cold(harrierward_clock::now()), "it is warm");
 }
 
-/// While a machine is suspended nobody listens, so it says nothing of the replicas.
+/// No data is received during a suspension, so it must not count as a stall of the replicas.
 #[tokio::test(start_paused = true)]
 async fn a_suspension_is_no_silence_of_the_replicas() {
     let _turn = one_at_a_time().await;
@@ -78,7 +78,7 @@
     assert_eq!(replica.time_since_progress(), Duration::from_millis(300));
 }
 
-/// An entry that vanished is believed for a moment, since the store may be away.
+/// A vanished replica is used only briefly, and a suspension counts towards that time.
 #[tokio::test(start_paused = true)]
 async fn a_replica_that_vanished_before_a_suspension_is_not_used_after_it() {
     let _turn = one_at_a_time().await;
--- a/crates/serving/tests/suspicion.rs
+++ b/crates/serving/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! A replica that fails is avoided, longer each time, until something comes from it again.
+//! Guards the backoff of suspicion: longer after each failure, reset by progress.
 
 use harrierward_serving::Suspicion;
 
