--- a/crates/serving/tests/warmth.rs
+++ b/crates/serving/tests/warmth.rs
@@ -1,4 +1,4 @@
-//! When a replica is taken for cold, and by whose word.
+//! Guards against replicas considered warm too early, or cold for too long.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -53,7 +53,7 @@
     assert!(!is_cold(&warmth, at(8_000)), "it says that it is warm");
 }
 
-/// The times come from rows and configurations that others write.
+/// Times in rows and configurations come from other processes and must not overflow.
 #[test]
 fn a_time_beyond_all_measure_is_a_long_one() {
     let start = Instant::now();
@@ -70,7 +70,7 @@
     assert!(is_cold(&warmth, start + WARMUP.duration));
 }
 
-/// After an evacuation a row that was written before its end must not make a replica warm; one written later does.
+/// A row written before the end of an evacuation must not make a replica warm; a later one does.
 #[test]
 fn a_replica_that_returns_is_cold_until_a_newer_row_says_otherwise() {
     let start = Instant::now();
@@ -87,7 +87,7 @@
     assert!(!is_cold(&warmth, at(2_500)));
 }
 
-/// The same holds for a row that tells of an earlier time in which it was cold.
+/// A row written before the return must not shorten the assumed warmup either.
 #[test]
 fn a_row_from_before_its_return_does_not_shorten_what_is_assumed() {
     let start = Instant::now();
@@ -118,7 +118,7 @@
     assert!(!replica.is_cold(Instant::now()));
 }
 
-/// A replica that crashed comes back under its id with a row that says how long it stays cold.
+/// A crashed replica that returns under its id must take its warmup from the new row.
 #[tokio::test(start_paused = true)]
 async fn a_replica_whose_row_went_and_came_back_is_as_its_row_says() {
     let set = ReplicaSet::default();
@@ -131,7 +131,7 @@
     assert!(listed(&set, "new").is_cold(Instant::now()));
 }
 
-/// A daemon that stood still wakes with a count that has lapsed.
+/// A count that expired, for example while the daemon was stalled, must not pass the gate.
 #[tokio::test(start_paused = true)]
 async fn the_gate_lets_only_counted_requests_pass_and_not_for_long() {
     let set = ReplicaSet::default();
