--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -127,24 +127,25 @@
 
     /// Estimated online sequences: the reported number, corrected by the change of this gateway's own since the
     /// report.
-    fn online_now(&self) -> f64 {
+    fn estimated_online(&self) -> f64 {
         let reported = f64::from(self.running_online.load(Ordering::Relaxed))
             + f64::from(self.waiting_online.load(Ordering::Relaxed));
         let own = f64::from(self.in_flight());
-        let own_then = f64::from(self.in_flight_at_report.load(Ordering::Relaxed));
-        (reported + own - own_then).max(own)
+        let own_at_report = f64::from(self.in_flight_at_report.load(Ordering::Relaxed));
+        (reported + own - own_at_report).max(own)
     }
 
     /// Returns the expected time until a new request's first token, microseconds.
     pub fn expected_wait(&self, uncached_tokens: f64, now_micros: u64, cost: &CostModel) -> f64 {
-        let sequences = self.online_now() + f64::from(self.running_batch.load(Ordering::Relaxed));
+        let sequences =
+            self.estimated_online() + f64::from(self.running_batch.load(Ordering::Relaxed));
         let step = cost.step_base_micros + sequences * cost.step_sequence_micros;
         let age = now_micros.saturating_sub(self.reported_at_micros.load(Ordering::Relaxed));
         let reported_wait = f64::from(self.waiting_prompt_tokens.load(Ordering::Relaxed))
             * cost.prefill_token_micros;
-        let reported_left = (reported_wait - age as f64).max(0.0);
+        let reported_remaining = (reported_wait - age as f64).max(0.0);
         let own_tokens = self.prefill_tokens.load(Ordering::Relaxed) as f64;
         let own_wait = own_tokens * cost.prefill_token_micros;
-        reported_left.max(own_wait) + step * 1.5 + uncached_tokens * cost.prefill_token_micros
+        reported_remaining.max(own_wait) + step * 1.5 + uncached_tokens * cost.prefill_token_micros
     }
 }
--- a/crates/routing/src/prefix_index.rs
+++ b/crates/routing/src/prefix_index.rs
@@ -6,12 +6,12 @@
 use imbl::HashMap;
 
 /// Maximum number of replicas tracked per block.
-const MOST_HOLDERS: usize = 6;
+const MAX_HOLDERS: usize = 6;
 
 #[derive(Debug, Clone, Copy)]
 struct Holder {
     replica: u32,
-    seen_micros: u64,
+    updated_micros: u64,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone)]
 pub struct PrefixIndex {
     blocks: HashMap<u64, Holders>,
-    lifetime_micros: u64,
+    ttl_micros: u64,
 }
 
 /// Number of leading prompt blocks that a replica probably caches.
@@ -37,10 +37,10 @@
 
 impl PrefixIndex {
     /// Creates an empty index whose entries expire `ttl_micros` after their last update.
-    pub fn new(lifetime_micros: u64) -> Self {
+    pub fn new(ttl_micros: u64) -> Self {
         Self {
             blocks: HashMap::new(),
-            lifetime_micros,
+            ttl_micros,
         }
     }
 
@@ -48,16 +48,16 @@
     pub fn insert(&mut self, block: u64, replica: u32, now_micros: u64) {
         let holders = &mut self.blocks.entry(block).or_default().holders;
         if let Some(holder) = holders.iter_mut().find(|holder| holder.replica == replica) {
-            holder.seen_micros = holder.seen_micros.max(now_micros);
+            holder.updated_micros = holder.updated_micros.max(now_micros);
             return;
         }
-        if holders.len() >= MOST_HOLDERS {
-            let oldest = (0..holders.len()).min_by_key(|index| holders[*index].seen_micros);
+        if holders.len() >= MAX_HOLDERS {
+            let oldest = (0..holders.len()).min_by_key(|index| holders[*index].updated_micros);
             oldest.map(|index| holders.swap_remove(index));
         }
         holders.push(Holder {
             replica,
-            seen_micros: now_micros,
+            updated_micros: now_micros,
         });
     }
 
@@ -74,17 +74,17 @@
 
     /// Removes expired entries; to be called periodically.
     pub fn expire(&mut self, now_micros: u64) {
-        let lifetime = self.lifetime_micros;
-        let live = |holder: &Holder| now_micros.saturating_sub(holder.seen_micros) <= lifetime;
+        let ttl = self.ttl_micros;
+        let is_live = |holder: &Holder| now_micros.saturating_sub(holder.updated_micros) <= ttl;
         let stale: Vec<u64> = self
             .blocks
             .iter()
-            .filter(|(_, entry)| !entry.holders.iter().all(live))
+            .filter(|(_, entry)| !entry.holders.iter().all(is_live))
             .map(|(block, _)| *block)
             .collect();
         for block in stale {
             if let Some(entry) = self.blocks.get_mut(&block) {
-                entry.holders.retain(live);
+                entry.holders.retain(is_live);
                 if entry.holders.is_empty() {
                     self.blocks.remove(&block);
                 }
@@ -94,25 +94,25 @@
 
     /// Returns the replicas that cache leading blocks, the longest overlap first.
     pub fn overlaps(&self, blocks: &[u64], now_micros: u64) -> Vec<PrefixOverlap> {
-        let mut overlaps: Vec<PrefixOverlap> = Vec::with_capacity(MOST_HOLDERS);
+        let mut overlaps: Vec<PrefixOverlap> = Vec::with_capacity(MAX_HOLDERS);
         for (index, block) in blocks.iter().enumerate().rev() {
             let length = u32::try_from(index + 1).unwrap_or(u32::MAX);
             let Some(entry) = self.blocks.get(block) else {
                 continue;
             };
             for holder in &entry.holders {
-                let age = now_micros.saturating_sub(holder.seen_micros);
-                let known = overlaps
+                let age = now_micros.saturating_sub(holder.updated_micros);
+                let is_listed = overlaps
                     .iter()
                     .any(|overlap| overlap.replica == holder.replica);
-                if age <= self.lifetime_micros && !known {
+                if age <= self.ttl_micros && !is_listed {
                     overlaps.push(PrefixOverlap {
                         replica: holder.replica,
                         blocks: length,
                     });
                 }
             }
-            if overlaps.len() >= MOST_HOLDERS {
+            if overlaps.len() >= MAX_HOLDERS {
                 break;
             }
         }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -8,7 +8,7 @@
 use crate::prefix_index::PrefixIndex;
 
 /// Prompt tokens per prefix block.
-const TOKENS_A_BLOCK: u32 = 16;
+const TOKENS_PER_BLOCK: u32 = 16;
 
 /// Maximum number of candidates with a cached prefix.
 const AFFINITY_CANDIDATES: usize = 4;
@@ -76,7 +76,7 @@
     ) -> Option<Choice> {
         let mut best: Option<Choice> = None;
         let mut consider = |position: usize, cached_blocks: u32| {
-            let cached = cached_blocks * TOKENS_A_BLOCK;
+            let cached = cached_blocks * TOKENS_PER_BLOCK;
             let uncached = request.prompt_tokens.saturating_sub(cached).max(1);
             let entry = &self.entries[position];
             let wait = entry
@@ -92,17 +92,17 @@
             }
         };
         let overlaps = index.overlaps(request.blocks, now_micros);
-        let mut looked_at = 0;
+        let mut considered = 0;
         for overlap in &overlaps {
             let position = self.position(overlap.replica);
             let Some(position) =
-                position.filter(|position| self.usable(*position, excluded, now_micros))
+                position.filter(|position| self.is_usable(*position, excluded, now_micros))
             else {
                 continue;
             };
             consider(position, overlap.blocks);
-            looked_at += 1;
-            if looked_at == AFFINITY_CANDIDATES {
+            considered += 1;
+            if considered == AFFINITY_CANDIDATES {
                 break;
             }
         }
@@ -117,7 +117,7 @@
         best
     }
 
-    fn usable(&self, position: usize, excluded: &[usize], now_micros: u64) -> bool {
+    fn is_usable(&self, position: usize, excluded: &[usize], now_micros: u64) -> bool {
         let entry = &self.entries[position];
         !excluded.contains(&position) && entry.load.is_usable(now_micros)
     }
@@ -142,6 +142,6 @@
         let start = random.random_range(0..count);
         (0..count)
             .map(|offset| (start + offset) % count)
-            .find(|position| self.usable(*position, excluded, now_micros))
+            .find(|position| self.is_usable(*position, excluded, now_micros))
     }
 }
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -83,12 +83,12 @@
 }
 
 #[test]
-fn ownership_moves_only_from_and_to_who_comes_or_goes() {
+fn ownership_moves_only_from_and_to_members_that_join_or_leave() {
     let members: Vec<String> = (0..50).map(|number| format!("member-{number}")).collect();
     let all = || members.iter().map(String::as_str);
     let fewer = || all().filter(|id| *id != "member-13");
-    for asset in 0..500 {
-        let key = format!("owner/shard/{asset}");
+    for resource in 0..500 {
+        let key = format!("owner/shard/{resource}");
         let before = rendezvous_owner(&key, all());
         assert_eq!(before, rank_by_rendezvous(&key, all()).first().copied());
         if before != Some("member-13") {
--- a/crates/serving/src/admission.rs
+++ b/crates/serving/src/admission.rs
@@ -98,7 +98,7 @@
     if route.is_public {
         return Ok(holder);
     }
-    known_caller(holder, key.is_some(), proof, trust).map(Some)
+    authenticate(holder, key.is_some(), proof, trust).map(Some)
 }
 
 /// Returns the tenant of a call that requires a key; `None` if no tenants are configured.
@@ -112,10 +112,10 @@
         return Ok(None);
     };
     let holder = key.and_then(|key| directory.holder(key)).cloned();
-    known_caller(holder, key.is_some(), proof, trust).map(Some)
+    authenticate(holder, key.is_some(), proof, trust).map(Some)
 }
 
-fn known_caller(
+fn authenticate(
     holder: Option<Arc<Tenant>>,
     has_key: bool,
     proof: &ConfigurationProof,
--- a/crates/serving/src/attempt.rs
+++ b/crates/serving/src/attempt.rs
@@ -10,10 +10,10 @@
 use crate::choice::{CrossRegionReason, MIN_FREE_PERMILLE, Placement};
 use crate::exchange::{ExchangeError, ReplicaRequest, ReplicaResponse, ServingRequest};
 use crate::forwarder::Forwarder;
-use crate::gate::{GateRequest, check_gate, may_give_copy};
+use crate::gate::{GateRequest, check_gate, may_copy_from};
 use crate::in_progress::InProgress;
 use crate::outcome::{AttemptOutcome, Evidence};
-use crate::placement::NoPlace;
+use crate::placement::PlacementError;
 use crate::policy::Mechanism;
 use crate::replica::{Replica, WorkClass};
 use crate::request_state::RequestState;
@@ -99,13 +99,13 @@
 }
 
 /// Delay of a timer beyond which this process is considered stalled.
-const HELD_UP: Duration = Duration::from_millis(20);
+const STALL_TOLERANCE: Duration = Duration::from_millis(20);
 
 /// Additional wait after a stall, so that bytes received meanwhile are read before the attempt is judged.
-const CATCH_UP: Duration = Duration::from_millis(10);
+const CATCH_UP_WAIT: Duration = Duration::from_millis(10);
 
-/// Maximum number of such waits: a process under a CPU quota may stall repeatedly.
-const MOST_CATCH_UPS: u32 = 5;
+/// Maximum number of catch-up waits per attempt; a process under a CPU quota may stall repeatedly.
+const MAX_CATCH_UPS: u32 = 5;
 
 /// Waits for `future`; returns `None` after `max_wait`, or after `stall_timeout` if nothing came from the replica
 /// either.
@@ -114,47 +114,49 @@
 pub async fn wait_for_progress<T>(
     future: impl Future<Output = T>,
     replica: &Replica,
-    dark: Duration,
-    longest: Duration,
+    stall_timeout: Duration,
+    max_wait: Duration,
 ) -> Option<T> {
     let mut future = std::pin::pin!(future);
-    let began = Instant::now();
+    let started = Instant::now();
     let mut catch_ups = 0;
     // The replica may stop making progress during the wait, so its progress is polled.
-    let mut look = dark.min(longest);
+    let mut poll_interval = stall_timeout.min(max_wait);
     loop {
-        let looked_at = Instant::now();
-        if let Ok(done) = timeout(look, &mut future).await {
+        let polled_at = Instant::now();
+        if let Ok(done) = timeout(poll_interval, &mut future).await {
             return Some(done);
         }
-        let waited = began.elapsed();
-        if waited < longest && (waited < dark || replica.time_since_progress() < dark) {
-            look = (dark / LOOKS_A_SILENCE).min(longest - waited);
+        let waited = started.elapsed();
+        if waited < max_wait
+            && (waited < stall_timeout || replica.time_since_progress() < stall_timeout)
+        {
+            poll_interval = (stall_timeout / POLLS_PER_STALL_TIMEOUT).min(max_wait - waited);
             continue;
         }
-        let was_held_up = looked_at.elapsed() >= look + HELD_UP;
-        if !was_held_up || catch_ups == MOST_CATCH_UPS {
+        let was_stalled = polled_at.elapsed() >= poll_interval + STALL_TOLERANCE;
+        if !was_stalled || catch_ups == MAX_CATCH_UPS {
             return None;
         }
         catch_ups += 1;
-        look = CATCH_UP;
+        poll_interval = CATCH_UP_WAIT;
     }
 }
 
 /// Cause of an attempt whose content is quarantined.
-const HELD_BACK: &str = "held back";
+const CAUSE_QUARANTINED: &str = "held back";
 
 /// Lowest status that counts as a failure of the replica rather than of the request.
-const FIRST_FAILURE: u16 = 500;
+const MIN_FAILURE_STATUS: u16 = 500;
 
 /// Progress checks per stall timeout.
-const LOOKS_A_SILENCE: u32 = 3;
+const POLLS_PER_STALL_TIMEOUT: u32 = 3;
 
 /// Divisor of the remaining hold time during which an overdue request waits for spare slots.
-const OVERDUE_HOLD_PART: u32 = 3;
+const OVERDUE_HOLD_DIVISOR: u32 = 3;
 
 /// Classifies a refusal by whether it certainly belongs to this request.
-fn refused(cause: String, full: bool, is_attributed: bool) -> AttemptFailure {
+fn refusal(cause: String, full: bool, is_attributed: bool) -> AttemptFailure {
     if is_attributed {
         AttemptFailure::NotRun { cause, full }
     } else {
@@ -168,23 +170,23 @@
         &self,
         state: &RequestState,
         times: impl FnOnce() -> AttemptTimeouts,
-        sending: AttemptOptions,
+        options: AttemptOptions,
     ) -> (Option<String>, Result<Attempt, AttemptFailure>) {
         let request = &state.request;
         let objective = state.route.objective;
-        let placement = if !state.tried.is_empty() || sending.number > 1 {
+        let placement = if !state.tried.is_empty() || options.number > 1 {
             self.place(request, &state.service, &state.tried, objective, None)
                 .await
-                .ok_or(NoPlace::NoReplica)
+                .ok_or(PlacementError::NoReplica)
         } else if state.overdue {
-            let longest = state.clock.hold_left() / OVERDUE_HOLD_PART;
-            self.place_overdue(request, &state.service, objective, longest)
+            let max_wait = state.clock.remaining_hold() / OVERDUE_HOLD_DIVISOR;
+            self.place_overdue(request, &state.service, objective, max_wait)
                 .await
-                .ok_or(NoPlace::NoReplica)
+                .ok_or(PlacementError::NoReplica)
         } else {
             let max_retry_after = state.max_retry_after();
             let may_repeat = state.route.may_repeat() && state.route.attempts > 1;
-            self.place_newcomer(
+            self.place_new(
                 request,
                 &state.service,
                 objective,
@@ -195,15 +197,15 @@
         };
         let placement = match placement {
             Ok(placement) => placement,
-            Err(NoPlace::NoReplica) => return (None, Err(AttemptFailure::NoReplica)),
-            Err(NoPlace::RetryLater { after }) => {
+            Err(PlacementError::NoReplica) => return (None, Err(AttemptFailure::NoReplica)),
+            Err(PlacementError::RetryLater { after }) => {
                 return (None, Err(AttemptFailure::RetryLater { after }));
             }
         };
         let replica_id = placement.in_progress.replica().record.id.clone();
         // Read only now, because placement takes time.
         let times = times();
-        let result = self.attempt_at(request, placement, times, sending).await;
+        let result = self.attempt_at(request, placement, times, options).await;
         (Some(replica_id), result)
     }
 
@@ -213,38 +215,38 @@
         request: &ServingRequest,
         placement: Placement,
         times: AttemptTimeouts,
-        sending: AttemptOptions,
+        options: AttemptOptions,
     ) -> Result<Attempt, AttemptFailure> {
         let Placement {
             mut in_progress,
             choice,
         } = placement;
         let replica = choice.replica;
-        let passage = GateRequest {
+        let gate_request = GateRequest {
             regions: &request.regions,
             cold_until: choice.cold_until,
         };
-        if let Some(reason) = check_gate(&replica, &passage, harrierward_clock::now()) {
+        if let Some(reason) = check_gate(&replica, &gate_request, harrierward_clock::now()) {
             let cause = format!("barred: {}", reason.name());
             let failure = AttemptFailure::NotRun { cause, full: false };
             self.log_failure(request, &replica, &failure, Duration::ZERO);
             return Err(failure);
         }
         let content = request.content();
-        let is_barred = match in_progress.class() {
-            WorkClass::Online => self.is_held(content),
+        let is_quarantined = match in_progress.class() {
+            WorkClass::Online => self.is_quarantined(content),
             WorkClass::Batch => self.is_item_quarantined(request),
         };
-        if is_barred {
+        if is_quarantined {
             // The content may have been quarantined while the request waited for its slot.
-            let cause = HELD_BACK.to_owned();
+            let cause = CAUSE_QUARANTINED.to_owned();
             let failure = AttemptFailure::NotRun { cause, full: false };
             self.log_failure(request, &replica, &failure, Duration::ZERO);
             return Err(failure);
         }
-        in_progress.begin(content, self.quarantine().clone());
+        in_progress.track_content(content, self.quarantine().clone());
         let copy_from = choice.copy_from.as_ref();
-        let copy_from = copy_from.filter(|source| may_give_copy(source, &request.regions));
+        let copy_from = copy_from.filter(|source| may_copy_from(source, &request.regions));
         let copy_from = copy_from.map(|source| &source.record);
         self.log().record(&Record::Sent {
             request: &request.id,
@@ -261,15 +263,15 @@
             report_age_ms: replica.report_age_ms(),
             cached_tokens: replica.cached_tokens(&request.prompt),
             copy_from: copy_from.map(|source| source.id.as_str()),
-            attempt: sending.number,
-            resume_after: sending.resume_after,
+            attempt: options.number,
+            resume_after: options.resume_after,
         });
         replica.note_prompt(&request.prompt);
-        // Where all slots are taken the request is queued, and another attempt would only lengthen the queue.
-        let is_queue = choice.free_permille < MIN_FREE_PERMILLE;
+        // Where hardly any slot is free the request is queued, and another attempt would only lengthen the queue.
+        let is_queued = choice.free_permille < MIN_FREE_PERMILLE;
         if let Some(evidence) = in_progress.evidence() {
-            let has_room = !is_queue && choice.load < replica.slots();
-            evidence.note_sent(has_room, self.prefill_time(request));
+            let has_capacity = !is_queued && choice.load < replica.slots();
+            evidence.note_sent(has_capacity, self.prefill_time(request));
         }
         let started = Instant::now();
         let exchange = self.client().send(ReplicaRequest {
@@ -277,22 +279,22 @@
             address: &replica.record.address,
             replica: &replica.record.id,
             time_left: times.time_left,
-            resume_after: sending.resume_after,
-            fresh_connection: sending.fresh_connection,
+            resume_after: options.resume_after,
+            fresh_connection: options.fresh_connection,
             copy_from: copy_from.map(|source| source.address.as_str()),
         });
-        let dark = if is_queue && self.policy().has(Mechanism::QueuePatience) {
+        let stall_timeout = if is_queued && self.policy().has(Mechanism::QueuePatience) {
             times.max_wait
         } else {
             times.stall_timeout
         };
-        let answer = wait_for_progress(exchange, &replica, dark, times.max_wait).await;
-        let result = self.judge(request, &in_progress, answer, sending.failed_before);
+        let response = wait_for_progress(exchange, &replica, stall_timeout, times.max_wait).await;
+        let result = self.classify(request, &in_progress, response, options.failed_before);
         if let Err(failure) = &result {
             self.log_failure(request, &replica, failure, started.elapsed());
         }
-        result.map(|answer| Attempt {
-            response: answer,
+        result.map(|response| Attempt {
+            response,
             in_progress,
         })
     }
@@ -309,15 +311,15 @@
         }
     }
 
-    fn judge(
+    fn classify(
         &self,
         request: &ServingRequest,
         in_progress: &InProgress,
-        answer: Option<Result<ReplicaResponse, ExchangeError>>,
+        response: Option<Result<ReplicaResponse, ExchangeError>>,
         failed_before: bool,
     ) -> Result<ReplicaResponse, AttemptFailure> {
         let replica = in_progress.replica();
-        let answer = match answer {
+        let response = match response {
             None => {
                 let evidence = in_progress.evidence();
                 if evidence.is_none_or(Evidence::waited_long_enough) {
@@ -337,9 +339,10 @@
                 in_progress.note_disconnect();
                 return Err(AttemptFailure::MayHaveRun { cause });
             }
-            Some(Ok(answer)) => answer,
+            Some(Ok(response)) => response,
         };
-        let is_own_failure = !answer.not_run && answer.status >= FIRST_FAILURE && !failed_before;
+        let is_own_failure =
+            !response.not_run && response.status >= MIN_FAILURE_STATUS && !failed_before;
         if is_own_failure {
             // No progress is noted, since that would clear the suspicion; a replica that fails fast has the lowest
             // load of all.
@@ -348,12 +351,12 @@
         } else {
             replica.note_progress();
         }
-        if let Some(word) = answer.load {
-            replica.note_load(word);
+        if let Some(load) = response.load {
+            replica.note_load(load);
         }
         // The request id is checked before the refusal: a late refusal of an earlier request says nothing about this
         // one.
-        if answer
+        if response
             .request_id
             .as_deref()
             .is_some_and(|id| id != request.id)
@@ -362,24 +365,24 @@
             let cause = "the answer belongs to another request".to_owned();
             return Err(AttemptFailure::MayHaveRun { cause });
         }
-        let is_attributed = answer.request_id.is_some() || answer.is_first_on_connection;
-        if answer.other_replica {
+        let is_attributed = response.request_id.is_some() || response.is_first_on_connection;
+        if response.other_replica {
             replica.set_draining();
             let cause = "another replica has the address".to_owned();
-            return Err(refused(cause, false, is_attributed));
+            return Err(refusal(cause, false, is_attributed));
         }
-        if answer.not_run {
+        if response.not_run {
             replica.note_full();
             in_progress.conclude(AttemptOutcome::NotRun);
-            let cause = format!("refused with status {}", answer.status);
-            return Err(refused(cause, true, is_attributed));
+            let cause = format!("refused with status {}", response.status);
+            return Err(refusal(cause, true, is_attributed));
         }
-        if answer.request_id.is_none() {
+        if response.request_id.is_none() {
             in_progress.conclude(AttemptOutcome::Corrupt);
-            let cause = format!("an answer without id, status {}", answer.status);
+            let cause = format!("an answer without id, status {}", response.status);
             return Err(AttemptFailure::MayHaveRun { cause });
         }
-        Ok(answer)
+        Ok(response)
     }
 
     fn log_failure(
--- a/crates/serving/src/choice.rs
+++ b/crates/serving/src/choice.rs
@@ -79,9 +79,9 @@
 }
 
 impl Choice {
-    /// Copies the prefix cache from the replica with the hash `earlier`, where the work ran before.
-    pub fn copy_from_previous(&mut self, view: &ReplicaView, earlier: u32, policy: Policy) {
-        let source = view.by_hash(earlier);
+    /// Copies the prefix cache from the replica with the hash `previous`, where the work ran before.
+    pub fn copy_from_previous(&mut self, view: &ReplicaView, previous: u32, policy: Policy) {
+        let source = view.by_hash(previous);
         let source = source.filter(|_| policy.has(Mechanism::PromptCopies));
         if let Some(source) = source.filter(|source| can_copy(source, &self.replica)) {
             self.copy_from = Some(source.clone());
@@ -89,9 +89,9 @@
     }
 
     /// Counts the request at the replica, under a lease that is held.
-    pub fn enter(self, class: WorkClass, place: SlotLease) -> Placement {
+    pub fn enter(self, class: WorkClass, lease: SlotLease) -> Placement {
         Placement {
-            in_progress: self.replica.enter(class, Some(place)),
+            in_progress: self.replica.enter(class, Some(lease)),
             choice: self,
         }
     }
@@ -111,7 +111,7 @@
 pub const MIN_FREE_PERMILLE: u32 = 150;
 
 /// Minimum number of shared tokens to copy; fewer are prefilled as fast.
-const LEAST_COPIED_TOKENS: u32 = 1_000;
+const MIN_COPIED_TOKENS: u32 = 1_000;
 
 /// Constraints and preferences of a choice among replicas.
 pub struct ChoiceQuery<'a> {
@@ -153,14 +153,14 @@
         .filter(|replica| query.regions.allows(&replica.record.region))
         .collect();
     let usable = if query.is_item {
-        room_for_items(usable, costs.policy, query)
-    } else if query.is_overdue && !has_room_for_overdue(&usable) {
+        item_candidates(usable, costs.policy, query)
+    } else if query.is_overdue && !has_capacity_for_overdue(&usable) {
         Vec::new()
     } else {
         usable
     };
     let preferred = preferred(&usable, view, query);
-    let replicas = narrow(usable, preferred.as_ref(), query.max_candidates);
+    let replicas = sample_candidates(usable, preferred.as_ref(), query.max_candidates);
     let shared_tokens = query.prompt.shared_tokens();
     let candidates: Vec<Candidate> = replicas
         .iter()
@@ -185,9 +185,9 @@
         .collect();
     let mut random = rand::rng();
     let position = choose(costs, &candidates, || random.random::<f64>())?;
-    let missing = candidates[position].uncached_shared_tokens;
+    let uncached = candidates[position].uncached_shared_tokens;
     let copy_from = preferred
-        .filter(|source| missing >= LEAST_COPIED_TOKENS && can_copy(source, &replicas[position]))
+        .filter(|source| uncached >= MIN_COPIED_TOKENS && can_copy(source, &replicas[position]))
         .filter(|_| costs.policy.has(Mechanism::PromptCopies));
     Some(Choice {
         replica: replicas[position].clone(),
@@ -227,8 +227,8 @@
 fn free_permille(candidates: &[Candidate]) -> u32 {
     let slots: u32 = candidates.iter().map(|one| one.slots).sum();
     let free = candidates.iter().map(|one| {
-        let staying = one.load.saturating_sub(one.preemptible);
-        one.slots.saturating_sub(staying)
+        let non_preemptible = one.load.saturating_sub(one.preemptible);
+        one.slots.saturating_sub(non_preemptible)
     });
     free.sum::<u32>() * 1_000 / slots.max(1)
 }
@@ -242,10 +242,10 @@
 ) -> Option<Arc<Replica>> {
     let part = query.prompt.shared().last()?.id;
     let fits = |replica: &&Arc<Replica>| {
-        let home = view.has_long_prompt_affinity(&replica.record.id);
+        let has_affinity = view.has_long_prompt_affinity(&replica.record.id);
         match query.length {
-            PromptLength::Long => home,
-            PromptLength::Short => !home && (query.is_own_zone)(replica),
+            PromptLength::Long => has_affinity,
+            PromptLength::Short => !has_affinity && (query.is_own_zone)(replica),
             PromptLength::Uniform => (query.is_own_zone)(replica),
         }
     };
@@ -256,16 +256,16 @@
 }
 
 /// Samples `max` replicas if there are more, and adds the preferred one.
-fn narrow(
+fn sample_candidates(
     replicas: Vec<Arc<Replica>>,
     preferred: Option<&Arc<Replica>>,
-    most: usize,
+    max: usize,
 ) -> Vec<Arc<Replica>> {
-    if replicas.len() <= most {
+    if replicas.len() <= max {
         return replicas;
     }
     let mut random = rand::rng();
-    let sampled = index::sample(&mut random, replicas.len(), most);
+    let sampled = index::sample(&mut random, replicas.len(), max);
     let others = sampled.into_iter().map(|position| &replicas[position]);
     let others =
         others.filter(|one| preferred.is_none_or(|preferred| !Arc::ptr_eq(preferred, one)));
@@ -281,8 +281,8 @@
     }
 }
 
-fn separation(length: PromptLength, home: bool) -> Separation {
-    match (length, home) {
+fn separation(length: PromptLength, has_affinity: bool) -> Separation {
+    match (length, has_affinity) {
         (PromptLength::Long, false) => Separation::LongWithoutAffinity,
         (PromptLength::Short, true) => Separation::ShortAmongLong,
         _ => Separation::Fits,
@@ -307,7 +307,7 @@
 }
 
 /// True if online requests leave more slots free than the reserve; slots of items count as free.
-fn has_room_for_overdue(replicas: &[Arc<Replica>]) -> bool {
+fn has_capacity_for_overdue(replicas: &[Arc<Replica>]) -> bool {
     let free = |replica: &Arc<Replica>| replica.slots().saturating_sub(replica.online());
     let free: u32 = replicas.iter().map(free).sum();
     let online = replicas.iter().map(|replica| replica.online()).sum();
@@ -315,7 +315,7 @@
 }
 
 /// Replicas that an item may use; none if all free slots are reserved for online requests.
-fn room_for_items(
+fn item_candidates(
     replicas: Vec<Arc<Replica>>,
     policy: Policy,
     query: &ChoiceQuery<'_>,
@@ -331,7 +331,7 @@
     if free <= reserved {
         return Vec::new();
     }
-    let has_room =
+    let has_capacity =
         |replica: &Arc<Replica>| free_slots(replica) > 0 && !(query.is_suspected)(replica);
-    replicas.into_iter().filter(has_room).collect()
+    replicas.into_iter().filter(has_capacity).collect()
 }
--- a/crates/serving/src/evacuation.rs
+++ b/crates/serving/src/evacuation.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 /// Maximum number of zones tracked; bounds the size of notices between daemons.
-const MOST_ZONES: usize = 64;
+const MAX_ZONES: usize = 64;
 
 /// State of a zone's evacuation, ordered from older to newer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -42,7 +42,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct KnownZone {
-    mark: EvacuationState,
+    state: EvacuationState,
     learned_at: Instant,
     returned_at: Option<Instant>,
 }
@@ -56,83 +56,83 @@
 
 impl EvacuatedZones {
     /// Merges an update; returns the resulting changes.
-    pub fn merge(&mut self, news: &EvacuationUpdate, now: Instant) -> Vec<ZoneChange> {
-        let mut changes = self.end_those_missing(news, now);
-        for (zone, mark) in &news.zones {
-            changes.extend(self.raise(zone, self.judged(zone, *mark), now));
+    pub fn merge(&mut self, update: &EvacuationUpdate, now: Instant) -> Vec<ZoneChange> {
+        let mut changes = self.end_missing(update, now);
+        for (zone, state) in &update.zones {
+            changes.extend(self.advance(zone, self.reconcile(zone, *state), now));
         }
-        self.complete_at = self.complete_at.max(news.complete_at);
+        self.complete_at = self.complete_at.max(update.complete_at);
         changes
     }
 
     /// Ends evacuations whose rows the full read no longer contains.
-    fn end_those_missing(&mut self, news: &EvacuationUpdate, now: Instant) -> Vec<ZoneChange> {
-        let is_missing = |zone: &String, mark: EvacuationState| {
-            let told = news.zones.get(zone);
-            !mark.is_over
-                && mark.revision <= news.complete_at
-                && told.is_none_or(|told| told.revision < mark.revision)
+    fn end_missing(&mut self, update: &EvacuationUpdate, now: Instant) -> Vec<ZoneChange> {
+        let is_missing = |zone: &String, state: EvacuationState| {
+            let reported = update.zones.get(zone);
+            !state.is_over
+                && state.revision <= update.complete_at
+                && reported.is_none_or(|reported| reported.revision < state.revision)
         };
         let missing: Vec<(String, EvacuationState)> = self
             .zones
             .iter()
-            .filter(|(zone, known)| is_missing(zone, known.mark))
-            .map(|(zone, known)| (zone.clone(), known.mark))
+            .filter(|(zone, known)| is_missing(zone, known.state))
+            .map(|(zone, known)| (zone.clone(), known.state))
             .collect();
-        let ended = missing.into_iter().filter_map(|(zone, mark)| {
+        let ended = missing.into_iter().filter_map(|(zone, state)| {
             let over = EvacuationState {
                 is_over: true,
-                ..mark
+                ..state
             };
-            self.raise(&zone, over, now)
+            self.advance(&zone, over, now)
         });
         ended.collect()
     }
 
     /// Marks a row as removed if the last full read did not contain it.
-    fn judged(&self, zone: &str, mark: EvacuationState) -> EvacuationState {
-        let known = self.zones.get(zone).map_or(0, |known| known.mark.revision);
-        let was_gone = mark.revision <= self.complete_at && known < mark.revision;
+    fn reconcile(&self, zone: &str, state: EvacuationState) -> EvacuationState {
+        let known = self.zones.get(zone).map_or(0, |known| known.state.revision);
+        let was_removed = state.revision <= self.complete_at && known < state.revision;
         EvacuationState {
-            is_over: mark.is_over || was_gone,
-            ..mark
+            is_over: state.is_over || was_removed,
+            ..state
         }
     }
 
-    fn raise(&mut self, zone: &str, mark: EvacuationState, now: Instant) -> Option<ZoneChange> {
+    fn advance(&mut self, zone: &str, state: EvacuationState, now: Instant) -> Option<ZoneChange> {
         let known = self.zones.get(zone).copied();
-        if known.is_some_and(|known| known.mark >= mark) {
+        if known.is_some_and(|known| known.state >= state) {
             return None;
         }
-        if known.is_none() && !self.has_room() {
+        if known.is_none() && !self.has_capacity() {
             return None;
         }
-        let was_evacuated = known.is_some_and(|known| !known.mark.is_over);
+        let was_evacuated = known.is_some_and(|known| !known.state.is_over);
         // An end is reported only if the evacuation, or any full read, was known here before.
-        let ends_now = mark.is_over && (was_evacuated || self.complete_at > 0);
+        let ends_now = state.is_over && (was_evacuated || self.complete_at > 0);
         let entry = KnownZone {
-            mark,
+            state,
             learned_at: now,
             returned_at: ends_now
                 .then_some(now)
                 .or_else(|| known.and_then(|known| known.returned_at)),
         };
         self.zones.insert(zone.to_owned(), entry);
-        let is_evacuated = !mark.is_over;
+        let is_evacuated = !state.is_over;
         (is_evacuated != was_evacuated).then(|| ZoneChange {
             zone: zone.to_owned(),
-            revision: mark.revision,
+            revision: state.revision,
             is_evacuated,
         })
     }
 
     /// True if a further zone can be tracked; evicts the oldest zone that is back in service.
-    fn has_room(&mut self) -> bool {
-        if self.zones.len() < MOST_ZONES {
+    fn has_capacity(&mut self) -> bool {
+        if self.zones.len() < MAX_ZONES {
             return true;
         }
-        let over = self.zones.iter().filter(|(_, known)| known.mark.is_over);
-        let oldest = over.min_by_key(|(_, known)| known.mark.revision);
+        let over = self.zones.iter().filter(|(_, known)| known.state.is_over);
+        let oldest = over.min_by_key(|(_, known)| known.state.revision);
         let Some(oldest) = oldest.map(|(zone, _)| zone.clone()) else {
             return false;
         };
@@ -146,7 +146,7 @@
         EvacuationUpdate {
             complete_at: self.complete_at,
             zones: zones
-                .map(|(zone, known)| (zone.clone(), known.mark))
+                .map(|(zone, known)| (zone.clone(), known.state))
                 .collect(),
         }
     }
@@ -160,13 +160,13 @@
     pub fn is_evacuated(&self, zone: &str) -> bool {
         self.zones
             .get(zone)
-            .is_some_and(|known| !known.mark.is_over)
+            .is_some_and(|known| !known.state.is_over)
     }
 
     /// Returns the names of the zones that are out of service.
     pub fn evacuated(&self) -> HashSet<String> {
         let zones = self.zones.iter();
-        let evacuated = zones.filter(|(_, known)| !known.mark.is_over);
+        let evacuated = zones.filter(|(_, known)| !known.state.is_over);
         evacuated.map(|(zone, _)| zone.clone()).collect()
     }
 
@@ -195,7 +195,7 @@
     pub fn apply(
         &mut self,
         written: Vec<(String, u64)>,
-        gone: &[String],
+        removed: &[String],
         complete_at: Option<u64>,
     ) -> EvacuationUpdate {
         let mut zones = BTreeMap::new();
@@ -203,7 +203,7 @@
             self.rows.insert(zone.clone(), revision);
             zones.insert(zone, in_force(revision));
         }
-        for zone in gone {
+        for zone in removed {
             let Some(revision) = self.rows.remove(zone) else {
                 continue;
             };
@@ -211,8 +211,8 @@
             zones.insert(zone.clone(), EvacuationState { revision, is_over });
         }
         if complete_at.is_some() {
-            let standing = self.rows.iter();
-            zones.extend(standing.map(|(zone, revision)| (zone.clone(), in_force(*revision))));
+            let current = self.rows.iter();
+            zones.extend(current.map(|(zone, revision)| (zone.clone(), in_force(*revision))));
         }
         EvacuationUpdate {
             complete_at: complete_at.unwrap_or_default(),
--- a/crates/serving/src/forwarder.rs
+++ b/crates/serving/src/forwarder.rs
@@ -29,7 +29,7 @@
 pub type SharedRoutes = Arc<ArcSwapOption<RouteTable>>;
 
 /// Maximum number of refusals by replicas per request.
-const MOST_REFUSALS: u32 = 3;
+const MAX_REFUSALS: u32 = 3;
 
 /// Retry interval for callers whose request could not be served.
 const RETRY_AFTER: Duration = Duration::from_millis(150);
@@ -124,16 +124,16 @@
         self.parts.quarantine.has_crashed(replica).await
     }
 
-    fn hold(&self, content: ContentId) -> Option<Hold> {
+    fn quarantine_of(&self, content: ContentId) -> Option<Hold> {
         match self.parts.quarantine.status(content) {
-            Standing::Held(hold) => Some(hold),
+            Standing::Held(active) => Some(active),
             Standing::Clear | Standing::Suspect { .. } => None,
         }
     }
 
     /// True if the content is quarantined, so that it is sent to no replica.
-    pub(crate) fn is_held(&self, content: ContentId) -> bool {
-        self.hold(content).is_some()
+    pub(crate) fn is_quarantined(&self, content: ContentId) -> bool {
+        self.quarantine_of(content).is_some()
     }
 
     /// True if the item's content is quarantined. A content that may have been present at the crashes by coincidence
@@ -142,8 +142,8 @@
         if !self.parts.quarantine.has_quarantined() {
             return false;
         }
-        let hold = self.hold(request.content());
-        hold.is_some_and(|hold| !hold.allows_trial(harrierward_clock::now()))
+        let active = self.quarantine_of(request.content());
+        active.is_some_and(|active| !active.allows_trial(harrierward_clock::now()))
     }
 
     /// Returns the mechanisms in use.
@@ -169,7 +169,7 @@
         };
         let request = Arc::new(request);
         match self.serve(&request, &entry, arrived).await {
-            Ok(answer) => Reply::Response(answer),
+            Ok(response) => Reply::Response(response),
             Err(refusal) => self.refuse(&request, refusal, arrived),
         }
     }
@@ -248,7 +248,7 @@
         let service = entry
             .next_service()
             .ok_or_else(|| refuse_unsent(RefusalCause::NoReplica))?;
-        let is_return = entry.is_overdue(request.timeout);
+        let is_retry = entry.is_overdue(request.timeout);
         let mut state = RequestState {
             request: request.clone(),
             content: request.content(),
@@ -259,26 +259,26 @@
             sends: 0,
             execution: Execution::NotRun,
             forgiven: 0,
-            is_return,
-            overdue: is_return && self.policy().has(Mechanism::OverdueLast),
+            is_retry,
+            overdue: is_retry && self.policy().has(Mechanism::OverdueLast),
         };
         let mut refusals = 0;
         loop {
-            if let Some(hold) = self.hold(state.content) {
-                return Err(held_back(&hold, &state));
+            if let Some(active) = self.quarantine_of(state.content) {
+                return Err(refuse_quarantined(&active, &state));
             }
-            if state.clock.hold_left().is_zero() {
-                return Err(given_up(RefusalCause::NoTimeLeft, &state));
+            if state.clock.remaining_hold().is_zero() {
+                return Err(abandon(RefusalCause::NoTimeLeft, &state));
             }
             state.sends += 1;
             let (replica, result) = self.first_attempt(&state).await;
             state.tried.extend(replica);
             let failure = match result {
-                Ok(attempt) if self.shall_repeat(&attempt, &state) => {
+                Ok(attempt) if self.should_retry(&attempt, &state) => {
                     state.execution.learn(Execution::Ran);
                     continue;
                 }
-                Ok(attempt) => return answer(self, state, attempt),
+                Ok(attempt) => return respond(self, state, attempt),
                 Err(failure) => failure,
             };
             state.execution.learn(failure.execution());
@@ -288,20 +288,20 @@
                     return Err(Refusal::new(cause, state.execution, Some(after)));
                 }
                 AttemptFailure::NoReplica if state.tried.is_empty() => {
-                    return Err(given_up(RefusalCause::NoReplica, &state));
+                    return Err(abandon(RefusalCause::NoReplica, &state));
                 }
-                AttemptFailure::NoReplica => return Err(given_up(RefusalCause::Full, &state)),
+                AttemptFailure::NoReplica => return Err(abandon(RefusalCause::Full, &state)),
                 AttemptFailure::NotRun { .. } | AttemptFailure::Unattributed { .. } => {
                     state.sends -= 1;
                     refusals += 1;
-                    if refusals > MOST_REFUSALS {
-                        return Err(given_up(RefusalCause::Full, &state));
+                    if refusals > MAX_REFUSALS {
+                        return Err(abandon(RefusalCause::Full, &state));
                     }
                 }
                 AttemptFailure::MayHaveRun { .. } => {
-                    self.forgive_end(&mut state).await;
+                    self.forgive_crash(&mut state).await;
                     if !state.route.may_repeat() || state.sends >= state.route.attempts {
-                        return Err(given_up(RefusalCause::Broken, &state));
+                        return Err(abandon(RefusalCause::Broken, &state));
                     }
                 }
             }
@@ -309,7 +309,7 @@
     }
 
     /// Excludes the last attempt from the count if its replica crashed and the request may be repeated.
-    async fn forgive_end(&self, state: &mut RequestState) {
+    async fn forgive_crash(&self, state: &mut RequestState) {
         let is_last = state.sends >= state.route.attempts;
         let Some(replica) = self.last_tried(state) else {
             return;
@@ -331,18 +331,18 @@
     ) -> (Option<String>, Result<Attempt, AttemptFailure>) {
         // A reused connection may deliver a late response or be closing, so an attempt that can't be repeated opens a
         // new one; so does one after a lost response, since reused connections tend to fail together.
-        let sending = AttemptOptions {
+        let options = AttemptOptions {
             resume_after: state.request.resume_after,
             fresh_connection: !state.route.may_repeat() || state.sends > 1,
             number: state.sends,
             failed_before: false,
         };
-        let times = || state.clock.attempt_times(&state.route, state.sends);
-        self.attempt(state, times, sending).await
+        let times = || state.clock.attempt_timeouts(&state.route, state.sends);
+        self.attempt(state, times, options).await
     }
 
     /// True if the replica failed and another one may serve the request.
-    fn shall_repeat(&self, attempt: &Attempt, state: &RequestState) -> bool {
+    fn should_retry(&self, attempt: &Attempt, state: &RequestState) -> bool {
         let route = &state.route;
         attempt.response.status >= 500 && route.may_repeat() && state.sends < route.attempts
     }
@@ -354,8 +354,8 @@
 }
 
 /// Refusal of a request that is abandoned after its attempts.
-fn given_up(cause: RefusalCause, state: &RequestState) -> Refusal {
-    let is_late = state.clock.hold_left().is_zero();
+fn abandon(cause: RefusalCause, state: &RequestState) -> Refusal {
+    let is_late = state.clock.remaining_hold().is_zero();
     let cause = if is_late && !state.execution.is_not_run() {
         RefusalCause::TimedOut
     } else {
@@ -365,14 +365,14 @@
 }
 
 /// Refusal of a request with quarantined content; an earlier retry would be refused as well.
-fn held_back(hold: &Hold, state: &RequestState) -> Refusal {
-    let left = hold
+fn refuse_quarantined(active: &Hold, state: &RequestState) -> Refusal {
+    let remaining = active
         .until
         .saturating_duration_since(harrierward_clock::now());
-    Refusal::new(RefusalCause::Quarantined, state.execution, Some(left))
+    Refusal::new(RefusalCause::Quarantined, state.execution, Some(remaining))
 }
 
-fn answer(
+fn respond(
     forwarder: &Forwarder,
     mut state: RequestState,
     attempt: Attempt,
--- a/crates/serving/src/gate.rs
+++ b/crates/serving/src/gate.rs
@@ -12,7 +12,7 @@
     /// The replica is draining.
     Leaving,
     /// The replica has crashed.
-    Ended,
+    Crashed,
     /// The replica's zone is evacuated.
     ZoneEvacuated,
     /// The request's route or tenant doesn't allow the replica's region.
@@ -26,7 +26,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::Leaving => "leaving",
-            Self::Ended => "ended",
+            Self::Crashed => "ended",
             Self::ZoneEvacuated => "zone_evacuated",
             Self::RegionNotAllowed => "region_not_allowed",
             Self::ColdWithoutGrant => "cold_without_grant",
@@ -46,18 +46,18 @@
 /// Returns why the request must not go to the replica now; `None` if it may.
 pub fn check_gate(
     replica: &Replica,
-    passage: &GateRequest<'_>,
+    request: &GateRequest<'_>,
     now: Instant,
 ) -> Option<GateDenial> {
     if replica.is_draining() {
         Some(GateDenial::Leaving)
     } else if replica.has_crashed() {
-        Some(GateDenial::Ended)
+        Some(GateDenial::Crashed)
     } else if replica.is_zone_evacuated() {
         Some(GateDenial::ZoneEvacuated)
-    } else if !passage.regions.allows(&replica.record.region) {
+    } else if !request.regions.allows(&replica.record.region) {
         Some(GateDenial::RegionNotAllowed)
-    } else if replica.is_cold(now) && passage.cold_until.is_none_or(|until| now >= until) {
+    } else if replica.is_cold(now) && request.cold_until.is_none_or(|until| now >= until) {
         Some(GateDenial::ColdWithoutGrant)
     } else {
         None
@@ -66,6 +66,6 @@
 
 /// True if the prefix cache may be copied from `source` now: it accepts work and lies in an allowed region. Checked
 /// right before the request is sent.
-pub fn may_give_copy(source: &Replica, regions: &AllowedRegions) -> bool {
+pub fn may_copy_from(source: &Replica, regions: &AllowedRegions) -> bool {
     source.accepts_work() && regions.allows(&source.record.region)
 }
--- a/crates/serving/src/in_progress.rs
+++ b/crates/serving/src/in_progress.rs
@@ -13,7 +13,7 @@
 pub struct InProgress {
     replica: Arc<Replica>,
     class: WorkClass,
-    place: Option<SlotLease>,
+    lease: Option<SlotLease>,
     content: Option<WatchedContent>,
 }
 
@@ -34,17 +34,17 @@
 }
 
 impl InProgress {
-    pub(crate) fn new(replica: Arc<Replica>, class: WorkClass, place: Option<SlotLease>) -> Self {
+    pub(crate) fn new(replica: Arc<Replica>, class: WorkClass, lease: Option<SlotLease>) -> Self {
         Self {
             replica,
             class,
-            place,
+            lease,
             content: None,
         }
     }
 
     /// Records that the content is sent, so that its result is reported to the quarantine.
-    pub(crate) fn begin(&mut self, content: ContentId, quarantine: Arc<dyn Quarantine>) {
+    pub(crate) fn track_content(&mut self, content: ContentId, quarantine: Arc<dyn Quarantine>) {
         self.content = Some(WatchedContent {
             content,
             quarantine,
@@ -80,19 +80,19 @@
 
     /// Returns the number of its lease; `None` without one.
     pub fn lease(&self) -> Option<u32> {
-        self.place.as_ref().map(SlotLease::number)
+        self.lease.as_ref().map(SlotLease::number)
     }
 
     /// Returns the observations about the replica that are reported when the lease is released; `None` without a
     /// lease.
     pub fn evidence(&self) -> Option<&Evidence> {
-        self.place.as_ref().map(SlotLease::evidence)
+        self.lease.as_ref().map(SlotLease::evidence)
     }
 
     /// Records the outcome, unless one was recorded before.
-    pub fn conclude(&self, verdict: AttemptOutcome) {
+    pub fn conclude(&self, outcome: AttemptOutcome) {
         if let Some(evidence) = self.evidence() {
-            evidence.conclude(verdict);
+            evidence.conclude(outcome);
         }
     }
 
--- a/crates/serving/src/leases.rs
+++ b/crates/serving/src/leases.rs
@@ -89,7 +89,7 @@
     fn acquire_locally(&self, replica: &Arc<Replica>, item: Option<ItemSlack>) -> u32;
 
     /// Releases a lease and reports the outcome of its request. Does not block.
-    fn release(&self, lease: u32, end: ReleaseReport);
+    fn release(&self, lease: u32, report: ReleaseReport);
 
     /// True if the coordinator recently reported the replica's whole group as cold, which its rows may not show yet.
     fn is_reported_cold(&self, _replica: &Replica) -> bool {
--- a/crates/serving/src/outcome.rs
+++ b/crates/serving/src/outcome.rs
@@ -10,7 +10,7 @@
 
 /// Minimum time beyond the prefill before an unresponsive replica counts as such: no replica could respond to a
 /// request with less time left.
-const LEAST_SILENCE: Duration = Duration::from_millis(100);
+const MIN_STALL: Duration = Duration::from_millis(100);
 
 /// Outcome of a request, as far as it depends on its replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -45,50 +45,50 @@
 }
 
 #[derive(Debug, Default)]
-struct Seen {
-    sent: Option<Instant>,
-    has_room: bool,
+struct Observations {
+    sent_at: Option<Instant>,
+    has_capacity: bool,
     prefill: Duration,
-    end: ReleaseReport,
+    report: ReleaseReport,
 }
 
-impl Seen {
+impl Observations {
     fn waited_long_enough(&self) -> bool {
-        let waited = self.sent.map(|sent| sent.elapsed());
-        waited.is_none_or(|waited| waited >= self.prefill + LEAST_SILENCE)
+        let waited = self.sent_at.map(|sent_at| sent_at.elapsed());
+        waited.is_none_or(|waited| waited >= self.prefill + MIN_STALL)
     }
 }
 
 /// Observations of one request about its replica. Only the first outcome is kept, since later ones follow from it.
 #[derive(Debug, Default)]
 pub struct Evidence {
-    seen: Mutex<Seen>,
+    observations: Mutex<Observations>,
 }
 
 impl Evidence {
     /// Records that the request is sent. A replica without free capacity may be slow, unresponsive or refuse;
     /// `prefill` is the expected time for the prompt, which doesn't count as latency.
-    pub fn note_sent(&self, has_room: bool, prefill: Duration) {
-        let mut seen = self.lock();
-        seen.sent = Some(Instant::now());
-        seen.has_room = has_room;
-        seen.prefill = prefill;
+    pub fn note_sent(&self, has_capacity: bool, prefill: Duration) {
+        let mut observations = self.lock();
+        observations.sent_at = Some(Instant::now());
+        observations.has_capacity = has_capacity;
+        observations.prefill = prefill;
     }
 
     /// Records the first event; later calls have no effect.
     pub fn note_event(&self) {
-        let mut seen = self.lock();
-        if !seen.has_room || seen.end.first_event.is_some() {
+        let mut observations = self.lock();
+        if !observations.has_capacity || observations.report.first_event.is_some() {
             return;
         }
-        let prefill = seen.prefill;
-        let elapsed = seen.sent.map(|sent| sent.elapsed());
-        seen.end.first_event = elapsed.map(|elapsed| elapsed.saturating_sub(prefill));
+        let prefill = observations.prefill;
+        let elapsed = observations.sent_at.map(|sent_at| sent_at.elapsed());
+        observations.report.first_event = elapsed.map(|elapsed| elapsed.saturating_sub(prefill));
     }
 
     /// True if the first event was recorded.
     pub fn has_begun(&self) -> bool {
-        self.lock().end.first_event.is_some()
+        self.lock().report.first_event.is_some()
     }
 
     /// True if the request waited long enough for a missing response to be evidence.
@@ -97,24 +97,28 @@
     }
 
     /// Records the outcome, unless one is recorded or it is no evidence.
-    pub fn conclude(&self, verdict: AttemptOutcome) {
-        let mut seen = self.lock();
-        let excused = match verdict {
-            AttemptOutcome::Unresponsive => !seen.has_room || !seen.waited_long_enough(),
-            AttemptOutcome::NotRun => !seen.has_room,
+    pub fn conclude(&self, outcome: AttemptOutcome) {
+        let mut observations = self.lock();
+        let is_excused = match outcome {
+            AttemptOutcome::Unresponsive => {
+                !observations.has_capacity || !observations.waited_long_enough()
+            }
+            AttemptOutcome::NotRun => !observations.has_capacity,
             _ => false,
         };
-        if seen.end.outcome == AttemptOutcome::NoEvidence && !excused {
-            seen.end.outcome = verdict;
+        if observations.report.outcome == AttemptOutcome::NoEvidence && !is_excused {
+            observations.report.outcome = outcome;
         }
     }
 
     /// Returns the report for the release of the lease.
     pub fn report(&self) -> ReleaseReport {
-        self.lock().end
+        self.lock().report
     }
 
-    fn lock(&self) -> MutexGuard<'_, Seen> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Observations> {
+        self.observations
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -22,12 +22,12 @@
 
 /// Divisor of the objective that gives the retry interval of an overdue request, and the upper bound of that
 /// interval.
-const OVERDUE_PAUSE_PART: u32 = 3;
-const LONGEST_OVERDUE_PAUSE: Duration = Duration::from_millis(150);
+const OVERDUE_PAUSE_DIVISOR: u32 = 3;
+const MAX_OVERDUE_PAUSE: Duration = Duration::from_millis(150);
 
 /// Reason why a request was not placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum NoPlace {
+pub(crate) enum PlacementError {
     /// No replica accepts the request.
     NoReplica,
     /// The request would miss its objective; its caller shall retry.
@@ -63,18 +63,18 @@
             may_repeat: item.is_some(),
             max_retry_after: None,
         };
-        self.ask_or_choose(query, request).await.ok()
+        self.acquire_or_choose(query, request).await.ok()
     }
 
     /// Places a new online request, whose caller may be asked to retry instead.
-    pub(crate) async fn place_newcomer(
+    pub(crate) async fn place_new(
         &self,
         request: &ServingRequest,
         service: &str,
         objective: Duration,
         may_repeat: bool,
         max_retry_after: Option<Duration>,
-    ) -> Result<Placement, NoPlace> {
+    ) -> Result<Placement, PlacementError> {
         let query = SlotQuery {
             service,
             prompt: &request.prompt,
@@ -87,7 +87,7 @@
             may_repeat,
             max_retry_after,
         };
-        self.ask_or_choose(query, request).await
+        self.acquire_or_choose(query, request).await
     }
 
     /// Places an online request past its objective. It waits up to `max_wait` for slots left by requests that can
@@ -97,10 +97,10 @@
         request: &ServingRequest,
         service: &str,
         objective: Duration,
-        longest: Duration,
+        max_wait: Duration,
     ) -> Option<Placement> {
-        let until = Instant::now() + longest;
-        let pause = (objective / OVERDUE_PAUSE_PART).min(LONGEST_OVERDUE_PAUSE);
+        let until = Instant::now() + max_wait;
+        let pause = (objective / OVERDUE_PAUSE_DIVISOR).min(MAX_OVERDUE_PAUSE);
         let mut query = SlotQuery {
             service,
             prompt: &request.prompt,
@@ -113,7 +113,7 @@
             may_repeat: false,
             max_retry_after: None,
         };
-        let began = Instant::now();
+        let started = Instant::now();
         loop {
             if !self.replicas().view().has_usable(service, &request.regions) {
                 break;
@@ -124,9 +124,9 @@
                     sleep(pause.mul_f64(rand::random_range(0.75..1.25))).await;
                 }
                 SlotReply::Granted { choice, lease } => {
-                    self.log_overdue(request, began);
-                    let held = SlotLease::new(self.leases().clone(), lease);
-                    return Some(choice.enter(query.class(), held));
+                    self.log_overdue(request, started);
+                    let guard = SlotLease::new(self.leases().clone(), lease);
+                    return Some(choice.enter(query.class(), guard));
                 }
                 SlotReply::NoCapacity
                 | SlotReply::RetryLater { .. }
@@ -136,9 +136,9 @@
                 }
             }
         }
-        self.log_overdue(request, began);
+        self.log_overdue(request, started);
         query.overdue = false;
-        self.ask_or_choose(query, request).await.ok()
+        self.acquire_or_choose(query, request).await.ok()
     }
 
     fn length_of(&self, service: &str, request: &ServingRequest) -> PromptLength {
@@ -149,62 +149,64 @@
         }
     }
 
-    fn log_overdue(&self, request: &ServingRequest, began: Instant) {
-        let waited = began.elapsed().as_millis();
+    fn log_overdue(&self, request: &ServingRequest, started: Instant) {
+        let waited = started.elapsed().as_millis();
         self.log().record(&Record::OverduePlaced {
             request: &request.id,
             waited_ms: u64::try_from(waited).unwrap_or(u64::MAX),
         });
     }
 
-    async fn ask_or_choose(
+    async fn acquire_or_choose(
         &self,
         query: SlotQuery<'_>,
         request: &ServingRequest,
-    ) -> Result<Placement, NoPlace> {
+    ) -> Result<Placement, PlacementError> {
         // Without a usable replica no coordinator has a slot, so the caller is refused at once.
         let view = self.replicas().view();
         if !view.has_usable(query.service, query.regions) {
-            return Err(NoPlace::NoReplica);
+            return Err(PlacementError::NoReplica);
         }
         drop(view);
-        let answer = self.leases().acquire(query).await;
-        if matches!(answer, SlotReply::AllCold) {
+        let reply = self.leases().acquire(query).await;
+        if matches!(reply, SlotReply::AllCold) {
             self.log().record(&Record::ColdPassedOver {
                 request: &request.id,
                 service: query.service,
                 item: query.item.is_some(),
             });
         }
-        match answer {
+        match reply {
             SlotReply::Granted { choice, lease } => {
-                let held = SlotLease::new(self.leases().clone(), lease);
-                if self.overrules(&choice, query.regions) {
-                    drop(held);
-                    return self.choose_alone(query).ok_or(NoPlace::NoReplica);
+                let guard = SlotLease::new(self.leases().clone(), lease);
+                if self.overrides(&choice, query.regions) {
+                    drop(guard);
+                    return self.choose_locally(query).ok_or(PlacementError::NoReplica);
                 }
-                Ok(choice.enter(query.class(), held))
+                Ok(choice.enter(query.class(), guard))
             }
-            SlotReply::NoCapacity => Err(NoPlace::NoReplica),
-            SlotReply::RetryLater { after } => Err(NoPlace::RetryLater { after }),
+            SlotReply::NoCapacity => Err(PlacementError::NoReplica),
+            SlotReply::RetryLater { after } => Err(PlacementError::RetryLater { after }),
             // An item can wait for the coordinator's capacity, a caller can't.
-            SlotReply::AllCold if query.item.is_some() => Err(NoPlace::NoReplica),
+            SlotReply::AllCold if query.item.is_some() => Err(PlacementError::NoReplica),
             SlotReply::AllCold | SlotReply::NoCoordinator => {
-                self.choose_alone(query).ok_or(NoPlace::NoReplica)
+                self.choose_locally(query).ok_or(PlacementError::NoReplica)
             }
         }
     }
 
     /// True if this daemon must not use the granted replica. A coordinator with an outdated view would otherwise
     /// grant all replicas of an evacuated zone one after the other.
-    fn overrules(&self, choice: &Choice, regions: &AllowedRegions) -> bool {
-        let passage = GateRequest {
+    fn overrides(&self, choice: &Choice, regions: &AllowedRegions) -> bool {
+        let gate_request = GateRequest {
             regions,
             cold_until: choice.cold_until,
         };
-        let reason = check_gate(&choice.replica, &passage, harrierward_clock::now());
+        let reason = check_gate(&choice.replica, &gate_request, harrierward_clock::now());
         let Some(
-            reason @ (GateDenial::ZoneEvacuated | GateDenial::RegionNotAllowed | GateDenial::Ended),
+            reason @ (GateDenial::ZoneEvacuated
+            | GateDenial::RegionNotAllowed
+            | GateDenial::Crashed),
         ) = reason
         else {
             return false;
@@ -216,12 +218,12 @@
         true
     }
 
-    fn choose_alone(&self, query: SlotQuery<'_>) -> Option<Placement> {
+    fn choose_locally(&self, query: SlotQuery<'_>) -> Option<Placement> {
         let view = self.replicas().view();
-        let places = self.leases();
+        let leases = self.leases();
         let zone = &self.settings().zone;
         let region = &self.settings().region;
-        let wanted = ChoiceQuery {
+        let criteria = ChoiceQuery {
             is_own_zone: &|replica| replica.record.zone == *zone,
             is_own_region: &|replica| replica.record.region == *region,
             prompt: query.prompt,
@@ -241,17 +243,17 @@
         let now = harrierward_clock::now();
         let mut usable = view.usable(query.service);
         // Only a coordinator counts requests at cold replicas, and it may know earlier that one is cold.
-        usable.retain(|replica| !replica.is_cold(now) && !places.is_reported_cold(replica));
-        let (replicas, left) = own_region_first(usable, &wanted);
-        let mut choice = choose_replica(&view, replicas, &self.settings().costs, &wanted)?;
-        choice.left_region = left.filter(|_| choice.replica.record.region != *region);
-        let number = places.acquire_locally(&choice.replica, query.item);
-        let held = SlotLease::new(Arc::clone(places), number);
+        usable.retain(|replica| !replica.is_cold(now) && !leases.is_reported_cold(replica));
+        let (replicas, left_region) = own_region_first(usable, &criteria);
+        let mut choice = choose_replica(&view, replicas, &self.settings().costs, &criteria)?;
+        choice.left_region = left_region.filter(|_| choice.replica.record.region != *region);
+        let number = leases.acquire_locally(&choice.replica, query.item);
+        let guard = SlotLease::new(Arc::clone(leases), number);
         let replica = choice.replica.clone();
-        let placement = choice.enter(query.class(), held);
+        let placement = choice.enter(query.class(), guard);
         let may_preempt = self.policy().has(Mechanism::Preemption);
         if may_preempt && query.class() == WorkClass::Online && replica.is_crowded_by_batch() {
-            places.preempt_item(&replica);
+            leases.preempt_item(&replica);
         }
         Some(placement)
     }
--- a/crates/serving/src/profile.rs
+++ b/crates/serving/src/profile.rs
@@ -17,7 +17,7 @@
 const MEAN_WEIGHT: f64 = 0.02;
 
 /// Time after the last long prompt during which lengths are separated.
-const APART_FOR: Duration = Duration::from_secs(10);
+const SEPARATION_WINDOW: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Clone, Copy)]
 struct Profile {
@@ -69,8 +69,10 @@
 
 impl Profile {
     fn length_of_short(&self) -> PromptLength {
-        let apart = self.long_seen_at.is_some_and(|at| at.elapsed() < APART_FOR);
-        if apart {
+        let is_separated = self
+            .long_seen_at
+            .is_some_and(|at| at.elapsed() < SEPARATION_WINDOW);
+        if is_separated {
             PromptLength::Short
         } else {
             PromptLength::Uniform
--- a/crates/serving/src/prompt.rs
+++ b/crates/serving/src/prompt.rs
@@ -34,7 +34,7 @@
 }
 
 /// Maximum number of parts tracked per replica.
-const REMEMBERED_PARTS: usize = 4096;
+const MAX_PARTS: usize = 4096;
 
 /// Estimate of a replica's prefix cache: the parts that this daemon sent there, evicted least recently used first.
 #[derive(Debug)]
@@ -73,11 +73,11 @@
             }
             self.tokens += u64::from(part.tokens);
         }
-        while self.tokens > self.capacity_tokens || self.parts.len() > REMEMBERED_PARTS {
-            let Some((_, dropped)) = self.parts.pop_lru() else {
+        while self.tokens > self.capacity_tokens || self.parts.len() > MAX_PARTS {
+            let Some((_, evicted)) = self.parts.pop_lru() else {
                 break;
             };
-            self.tokens = self.tokens.saturating_sub(u64::from(dropped));
+            self.tokens = self.tokens.saturating_sub(u64::from(evicted));
         }
     }
 }
--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -27,13 +27,13 @@
 }
 
 /// Share of the gap objective after which a replica without progress is abandoned, in percent.
-const DARK_GAP_PERCENT: u32 = 60;
+const STALL_GAP_PERCENT: u32 = 60;
 
 /// Multiple of the gap objective after which any replica is abandoned.
-const LONGEST_GAP_FACTOR: u32 = 3;
+const MAX_GAP_FACTOR: u32 = 3;
 
 /// Lowest status that doesn't count as service by the replica.
-const FIRST_ERROR: u16 = 400;
+const MIN_ERROR_STATUS: u16 = 400;
 
 /// Gap objective of routes that set none.
 const DEFAULT_GAP: Duration = Duration::from_millis(500);
@@ -49,7 +49,7 @@
     ready: VecDeque<Bytes>,
     delivered: Option<u64>,
     first_event_ms: Option<u64>,
-    ended: bool,
+    finished: bool,
 }
 
 enum Step {
@@ -73,7 +73,7 @@
             ready: VecDeque::new(),
             delivered,
             first_event_ms: None,
-            ended: false,
+            finished: false,
         }
     }
 
@@ -85,9 +85,9 @@
         })
     }
 
-    fn conclude(&self, verdict: AttemptOutcome) {
+    fn conclude(&self, outcome: AttemptOutcome) {
         if let Some(in_progress) = &self.in_progress {
-            in_progress.conclude(verdict);
+            in_progress.conclude(outcome);
         }
     }
 
@@ -106,7 +106,7 @@
             if let Some(bytes) = self.ready.pop_front() {
                 return Some(Ok(bytes));
             }
-            if self.ended {
+            if self.finished {
                 return None;
             }
             match self.step().await {
@@ -116,12 +116,12 @@
                 Step::End if self.splits_events() && self.splitter.buffered_bytes() > 0 => {
                     let cause = "the stream ended within an event".to_owned();
                     self.note_disconnect();
-                    if let Err(cut) = self.go_on(cause).await {
-                        return Some(Err(cut));
+                    if let Err(error) = self.resume(cause).await {
+                        return Some(Err(error));
                     }
                 }
                 Step::End => {
-                    if self.status < FIRST_ERROR {
+                    if self.status < MIN_ERROR_STATUS {
                         self.conclude(AttemptOutcome::Served);
                     }
                     if let Some(in_progress) = &self.in_progress {
@@ -131,8 +131,8 @@
                     return None;
                 }
                 Step::Broken(cause) => {
-                    if let Err(cut) = self.go_on(cause).await {
-                        return Some(Err(cut));
+                    if let Err(error) = self.resume(cause).await {
+                        return Some(Err(error));
                     }
                 }
             }
@@ -140,33 +140,39 @@
     }
 
     async fn step(&mut self) -> Step {
-        let left = self.state.clock.hold_left();
-        if left.is_zero() {
+        let remaining = self.state.clock.remaining_hold();
+        if remaining.is_zero() {
             return Step::Broken("the route's time is over".to_owned());
         }
         let gap = self.state.route.gap_objective.unwrap_or(DEFAULT_GAP);
-        let movable = self.can_move() && self.has_elsewhere();
-        let (dark, longest) = if movable {
-            let dark = gap * DARK_GAP_PERCENT / 100;
-            (dark, gap * LONGEST_GAP_FACTOR)
+        let can_resume = self.may_resume() && self.has_alternative();
+        let (stall_timeout, max_wait) = if can_resume {
+            let stall_timeout = gap * STALL_GAP_PERCENT / 100;
+            (stall_timeout, gap * MAX_GAP_FACTOR)
         } else {
-            (left, left)
+            (remaining, remaining)
         };
         let (Some(body), Some(in_progress)) = (&mut self.body, &self.in_progress) else {
             return Step::Broken("no replica".to_owned());
         };
         let replica = in_progress.replica();
-        let next = wait_for_progress(body.next(), replica, dark.min(left), longest.min(left)).await;
+        let next = wait_for_progress(
+            body.next(),
+            replica,
+            stall_timeout.min(remaining),
+            max_wait.min(remaining),
+        )
+        .await;
         match next {
-            None if self.state.clock.hold_left().is_zero() => {
+            None if self.state.clock.remaining_hold().is_zero() => {
                 // A replica that has sent an event may only have had too little time.
-                let began = in_progress.evidence().is_some_and(Evidence::has_begun);
-                if !began {
+                let has_begun = in_progress.evidence().is_some_and(Evidence::has_begun);
+                if !has_begun {
                     in_progress.conclude(AttemptOutcome::Unresponsive);
                 }
                 Step::Broken("the route's time is over".to_owned())
             }
-            None if movable && !self.has_elsewhere() => Step::Wait,
+            None if can_resume && !self.has_alternative() => Step::Wait,
             None => {
                 replica.suspect();
                 in_progress.conclude(AttemptOutcome::Unresponsive);
@@ -174,7 +180,7 @@
             }
             Some(None) => Step::End,
             Some(Some(Ok(bytes))) => {
-                if self.status < FIRST_ERROR {
+                if self.status < MIN_ERROR_STATUS {
                     in_progress.note_event();
                 }
                 let elapsed = self.state.clock.elapsed_ms();
@@ -191,11 +197,11 @@
     fn split(&mut self, bytes: &[u8]) {
         self.splitter.push(bytes);
         while let Some(event) = self.splitter.next_event() {
-            let known = match (event.id, self.delivered) {
+            let is_duplicate = match (event.id, self.delivered) {
                 (Some(id), Some(last)) => id <= last,
                 _ => false,
             };
-            if known {
+            if is_duplicate {
                 continue;
             }
             self.delivered = event.id.or(self.delivered);
@@ -203,39 +209,39 @@
         }
     }
 
-    fn can_move(&self) -> bool {
+    fn may_resume(&self) -> bool {
         self.splits_events() && self.state.sends < self.state.route.attempts
     }
 
     /// True if another replica could take over. A response in progress is not interrupted for a stall if all zones
     /// are evacuated.
-    fn has_elsewhere(&self) -> bool {
+    fn has_alternative(&self) -> bool {
         let view = self.forwarder.replicas().view();
         view.has_usable(&self.state.service, &self.state.request.regions)
     }
 
     /// Resumes at another replica after the last event delivered, if allowed.
-    async fn go_on(&mut self, cause: String) -> Result<(), ResponseAborted> {
+    async fn resume(&mut self, cause: String) -> Result<(), ResponseAborted> {
         // The connection is closed before another replica starts.
         self.body = None;
-        let left = self.in_progress.take();
-        let left = left.map(|in_progress| in_progress.replica().clone());
+        let abandoned = self.in_progress.take();
+        let abandoned = abandoned.map(|in_progress| in_progress.replica().clone());
         self.splitter = EventSplitter::default();
-        if let Some(replica) = left {
-            self.forgive_end(&replica).await;
+        if let Some(replica) = abandoned {
+            self.forgive_crash(&replica).await;
         }
-        if !self.can_move() || self.state.clock.hold_left().is_zero() {
-            return Err(self.cut(cause));
+        if !self.may_resume() || self.state.clock.remaining_hold().is_zero() {
+            return Err(self.abort(cause));
         }
-        self.log_break(&cause);
-        let mut first_cause = Some(cause);
-        let mut room_waits = 0;
-        while self.can_move() && !self.state.clock.hold_left().is_zero() {
-            if self.forwarder.is_held(self.state.content) {
+        self.log_interruption(&cause);
+        let mut last_cause = Some(cause);
+        let mut capacity_waits = 0;
+        while self.may_resume() && !self.state.clock.remaining_hold().is_zero() {
+            if self.forwarder.is_quarantined(self.state.content) {
                 break;
             }
             self.state.sends += 1;
-            let (replica, result) = self.try_again().await;
+            let (replica, result) = self.retry().await;
             self.state.tried.extend(replica);
             match result {
                 Ok(attempt) if attempt.response.status < 300 => {
@@ -245,40 +251,40 @@
                 }
                 Ok(attempt) => {
                     let status = attempt.response.status;
-                    first_cause = Some(format!("resumed with status {status}"));
+                    last_cause = Some(format!("resumed with status {status}"));
                 }
                 Err(
                     AttemptFailure::NotRun { cause, .. } | AttemptFailure::Unattributed { cause },
                 ) => {
                     self.state.sends -= 1;
-                    first_cause = Some(cause);
-                    let all_refuse = self.state.tried.len() > MOST_REFUSALS;
-                    if all_refuse && !self.wait_for_room(&mut room_waits).await {
+                    last_cause = Some(cause);
+                    let all_refuse = self.state.tried.len() > MAX_TRIED_REPLICAS;
+                    if all_refuse && !self.wait_for_capacity(&mut capacity_waits).await {
                         break;
                     }
                 }
                 Err(AttemptFailure::MayHaveRun { cause }) => {
-                    first_cause = Some(cause);
+                    last_cause = Some(cause);
                     let replica = self.forwarder.last_tried(&self.state);
                     if let Some(replica) = replica {
-                        self.forgive_end(&replica).await;
+                        self.forgive_crash(&replica).await;
                     }
                 }
                 Err(AttemptFailure::NoReplica | AttemptFailure::RetryLater { .. }) => {
                     self.state.sends -= 1;
-                    first_cause = Some("no replica".to_owned());
-                    if !self.wait_for_room(&mut room_waits).await {
+                    last_cause = Some("no replica".to_owned());
+                    if !self.wait_for_capacity(&mut capacity_waits).await {
                         break;
                     }
                 }
             }
         }
-        Err(self.cut(first_cause.unwrap_or_default()))
+        Err(self.abort(last_cause.unwrap_or_default()))
     }
 
     /// Excludes the last attempt from the count if its replica crashed: requests that ran there next to the cause
     /// would otherwise be lost with its second crash.
-    async fn forgive_end(&mut self, replica: &Arc<Replica>) {
+    async fn forgive_crash(&mut self, replica: &Arc<Replica>) {
         let is_last = self.state.sends >= self.state.route.attempts;
         if self.splits_events() && is_last && self.forwarder.has_crashed(replica).await {
             self.state.forgive();
@@ -287,29 +293,29 @@
 
     /// Waits before all replicas are tried again; returns false if the limit is reached. Temporary overload must not
     /// interrupt a response that has begun.
-    async fn wait_for_room(&mut self, waits: &mut u32) -> bool {
-        if *waits == MOST_ROOM_WAITS {
+    async fn wait_for_capacity(&mut self, waits: &mut u32) -> bool {
+        if *waits == MAX_CAPACITY_WAITS {
             return false;
         }
         *waits += 1;
-        sleep(ROOM_PAUSE.min(self.state.clock.hold_left())).await;
+        sleep(CAPACITY_RETRY_INTERVAL.min(self.state.clock.remaining_hold())).await;
         self.state.tried.clear();
         true
     }
 
-    async fn try_again(&mut self) -> (Option<String>, Result<Attempt, AttemptFailure>) {
+    async fn retry(&mut self) -> (Option<String>, Result<Attempt, AttemptFailure>) {
         let state = &self.state;
-        let times = || state.clock.attempt_times(&state.route, state.sends);
-        let sending = AttemptOptions {
+        let times = || state.clock.attempt_timeouts(&state.route, state.sends);
+        let options = AttemptOptions {
             resume_after: self.delivered,
             fresh_connection: true,
             number: state.sends,
             failed_before: false,
         };
-        self.forwarder.attempt(state, times, sending).await
+        self.forwarder.attempt(state, times, options).await
     }
 
-    fn log_break(&self, cause: &str) {
+    fn log_interruption(&self, cause: &str) {
         let replica = self.state.tried.last().map_or("", String::as_str);
         self.forwarder.log().record(&Record::AttemptFailed {
             request: &self.state.request.id,
@@ -321,7 +327,7 @@
         });
     }
 
-    fn cut(&mut self, cause: String) -> ResponseAborted {
+    fn abort(&mut self, cause: String) -> ResponseAborted {
         self.finish("cut");
         self.forwarder.log().record(&Record::AttemptFailed {
             request: &self.state.request.id,
@@ -335,7 +341,7 @@
     }
 
     fn finish(&mut self, outcome: &'static str) {
-        self.ended = true;
+        self.finished = true;
         self.body = None;
         self.in_progress = None;
         self.forwarder.log().record(&Record::Ended {
@@ -352,21 +358,21 @@
 impl Drop for Relay {
     /// A caller that leaves drops the response before its end.
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.finished {
             self.finish("caller left");
         }
     }
 }
 
 /// Interval before all replicas are tried again.
-const ROOM_PAUSE: Duration = Duration::from_millis(100);
+const CAPACITY_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Maximum number of such waits, 1.5 s in total: callers abandon a stream after a gap of 2 s, and may resume it
-/// through another daemon earlier.
-const MOST_ROOM_WAITS: u32 = 15;
+/// Maximum number of waits for capacity, 1.5 s in total: callers abandon a stream after a gap of 2 s, and may resume
+/// it through another daemon earlier.
+const MAX_CAPACITY_WAITS: u32 = 15;
 
-/// Maximum number of replicas tried per request, including refusals.
-const MOST_REFUSALS: usize = 5;
+/// Maximum number of replicas tried, including refusals, before the first wait for capacity.
+const MAX_TRIED_REPLICAS: usize = 5;
 
 impl RequestClock {
     /// Returns the milliseconds since the request arrived.
--- a/crates/serving/src/replica.rs
+++ b/crates/serving/src/replica.rs
@@ -17,14 +17,14 @@
 use crate::warmth::Warmth;
 
 /// Time for which a load report of the replica is used in addition to the daemons' counts.
-const REPLICA_LOAD_LIFETIME: Duration = Duration::from_millis(400);
+const LOAD_REPORT_TTL: Duration = Duration::from_millis(400);
 
 /// Share of a replica's KV cache that shared prompt parts are assumed to occupy, in percent.
-const MEMORY_SHARE_PERCENT: u64 = 70;
+const CACHE_SHARE_PERCENT: u64 = 70;
 
 /// Time for which a replica with a closed port counts as crashed. Its entry is removed after three missed heartbeats;
 /// one that restarts earlier under the same id is detected by the next request.
-const ENDED_FOR: Duration = Duration::from_millis(4_000);
+const CRASHED_TTL: Duration = Duration::from_millis(4_000);
 
 /// Record that a replica publishes in discovery.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -52,8 +52,8 @@
 impl ReplicaRecord {
     /// True if `reported` belongs to another instance, so that what is known of this one doesn't apply. A missing
     /// start time proves nothing; an earlier one is another instance whose clock was set back.
-    pub fn is_other_instance(&self, told: &Self) -> bool {
-        told.born_ms.is_some() && told.born_ms != self.born_ms
+    pub fn is_other_instance(&self, reported: &Self) -> bool {
+        reported.born_ms.is_some() && reported.born_ms != self.born_ms
     }
 
     /// Returns the hash of this instance, by which daemons refer to it in datagrams.
@@ -76,9 +76,9 @@
 
 #[derive(Debug, Clone, Copy)]
 struct LoadReport {
-    word: ReplicaLoad,
-    at: Instant,
-    own_then: u32,
+    load: ReplicaLoad,
+    received_at: Instant,
+    own_at_report: u32,
 }
 
 /// Returns the short hash of a name, as used in datagrams between daemons.
@@ -100,7 +100,7 @@
     zone_evacuated: AtomicBool,
     is_unlisted: AtomicBool,
     /// Time until which it counts as crashed, after `started`; 0 if it doesn't.
-    ended_until_ms: AtomicU64,
+    crashed_until_ms: AtomicU64,
     /// End of the warmup, after `started`; a copy of `warmth` for the request path, which takes no lock.
     cold_until_ms: AtomicU64,
     warmth: Mutex<Warmth>,
@@ -110,14 +110,14 @@
     in_progress: Arc<AtomicUsize>,
     peers_online: AtomicU32,
     peers_batch: AtomicU32,
-    peers_told_at_ms: AtomicU64,
+    peers_reported_at_ms: AtomicU64,
     /// Origin of all stored times, on the clock that includes suspensions.
     started: Instant,
     /// Origin of progress times, on the clock that excludes suspensions, during which no data can be received.
-    listening_since: Instant,
+    receiving_since: Instant,
     suspicion: Suspicion,
     report: Mutex<Option<LoadReport>>,
-    memory: Mutex<PrefixCacheEstimate>,
+    prefix_cache: Mutex<PrefixCacheEstimate>,
 }
 
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -137,8 +137,8 @@
         in_progress: Arc<AtomicUsize>,
     ) -> Self {
         let draining = record.draining;
-        let left = record.warmup;
-        let kept_tokens = memory_tokens * MEMORY_SHARE_PERCENT / 100;
+        let remaining = record.warmup;
+        let cache_tokens = memory_tokens * CACHE_SHARE_PERCENT / 100;
         let replica = Self {
             hash: record.instance_hash(),
             location: Location::new(&record.zone, &record.region),
@@ -146,7 +146,7 @@
             draining: AtomicBool::new(draining),
             zone_evacuated: AtomicBool::new(false),
             is_unlisted: AtomicBool::new(false),
-            ended_until_ms: AtomicU64::new(0),
+            crashed_until_ms: AtomicU64::new(0),
             cold_until_ms: AtomicU64::new(0),
             warmth: Mutex::default(),
             own_online: AtomicU32::new(0),
@@ -154,14 +154,14 @@
             in_progress,
             peers_online: AtomicU32::new(0),
             peers_batch: AtomicU32::new(0),
-            peers_told_at_ms: AtomicU64::new(0),
+            peers_reported_at_ms: AtomicU64::new(0),
             started: harrierward_clock::now(),
-            listening_since: Instant::now(),
+            receiving_since: Instant::now(),
             suspicion: Suspicion::default(),
             report: Mutex::new(None),
-            memory: Mutex::new(PrefixCacheEstimate::new(kept_tokens)),
+            prefix_cache: Mutex::new(PrefixCacheEstimate::new(cache_tokens)),
         };
-        replica.note_row_warmup(left, replica.started);
+        replica.note_row_warmup(remaining, replica.started);
         replica
     }
 
@@ -169,8 +169,8 @@
         millis(harrierward_clock::age(self.started))
     }
 
-    fn listened_ms(&self) -> u64 {
-        millis(self.listening_since.elapsed())
+    fn receiving_ms(&self) -> u64 {
+        millis(self.receiving_since.elapsed())
     }
 
     /// Returns the number of requests that the replica serves concurrently, at least 1.
@@ -208,13 +208,13 @@
 
     /// Marks it as crashed until its entry is removed, another instance is listed, or a timeout expires.
     pub fn set_crashed(&self) {
-        let until = self.now_ms() + millis(ENDED_FOR);
-        self.ended_until_ms.store(until, Ordering::Relaxed);
+        let until = self.now_ms() + millis(CRASHED_TTL);
+        self.crashed_until_ms.store(until, Ordering::Relaxed);
     }
 
     /// True while it counts as crashed.
     pub fn has_crashed(&self) -> bool {
-        let until = self.ended_until_ms.load(Ordering::Relaxed);
+        let until = self.crashed_until_ms.load(Ordering::Relaxed);
         // Checked for every replica and request; the clock is read only where needed.
         until > 0 && self.now_ms() < until
     }
@@ -236,9 +236,9 @@
         self.change_warmth(|warmth| warmth.extend(until));
     }
 
-    /// Applies a row seen at `seen`: `left` is the remaining warmup, zero if the replica is warm.
-    pub fn note_row_warmup(&self, left: Duration, seen: Instant) {
-        self.change_warmth(|warmth| warmth.apply_row(left, seen));
+    /// Applies a row seen at `seen_at`: `remaining` is the remaining warmup, zero if the replica is warm.
+    pub fn note_row_warmup(&self, remaining: Duration, seen_at: Instant) {
+        self.change_warmth(|warmth| warmth.apply_row(remaining, seen_at));
     }
 
     /// Sets the warmup that the configuration defines for its service.
@@ -282,7 +282,7 @@
     /// Sets the peers' counts of requests in progress there.
     pub fn set_peer_counts(&self, online: u32, batch: u32) {
         let now = self.now_ms().max(1);
-        self.peers_told_at_ms.store(now, Ordering::Relaxed);
+        self.peers_reported_at_ms.store(now, Ordering::Relaxed);
         self.peers_online.store(online, Ordering::Relaxed);
         self.peers_batch.store(batch, Ordering::Relaxed);
     }
@@ -311,11 +311,11 @@
         let Some(report) = *lock(&self.report) else {
             return counted;
         };
-        if harrierward_clock::age(report.at) > REPLICA_LOAD_LIFETIME {
+        if harrierward_clock::age(report.received_at) > LOAD_REPORT_TTL {
             return counted;
         }
-        let told = report.word.running + report.word.waiting;
-        let now = (told + self.own_total()).saturating_sub(report.own_then);
+        let reported = report.load.running + report.load.waiting;
+        let now = (reported + self.own_total()).saturating_sub(report.own_at_report);
         counted.max(now)
     }
 
@@ -326,44 +326,44 @@
 
     /// Returns the age of the last load report, milliseconds.
     pub fn report_age_ms(&self) -> Option<u64> {
-        lock(&self.report).map(|report| millis(harrierward_clock::age(report.at)))
+        lock(&self.report).map(|report| millis(harrierward_clock::age(report.received_at)))
     }
 
     /// Returns the age of the peers' counts, milliseconds.
     pub fn peers_age_ms(&self) -> Option<u64> {
-        let at = self.peers_told_at_ms.load(Ordering::Relaxed);
-        (at > 0).then(|| self.now_ms().saturating_sub(at))
+        let received_at = self.peers_reported_at_ms.load(Ordering::Relaxed);
+        (received_at > 0).then(|| self.now_ms().saturating_sub(received_at))
     }
 
     /// Applies a load report of the replica.
-    pub fn note_load(&self, word: ReplicaLoad) {
+    pub fn note_load(&self, load: ReplicaLoad) {
         let report = LoadReport {
-            word,
-            at: harrierward_clock::now(),
-            own_then: self.own_total(),
+            load,
+            received_at: harrierward_clock::now(),
+            own_at_report: self.own_total(),
         };
         *lock(&self.report) = Some(report);
     }
 
     /// Records a refusal for lack of capacity as a load report.
     pub fn note_full(&self) {
-        let word = ReplicaLoad {
+        let load = ReplicaLoad {
             running: self.slots(),
             waiting: self.slots(),
             slots: self.slots(),
         };
-        self.note_load(word);
+        self.note_load(load);
     }
 
     /// Records that bytes arrived from the replica.
     pub fn note_progress(&self) {
-        self.ended_until_ms.store(0, Ordering::Relaxed);
-        self.suspicion.note_progress(self.listened_ms());
+        self.crashed_until_ms.store(0, Ordering::Relaxed);
+        self.suspicion.note_progress(self.receiving_ms());
     }
 
     /// Returns the time since bytes last arrived from the replica, excluding suspensions of this machine.
     pub fn time_since_progress(&self) -> Duration {
-        Duration::from_millis(self.suspicion.ms_since_progress(self.listened_ms()))
+        Duration::from_millis(self.suspicion.ms_since_progress(self.receiving_ms()))
     }
 
     /// Avoids the replica for a while, longer after each failure without progress in between.
@@ -378,28 +378,28 @@
 
     /// Returns the length of the prompt's prefix that the replica probably caches.
     pub fn cached_tokens(&self, prompt: &Prompt) -> u32 {
-        lock(&self.memory).cached_tokens(prompt)
+        lock(&self.prefix_cache).cached_tokens(prompt)
     }
 
     /// Records that the prompt was sent to the replica.
     pub fn note_prompt(&self, prompt: &Prompt) {
-        lock(&self.memory).note(prompt);
+        lock(&self.prefix_cache).note(prompt);
     }
 
     /// Counts a request, and keeps its lease, until the guard is dropped.
-    pub fn enter(self: &Arc<Self>, class: WorkClass, place: Option<SlotLease>) -> InProgress {
-        self.count(class).fetch_add(1, Ordering::Relaxed);
+    pub fn enter(self: &Arc<Self>, class: WorkClass, lease: Option<SlotLease>) -> InProgress {
+        self.counter(class).fetch_add(1, Ordering::Relaxed);
         self.in_progress.fetch_add(1, Ordering::Relaxed);
-        InProgress::new(self.clone(), class, place)
+        InProgress::new(self.clone(), class, lease)
     }
 
     /// Removes a request from the counts.
     pub(crate) fn leave(&self, class: WorkClass) {
-        self.count(class).fetch_sub(1, Ordering::Relaxed);
+        self.counter(class).fetch_sub(1, Ordering::Relaxed);
         self.in_progress.fetch_sub(1, Ordering::Relaxed);
     }
 
-    fn count(&self, class: WorkClass) -> &AtomicU32 {
+    fn counter(&self, class: WorkClass) -> &AtomicU32 {
         match class {
             WorkClass::Online => &self.own_online,
             WorkClass::Batch => &self.own_batch,
--- a/crates/serving/src/replica_set.rs
+++ b/crates/serving/src/replica_set.rs
@@ -15,12 +15,12 @@
 
 /// Time for which a replica whose record vanished is still used if its service has no other; records also vanish
 /// while the store is down.
-const VANISHED_LIFETIME: Duration = Duration::from_millis(1_700);
+const VANISHED_TTL: Duration = Duration::from_millis(1_700);
 
 #[derive(Debug, Clone)]
 struct Vanished {
     replica: Arc<Replica>,
-    at: Instant,
+    vanished_at: Instant,
 }
 
 /// Listed replicas of one service.
@@ -60,10 +60,11 @@
         let vanished = self.vanished.get(service).map_or(&[][..], Vec::as_slice);
         vanished
             .iter()
-            .filter(|gone| {
-                harrierward_clock::age(gone.at) < VANISHED_LIFETIME && gone.replica.accepts_work()
+            .filter(|entry| {
+                harrierward_clock::age(entry.vanished_at) < VANISHED_TTL
+                    && entry.replica.accepts_work()
             })
-            .map(|gone| gone.replica.clone())
+            .map(|entry| entry.replica.clone())
             .collect()
     }
 
@@ -146,7 +147,7 @@
     evacuated_zones: ArcSwap<HashSet<String>>,
     in_progress: Arc<AtomicUsize>,
     /// Serializes updates: the list and the evacuated zones are changed by different tasks.
-    changing: Mutex<()>,
+    update_lock: Mutex<()>,
 }
 
 impl ReplicaSet {
@@ -164,9 +165,9 @@
     pub fn replace(&self, records: Vec<ReplicaRecord>, memory_tokens: impl Fn(&str) -> u64) {
         let old = self.view();
         let named: HashSet<&str> = records.iter().map(|record| record.id.as_str()).collect();
-        let gone = old.by_id.keys().filter(|id| !named.contains(id.as_str()));
-        let gone: Vec<String> = gone.cloned().collect();
-        self.update(records, &gone, memory_tokens);
+        let removed = old.by_id.keys().filter(|id| !named.contains(id.as_str()));
+        let removed: Vec<String> = removed.cloned().collect();
+        self.update(records, &removed, memory_tokens);
     }
 
     /// Applies new or changed records, and the ids of removed replicas. Apart from copying pointers, the cost depends
@@ -174,31 +175,32 @@
     pub fn update(
         &self,
         changed: Vec<ReplicaRecord>,
-        gone: &[String],
+        removed: &[String],
         memory_tokens: impl Fn(&str) -> u64,
     ) {
-        let _changing = lock(&self.changing);
+        let _guard = lock(&self.update_lock);
         let old = self.view();
         let evacuated = self.evacuated_zones.load();
-        let last_words = changed
+        let latest = changed
             .into_iter()
             .map(|record| (record.id.clone(), record));
-        let last_words: HashMap<String, ReplicaRecord> = last_words.collect();
-        let changed = last_words.into_values().map(|record| {
+        let latest: HashMap<String, ReplicaRecord> = latest.collect();
+        let changed = latest.into_values().map(|record| {
             let replica = keep_or_create(&old, record, &memory_tokens, &self.in_progress);
             replica.set_zone_evacuated(evacuated.contains(&replica.record.zone));
             replica
         });
         let changed: Vec<Arc<Replica>> = changed.collect();
-        self.view.store(Arc::new(next_view(&old, &changed, gone)));
+        self.view
+            .store(Arc::new(next_view(&old, &changed, removed)));
     }
 
     /// Sets the evacuated zones, which also apply to replicas listed later.
     pub fn set_evacuated_zones(&self, zones: HashSet<String>) {
-        let _changing = lock(&self.changing);
+        let _guard = lock(&self.update_lock);
         let mut view = ReplicaView::clone(&self.view());
         let vanished = view.vanished.values().flatten();
-        let vanished = vanished.map(|gone| &gone.replica);
+        let vanished = vanished.map(|entry| &entry.replica);
         for replica in view.by_id.values().chain(vanished) {
             replica.set_zone_evacuated(zones.contains(&replica.record.zone));
         }
@@ -212,27 +214,27 @@
 }
 
 /// Applies changes to the view `old`.
-fn next_view(old: &ReplicaView, changed: &[Arc<Replica>], gone: &[String]) -> ReplicaView {
+fn next_view(old: &ReplicaView, changed: &[Arc<Replica>], removed: &[String]) -> ReplicaView {
     let mut view = old.clone();
     let mut edits: HashMap<String, ServiceEdit> = HashMap::new();
-    for id in gone {
+    for id in removed {
         let Some(replica) = view.by_id.remove(id) else {
             continue;
         };
-        view.forget_hash(&replica);
-        edit_of(&mut edits, &replica).gone.insert(id.clone());
+        view.remove_hash(&replica);
+        edit_for(&mut edits, &replica).removed.insert(id.clone());
     }
     for replica in changed {
         let id = &replica.record.id;
         let before = view.by_id.insert(id.clone(), replica.clone());
         if let Some(before) = before {
-            view.forget_hash(&before);
-            edit_of(&mut edits, &before).gone.insert(id.clone());
+            view.remove_hash(&before);
+            edit_for(&mut edits, &before).removed.insert(id.clone());
         }
         view.by_hash.insert(replica.hash, replica.clone());
-        edit_of(&mut edits, replica).listed.push(replica.clone());
+        edit_for(&mut edits, replica).listed.push(replica.clone());
     }
-    view.vanished = still_vanished(old, &view.by_id, changed, gone);
+    view.vanished = vanished_replicas(old, &view.by_id, changed, removed);
     for (service, edit) in edits {
         view.edit_service(service, edit);
     }
@@ -242,11 +244,11 @@
 /// Changes to the list of one service.
 #[derive(Default)]
 struct ServiceEdit {
-    gone: HashSet<String>,
+    removed: HashSet<String>,
     listed: Vec<Arc<Replica>>,
 }
 
-fn edit_of<'a>(
+fn edit_for<'a>(
     edits: &'a mut HashMap<String, ServiceEdit>,
     replica: &Replica,
 ) -> &'a mut ServiceEdit {
@@ -255,7 +257,7 @@
 
 impl ReplicaView {
     /// Removes the hash unless another instance already uses it.
-    fn forget_hash(&mut self, replica: &Arc<Replica>) {
+    fn remove_hash(&mut self, replica: &Arc<Replica>) {
         let known = self.by_hash.get(&replica.hash);
         if known.is_some_and(|known| Arc::ptr_eq(known, replica)) {
             self.by_hash.remove(&replica.hash);
@@ -265,7 +267,7 @@
     fn edit_service(&mut self, service: String, edit: ServiceEdit) {
         let before = self.listed(&service);
         let kept = before.iter();
-        let kept = kept.filter(|replica| !edit.gone.contains(&replica.record.id));
+        let kept = kept.filter(|replica| !edit.removed.contains(&replica.record.id));
         let mut list = Vec::with_capacity(before.len() + edit.listed.len());
         list.extend(kept.cloned());
         list.extend(edit.listed);
@@ -287,7 +289,7 @@
 
 impl ServiceReplicas {
     fn long_prompt_affinity(&self) -> &HashSet<String> {
-        let found = || homes(&self.list).into_iter().collect();
+        let found = || long_prompt_replicas(&self.list).into_iter().collect();
         self.long_prompt_affinity.get_or_init(found)
     }
 }
@@ -299,16 +301,16 @@
 }
 
 /// Share of a service's replicas that take the long prompts, in percent.
-const HOME_PERCENT: usize = 33;
+const LONG_PROMPT_PERCENT: usize = 33;
 
 /// Minimum number of replicas that take the long prompts.
-const FEWEST_HOMES: usize = 2;
+const MIN_LONG_PROMPT_REPLICAS: usize = 2;
 
 /// Ids of the replicas for long prompts: the first of a ranking that is the same on all daemons. Empty if the service
 /// has too few replicas.
-fn homes(list: &[Arc<Replica>]) -> Vec<String> {
+fn long_prompt_replicas(list: &[Arc<Replica>]) -> Vec<String> {
     let mut ready: Vec<&Arc<Replica>> = list.iter().filter(|one| one.accepts_work()).collect();
-    let count = (ready.len() * HOME_PERCENT / 100).max(FEWEST_HOMES);
+    let count = (ready.len() * LONG_PROMPT_PERCENT / 100).max(MIN_LONG_PROMPT_REPLICAS);
     if ready.len() < count * 2 {
         return Vec::new();
     }
@@ -324,10 +326,10 @@
     in_progress: &Arc<AtomicUsize>,
 ) -> Arc<Replica> {
     let kept = old.by_id.get(&record.id).cloned().or_else(|| {
-        let gone = old.vanished.get(&record.service)?;
-        let same = gone
+        let vanished = old.vanished.get(&record.service)?;
+        let same = vanished
             .iter()
-            .find(|gone| gone.replica.record.id == record.id)?;
+            .find(|entry| entry.replica.record.id == record.id)?;
         // The new row has not been applied to the vanished replica, which may have become cold meanwhile.
         same.replica
             .note_row_warmup(record.warmup, harrierward_clock::now());
@@ -351,31 +353,31 @@
     }
 }
 
-fn still_vanished(
+fn vanished_replicas(
     old: &ReplicaView,
     by_id: &imbl::HashMap<String, Arc<Replica>>,
     changed: &[Arc<Replica>],
-    gone: &[String],
+    removed: &[String],
 ) -> HashMap<String, Vec<Vanished>> {
     let now = harrierward_clock::now();
     // A replica replaced by another instance stays listed under its id, so it isn't among the vanished ones.
     let named = changed.iter().map(|replica| &replica.record.id);
-    let named = named.chain(gone).filter(|id| !by_id.contains_key(*id));
-    let just_gone = named
+    let named = named.chain(removed).filter(|id| !by_id.contains_key(*id));
+    let just_vanished = named
         .filter_map(|id| old.by_id.get(id))
         .map(|replica| Vanished {
             replica: replica.clone(),
-            at: now,
+            vanished_at: now,
         });
     let earlier = old.vanished.values().flatten().cloned();
     let mut vanished: HashMap<String, Vec<Vanished>> = HashMap::new();
-    for gone in earlier.chain(just_gone) {
-        let listed = by_id.contains_key(&gone.replica.record.id);
-        if listed || harrierward_clock::age(gone.at) >= VANISHED_LIFETIME {
+    for entry in earlier.chain(just_vanished) {
+        let listed = by_id.contains_key(&entry.replica.record.id);
+        if listed || harrierward_clock::age(entry.vanished_at) >= VANISHED_TTL {
             continue;
         }
-        let service = gone.replica.record.service.clone();
-        vanished.entry(service).or_default().push(gone);
+        let service = entry.replica.record.service.clone();
+        vanished.entry(service).or_default().push(entry);
     }
     vanished
 }
--- a/crates/serving/src/request_state.rs
+++ b/crates/serving/src/request_state.rs
@@ -12,13 +12,13 @@
 use crate::exchange::ServingRequest;
 
 /// Share of the objective after which a replica without progress is abandoned before the first event, in percent.
-const DARK_FIRST_PERCENT: u32 = 120;
+const FIRST_STALL_PERCENT: u32 = 120;
 
 /// Multiple of the objective after which any replica is abandoned before the first event.
-const LONGEST_FIRST_FACTOR: u32 = 3;
+const FIRST_MAX_WAIT_FACTOR: u32 = 3;
 
 /// Minimum wait before a replica is abandoned.
-const LEAST_FIRST: Duration = Duration::from_millis(250);
+const MIN_FIRST_WAIT: Duration = Duration::from_millis(250);
 
 /// Request in progress over all of its attempts.
 pub(crate) struct RequestState {
@@ -38,21 +38,21 @@
     /// Number of replicas that crashed while running it, excluded from `sends`.
     pub forgiven: u32,
     /// True if the caller was probably refused or cut off before.
-    pub is_return: bool,
+    pub is_retry: bool,
     /// True if its objective had passed on arrival, so that it uses spare slots only.
     pub overdue: bool,
 }
 
 /// Maximum number of crashes excluded from the attempts; suffices to decide whether the content is the cause.
-const MOST_FORGIVEN: u32 = 3;
+const MAX_FORGIVEN: u32 = 3;
 
 /// Divisor of the caller's timeout that gives the longest acceptable retry interval.
-const RETURN_PART: u32 = 3;
+const RETRY_DIVISOR: u32 = 3;
 
 impl RequestState {
     /// Excludes the last attempt from the count, because its replica crashed.
     pub fn forgive(&mut self) {
-        if self.forgiven < MOST_FORGIVEN && self.sends > 0 {
+        if self.forgiven < MAX_FORGIVEN && self.sends > 0 {
             self.forgiven += 1;
             self.sends -= 1;
         }
@@ -63,8 +63,8 @@
     pub fn max_retry_after(&self) -> Option<Duration> {
         self.request
             .timeout
-            .filter(|_| !self.is_return)
-            .map(|patience| patience / RETURN_PART)
+            .filter(|_| !self.is_retry)
+            .map(|timeout| timeout / RETRY_DIVISOR)
     }
 }
 
@@ -79,39 +79,39 @@
 impl RequestClock {
     /// Holds the request for the shorter of the route's and the caller's timeout.
     pub fn new(arrived: Instant, request: &ServingRequest, route: &Route) -> Self {
-        let held = request
+        let hold = request
             .timeout
-            .map_or(route.timeout, |patience| patience.min(route.timeout));
+            .map_or(route.timeout, |timeout| timeout.min(route.timeout));
         Self {
             arrived,
-            hold_until: arrived + held,
-            deadline: request.timeout.map(|patience| arrived + patience),
+            hold_until: arrived + hold,
+            deadline: request.timeout.map(|timeout| arrived + timeout),
         }
     }
 
     /// Remaining time for which the request may be held.
-    pub fn hold_left(&self) -> Duration {
+    pub fn remaining_hold(&self) -> Duration {
         self.hold_until
             .saturating_duration_since(harrierward_clock::now())
     }
 
     /// Time limits of the attempt `number`, counted from 1.
-    pub fn attempt_times(&self, route: &Route, number: u32) -> AttemptTimeouts {
-        let left = self.hold_left();
-        let time_left = self.deadline.map(|_| left);
+    pub fn attempt_timeouts(&self, route: &Route, number: u32) -> AttemptTimeouts {
+        let remaining = self.remaining_hold();
+        let time_left = self.deadline.map(|_| remaining);
         if number < route.attempts && route.may_repeat() {
-            let dark = (route.objective * DARK_FIRST_PERCENT / 100).max(LEAST_FIRST);
-            let longest = (route.objective * LONGEST_FIRST_FACTOR).max(LEAST_FIRST);
+            let stall_timeout = (route.objective * FIRST_STALL_PERCENT / 100).max(MIN_FIRST_WAIT);
+            let max_wait = (route.objective * FIRST_MAX_WAIT_FACTOR).max(MIN_FIRST_WAIT);
             return AttemptTimeouts {
                 time_left,
-                stall_timeout: dark.min(left),
-                max_wait: longest.min(left),
+                stall_timeout: stall_timeout.min(remaining),
+                max_wait: max_wait.min(remaining),
             };
         }
         AttemptTimeouts {
             time_left,
-            stall_timeout: left,
-            max_wait: left,
+            stall_timeout: remaining,
+            max_wait: remaining,
         }
     }
 }
--- a/crates/serving/src/response.rs
+++ b/crates/serving/src/response.rs
@@ -126,7 +126,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     cause: RefusalCause,
-    answer: FinalAnswer,
+    response: FinalAnswer,
 }
 
 impl Refusal {
@@ -135,7 +135,7 @@
         let cause = cause.after(execution);
         Self {
             cause,
-            answer: FinalAnswer::of(execution, cause.status(), retry_after),
+            response: FinalAnswer::of(execution, cause.status(), retry_after),
         }
     }
 
@@ -151,12 +151,12 @@
 
     /// Returns the HTTP status.
     pub fn status(&self) -> u16 {
-        self.answer.status()
+        self.response.status()
     }
 
     /// Returns the retry interval; `None` if the request may have run.
     pub fn retry_after(&self) -> Option<Duration> {
-        self.answer.retry_after()
+        self.response.retry_after()
     }
 }
 
--- a/crates/serving/src/routes.rs
+++ b/crates/serving/src/routes.rs
@@ -16,29 +16,29 @@
     /// Configuration of the route.
     pub route: Route,
     turn: Arc<AtomicU64>,
-    patience: Arc<ObservedPatience>,
+    timeouts: Arc<ObservedTimeouts>,
 }
 
 /// Longest timeout observed of a route's callers.
 #[derive(Debug, Default)]
-struct ObservedPatience {
-    longest_ms: AtomicU64,
+struct ObservedTimeouts {
+    max_ms: AtomicU64,
     callers: AtomicU64,
 }
 
 /// Number of callers after which their longest timeout replaces the route's timeout as the usual one. Right after a
 /// start most callers are retries, whose timeouts are shorter.
-const CALLERS_TO_KNOW_PATIENCE: u64 = 16;
+const MIN_OBSERVED_CALLERS: u64 = 16;
 
-impl ObservedPatience {
+impl ObservedTimeouts {
     /// Records a caller's timeout. Returns the longest one before it.
-    fn observe(&self, patience_ms: u64, timeout: Duration) -> u64 {
-        let longest_ms = self.longest_ms.fetch_max(patience_ms, Ordering::Relaxed);
+    fn observe(&self, timeout_ms: u64, route_timeout: Duration) -> u64 {
+        let max_ms = self.max_ms.fetch_max(timeout_ms, Ordering::Relaxed);
         let callers = self.callers.fetch_add(1, Ordering::Relaxed);
-        if callers < CALLERS_TO_KNOW_PATIENCE {
-            longest_ms.max(millis(timeout))
+        if callers < MIN_OBSERVED_CALLERS {
+            max_ms.max(millis(route_timeout))
         } else {
-            longest_ms
+            max_ms
         }
     }
 }
@@ -50,13 +50,13 @@
 impl RouteEntry {
     /// Records the caller's timeout. True if the objective has probably passed: the timeout is shorter than that of
     /// first attempts by more than the objective, so this is a retry.
-    pub fn is_overdue(&self, patience: Option<Duration>) -> bool {
-        let Some(patience) = patience else {
+    pub fn is_overdue(&self, timeout: Option<Duration>) -> bool {
+        let Some(timeout) = timeout else {
             return false;
         };
-        let patience_ms = millis(patience);
-        let longest_ms = self.patience.observe(patience_ms, self.route.timeout);
-        let used = Duration::from_millis(longest_ms.saturating_sub(patience_ms));
+        let timeout_ms = millis(timeout);
+        let max_ms = self.timeouts.observe(timeout_ms, self.route.timeout);
+        let used = Duration::from_millis(max_ms.saturating_sub(timeout_ms));
         used > self.route.objective
     }
 
@@ -68,7 +68,7 @@
 }
 
 /// Random first turn, so that the first requests of many daemons don't all go to the same service.
-fn first_turn() -> Arc<AtomicU64> {
+fn random_turn() -> Arc<AtomicU64> {
     Arc::new(AtomicU64::new(rand::random()))
 }
 
@@ -82,13 +82,13 @@
         return services.first().map(|service| service.service.as_str());
     }
     let scaled = (u128::from(point) * u128::from(total)) >> u64::BITS;
-    let mut left = u64::try_from(scaled).unwrap_or_default();
+    let mut remaining = u64::try_from(scaled).unwrap_or_default();
     for service in services {
         let weight = u64::from(service.weight);
-        if left < weight {
+        if remaining < weight {
             return Some(&service.service);
         }
-        left -= weight;
+        remaining -= weight;
     }
     None
 }
@@ -107,12 +107,12 @@
         let mut hosts: HashMap<String, Vec<Arc<RouteEntry>>> = HashMap::new();
         for route in &configuration.routes {
             let kept = previous.and_then(|table| table.entry(&route.host, &route.name));
-            let turn = kept.map_or_else(first_turn, |entry| entry.turn.clone());
-            let patience = kept.map(|entry| entry.patience.clone());
+            let turn = kept.map_or_else(random_turn, |entry| entry.turn.clone());
+            let timeouts = kept.map(|entry| entry.timeouts.clone());
             let entry = RouteEntry {
                 route: route.clone(),
                 turn,
-                patience: patience.unwrap_or_default(),
+                timeouts: timeouts.unwrap_or_default(),
             };
             let host = route.host.to_ascii_lowercase();
             hosts.entry(host).or_default().push(Arc::new(entry));
--- a/crates/serving/src/selection.rs
+++ b/crates/serving/src/selection.rs
@@ -123,7 +123,7 @@
     };
     let tokens = f64::from(candidate.uncached_shared_tokens) * share;
     let prefill = tokens / costs.prefill_tokens_per_ms;
-    let place = if candidate.own_zone {
+    let distance = if candidate.own_zone {
         0.0
     } else if candidate.own_region {
         costs.other_zone_ms
@@ -145,21 +145,21 @@
         Separation::LongWithoutAffinity => costs.long_without_affinity_ms,
         Separation::ShortAmongLong => costs.short_among_long_ms,
     };
-    prefill + place + connection + suspected + separation + congestion(costs, candidate)
+    prefill + distance + connection + suspected + separation + congestion(costs, candidate)
 }
 
 fn congestion(costs: &SelectionCosts, candidate: &Candidate) -> f64 {
     let slots = f64::from(candidate.slots.max(1));
     let load = f64::from(candidate.load);
     let fill = (load / slots).min(1.0);
-    let staying = candidate.load.saturating_sub(candidate.preemptible);
-    costs.full_ms * fill * fill + expected_wait_ms(costs, staying, candidate.slots)
+    let requests_ahead = candidate.load.saturating_sub(candidate.preemptible);
+    costs.full_ms * fill * fill + expected_wait_ms(costs, requests_ahead, candidate.slots)
 }
 
-/// Returns the expected wait for a slot behind `staying` requests that can't be preempted, milliseconds.
-pub fn expected_wait_ms(costs: &SelectionCosts, staying: u32, slots: u32) -> f64 {
+/// Returns the expected wait for a slot behind `requests_ahead` requests that can't be preempted, milliseconds.
+pub fn expected_wait_ms(costs: &SelectionCosts, requests_ahead: u32, slots: u32) -> f64 {
     let slots = f64::from(slots.max(1));
-    let waiting = (f64::from(staying) + 1.0 - slots).max(0.0);
+    let waiting = (f64::from(requests_ahead) + 1.0 - slots).max(0.0);
     costs.waiting_ms * waiting / slots
 }
 
@@ -171,9 +171,9 @@
 ) -> Option<usize> {
     let mut best: Option<(usize, f64)> = None;
     for (position, candidate) in candidates.iter().enumerate() {
-        let price = cost(costs, candidate) + jitter() * costs.jitter_ms;
-        if best.is_none_or(|(_, least)| price < least) {
-            best = Some((position, price));
+        let total = cost(costs, candidate) + jitter() * costs.jitter_ms;
+        if best.is_none_or(|(_, lowest)| total < lowest) {
+            best = Some((position, total));
         }
     }
     best.map(|(position, _)| position)
--- a/crates/serving/src/suspicion.rs
+++ b/crates/serving/src/suspicion.rs
@@ -3,8 +3,8 @@
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
 /// First duration of the avoidance, milliseconds, and the maximum number of times that it doubles.
-const FIRST_MS: u64 = 500;
-const MOST_DOUBLINGS: u32 = 3;
+const INITIAL_MS: u64 = 500;
+const MAX_DOUBLINGS: u32 = 3;
 
 /// Suspicion of one replica. Times are milliseconds on two monotonic clocks of the caller: one for suspicion, and one
 /// for progress, which may exclude time during which the caller could not receive.
@@ -19,8 +19,9 @@
     /// Records a failure and starts or extends the avoidance, longer after each failure without progress in between.
     pub fn note_failure(&self, now_ms: u64) {
         let failures = self.failures_in_a_row.fetch_add(1, Ordering::Relaxed);
-        let lasting = FIRST_MS << failures.min(MOST_DOUBLINGS);
-        self.until_ms.fetch_max(now_ms + lasting, Ordering::Relaxed);
+        let duration_ms = INITIAL_MS << failures.min(MAX_DOUBLINGS);
+        self.until_ms
+            .fetch_max(now_ms + duration_ms, Ordering::Relaxed);
     }
 
     /// Records that bytes arrived from the replica.
--- a/crates/serving/src/warmth.rs
+++ b/crates/serving/src/warmth.rs
@@ -11,7 +11,7 @@
 const ROW_LAG: Duration = Duration::from_millis(2_400);
 
 /// Maximum warmup accepted from a row or configuration, which could otherwise overflow the clock.
-const LONGEST: Duration = Duration::from_secs(3_600);
+const MAX_WARMUP: Duration = Duration::from_secs(3_600);
 
 /// Time until which a replica is cold; callers pass the current time.
 #[derive(Debug, Clone, Copy, Default)]
@@ -33,12 +33,12 @@
         self.service = warmup;
     }
 
-    /// Applies a row seen at `seen`; `left` is the remaining warmup, zero if the replica is warm. It counts from when
+    /// Applies a row seen at `seen_at`; `remaining` is the remaining warmup, zero if the replica is warm. It counts from when
     /// the row was seen, so a delay only prolongs it. Shortly after an assumption the row can't shorten the warmup,
     /// since it may be older.
-    pub fn apply_row(&mut self, left: Duration, seen: Instant) {
-        let until = (!left.is_zero()).then(|| seen + left.min(LONGEST));
-        let may_be_older = |assumed: Instant| seen < assumed + ROW_LAG;
+    pub fn apply_row(&mut self, remaining: Duration, seen_at: Instant) {
+        let until = (!remaining.is_zero()).then(|| seen_at + remaining.min(MAX_WARMUP));
+        let may_be_older = |assumed: Instant| seen_at < assumed + ROW_LAG;
         if self.assumed_at.is_some_and(may_be_older) {
             self.cold_until = self.cold_until.max(until);
         } else {
@@ -53,7 +53,7 @@
         let Some(warmup) = self.service else {
             return;
         };
-        let until = now + warmup.duration.min(LONGEST);
+        let until = now + warmup.duration.min(MAX_WARMUP);
         self.cold_until = Some(self.cold_until.map_or(until, |known| known.max(until)));
         self.assumed_at = Some(now);
     }
