--- a/crates/serving/tests/admission.rs
+++ b/crates/serving/tests/admission.rs
@@ -50,7 +50,7 @@
 }
 
 /// Result of an admission: the tenant's name, or the cause of the refusal.
-fn judge(
+fn admit(
     has_tenants: bool,
     is_public: bool,
     key: Option<&str>,
@@ -78,29 +78,29 @@
 #[tokio::test(start_paused = true)]
 async fn a_key_that_is_not_known_is_refused_unless_the_route_is_public() {
     let proof = proof_of_age(Duration::from_millis(100)).await;
-    let judge = |is_public, key| judge(true, is_public, key, &proof, KeyTrust::Unbounded);
+    let admit = |is_public, key| admit(true, is_public, key, &proof, KeyTrust::Unbounded);
     let ada = Ok(Some("ada".to_owned()));
-    assert_eq!(judge(false, Some("good")), ada);
-    assert_eq!(judge(false, Some("bad")), Err(RefusalCause::UnknownKey));
-    assert_eq!(judge(false, Some("")), Err(RefusalCause::UnknownKey));
-    assert_eq!(judge(false, None), Err(RefusalCause::NoKey));
-    assert_eq!(judge(true, None), Ok(None));
-    assert_eq!(judge(true, Some("bad")), Ok(None));
+    assert_eq!(admit(false, Some("good")), ada);
+    assert_eq!(admit(false, Some("bad")), Err(RefusalCause::UnknownKey));
+    assert_eq!(admit(false, Some("")), Err(RefusalCause::UnknownKey));
+    assert_eq!(admit(false, None), Err(RefusalCause::NoKey));
+    assert_eq!(admit(true, None), Ok(None));
+    assert_eq!(admit(true, Some("bad")), Ok(None));
     assert_eq!(RefusalCause::UnknownKey.status(), 401);
     assert!(!RefusalCause::UnknownKey.is_transient());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_daemon_out_of_contact_does_not_say_that_a_key_is_unknown() {
+async fn a_daemon_with_an_old_configuration_does_not_report_a_key_as_unknown() {
     let proof = proof_of_age(Duration::from_secs(6)).await;
-    let judge = |key, trust| judge(true, false, Some(key), &proof, trust);
+    let admit = |key, trust| admit(true, false, Some(key), &proof, trust);
     let stale = Err(RefusalCause::StaleConfiguration);
-    assert_eq!(judge("bad", KeyTrust::Unbounded), stale);
+    assert_eq!(admit("bad", KeyTrust::Unbounded), stale);
     assert_eq!(
-        judge("good", KeyTrust::Unbounded),
+        admit("good", KeyTrust::Unbounded),
         Ok(Some("ada".to_owned()))
     );
-    assert_eq!(judge("good", KeyTrust::For(TRUST)), stale);
+    assert_eq!(admit("good", KeyTrust::For(TRUST)), stale);
     assert_eq!(RefusalCause::StaleConfiguration.status(), 503);
     assert!(RefusalCause::StaleConfiguration.is_transient());
 }
@@ -121,11 +121,11 @@
             .expect("a runtime");
         let age = Duration::from_millis(age_ms);
         let trust = if is_bounded { KeyTrust::For(TRUST) } else { KeyTrust::Unbounded };
-        let verdict = runtime.block_on(async {
+        let outcome = runtime.block_on(async {
             let proof = proof_of_age(age).await;
-            judge(true, false, key, &proof, trust)
+            admit(true, false, key, &proof, trust)
         });
-        match (key, verdict) {
+        match (key, outcome) {
             (Some("good"), Ok(tenant)) => {
                 prop_assert_eq!(tenant.as_deref(), Some("ada"));
                 prop_assert!(!is_bounded || age <= TRUST + Duration::from_millis(1));
@@ -134,16 +134,16 @@
                 prop_assert_eq!(cause, RefusalCause::StaleConfiguration);
                 prop_assert!(is_bounded && age > TRUST);
             }
-            (_, verdict) => prop_assert!(verdict.is_err()),
+            (_, outcome) => prop_assert!(outcome.is_err()),
         }
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_tenants_no_key_is_asked_for() {
+async fn without_tenants_no_key_is_required() {
     let proof = ConfigurationProof::default();
     assert_eq!(
-        judge(false, false, None, &proof, KeyTrust::For(TRUST)),
+        admit(false, false, None, &proof, KeyTrust::For(TRUST)),
         Ok(None)
     );
 }
--- a/crates/serving/tests/choice.rs
+++ b/crates/serving/tests/choice.rs
@@ -43,7 +43,7 @@
 /// Leases without a responsive coordinator; counts requested preemptions and leases held.
 #[derive(Default)]
 struct NoCoordinators {
-    asked: AtomicUsize,
+    preemptions: AtomicUsize,
     held: AtomicUsize,
 }
 
@@ -58,7 +58,7 @@
         1
     }
 
-    fn release(&self, _place: u32, _end: ReleaseReport) {
+    fn release(&self, _lease: u32, _report: ReleaseReport) {
         self.held.fetch_sub(1, Ordering::Relaxed);
     }
 
@@ -67,16 +67,16 @@
     }
 
     fn preempt_item(&self, _replica: &Arc<Replica>) {
-        self.asked.fetch_add(1, Ordering::Relaxed);
+        self.preemptions.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 fn forwarder() -> Forwarder {
-    forwarder_over(Arc::default())
+    forwarder_with_leases(Arc::default())
 }
 
-fn forwarder_over(places: Arc<NoCoordinators>) -> Forwarder {
-    forwarder_with(places, (0..REPLICAS).map(record).collect())
+fn forwarder_with_leases(leases: Arc<NoCoordinators>) -> Forwarder {
+    forwarder_with(leases, (0..REPLICAS).map(record).collect())
 }
 
 fn record(number: usize) -> ReplicaRecord {
@@ -93,14 +93,14 @@
     }
 }
 
-fn forwarder_with(places: Arc<NoCoordinators>, records: Vec<ReplicaRecord>) -> Forwarder {
+fn forwarder_with(leases: Arc<NoCoordinators>, records: Vec<ReplicaRecord>) -> Forwarder {
     let replicas = ReplicaSet::default();
     replicas.replace(records, |_| 100_000);
     Forwarder::new(ForwarderParts {
         routes: Arc::new(ArcSwapOption::empty()),
         replicas: Arc::new(replicas),
         client: Arc::new(NoClient),
-        leases: places,
+        leases,
         rates: Arc::new(NoLimits),
         quarantine: Arc::new(NoQuarantine),
         proof: Arc::default(),
@@ -160,15 +160,15 @@
             let id = placement.choice.replica.record.id.clone();
             *chosen.entry(id).or_default() += 1;
         }
-        let most = chosen.values().max().copied().unwrap_or_default();
-        assert_eq!(most, 10, "part {part}: {chosen:?}");
+        let max = chosen.values().max().copied().unwrap_or_default();
+        assert_eq!(max, 10, "part {part}: {chosen:?}");
     }
 }
 
 /// Number of preemptions requested when a request goes to replicas with these counts of peers.
-async fn slots_asked_for(item: Option<ItemSlack>, online: u32, batch: u32) -> usize {
-    let places = Arc::new(NoCoordinators::default());
-    let forwarder = forwarder_over(places.clone());
+async fn preemptions_requested(item: Option<ItemSlack>, online: u32, batch: u32) -> usize {
+    let leases = Arc::new(NoCoordinators::default());
+    let forwarder = forwarder_with_leases(leases.clone());
     for replica in forwarder.replicas().view().all() {
         replica.set_peer_counts(online, batch);
     }
@@ -177,23 +177,23 @@
         .place(&request, "model", &[], OBJECTIVE, item)
         .await;
     let placed = usize::from(placement.is_some());
-    assert_eq!(places.held.load(Ordering::Relaxed), placed);
+    assert_eq!(leases.held.load(Ordering::Relaxed), placed);
     drop(placement);
-    assert_eq!(places.held.load(Ordering::Relaxed), 0, "a place is kept");
-    places.asked.load(Ordering::Relaxed)
+    assert_eq!(leases.held.load(Ordering::Relaxed), 0, "a place is kept");
+    leases.preemptions.load(Ordering::Relaxed)
 }
 
 #[tokio::test]
-async fn without_a_coordinator_an_online_request_asks_for_a_slot_where_batch_items_hold_the_last_ones()
- {
+async fn without_a_coordinator_an_online_request_preempts_an_item_where_items_hold_the_last_slots()
+{
     let item = ItemSlack {
         slack: Duration::from_secs(1),
     };
-    assert_eq!(slots_asked_for(None, 3, 5).await, 1);
-    assert_eq!(slots_asked_for(None, 3, 4).await, 0);
-    assert_eq!(slots_asked_for(None, 9, 0).await, 0);
-    assert_eq!(slots_asked_for(Some(item), 3, 5).await, 0);
-    assert_eq!(slots_asked_for(Some(item), 3, 2).await, 0);
+    assert_eq!(preemptions_requested(None, 3, 5).await, 1);
+    assert_eq!(preemptions_requested(None, 3, 4).await, 0);
+    assert_eq!(preemptions_requested(None, 9, 0).await, 0);
+    assert_eq!(preemptions_requested(Some(item), 3, 5).await, 0);
+    assert_eq!(preemptions_requested(Some(item), 3, 2).await, 0);
 }
 
 #[tokio::test]
@@ -207,7 +207,7 @@
         (25..40).contains(&reserved),
         "the root of {online}: {reserved}"
     );
-    for (free, has_room) in [(reserved / 2, false), (reserved * 2, true)] {
+    for (free, has_capacity) in [(reserved / 2, false), (reserved * 2, true)] {
         let forwarder = forwarder();
         let view = forwarder.replicas().view();
         for (number, replica) in (0..).zip(view.all()) {
@@ -215,7 +215,7 @@
         }
         let request = request(1);
         let placement = forwarder.place(&request, "model", &[], OBJECTIVE, Some(item));
-        assert_eq!(placement.await.is_some(), has_room, "{free} slots free");
+        assert_eq!(placement.await.is_some(), has_capacity, "{free} slots free");
     }
 }
 
@@ -307,7 +307,7 @@
 /// With more replicas than candidates, requests must not leave the region while a replica there responds, and items
 /// never.
 #[tokio::test]
-async fn a_daemon_that_chooses_itself_stays_in_its_region_while_a_replica_there_answers() {
+async fn a_daemon_that_chooses_itself_stays_in_its_region_while_a_replica_there_responds() {
     let in_region = |number: usize| {
         let own = number.is_multiple_of(3);
         let (zone, region) = if own { (ZONE, "") } else { ("far", "far") };
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -48,52 +48,52 @@
 }
 
 /// State under test, or a faulty implementation in which the last update wins.
-trait Belief: Default {
-    fn merge(&mut self, news: &EvacuationUpdate);
-    fn news(&self) -> EvacuationUpdate;
+trait MergedState: Default {
+    fn merge(&mut self, update: &EvacuationUpdate);
+    fn to_update(&self) -> EvacuationUpdate;
 }
 
-impl Belief for EvacuatedZones {
-    fn merge(&mut self, news: &EvacuationUpdate) {
-        Self::merge(self, news, Instant::now());
+impl MergedState for EvacuatedZones {
+    fn merge(&mut self, update: &EvacuationUpdate) {
+        Self::merge(self, update, Instant::now());
     }
 
-    fn news(&self) -> EvacuationUpdate {
+    fn to_update(&self) -> EvacuationUpdate {
         Self::to_update(self)
     }
 }
 
 #[derive(Default)]
-struct LastWordWins(EvacuationUpdate);
+struct LastUpdateWins(EvacuationUpdate);
 
-impl Belief for LastWordWins {
-    fn merge(&mut self, news: &EvacuationUpdate) {
-        if news.complete_at > 0 {
-            self.0 = news.clone();
+impl MergedState for LastUpdateWins {
+    fn merge(&mut self, update: &EvacuationUpdate) {
+        if update.complete_at > 0 {
+            self.0 = update.clone();
         } else {
-            self.0.zones.extend(news.zones.clone());
+            self.0.zones.extend(update.zones.clone());
         }
     }
 
-    fn news(&self) -> EvacuationUpdate {
+    fn to_update(&self) -> EvacuationUpdate {
         self.0.clone()
     }
 }
 
 #[derive(Default)]
 struct Daemon<B> {
-    belief: B,
+    state: B,
     rows: EvacuationRows,
     listed: BTreeMap<usize, u64>,
     fed_to: u64,
     /// Delayed updates from peers.
-    late: Vec<EvacuationUpdate>,
+    delayed: Vec<EvacuationUpdate>,
 }
 
-impl<B: Belief> Daemon<B> {
+impl<B: MergedState> Daemon<B> {
     fn read_all(&mut self, store: &Store) {
         let rows = store.rows();
-        let gone: Vec<String> = self
+        let removed: Vec<String> = self
             .listed
             .keys()
             .filter(|zone| !rows.contains_key(zone))
@@ -104,10 +104,10 @@
             .filter(|(zone, revision)| self.listed.get(*zone) != Some(revision))
             .map(|(zone, revision)| (ZONES[*zone].to_owned(), *revision))
             .collect();
-        let news = self.rows.apply(written, &gone, Some(store.revision));
+        let update = self.rows.apply(written, &removed, Some(store.revision));
         self.listed = rows;
         self.fed_to = store.revision;
-        self.belief.merge(&news);
+        self.state.merge(&update);
     }
 
     /// Follows the change feed; a leaky one skips every other change.
@@ -119,14 +119,14 @@
             .filter(|change| change.revision > after);
         for change in new.filter(|change| !is_leaky || change.revision % 2 == 0) {
             let zone = ZONES[change.zone].to_owned();
-            let news = if change.is_written {
+            let update = if change.is_written {
                 self.listed.insert(change.zone, change.revision);
                 self.rows.apply(vec![(zone, change.revision)], &[], None)
             } else {
                 self.listed.remove(&change.zone);
                 self.rows.apply(Vec::new(), &[zone], None)
             };
-            self.belief.merge(&news);
+            self.state.merge(&update);
         }
         self.fed_to = store.revision;
     }
@@ -138,9 +138,9 @@
     ReadAll(usize),
     Follow(usize, bool),
     /// Sends the state of one daemon to another.
-    Tell(usize, usize),
+    Send(usize, usize),
     /// Delivers one of the delayed updates.
-    Hear(usize, usize),
+    Deliver(usize, usize),
     Restart(usize),
 }
 
@@ -151,39 +151,40 @@
         3 => (0..ZONES.len()).prop_map(Step::Toggle),
         1 => (0..DAEMONS).prop_map(Step::ReadAll),
         3 => (0..DAEMONS, any::<bool>()).prop_map(|(daemon, leaky)| Step::Follow(daemon, leaky)),
-        4 => (0..DAEMONS, 0..DAEMONS).prop_map(|(from, to)| Step::Tell(from, to)),
-        4 => (0..DAEMONS, 0..8_usize).prop_map(|(daemon, which)| Step::Hear(daemon, which)),
+        4 => (0..DAEMONS, 0..DAEMONS).prop_map(|(from, to)| Step::Send(from, to)),
+        4 => (0..DAEMONS, 0..8_usize).prop_map(|(daemon, which)| Step::Deliver(daemon, which)),
         1 => (0..DAEMONS).prop_map(Step::Restart),
     ]
 }
 
-fn evacuated(news: &EvacuationUpdate) -> Vec<&str> {
-    let zones = news.zones.iter();
-    let standing = zones.filter(|(_, mark)| !mark.is_over);
-    standing.map(|(zone, _)| zone.as_str()).collect()
+fn evacuated(update: &EvacuationUpdate) -> Vec<&str> {
+    let zones = update.zones.iter();
+    let evacuated = zones.filter(|(_, state)| !state.is_over);
+    evacuated.map(|(zone, _)| zone.as_str()).collect()
 }
 
 /// Runs the steps; returns the first violation as an error.
-fn play<B: Belief>(steps: &[Step]) -> Result<(), String> {
+fn run<B: MergedState>(steps: &[Step]) -> Result<(), String> {
     let mut store = Store::default();
     store.toggle(0);
     let mut daemons: Vec<Daemon<B>> = (0..DAEMONS).map(|_| Daemon::default()).collect();
     for step in steps {
-        let before: Vec<EvacuationUpdate> = daemons.iter().map(|one| one.belief.news()).collect();
+        let before: Vec<EvacuationUpdate> =
+            daemons.iter().map(|one| one.state.to_update()).collect();
         let mut restarted = None;
         match step {
             Step::Toggle(zone) => store.toggle(*zone),
             Step::ReadAll(daemon) => daemons[*daemon].read_all(&store),
             Step::Follow(daemon, is_leaky) => daemons[*daemon].follow(&store, *is_leaky),
-            Step::Tell(from, to) => {
-                let word = daemons[*from].belief.news();
-                daemons[*to].late.push(word);
+            Step::Send(from, to) => {
+                let update = daemons[*from].state.to_update();
+                daemons[*to].delayed.push(update);
             }
-            Step::Hear(daemon, which) => {
+            Step::Deliver(daemon, which) => {
                 let daemon = &mut daemons[*daemon];
-                if !daemon.late.is_empty() {
-                    let word = daemon.late[which % daemon.late.len()].clone();
-                    daemon.belief.merge(&word);
+                if !daemon.delayed.is_empty() {
+                    let update = daemon.delayed[which % daemon.delayed.len()].clone();
+                    daemon.state.merge(&update);
                 }
             }
             Step::Restart(daemon) => {
@@ -193,30 +194,30 @@
         }
         for (number, daemon) in daemons.iter().enumerate() {
             if restarted != Some(number) {
-                check_forward(&before[number], &daemon.belief.news())?;
+                check_monotonic(&before[number], &daemon.state.to_update())?;
             }
-            check_complete(&store, &daemon.belief.news())?;
+            check_complete(&store, &daemon.state.to_update())?;
         }
     }
     daemons[0].read_all(&store);
-    let word = daemons[0].belief.news();
+    let update = daemons[0].state.to_update();
     let rows = store.rows();
-    let truth: Vec<&str> = rows.keys().map(|zone| ZONES[*zone]).collect();
+    let expected: Vec<&str> = rows.keys().map(|zone| ZONES[*zone]).collect();
     for daemon in &mut daemons {
-        daemon.belief.merge(&word);
-        let stale = std::mem::take(&mut daemon.late);
-        stale.iter().for_each(|word| daemon.belief.merge(word));
-        let news = daemon.belief.news();
-        if evacuated(&news) != truth {
-            return Err(format!("{news:?} where {truth:?} are evacuated"));
+        daemon.state.merge(&update);
+        let stale = std::mem::take(&mut daemon.delayed);
+        stale.iter().for_each(|update| daemon.state.merge(update));
+        let update = daemon.state.to_update();
+        if evacuated(&update) != expected {
+            return Err(format!("{update:?} where {expected:?} are evacuated"));
         }
     }
     Ok(())
 }
 
-fn check_forward(before: &EvacuationUpdate, after: &EvacuationUpdate) -> Result<(), String> {
-    for (zone, mark) in &before.zones {
-        if after.zones.get(zone).is_none_or(|now| now < mark) {
+fn check_monotonic(before: &EvacuationUpdate, after: &EvacuationUpdate) -> Result<(), String> {
+    for (zone, state) in &before.zones {
+        if after.zones.get(zone).is_none_or(|now| now < state) {
             return Err(format!("{zone} went back: {before:?} to {after:?}"));
         }
     }
@@ -224,25 +225,28 @@
 }
 
 /// Checks that a state with `complete_at` includes all changes up to that revision.
-fn check_complete(store: &Store, news: &EvacuationUpdate) -> Result<(), String> {
+fn check_complete(store: &Store, update: &EvacuationUpdate) -> Result<(), String> {
     let mut then = BTreeMap::new();
     let known = store.changes.iter();
-    for change in known.filter(|change| change.revision <= news.complete_at) {
+    for change in known.filter(|change| change.revision <= update.complete_at) {
         then.insert(change.zone, change);
     }
     for change in then.values().filter(|change| change.is_written) {
-        let mark = news.zones.get(ZONES[change.zone]);
-        if mark.is_none_or(|mark| mark.revision < change.revision) {
-            return Err(format!("{news:?} misses {change:?}"));
+        let state = update.zones.get(ZONES[change.zone]);
+        if state.is_none_or(|state| state.revision < change.revision) {
+            return Err(format!("{update:?} misses {change:?}"));
         }
     }
-    for (zone, mark) in &news.zones {
-        let older = !mark.is_over && mark.revision <= news.complete_at;
+    for (zone, state) in &update.zones {
+        let older = !state.is_over && state.revision <= update.complete_at;
         let stands = then.iter().any(|(number, change)| {
-            ZONES[*number] == zone && change.is_written && change.revision == mark.revision
+            ZONES[*number] == zone && change.is_written && change.revision == state.revision
         });
         if older && !stands {
-            return Err(format!("{zone} is over at {}: {news:?}", news.complete_at));
+            return Err(format!(
+                "{zone} is over at {}: {update:?}",
+                update.complete_at
+            ));
         }
     }
     Ok(())
@@ -250,67 +254,67 @@
 
 proptest! {
     #[test]
-    fn whatever_order_news_comes_in_nothing_goes_back_and_all_end_at_the_truth(
+    fn updates_in_any_order_never_revert_a_zone_and_converge(
         steps in prop::collection::vec(step(), 0..40)
     ) {
-        let outcome = play::<EvacuatedZones>(&steps);
+        let outcome = run::<EvacuatedZones>(&steps);
         prop_assert!(outcome.is_ok(), "{outcome:?}");
     }
 }
 
 /// A peer that stalled during an evacuation must not revive it; the faulty implementation fails this check.
 #[test]
-fn the_check_finds_out_a_daemon_that_believes_whoever_spoke_last() {
+fn the_check_detects_a_merge_in_which_the_last_update_wins() {
     let steps = [
         Step::ReadAll(1),
-        Step::Tell(1, 0),
+        Step::Send(1, 0),
         Step::Toggle(0),
         Step::ReadAll(0),
-        Step::Hear(0, 0),
+        Step::Deliver(0, 0),
     ];
-    assert_eq!(play::<EvacuatedZones>(&steps), Ok(()));
-    assert!(play::<LastWordWins>(&steps).is_err());
+    assert_eq!(run::<EvacuatedZones>(&steps), Ok(()));
+    assert!(run::<LastUpdateWins>(&steps).is_err());
 }
 
-fn news(complete_at: u64, zones: &[(&str, u64, bool)]) -> EvacuationUpdate {
-    let marks = zones.iter().map(|(zone, revision, is_over)| {
-        let mark = EvacuationState {
+fn update(complete_at: u64, zones: &[(&str, u64, bool)]) -> EvacuationUpdate {
+    let states = zones.iter().map(|(zone, revision, is_over)| {
+        let state = EvacuationState {
             revision: *revision,
             is_over: *is_over,
         };
-        ((*zone).to_owned(), mark)
+        ((*zone).to_owned(), state)
     });
     EvacuationUpdate {
         complete_at,
-        zones: marks.collect(),
+        zones: states.collect(),
     }
 }
 
 #[test]
-fn a_zone_that_comes_back_says_since_when_and_may_be_evacuated_again() {
+fn a_zone_that_returns_has_a_return_time_and_may_be_evacuated_again() {
     let now = Instant::now();
     let mut zones = EvacuatedZones::default();
     assert_eq!(zones.returned_at("a"), None);
-    let changes = zones.merge(&news(0, &[("a", 5, false)]), now);
+    let changes = zones.merge(&update(0, &[("a", 5, false)]), now);
     assert!(changes[0].is_evacuated && zones.is_evacuated("a"));
     assert_eq!(zones.returned_at("a"), None);
-    let changes = zones.merge(&news(0, &[("a", 5, true)]), now);
+    let changes = zones.merge(&update(0, &[("a", 5, true)]), now);
     assert!(!changes[0].is_evacuated && !zones.is_evacuated("a"));
     assert_eq!(zones.returned_at("a"), Some(now));
-    assert!(zones.merge(&news(0, &[("a", 5, false)]), now).is_empty());
-    assert_eq!(zones.merge(&news(0, &[("a", 9, false)]), now).len(), 1);
+    assert!(zones.merge(&update(0, &[("a", 5, false)]), now).is_empty());
+    assert_eq!(zones.merge(&update(0, &[("a", 9, false)]), now).len(), 1);
     assert!(zones.is_evacuated("a"));
 }
 
 #[test]
-fn made_up_names_do_not_pile_up() {
+fn the_number_of_tracked_zones_is_bounded() {
     let mut zones = EvacuatedZones::default();
     for revision in 1..1_000 {
         let zone = format!("z{revision}");
-        zones.merge(&news(0, &[(&zone, revision, false)]), Instant::now());
-        zones.merge(&news(0, &[(&zone, revision, true)]), Instant::now());
+        zones.merge(&update(0, &[(&zone, revision, false)]), Instant::now());
+        zones.merge(&update(0, &[(&zone, revision, true)]), Instant::now());
     }
-    zones.merge(&news(0, &[("a", 2_000, false)]), Instant::now());
+    zones.merge(&update(0, &[("a", 2_000, false)]), Instant::now());
     assert!(zones.is_evacuated("a"));
-    assert!(zones.news().zones.len() <= 64);
+    assert!(zones.to_update().zones.len() <= 64);
 }
--- a/crates/serving/tests/failing.rs
+++ b/crates/serving/tests/failing.rs
@@ -27,26 +27,26 @@
 
 /// Behaviour of a replica for each request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Conduct {
+enum Behavior {
     Serves,
     ServesSlowly,
     Fails,
-    FindsFault,
+    RejectsRequest,
     Refuses,
-    CutsOff,
-    CutsTheBody,
-    IsSilent,
-    IsMute,
-    AnswersAnother,
+    Disconnects,
+    InterruptsBody,
+    NeverResponds,
+    StallsBody,
+    RespondsToAnother,
 }
 
 /// Client whose first replica has a given behaviour; all others serve.
 struct Replicas {
-    first: Conduct,
+    first: Behavior,
     sent_to_first: AtomicUsize,
 }
 
-fn answer(request: &ReplicaRequest<'_>, status: u16) -> ReplicaResponse {
+fn response(request: &ReplicaRequest<'_>, status: u16) -> ReplicaResponse {
     let bytes = Bytes::from_static(b"id: 1\ndata: x\n\n");
     ReplicaResponse {
         status,
@@ -65,28 +65,28 @@
     async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError> {
         let is_first = request.replica == "replica-0";
         if !is_first {
-            return Ok(answer(&request, 200));
+            return Ok(response(&request, 200));
         }
         self.sent_to_first.fetch_add(1, Ordering::Relaxed);
-        let good = answer(&request, 200);
+        let good = response(&request, 200);
         match self.first {
-            Conduct::Serves => Ok(good),
-            Conduct::ServesSlowly => {
+            Behavior::Serves => Ok(good),
+            Behavior::ServesSlowly => {
                 sleep(OBJECTIVE / 2).await;
                 Ok(good)
             }
-            Conduct::Fails => Ok(answer(&request, 500)),
-            Conduct::FindsFault => Ok(answer(&request, 422)),
-            Conduct::Refuses => Ok(ReplicaResponse {
+            Behavior::Fails => Ok(response(&request, 500)),
+            Behavior::RejectsRequest => Ok(response(&request, 422)),
+            Behavior::Refuses => Ok(ReplicaResponse {
                 not_run: true,
-                ..answer(&request, 503)
+                ..response(&request, 503)
             }),
-            Conduct::CutsOff => Err(ExchangeError::Lost {
+            Behavior::Disconnects => Err(ExchangeError::Lost {
                 step: "test",
                 peer: request.address.to_owned(),
                 detail: "reset".to_owned(),
             }),
-            Conduct::CutsTheBody => {
+            Behavior::InterruptsBody => {
                 let error = BodyError {
                     peer: request.address.to_owned(),
                     detail: "reset".to_owned(),
@@ -94,18 +94,18 @@
                 let body = good.body.chain(futures::stream::iter([Err(error)]));
                 Ok(ReplicaResponse {
                     body: body.boxed(),
-                    ..good_head(&request)
+                    ..ok_header(&request)
                 })
             }
-            Conduct::IsSilent => {
+            Behavior::NeverResponds => {
                 sleep(Duration::from_secs(60)).await;
                 Ok(good)
             }
-            Conduct::IsMute => Ok(ReplicaResponse {
+            Behavior::StallsBody => Ok(ReplicaResponse {
                 body: futures::stream::pending().boxed(),
-                ..good_head(&request)
+                ..ok_header(&request)
             }),
-            Conduct::AnswersAnother => Ok(ReplicaResponse {
+            Behavior::RespondsToAnother => Ok(ReplicaResponse {
                 request_id: Some("another".to_owned()),
                 ..good
             }),
@@ -113,15 +113,15 @@
     }
 }
 
-fn good_head(request: &ReplicaRequest<'_>) -> ReplicaResponse {
-    answer(request, 200)
+fn ok_header(request: &ReplicaRequest<'_>) -> ReplicaResponse {
+    response(request, 200)
 }
 
 /// Leases recorded locally; keeps the reports of their release.
 #[derive(Default)]
 struct Leases {
     taken: Mutex<Vec<String>>,
-    ended: Mutex<Vec<(String, ReleaseReport)>>,
+    released: Mutex<Vec<(String, ReleaseReport)>>,
 }
 
 #[async_trait]
@@ -136,9 +136,12 @@
         u32::try_from(taken.len() - 1).expect("few leases")
     }
 
-    fn release(&self, place: u32, end: ReleaseReport) {
-        let replica = self.taken.lock().expect("a lock")[place as usize].clone();
-        self.ended.lock().expect("a lock").push((replica, end));
+    fn release(&self, lease: u32, report: ReleaseReport) {
+        let replica = self.taken.lock().expect("a lock")[lease as usize].clone();
+        self.released
+            .lock()
+            .expect("a lock")
+            .push((replica, report));
     }
 
     fn is_coordinated(&self, _replica: &Replica) -> bool {
@@ -154,7 +157,7 @@
     leases: Arc<Leases>,
 }
 
-fn site(first: Conduct, replicas: usize, attempts: u32) -> Site {
+fn site(first: Behavior, replicas: usize, attempts: u32) -> Site {
     let set = ReplicaSet::default();
     let records = (0..replicas).map(|number| ReplicaRecord {
         born_ms: None,
@@ -241,14 +244,14 @@
 /// Sends one request and reads its response to the end.
 async fn call(site: &Site) {
     let reply = site.forwarder.forward(request(), Instant::now()).await;
-    if let Reply::Response(answer) = reply {
-        let _ = answer.body.collect::<Vec<_>>().await;
+    if let Reply::Response(response) = reply {
+        let _ = response.body.collect::<Vec<_>>().await;
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_answers_with_failures_is_avoided() {
-    let site = site(Conduct::Fails, 3, 1);
+async fn a_replica_that_responds_with_failures_is_avoided() {
+    let site = site(Behavior::Fails, 3, 1);
     for _ in 0..60 {
         call(&site).await;
         sleep(Duration::from_millis(5)).await;
@@ -258,66 +261,68 @@
 }
 
 /// Report of the lease of one request at a replica with this behaviour.
-async fn end_at(conduct: Conduct) -> ReleaseReport {
-    let site = site(conduct, 1, 1);
+async fn report_at(behavior: Behavior) -> ReleaseReport {
+    let site = site(behavior, 1, 1);
     call(&site).await;
-    let ended = site.leases.ended.lock().expect("a lock");
-    assert!(!ended.is_empty(), "a lease was given back");
-    ended[0].1
+    let released = site.leases.released.lock().expect("a lock");
+    assert!(!released.is_empty(), "a lease was given back");
+    released[0].1
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lease_goes_back_with_what_its_request_came_to() {
+async fn a_lease_is_released_with_the_outcome_of_its_request() {
     let expected = [
-        (Conduct::Serves, AttemptOutcome::Served),
-        (Conduct::ServesSlowly, AttemptOutcome::Served),
-        (Conduct::Fails, AttemptOutcome::Failed),
-        (Conduct::FindsFault, AttemptOutcome::NoEvidence),
-        (Conduct::Refuses, AttemptOutcome::NotRun),
-        (Conduct::CutsOff, AttemptOutcome::Disconnected),
-        (Conduct::CutsTheBody, AttemptOutcome::Disconnected),
-        (Conduct::IsSilent, AttemptOutcome::Unresponsive),
-        (Conduct::IsMute, AttemptOutcome::Unresponsive),
-        (Conduct::AnswersAnother, AttemptOutcome::Corrupt),
+        (Behavior::Serves, AttemptOutcome::Served),
+        (Behavior::ServesSlowly, AttemptOutcome::Served),
+        (Behavior::Fails, AttemptOutcome::Failed),
+        (Behavior::RejectsRequest, AttemptOutcome::NoEvidence),
+        (Behavior::Refuses, AttemptOutcome::NotRun),
+        (Behavior::Disconnects, AttemptOutcome::Disconnected),
+        (Behavior::InterruptsBody, AttemptOutcome::Disconnected),
+        (Behavior::NeverResponds, AttemptOutcome::Unresponsive),
+        (Behavior::StallsBody, AttemptOutcome::Unresponsive),
+        (Behavior::RespondsToAnother, AttemptOutcome::Corrupt),
     ];
-    for (conduct, verdict) in expected {
-        assert_eq!(end_at(conduct).await.outcome, verdict, "{conduct:?}");
+    for (behavior, outcome) in expected {
+        assert_eq!(report_at(behavior).await.outcome, outcome, "{behavior:?}");
     }
-    let slow = end_at(Conduct::ServesSlowly).await.first_event;
+    let slow = report_at(Behavior::ServesSlowly).await.first_event;
     assert_eq!(slow, Some(OBJECTIVE / 2));
 }
 
 /// A caller that leaves must not be counted against the replica.
 #[tokio::test(start_paused = true)]
 async fn a_caller_that_leaves_is_no_evidence() {
-    let site = site(Conduct::IsSilent, 1, 1);
+    let site = site(Behavior::NeverResponds, 1, 1);
     let called = tokio::time::timeout(OBJECTIVE, call(&site)).await;
     assert!(called.is_err(), "the replica is silent");
-    let ended = site.leases.ended.lock().expect("a lock");
-    assert_eq!(ended[0].1, ReleaseReport::default());
+    let released = site.leases.released.lock().expect("a lock");
+    assert_eq!(released[0].1, ReleaseReport::default());
 }
 
 /// A request with too little time for any response must not be counted against the replica.
 #[tokio::test(start_paused = true)]
 async fn a_request_with_hardly_any_time_is_no_evidence() {
-    for conduct in [Conduct::IsSilent, Conduct::IsMute] {
-        let site = site(conduct, 2, 1);
+    for behavior in [Behavior::NeverResponds, Behavior::StallsBody] {
+        let site = site(behavior, 2, 1);
         for _ in 0..40 {
             let hurried = ServingRequest {
                 timeout: Some(Duration::from_millis(20)),
                 ..request()
             };
             let reply = site.forwarder.forward(hurried, Instant::now()).await;
-            if let Reply::Response(answer) = reply {
-                let _ = answer.body.collect::<Vec<_>>().await;
+            if let Reply::Response(response) = reply {
+                let _ = response.body.collect::<Vec<_>>().await;
             }
         }
         let sent = site.client.sent_to_first.load(Ordering::Relaxed);
-        assert!(sent > 5, "{conduct:?} {sent}: it is not avoided");
-        let ended = site.leases.ended.lock().expect("a lock");
-        let at_first = ended.iter().filter(|(replica, _)| replica == "replica-0");
-        for (_, end) in at_first {
-            assert_eq!(end.outcome, AttemptOutcome::NoEvidence, "{conduct:?}");
+        assert!(sent > 5, "{behavior:?} {sent}: it is not avoided");
+        let released = site.leases.released.lock().expect("a lock");
+        let at_first = released
+            .iter()
+            .filter(|(replica, _)| replica == "replica-0");
+        for (_, report) in at_first {
+            assert_eq!(report.outcome, AttemptOutcome::NoEvidence, "{behavior:?}");
         }
     }
 }
--- a/crates/serving/tests/gate.rs
+++ b/crates/serving/tests/gate.rs
@@ -61,22 +61,22 @@
 }
 
 /// Coordinator that has not received any evacuation.
-struct Deaf {
+struct OutdatedCoordinator {
     replicas: Arc<ReplicaSet>,
     /// True if it reports the whole zone as cold.
     is_all_cold: bool,
 }
 
 #[async_trait]
-impl SlotLeases for Deaf {
+impl SlotLeases for OutdatedCoordinator {
     async fn acquire(&self, query: SlotQuery<'_>) -> SlotReply {
         if self.is_all_cold {
             return SlotReply::AllCold;
         }
         let view = self.replicas.view();
         let in_zone = view.all().filter(|one| one.record.zone == "zone-a");
-        let mut left = in_zone.filter(|one| !query.excluded.contains(&one.record.id));
-        let Some(replica) = left.next() else {
+        let mut remaining = in_zone.filter(|one| !query.excluded.contains(&one.record.id));
+        let Some(replica) = remaining.next() else {
             return SlotReply::NoCoordinator;
         };
         SlotReply::Granted {
@@ -89,7 +89,7 @@
         1
     }
 
-    fn release(&self, _place: u32, _end: ReleaseReport) {}
+    fn release(&self, _lease: u32, _report: ReleaseReport) {}
 
     fn is_coordinated(&self, _replica: &Replica) -> bool {
         true
@@ -162,10 +162,10 @@
 }
 
 fn fixture() -> Fixture {
-    fixture_before(false)
+    fixture_with(false)
 }
 
-fn fixture_before(is_all_cold: bool) -> Fixture {
+fn fixture_with(is_all_cold: bool) -> Fixture {
     let replicas = Arc::new(ReplicaSet::default());
     let mut records: Vec<ReplicaRecord> = (0..EVACUATED_REPLICAS)
         .map(|number| record(&format!("a-{number}"), "zone-a", "near"))
@@ -177,7 +177,7 @@
         routes: Arc::new(ArcSwapOption::from_pointee(routes())),
         replicas: replicas.clone(),
         client: client.clone(),
-        leases: Arc::new(Deaf {
+        leases: Arc::new(OutdatedCoordinator {
             replicas: replicas.clone(),
             is_all_cold,
         }),
@@ -207,8 +207,8 @@
 
     /// Sends a request to a chosen replica.
     async fn send_to(&self, choice: Choice) -> Result<(), AttemptFailure> {
-        let place = SlotLease::new(self.forwarder.leases().clone(), 1);
-        let placement = choice.enter(WorkClass::Online, place);
+        let lease = SlotLease::new(self.forwarder.leases().clone(), 1);
+        let placement = choice.enter(WorkClass::Online, lease);
         let long = Duration::from_secs(1);
         let times = AttemptTimeouts {
             time_left: None,
@@ -247,7 +247,7 @@
 }
 
 #[tokio::test]
-async fn a_coordinator_that_has_not_heard_does_not_keep_a_request_from_the_zones_left() {
+async fn an_outdated_coordinator_does_not_keep_a_request_from_other_zones() {
     let fixture = fixture();
     fixture.evacuate("zone-a");
     let reply = fixture.forwarder.forward(request(), Instant::now()).await;
@@ -257,8 +257,8 @@
 
 /// A daemon that chooses itself must avoid a group that its coordinator reports as cold.
 #[tokio::test]
-async fn a_daemon_that_chooses_itself_believes_a_coordinator_that_calls_a_group_cold() {
-    let fixture = fixture_before(true);
+async fn a_daemon_that_chooses_itself_avoids_a_group_that_its_coordinator_reports_cold() {
+    let fixture = fixture_with(true);
     let reply = fixture.forwarder.forward(request(), Instant::now()).await;
     assert!(matches!(reply, Reply::Response(_)), "an answer");
     assert_eq!(fixture.client.sent(), [("b".to_owned(), None)]);
@@ -294,7 +294,7 @@
 
 /// Replicas that are listed later, or that vanished and return, must inherit their zone's evacuation.
 #[tokio::test]
-async fn replicas_listed_later_find_their_zone_evacuated() {
+async fn replicas_listed_later_inherit_the_evacuation_of_their_zone() {
     let fixture = fixture();
     fixture.evacuate("zone-a");
     let later = vec![
--- a/crates/serving/tests/large_set.rs
+++ b/crates/serving/tests/large_set.rs
@@ -25,7 +25,7 @@
 }
 
 /// Mean number of bytes allocated per change.
-fn bytes_a_change(replicas: usize) -> usize {
+fn bytes_per_change(replicas: usize) -> usize {
     const CHANGES: usize = 20;
     let set = ReplicaSet::default();
     set.replace(
@@ -43,8 +43,8 @@
 #[test]
 fn a_change_among_very_many_replicas_copies_pointers_only() {
     for replicas in [10_000, 20_000] {
-        let bytes = bytes_a_change(replicas);
-        let most = 16 * replicas + 30_000;
-        assert!(bytes <= most, "{bytes} bytes a change among {replicas}");
+        let bytes = bytes_per_change(replicas);
+        let max = 16 * replicas + 30_000;
+        assert!(bytes <= max, "{bytes} bytes a change among {replicas}");
     }
 }
--- a/crates/serving/tests/ranking.rs
+++ b/crates/serving/tests/ranking.rs
@@ -4,7 +4,7 @@
 use harrierward_serving::{preference_weight, short_hash};
 
 #[test]
-fn weights_and_hashes_are_those_of_earlier_builds() {
+fn weights_and_hashes_are_stable() {
     let weights = [
         preference_weight(5, "node-1@1a2b-0001"),
         preference_weight(0, "i-7f3a91c2"),
--- a/crates/serving/tests/routes.rs
+++ b/crates/serving/tests/routes.rs
@@ -4,7 +4,7 @@
 use harrierward_tenants::AllowedRegions;
 use std::time::Duration;
 
-fn part(service: &str, weight: u32) -> WeightedService {
+fn weighted(service: &str, weight: u32) -> WeightedService {
     WeightedService {
         service: service.to_owned(),
         weight,
@@ -18,7 +18,7 @@
         host: "example".to_owned(),
         prefix: "/ask/".to_owned(),
         kind: RouteKind::Stream { resumable: true },
-        services: vec![part("first", first), part("second", second)],
+        services: vec![weighted("first", first), weighted("second", second)],
         attempts: 2,
         timeout: Duration::from_secs(4),
         objective: Duration::from_millis(200),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn daemons_that_see_few_requests_each_keep_to_the_weights_together() {
+fn daemons_with_few_requests_each_keep_to_the_weights_together() {
     const DAEMONS: u32 = 2_000;
     const REQUESTS: u32 = 3;
     let mut first = 0_u32;
@@ -52,7 +52,7 @@
 
 /// A timeout much shorter than that of first attempts marks a retry, whose objective has passed.
 #[test]
-fn a_caller_with_less_patience_than_the_route_s_others_is_overdue() {
+fn a_caller_with_a_shorter_timeout_than_others_is_overdue() {
     let table = table(1, 0);
     let entry = table.find("example", "/ask/1").expect("a route");
     let seconds = |seconds: f64| Some(Duration::from_secs_f64(seconds));
@@ -79,10 +79,10 @@
 
 /// Callers whose timeouts are all shorter than the route's must not stay classified as overdue.
 #[test]
-fn callers_with_less_patience_than_the_timeout_are_not_overdue_for_long() {
+fn callers_with_a_shorter_timeout_than_the_route_are_not_overdue_for_long() {
     let table = table(1, 0);
     let entry = table.find("example", "/ask/1").expect("a route");
-    let patience = Some(Duration::from_secs(2));
-    let overdue = (0..100).filter(|_| entry.is_overdue(patience)).count();
+    let timeout = Some(Duration::from_secs(2));
+    let overdue = (0..100).filter(|_| entry.is_overdue(timeout)).count();
     assert_eq!(overdue, 16);
 }
--- a/crates/serving/tests/set_changes.rs
+++ b/crates/serving/tests/set_changes.rs
@@ -23,13 +23,13 @@
 #[derive(Debug, Clone)]
 struct Change {
     written: Vec<(usize, u64, bool)>,
-    gone: Vec<usize>,
+    removed: Vec<usize>,
 }
 
 fn change() -> impl Strategy<Value = Change> {
     let written = prop::collection::vec((0..12usize, 1..4u64, any::<bool>()), 0..4);
-    let gone = prop::collection::vec(0..12usize, 0..3);
-    (written, gone).prop_map(|(written, gone)| Change { written, gone })
+    let removed = prop::collection::vec(0..12usize, 0..3);
+    (written, removed).prop_map(|(written, removed)| Change { written, removed })
 }
 
 /// Visible state of a set: ids, start times and draining flags in order, zones, regions and lookups by hash.
@@ -54,9 +54,10 @@
             view.zones(service),
             view.regions(service)
         ));
-        let homes = view.listed(service).iter();
-        let homes = homes.filter(|one| view.has_long_prompt_affinity(&one.record.id));
-        seen.push(format!("{} homes", homes.count()));
+        let for_long_prompts = view.listed(service).iter();
+        let for_long_prompts =
+            for_long_prompts.filter(|one| view.has_long_prompt_affinity(&one.record.id));
+        seen.push(format!("{} homes", for_long_prompts.count()));
     }
     seen.push(format!("{} listed", view.len()));
     seen
@@ -64,23 +65,23 @@
 
 proptest! {
     #[test]
-    fn changes_lead_to_the_same_as_a_whole_list(changes in prop::collection::vec(change(), 1..20)) {
+    fn changes_lead_to_the_same_as_a_full_list(changes in prop::collection::vec(change(), 1..20)) {
         let (by_changes, by_lists) = (ReplicaSet::default(), ReplicaSet::default());
         let mut records: BTreeMap<String, ReplicaRecord> = BTreeMap::new();
         for change in changes {
-            let mut gone = Vec::new();
-            for number in change.gone {
+            let mut removed = Vec::new();
+            for number in change.removed {
                 let id = record(number, 1).id;
                 records.remove(&id);
-                gone.push(id);
+                removed.push(id);
             }
             let mut written = Vec::new();
             for (number, born_ms, draining) in change.written {
-                let told = ReplicaRecord { draining, ..record(number, born_ms) };
-                records.insert(told.id.clone(), told.clone());
-                written.push(told);
+                let latest = ReplicaRecord { draining, ..record(number, born_ms) };
+                records.insert(latest.id.clone(), latest.clone());
+                written.push(latest);
             }
-            by_changes.update(written, &gone, |_| 1_000);
+            by_changes.update(written, &removed, |_| 1_000);
             by_lists.replace(records.values().cloned().collect(), |_| 1_000);
             prop_assert_eq!(seen(&by_changes), seen(&by_lists));
         }
@@ -89,7 +90,7 @@
 
 /// A set must not report itself idle while requests are in progress, even at replicas that are no longer listed.
 #[tokio::test]
-async fn a_set_knows_whether_anything_is_in_progress() {
+async fn a_set_reports_whether_anything_is_in_progress() {
     let set = ReplicaSet::default();
     set.replace(vec![record(0, 1), record(1, 1)], |_| 1_000);
     assert!(set.is_idle());
--- a/crates/serving/tests/silence.rs
+++ b/crates/serving/tests/stalls.rs
@@ -26,7 +26,7 @@
 const OBJECTIVE: Duration = Duration::from_millis(300);
 
 /// Longer than the stall timeout, shorter than the maximum wait.
-const QUEUED_FOR: Duration = Duration::from_millis(600);
+const QUEUE_TIME: Duration = Duration::from_millis(600);
 
 /// Client that responds after a delay, like a replica with a queue.
 #[derive(Default)]
@@ -38,7 +38,7 @@
 impl ReplicaClient for QueueingClient {
     async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError> {
         self.sends.fetch_add(1, Ordering::Relaxed);
-        sleep(QUEUED_FOR).await;
+        sleep(QUEUE_TIME).await;
         Ok(ReplicaResponse {
             status: 200,
             request_id: Some(request.request.id.clone()),
@@ -57,13 +57,13 @@
     replicas: Arc<ReplicaSet>,
     free_permille: u32,
     /// Retry interval sent to new requests.
-    come_back: Option<Duration>,
+    retry_after: Option<Duration>,
 }
 
 #[async_trait]
 impl SlotLeases for Group {
     async fn acquire(&self, query: SlotQuery<'_>) -> SlotReply {
-        if let Some(after) = self.come_back.filter(|_| query.max_retry_after.is_some()) {
+        if let Some(after) = self.retry_after.filter(|_| query.max_retry_after.is_some()) {
             return SlotReply::RetryLater { after };
         }
         let view = self.replicas.view();
@@ -91,7 +91,7 @@
         1
     }
 
-    fn release(&self, _place: u32, _end: ReleaseReport) {}
+    fn release(&self, _lease: u32, _report: ReleaseReport) {}
 
     fn is_coordinated(&self, _replica: &Replica) -> bool {
         false
@@ -127,7 +127,10 @@
 }
 
 /// Forwarder with such a coordinator.
-fn forwarder(free_permille: u32, come_back: Option<Duration>) -> (Forwarder, Arc<QueueingClient>) {
+fn forwarder(
+    free_permille: u32,
+    retry_after: Option<Duration>,
+) -> (Forwarder, Arc<QueueingClient>) {
     let replicas = ReplicaSet::default();
     let records = (0..2).map(|number| ReplicaRecord {
         born_ms: None,
@@ -150,7 +153,7 @@
         leases: Arc::new(Group {
             replicas,
             free_permille,
-            come_back,
+            retry_after,
         }),
         rates: Arc::new(NoLimits),
         quarantine: Arc::new(NoQuarantine),
@@ -166,7 +169,7 @@
     (forwarder, client)
 }
 
-fn request(patience: Duration) -> ServingRequest {
+fn request(timeout: Duration) -> ServingRequest {
     ServingRequest {
         regions: AllowedRegions::default(),
         id: "r".to_owned(),
@@ -175,7 +178,7 @@
         target: "/ask/x".to_owned(),
         headers: HeaderMap::new(),
         body: Bytes::new(),
-        timeout: Some(patience),
+        timeout: Some(timeout),
         resume_after: None,
         prompt: Prompt::default(),
         key: None,
@@ -184,23 +187,25 @@
 }
 
 /// Longest timeout of the route's callers.
-const PATIENCE: Duration = Duration::from_secs(5);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Number of attempts of one request in a group with this share of free slots.
 async fn sends_where_free(free_permille: u32) -> usize {
     let (forwarder, client) = forwarder(free_permille, None);
-    let reply = forwarder.forward(request(PATIENCE), Instant::now()).await;
+    let reply = forwarder
+        .forward(request(CALLER_TIMEOUT), Instant::now())
+        .await;
     assert!(matches!(reply, Reply::Response(_)), "an answer");
     client.sends.load(Ordering::Relaxed)
 }
 
 /// A refused caller receives a retry interval at once, without an attempt; its retry must not be refused again.
 #[tokio::test(start_paused = true)]
-async fn a_caller_that_comes_back_is_not_sent_away_again() {
+async fn a_caller_that_retries_is_not_refused_again() {
     let after = Duration::from_millis(700);
     let (forwarder, client) = forwarder(0, Some(after));
-    let began = Instant::now();
-    let reply = forwarder.forward(request(PATIENCE), began).await;
+    let started = Instant::now();
+    let reply = forwarder.forward(request(CALLER_TIMEOUT), started).await;
     let Reply::Refusal(refusal) = reply else {
         panic!("a refusal");
     };
@@ -209,16 +214,16 @@
         (refusal.status(), refusal.retry_after()),
         (503, Some(after))
     );
-    assert!(refusal.cause().is_not_run() && began.elapsed() < Duration::from_millis(10));
+    assert!(refusal.cause().is_not_run() && started.elapsed() < Duration::from_millis(10));
     assert_eq!(client.sends.load(Ordering::Relaxed), 0);
     let reply = forwarder
-        .forward(request(PATIENCE - after), Instant::now())
+        .forward(request(CALLER_TIMEOUT - after), Instant::now())
         .await;
     assert!(matches!(reply, Reply::Response(_)), "an answer");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_replica_is_left_where_others_have_room() {
+async fn an_unresponsive_replica_is_abandoned_where_others_have_capacity() {
     assert_eq!(sends_where_free(900).await, 2);
 }
 
@@ -230,18 +235,18 @@
 /// A coordinator with an outdated view grants cold replicas uncounted; nothing may be sent, and the caller is refused
 /// at once.
 #[tokio::test(start_paused = true)]
-async fn a_grant_that_nobody_counted_is_no_permission_for_a_cold_replica() {
+async fn an_uncounted_grant_does_not_admit_a_request_to_a_cold_replica() {
     let (forwarder, client) = forwarder(500, None);
     for replica in forwarder.replicas().view().all() {
         replica.set_cold_until(Instant::now() + Duration::from_secs(60));
     }
-    let began = Instant::now();
-    let reply = forwarder.forward(request(OBJECTIVE), began).await;
+    let started = Instant::now();
+    let reply = forwarder.forward(request(OBJECTIVE), started).await;
     let Reply::Refusal(refusal) = reply else {
         panic!("an answer");
     };
     assert_eq!(refusal.cause(), RefusalCause::Full);
     assert!(refusal.retry_after().is_some());
     assert_eq!(client.sends.load(Ordering::Relaxed), 0);
-    assert!(began.elapsed() < Duration::from_millis(10));
+    assert!(started.elapsed() < Duration::from_millis(10));
 }
--- a/crates/serving/tests/support/mod.rs
+++ b/crates/serving/tests/support/mod.rs
@@ -24,65 +24,73 @@
 
 /// Request id that a response carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answers {
+pub enum ResponseId {
     /// Id of the request itself.
     Own,
     /// Id of an earlier request on the connection.
     Another,
     /// No id, from the replica itself.
-    Nobody,
+    Missing,
     /// No id, as a late response to an earlier request on a reused connection.
-    NobodyLate,
+    MissingLate,
 }
 
-impl Answers {
+impl ResponseId {
     fn is_late(self) -> bool {
-        matches!(self, Self::Another | Self::NobodyLate)
+        matches!(self, Self::Another | Self::MissingLate)
     }
 }
 
 /// Result of one request at a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum ScriptedResult {
     /// A complete response.
-    Whole,
+    Complete,
     /// The connection is refused.
     NotSent,
     /// The connection breaks after the request has started.
     Lost,
     /// The connection breaks after the response header.
-    CutAfterHead,
+    DisconnectAfterHeader,
     /// A refusal that states "not run". If it belongs to another request, the replica has started this one.
-    Refusal { status: u16, answers: Answers },
+    Refusal {
+        status: u16,
+        response_id: ResponseId,
+    },
     /// Another replica has the address.
-    OtherReplica { answers: Answers },
+    OtherReplica { response_id: ResponseId },
     /// The replica ran the request and failed with this status.
     Failure(u16),
 }
 
-impl End {
+impl ScriptedResult {
     /// True if a replica has started the request.
     pub fn began(self) -> bool {
         match self {
             Self::NotSent => false,
-            Self::Refusal { answers, .. } | Self::OtherReplica { answers } => answers.is_late(),
+            Self::Refusal { response_id, .. } | Self::OtherReplica { response_id } => {
+                response_id.is_late()
+            }
             _ => true,
         }
     }
 
     /// On a new connection a refusal without an id can't be late.
     fn on_new_connection(self) -> Self {
-        let own = |answers: Answers| match answers {
-            Answers::NobodyLate => Answers::Nobody,
+        let own = |response_id: ResponseId| match response_id {
+            ResponseId::MissingLate => ResponseId::Missing,
             other => other,
         };
         match self {
-            Self::Refusal { status, answers } => Self::Refusal {
+            Self::Refusal {
+                status,
+                response_id,
+            } => Self::Refusal {
                 status,
-                answers: own(answers),
+                response_id: own(response_id),
             },
-            Self::OtherReplica { answers } => Self::OtherReplica {
-                answers: own(answers),
+            Self::OtherReplica { response_id } => Self::OtherReplica {
+                response_id: own(response_id),
             },
             other => other,
         }
@@ -91,8 +99,8 @@
 
 #[derive(Default)]
 struct Script {
-    ends: VecDeque<End>,
-    played: Vec<(String, End)>,
+    results: VecDeque<ScriptedResult>,
+    history: Vec<(String, ScriptedResult)>,
 }
 
 /// Client with one scripted result per request, and complete responses afterwards.
@@ -107,30 +115,30 @@
     }
 
     /// Sets the results of the next requests.
-    pub fn play(&self, ends: &[End]) {
-        self.lock().ends = ends.iter().copied().collect();
+    pub fn set_script(&self, results: &[ScriptedResult]) {
+        self.lock().results = results.iter().copied().collect();
     }
 
     /// Returns replica and result of each request so far.
-    pub fn played(&self) -> Vec<(String, End)> {
-        self.lock().played.clone()
+    pub fn history(&self) -> Vec<(String, ScriptedResult)> {
+        self.lock().history.clone()
     }
 
     /// True if a replica has started a request.
     pub fn has_begun(&self) -> bool {
-        self.lock().played.iter().any(|(_, end)| end.began())
+        self.lock().history.iter().any(|(_, result)| result.began())
     }
 }
 
-fn answer(status: u16, answers: Answers, not_run: bool, id: &str) -> ReplicaResponse {
+fn response(status: u16, response_id: ResponseId, not_run: bool, id: &str) -> ReplicaResponse {
     ReplicaResponse {
         status,
-        request_id: match answers {
-            Answers::Own => Some(id.to_owned()),
-            Answers::Another => Some("another".to_owned()),
-            Answers::Nobody | Answers::NobodyLate => None,
+        request_id: match response_id {
+            ResponseId::Own => Some(id.to_owned()),
+            ResponseId::Another => Some("another".to_owned()),
+            ResponseId::Missing | ResponseId::MissingLate => None,
         },
-        is_first_on_connection: answers != Answers::NobodyLate,
+        is_first_on_connection: response_id != ResponseId::MissingLate,
         not_run,
         other_replica: status == 421,
         load: None,
@@ -142,33 +150,41 @@
 #[async_trait]
 impl ReplicaClient for Scripted {
     async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError> {
-        let end = {
+        let result = {
             let mut script = self.lock();
-            let mut end = script.ends.pop_front().unwrap_or(End::Whole);
+            let mut result = script
+                .results
+                .pop_front()
+                .unwrap_or(ScriptedResult::Complete);
             if request.fresh_connection {
-                end = end.on_new_connection();
+                result = result.on_new_connection();
             }
-            script.played.push((request.replica.to_owned(), end));
-            end
+            script.history.push((request.replica.to_owned(), result));
+            result
         };
         let id = &request.request.id;
         let (step, peer) = ("replica.send", request.address.to_owned());
         let detail = "scripted".to_owned();
-        match end {
-            End::Whole => Ok(answer(200, Answers::Own, false, id)),
-            End::NotSent => Err(ExchangeError::NotSent { step, peer, detail }),
-            End::Lost => Err(ExchangeError::Lost { step, peer, detail }),
-            End::CutAfterHead => {
-                let cut = BodyError { peer, detail };
-                let body = futures::stream::iter([Err::<Bytes, _>(cut)]).boxed();
+        match result {
+            ScriptedResult::Complete => Ok(response(200, ResponseId::Own, false, id)),
+            ScriptedResult::NotSent => Err(ExchangeError::NotSent { step, peer, detail }),
+            ScriptedResult::Lost => Err(ExchangeError::Lost { step, peer, detail }),
+            ScriptedResult::DisconnectAfterHeader => {
+                let error = BodyError { peer, detail };
+                let body = futures::stream::iter([Err::<Bytes, _>(error)]).boxed();
                 Ok(ReplicaResponse {
                     body,
-                    ..answer(200, Answers::Own, false, id)
+                    ..response(200, ResponseId::Own, false, id)
                 })
             }
-            End::Refusal { status, answers } => Ok(answer(status, answers, true, id)),
-            End::OtherReplica { answers } => Ok(answer(421, answers, false, id)),
-            End::Failure(status) => Ok(answer(status, Answers::Own, false, id)),
+            ScriptedResult::Refusal {
+                status,
+                response_id,
+            } => Ok(response(status, response_id, true, id)),
+            ScriptedResult::OtherReplica { response_id } => {
+                Ok(response(421, response_id, false, id))
+            }
+            ScriptedResult::Failure(status) => Ok(response(status, ResponseId::Own, false, id)),
         }
     }
 }
@@ -196,7 +212,7 @@
         1
     }
 
-    fn release(&self, _place: u32, _end: ReleaseReport) {}
+    fn release(&self, _lease: u32, _report: ReleaseReport) {}
 
     fn is_coordinated(&self, _replica: &Replica) -> bool {
         false
--- a/crates/serving/tests/suspended.rs
+++ b/crates/serving/tests/suspended.rs
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_believed_of_a_replica_ages_over_a_suspension() {
+async fn the_state_of_a_replica_ages_over_a_suspension() {
     let _turn = one_at_a_time().await;
     let (_set, replica) = one_replica();
     // Counts received in the first millisecond would be dated a millisecond later.
@@ -68,7 +68,7 @@
 
 /// No data is received during a suspension, so it must not count as a stall of the replicas.
 #[tokio::test(start_paused = true)]
-async fn a_suspension_is_no_silence_of_the_replicas() {
+async fn a_suspension_is_not_a_stall_of_the_replicas() {
     let _turn = one_at_a_time().await;
     let (_set, replica) = one_replica();
     replica.note_progress();
--- a/crates/serving/tests/warmth.rs
+++ b/crates/serving/tests/warmth.rs
@@ -55,7 +55,7 @@
 
 /// Times in rows and configurations come from other processes and must not overflow.
 #[test]
-fn a_time_beyond_all_measure_is_a_long_one() {
+fn a_boundless_warmup_is_capped() {
     let start = Instant::now();
     let boundless = Duration::MAX;
     let mut warmth = Warmth::default();
@@ -120,7 +120,7 @@
 
 /// A crashed replica that returns under its id must take its warmup from the new row.
 #[tokio::test(start_paused = true)]
-async fn a_replica_whose_row_went_and_came_back_is_as_its_row_says() {
+async fn a_replica_listed_again_takes_its_warmup_from_the_new_row() {
     let set = ReplicaSet::default();
     set.replace(vec![record("one", Duration::ZERO)], |_| 0);
     set.replace(vec![], |_| 0);
@@ -133,23 +133,23 @@
 
 /// A count that expired, for example while the daemon was stalled, must not pass the gate.
 #[tokio::test(start_paused = true)]
-async fn the_gate_lets_only_counted_requests_pass_and_not_for_long() {
+async fn the_gate_passes_only_counted_requests_until_their_count_expires() {
     let set = ReplicaSet::default();
     set.replace(vec![record("one", WARMUP.duration)], |_| 0);
     let replica = listed(&set, "one");
     let now = Instant::now();
-    let passage = |cold_until| GateRequest {
+    let request = |cold_until| GateRequest {
         regions: &AllowedRegions::Any,
         cold_until,
     };
     let short = Duration::from_millis(250);
     assert_eq!(
-        check_gate(&replica, &passage(None), now),
+        check_gate(&replica, &request(None), now),
         Some(GateDenial::ColdWithoutGrant)
     );
-    assert_eq!(check_gate(&replica, &passage(Some(now + short)), now), None);
+    assert_eq!(check_gate(&replica, &request(Some(now + short)), now), None);
     assert_eq!(
-        check_gate(&replica, &passage(Some(now + short)), now + short),
+        check_gate(&replica, &request(Some(now + short)), now + short),
         Some(GateDenial::ColdWithoutGrant)
     );
 }
