--- a/crates/edge/src/slots/choosing_group.rs
+++ b/crates/edge/src/slots/choosing_group.rs
@@ -7,7 +7,7 @@
     LeaseEnd, LeftRegion, PromptLength, ROOMY_PERMILLE, Replica, SlotAnswer, SlotLeases, SlotQuery,
     Verdict, preference_weight, short_hash,
 };
-use harrierward_slots::{Crossing, GroupId, GroupLayout, is_better_off};
+use harrierward_slots::{GroupId, GroupLayout, SpillCost, should_spill};
 
 use super::asking::LONGEST_PART;
 use super::index::GroupIndex;
@@ -230,8 +230,8 @@
         let worthwhile = others.into_iter().filter_map(|group| {
             let other = self.room(service, group);
             let crossing = self.crossing(service, group, groups.query.objective)?;
-            let is_worthwhile = is_better_off(&own, &other, &crossing);
-            is_worthwhile.then_some((other.wait + crossing.way, rand::random::<u32>(), group))
+            let is_worthwhile = should_spill(&own, &other, &crossing);
+            is_worthwhile.then_some((other.wait + crossing.rtt, rand::random::<u32>(), group))
         });
         let (_, _, group) = worthwhile.min()?;
         Some(Target {
@@ -269,7 +269,7 @@
     }
 
     /// What it costs to go to a group of another region; `None` if nobody there can be asked.
-    fn crossing(&self, service: u32, group: GroupId, objective: Duration) -> Option<Crossing> {
+    fn crossing(&self, service: u32, group: GroupId, objective: Duration) -> Option<SpillCost> {
         let Coordinator::Peer(peer) = self.coordinator(service, group) else {
             return None;
         };
@@ -277,11 +277,11 @@
             return None;
         }
         let trip = self.calls.trips().mean(peer.location);
-        Some(Crossing {
+        Some(SpillCost {
             // Before it was ever measured, no longer than an answer is waited for.
-            way: trip.map_or(objective / LONGEST_PART, |trip| trip * ROUND_TRIPS),
-            price: Duration::from_secs_f64(self.costs.other_region_ms.max(0.0) / 1_000.0),
-            least_free_permille: ROOMY_PERMILLE,
+            rtt: trip.map_or(objective / LONGEST_PART, |trip| trip * ROUND_TRIPS),
+            penalty: Duration::from_secs_f64(self.costs.other_region_ms.max(0.0) / 1_000.0),
+            min_free_permille: ROOMY_PERMILLE,
         })
     }
 
--- a/crates/edge/src/slots/giving_way.rs
+++ b/crates/edge/src/slots/giving_way.rs
@@ -42,7 +42,7 @@
             self.lock().held.release(lease);
             items.yield_lease(lease);
         } else if let Some(ended) = peers {
-            self.lock().ledger.note_ending(ended, now);
+            self.lock().ledger.note_preempted(ended, now);
             self.publish();
             let request = YieldRequest {
                 replica: replica.hash,
--- a/crates/edge/src/slots/granting.rs
+++ b/crates/edge/src/slots/granting.rs
@@ -8,7 +8,7 @@
     Choice, ChoiceQuery, ChosenBy, Location, Mechanism, Prompt, PromptLength, PromptPart,
     ROOMY_PERMILLE, Replica, SlotAnswer, SlotQuery, choose_replica, short_hash,
 };
-use harrierward_slots::{GroupAdmission, GroupId, Newcomer, SlotUse};
+use harrierward_slots::{GroupAdmission, GroupId, QueuedRequest, SlotUse};
 use harrierward_tenants::AllowedRegions;
 use harrierward_wire::{SlotAsk, SlotGrant, node_datagram::Kind};
 
@@ -161,22 +161,22 @@
         let ready = listed.filter(|replica| {
             replica.accepts_work() && !replica.is_cold(now) && !ejected.contains(&replica.hash)
         });
-        let newcomer = Newcomer {
+        let newcomer = QueuedRequest {
             position,
             replica_slots: replica.slots(),
             group_slots: ready.map(|replica| replica.slots()).sum(),
             objective,
-            may_return,
+            max_retry_after: may_return,
         };
         let admission = state.admissions.get_mut(&(service, group))?;
-        admission.come_back_after(&newcomer, rand::random(), now)
+        admission.schedule_retry(&newcomer, rand::random(), now)
     }
 
     /// True if an overdue request is probably one whose caller this daemon told to come back now.
     fn claim_return(&self, service: &str, group: GroupId) -> bool {
         let mut state = self.lock();
         let admission = state.admissions.get_mut(&(short_hash(service), group));
-        admission.is_some_and(|admission| admission.claim_return(harrierward_clock::now()))
+        admission.is_some_and(|admission| admission.claim_retry(harrierward_clock::now()))
     }
 
     /// Answers a peer that asks for a lease.
--- a/crates/edge/src/slots/outcomes.rs
+++ b/crates/edge/src/slots/outcomes.rs
@@ -8,7 +8,7 @@
 use harrierward_decisions::Record;
 use harrierward_serving::{LeaseEnd, Mechanism, Replica, Verdict, short_hash};
 use harrierward_slots::{
-    GroupId, LeaseName, OutlierDetector, ProbeWork, RequestEnd, StandingChange, StandingEvent,
+    GroupId, LeaseId, OutlierDetector, ProbeWork, RequestOutcome, StatusChange, StatusEvent,
 };
 use harrierward_wire::{LeaseOutcome, OutcomeKind, SlotReport, node_datagram::Kind};
 
@@ -64,7 +64,7 @@
         }
         let listed = index.listed(key.0, key.1).iter();
         let group = listed.filter(|replica| replica.accepts_work()).count();
-        let end = RequestEnd {
+        let end = RequestOutcome {
             replica: outcome.replica,
             lease: (holder, outcome.lease),
             kind: OutcomeKind::try_from(outcome.kind).unwrap_or(OutcomeKind::NoEvidence),
@@ -95,11 +95,11 @@
         let Some(detector) = detector else {
             return vec![usable];
         };
-        let probed = detector.probed_by(work, harrierward_clock::now());
-        if detector.is_quiet() {
+        let probed = detector.probe_candidates(work, harrierward_clock::now());
+        if detector.has_no_outliers() {
             return vec![usable];
         }
-        let out = detector.out();
+        let out = detector.ejected();
         let in_service = usable.iter().filter(|replica| !out.contains(&replica.hash));
         let in_service: Vec<Arc<Replica>> = in_service.cloned().collect();
         let offered = in_service
@@ -125,7 +125,7 @@
     /// Replicas of an own group that get no work now.
     pub(super) fn ejected(state: &State, service: u32, group: GroupId) -> HashSet<u32> {
         let detector = state.outliers.get(&(service, group));
-        detector.map(OutlierDetector::out).unwrap_or_default()
+        detector.map(OutlierDetector::ejected).unwrap_or_default()
     }
 
     /// A lease was granted at a replica of an own group. True if its request is a probe.
@@ -134,7 +134,7 @@
         service: &str,
         group: GroupId,
         replica: &Replica,
-        lease: LeaseName,
+        lease: LeaseId,
     ) -> bool {
         let mut state = self.lock();
         let detector = state.outliers.get_mut(&(short_hash(service), group));
@@ -174,7 +174,7 @@
             if !is_own || listed.is_empty() {
                 state.outliers.remove(&(service, group));
             } else if let Some(detector) = state.outliers.get_mut(&(service, group)) {
-                detector.keep_only(&listed);
+                detector.retain_listed(&listed);
             }
             let ejected = ejected_here(&state);
             drop(state);
@@ -187,13 +187,13 @@
         }
     }
 
-    fn log_change(&self, replica: &Replica, change: &StandingChange, ejected: u64) {
-        let (outcome, absence, share_permille) = match change.what {
-            StandingEvent::Ejected(absence) => ("ejected", absence, 0),
-            StandingEvent::Spared => ("spared", Duration::ZERO, WHOLE_SHARE),
-            StandingEvent::Returned => ("returned", Duration::ZERO, WHOLE_SHARE),
-            StandingEvent::Slowed(share) => ("slowed", Duration::ZERO, share),
-            StandingEvent::Restored => ("restored", Duration::ZERO, WHOLE_SHARE),
+    fn log_change(&self, replica: &Replica, change: &StatusChange, ejected: u64) {
+        let (outcome, absence, share_permille) = match change.event {
+            StatusEvent::Ejected(absence) => ("ejected", absence, 0),
+            StatusEvent::Spared => ("spared", Duration::ZERO, WHOLE_SHARE),
+            StatusEvent::Returned => ("returned", Duration::ZERO, WHOLE_SHARE),
+            StatusEvent::Slowed(share) => ("slowed", Duration::ZERO, share),
+            StatusEvent::Restored => ("restored", Duration::ZERO, WHOLE_SHARE),
         };
         self.log.record(&Record::ReplicaStanding {
             replica: &replica.record.id,
@@ -202,7 +202,7 @@
             share_permille,
             outcomes: change.outcomes,
             failures: change.failures,
-            in_a_row: change.in_a_row,
+            in_a_row: change.consecutive_failures,
             window_ms: u64::from(millis(change.window)),
             others_permille: change.others_permille,
             ejected,
@@ -213,7 +213,7 @@
 /// Replicas that are out in all groups of this daemon.
 fn ejected_here(state: &State) -> u64 {
     let detectors = state.outliers.values();
-    detectors.map(OutlierDetector::out_count).sum()
+    detectors.map(OutlierDetector::ejected_count).sum()
 }
 
 fn kind_of(verdict: Verdict) -> OutcomeKind {
--- a/crates/edge/src/slots/pacing.rs
+++ b/crates/edge/src/slots/pacing.rs
@@ -102,7 +102,7 @@
             let Some(pace) = pace_of(pacing, replica, share) else {
                 return false;
             };
-            pacer.has_room(&group, replica.hash, pace, usage, &pacing.bounds, now)
+            pacer.has_capacity(&group, replica.hash, pace, usage, &pacing.bounds, now)
         };
         let all = replicas.into_iter();
         all.filter(|replica| !replica.is_cold(now) || has_room(replica))
--- a/crates/edge/src/slots/reports.rs
+++ b/crates/edge/src/slots/reports.rs
@@ -15,7 +15,7 @@
 impl SlotService {
     /// Takes into account how long requests that have ended held their slots.
     pub(super) fn observe_ended(&self, state: &mut State) {
-        let ended = state.ledger.take_ended();
+        let ended = state.ledger.take_released();
         let view = self.replicas.view();
         for lease in ended {
             let Some(replica) = view.by_hash(lease.replica) else {
@@ -104,7 +104,7 @@
             }
             for (address, replicas) in held_with {
                 let holds = |replica| replicas.contains(&replica);
-                let report = state.held.whole_report(self.holder, now, holds);
+                let report = state.held.full_report(self.holder, now, holds);
                 if !report.held.is_empty() {
                     state.reported.insert(address);
                 }
--- a/crates/edge/src/slots/room.rs
+++ b/crates/edge/src/slots/room.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use harrierward_serving::{SlotAnswer, SlotQuery, expected_wait_ms};
-use harrierward_slots::{GroupId, Room};
+use harrierward_slots::{FreeCapacity, GroupId};
 use harrierward_wire::SlotGrant;
 use tokio::time::Instant;
 
@@ -19,20 +19,20 @@
 /// What a coordinator told of the room in its group.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ToldRoom {
-    room: Room,
+    room: FreeCapacity,
     at: Instant,
 }
 
 impl SlotService {
     /// What a group's coordinator told lately.
-    pub(super) fn told_room(&self, service: u32, group: GroupId) -> Option<Room> {
+    pub(super) fn told_room(&self, service: u32, group: GroupId) -> Option<FreeCapacity> {
         let state = self.lock();
         let told = state.rooms.get(&(service, group))?;
         (harrierward_clock::age(told.at) < ROOM_LASTS).then_some(told.room)
     }
 
-    pub(super) fn room(&self, service: u32, group: GroupId) -> Room {
-        self.told_room(service, group).unwrap_or(Room {
+    pub(super) fn room(&self, service: u32, group: GroupId) -> FreeCapacity {
+        self.told_room(service, group).unwrap_or(FreeCapacity {
             free_permille: UNTOLD_PERMILLE,
             wait: Duration::ZERO,
         })
@@ -57,7 +57,7 @@
             let slots = view.by_hash(grant.replica).map(|replica| replica.slots());
             slots.map_or(Duration::ZERO, |slots| self.queue(grant.load, slots))
         };
-        let room = Room {
+        let room = FreeCapacity {
             free_permille: grant.free_permille,
             wait,
         };
@@ -71,7 +71,7 @@
     }
 
     /// Takes what is known of a group's room.
-    pub(super) fn set_room(&self, service: u32, group: GroupId, room: Room) {
+    pub(super) fn set_room(&self, service: u32, group: GroupId, room: FreeCapacity) {
         let told = ToldRoom {
             room,
             at: harrierward_clock::now(),
@@ -97,7 +97,7 @@
             SlotAnswer::ComeBack { .. } => (0, query.objective),
             SlotAnswer::NoRoom | SlotAnswer::NoCoordinator | SlotAnswer::AllCold => return,
         };
-        let room = Room {
+        let room = FreeCapacity {
             free_permille,
             wait,
         };
--- a/crates/slots/src/admission.rs
+++ b/crates/slots/src/admission.rs
@@ -30,7 +30,7 @@
 
 /// A request that finds no free slot.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Newcomer {
+pub struct QueuedRequest {
     /// Requests that must end at its replica before it can begin, itself counted.
     pub position: u32,
     /// Slots of the replica.
@@ -40,7 +40,7 @@
     /// Time within which its answer must begin.
     pub objective: Duration,
     /// Longest time after which its caller still comes back.
-    pub may_return: Duration,
+    pub max_retry_after: Duration,
 }
 
 /// What a coordinator observed of one group.
@@ -70,7 +70,7 @@
 
     /// True if a caller that comes late is probably one that was told to come now: it has waited for its turn, and goes
     /// before others.
-    pub fn claim_return(&mut self, now: Instant) -> bool {
+    pub fn claim_retry(&mut self, now: Instant) -> bool {
         self.expected.retain(|moment| *moment + LATE >= now);
         let due = self
             .expected
@@ -96,7 +96,7 @@
     }
 
     /// Expected time until a request begins; `None` while too little was observed.
-    pub fn expected_wait(&self, newcomer: &Newcomer) -> Option<Duration> {
+    pub fn expected_wait(&self, newcomer: &QueuedRequest) -> Option<Duration> {
         if self.observed < LEAST_OBSERVED {
             return None;
         }
@@ -108,9 +108,9 @@
 
     /// When the caller of a request that would be late is to come back; `None` if the request is let in. `draw` is a
     /// random number from 0 to 1.
-    pub fn come_back_after(
+    pub fn schedule_retry(
         &mut self,
-        newcomer: &Newcomer,
+        newcomer: &QueuedRequest,
         draw: f64,
         now: Instant,
     ) -> Option<Duration> {
@@ -123,7 +123,7 @@
         let interval = Duration::from_secs_f64(1.0 / spare.max(1e-3));
         let moment = (self.booked_until + interval).max(now + wait);
         let latest = LATEST_PART.start + (LATEST_PART.end - LATEST_PART.start) * draw;
-        let latest = newcomer.may_return.mul_f64(latest);
+        let latest = newcomer.max_retry_after.mul_f64(latest);
         let after = moment.saturating_duration_since(now);
         if after <= latest {
             self.booked_until = moment;
--- a/crates/slots/src/bad_luck.rs
+++ b/crates/slots/src/bad_luck.rs
@@ -21,7 +21,7 @@
 
 /// True if the failures are more than bad luck explains at the rate at which the others fail.
 pub fn stands_out(own: &WindowSummary, others: f64) -> bool {
-    if f64::from(own.in_a_row) >= row_that_tells(others) {
+    if f64::from(own.consecutive_failures) >= row_that_tells(others) {
         return true;
     }
     if own.outcomes < LEAST_COMPARED {
--- a/crates/slots/src/ejection.rs
+++ b/crates/slots/src/ejection.rs
@@ -47,15 +47,15 @@
 const LEAST_SHARE: f64 = 0.05;
 
 /// The lease of a request: its holder and its number there.
-pub type LeaseName = (u64, u32);
+pub type LeaseId = (u64, u32);
 
 /// The end of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RequestEnd {
+pub struct RequestOutcome {
     /// Its replica.
     pub replica: u32,
     /// Its lease.
-    pub lease: LeaseName,
+    pub lease: LeaseId,
     /// How it ended.
     pub kind: OutcomeKind,
     /// Time to the first event; zero if that says nothing.
@@ -75,17 +75,17 @@
 
 /// A change of a replica's standing, with what it rests on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StandingChange {
+pub struct StatusChange {
     /// The replica.
     pub replica: u32,
     /// What changed.
-    pub what: StandingEvent,
+    pub event: StatusEvent,
     /// Outcomes counted, and failures among them.
     pub outcomes: u32,
     /// Failures among them.
     pub failures: u32,
     /// Failures in a row up to now.
-    pub in_a_row: u32,
+    pub consecutive_failures: u32,
     /// Age of the oldest outcome counted.
     pub window: Duration,
     /// Share of failures of the group's others, in thousandths.
@@ -94,7 +94,7 @@
 
 /// What changed of a replica's standing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StandingEvent {
+pub enum StatusEvent {
     /// It gets no work for so long.
     Ejected(Duration),
     /// It would be ejected, but as many of its group are out as may be.
@@ -113,7 +113,7 @@
     Out {
         until: Instant,
         good_probes: u32,
-        probe: Option<(LeaseName, Instant)>,
+        probe: Option<(LeaseId, Instant)>,
     },
 }
 
@@ -152,13 +152,13 @@
 
 impl OutlierDetector {
     /// Replicas that get no work now.
-    pub fn out(&self) -> HashSet<u32> {
+    pub fn ejected(&self) -> HashSet<u32> {
         let out = self.watched.iter().filter(|(_, one)| one.is_out());
         out.map(|(replica, _)| *replica).collect()
     }
 
     /// Number of replicas that get no work now.
-    pub fn out_count(&self) -> u64 {
+    pub fn ejected_count(&self) -> u64 {
         self.watched
             .values()
             .map(|one| u64::from(one.is_out()))
@@ -166,7 +166,7 @@
     }
 
     /// True if no replica is out and none is slow.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_no_outliers(&self) -> bool {
         self.shares.is_empty() && !self.watched.values().any(Watched::is_out)
     }
 
@@ -176,13 +176,13 @@
     }
 
     /// Forgets replicas that are not listed any more.
-    pub fn keep_only(&mut self, listed: &HashSet<u32>) {
+    pub fn retain_listed(&mut self, listed: &HashSet<u32>) {
         self.watched.retain(|replica, _| listed.contains(replica));
         self.shares.retain(|replica, _| listed.contains(replica));
     }
 
     /// Replicas that this work may try now; one request at a time each.
-    pub fn probed_by(&mut self, work: ProbeWork, now: Instant) -> Vec<u32> {
+    pub fn probe_candidates(&mut self, work: ProbeWork, now: Instant) -> Vec<u32> {
         if work != ProbeWork::OnceOnly {
             self.last_repeatable = Some(now);
         }
@@ -205,7 +205,7 @@
 
     /// A lease was granted at the replica. True if its request is a probe; one beside a probe that still runs is none,
     /// else the probe's end would never be taken where requests keep coming.
-    pub fn note_grant(&mut self, replica: u32, lease: LeaseName, now: Instant) -> bool {
+    pub fn note_grant(&mut self, replica: u32, lease: LeaseId, now: Instant) -> bool {
         let Some(watched) = self.watched.get_mut(&replica) else {
             return false;
         };
@@ -221,10 +221,10 @@
     /// A request has ended. `group` is the number of the group's replicas that could take work.
     pub fn observe(
         &mut self,
-        end: RequestEnd,
+        end: RequestOutcome,
         group: usize,
         now: Instant,
-    ) -> Option<StandingChange> {
+    ) -> Option<StatusChange> {
         if let Some(watched) = self.watched.get(&end.replica).filter(|one| one.is_out()) {
             let Standing::Out { probe, .. } = watched.standing else {
                 return None;
@@ -247,13 +247,13 @@
     }
 
     /// Ejects a replica that fails as the others do not, as far as the bound allows.
-    fn judge(&mut self, replica: u32, group: usize, now: Instant) -> Option<StandingChange> {
+    fn judge(&mut self, replica: u32, group: usize, now: Instant) -> Option<StatusChange> {
         let others = self.others_rate(replica, now)?;
         let watched = self.watched.get(&replica)?;
         if !stands_out(&watched.window.summary(now), others) {
             return None;
         }
-        let is_full = self.out_count() >= most_out(group);
+        let is_full = self.ejected_count() >= most_out(group);
         let watched = self.watched.get_mut(&replica)?;
         if is_full {
             let told = watched.spared_at;
@@ -261,16 +261,16 @@
                 return None;
             }
             watched.spared_at = Some(now);
-            return Some(self.change(replica, StandingEvent::Spared, others, now));
+            return Some(self.change(replica, StatusEvent::Spared, others, now));
         }
         if now.saturating_duration_since(watched.since) >= FORGIVEN_AFTER {
             watched.ejections = 0;
         }
         let absence = watched.eject(now);
-        Some(self.change(replica, StandingEvent::Ejected(absence), others, now))
+        Some(self.change(replica, StatusEvent::Ejected(absence), others, now))
     }
 
-    fn take_probe(&mut self, end: RequestEnd, now: Instant) -> Option<StandingChange> {
+    fn take_probe(&mut self, end: RequestOutcome, now: Instant) -> Option<StatusChange> {
         let watched = self.watched.get_mut(&end.replica)?;
         let Standing::Out {
             good_probes, probe, ..
@@ -280,9 +280,9 @@
         };
         *probe = None;
         let is_failure = is_failure(end.kind)?;
-        let what = if is_failure {
+        let event = if is_failure {
             watched.window.add(true, now);
-            StandingEvent::Ejected(watched.eject(now))
+            StatusEvent::Ejected(watched.eject(now))
         } else {
             *good_probes += 1;
             if *good_probes < PROBES_TO_RETURN {
@@ -292,10 +292,10 @@
             self.shares.remove(&end.replica);
             watched.window = OutcomeWindow::default();
             watched.since = now;
-            StandingEvent::Returned
+            StatusEvent::Returned
         };
         let others = self.others_rate(end.replica, now).unwrap_or_default();
-        Some(self.change(end.replica, what, others, now))
+        Some(self.change(end.replica, event, others, now))
     }
 
     /// Share of failures that is usual among the others in service. `None` if nothing is known of any.
@@ -307,43 +307,37 @@
     }
 
     /// Looks anew whether a replica's first events come late beside the others'. Tells when that changes.
-    fn compare_times(&mut self, replica: u32, now: Instant) -> Option<StandingChange> {
+    fn compare_times(&mut self, replica: u32, now: Instant) -> Option<StatusChange> {
         let own = self.watched.get(&replica)?;
         let own = own.window.first_event_ms(LEAST_TIMED, now)?;
         let others = self.watched.iter().filter(|(other, _)| **other != replica);
         let others = others.filter_map(|(_, one)| one.window.first_event_ms(LEAST_TIMED, now));
         let usual = median(others.collect())?;
         let is_slow = own >= usual * SLOW_FACTOR && own >= usual + LEAST_SLOW_MS;
-        let what = if is_slow {
+        let event = if is_slow {
             let share = (usual * SLOW_FACTOR / 2.0 / own).max(LEAST_SHARE);
             let was_slow = self.shares.insert(replica, share).is_some();
-            (!was_slow).then(|| StandingEvent::Slowed(permille(share)))
+            (!was_slow).then(|| StatusEvent::Slowed(permille(share)))
         } else {
             let was_slow = self.shares.remove(&replica).is_some();
-            was_slow.then_some(StandingEvent::Restored)
+            was_slow.then_some(StatusEvent::Restored)
         };
         let others = self.others_rate(replica, now).unwrap_or_default();
-        what.map(|what| self.change(replica, what, others, now))
+        event.map(|event| self.change(replica, event, others, now))
     }
 
-    fn change(
-        &self,
-        replica: u32,
-        what: StandingEvent,
-        others: f64,
-        now: Instant,
-    ) -> StandingChange {
+    fn change(&self, replica: u32, event: StatusEvent, others: f64, now: Instant) -> StatusChange {
         let window = self
             .watched
             .get(&replica)
             .map(|one| one.window.summary(now));
         let window = window.unwrap_or_default();
-        StandingChange {
+        StatusChange {
             replica,
-            what,
+            event,
             outcomes: window.outcomes,
             failures: window.failures,
-            in_a_row: window.in_a_row,
+            consecutive_failures: window.consecutive_failures,
             window: window.age,
             others_permille: permille(others),
         }
@@ -364,7 +358,7 @@
 }
 
 /// True while the end of a probe is waited for.
-fn is_probed(probe: Option<(LeaseName, Instant)>, now: Instant) -> bool {
+fn is_probed(probe: Option<(LeaseId, Instant)>, now: Instant) -> bool {
     probe.is_some_and(|(_, at)| now < at + PROBE_PATIENCE)
 }
 
--- a/crates/slots/src/held.rs
+++ b/crates/slots/src/held.rs
@@ -73,7 +73,7 @@
     }
 
     /// Names all leases at replicas for which `is_kept` holds.
-    pub fn whole_report(
+    pub fn full_report(
         &mut self,
         holder: u64,
         now: Instant,
--- a/crates/slots/src/ledger.rs
+++ b/crates/slots/src/ledger.rs
@@ -55,7 +55,7 @@
 
 /// An item that shall end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EndingLease {
+pub struct PreemptedLease {
     /// Where its holder is.
     pub holder: SocketAddr,
     /// Its number there.
@@ -74,7 +74,7 @@
 
 /// An online request that has given its lease back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EndedLease {
+pub struct ReleasedLease {
     /// Its replica.
     pub replica: u32,
     /// How long it held the lease.
@@ -108,7 +108,7 @@
     holders: HashMap<u64, Holder>,
     counts: HashMap<u32, SlotCounts>,
     changed: HashSet<u32>,
-    ended: Vec<EndedLease>,
+    ended: Vec<ReleasedLease>,
 }
 
 impl SlotLedger {
@@ -129,7 +129,7 @@
     }
 
     /// Online requests that have given their leases back since this was last asked.
-    pub fn take_ended(&mut self) -> Vec<EndedLease> {
+    pub fn take_released(&mut self) -> Vec<ReleasedLease> {
         std::mem::take(&mut self.ended)
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// The item at the replica that can best be ended: the one with most time left.
-    pub fn most_slack(&self, replica: u32, now: Instant) -> Option<EndingLease> {
+    pub fn most_slack(&self, replica: u32, now: Instant) -> Option<PreemptedLease> {
         let all = self.holders.values().flat_map(|holder| {
             let leases = holder.leases.iter();
             leases.map(move |(number, lease)| (holder.address, *number, lease))
@@ -206,7 +206,7 @@
         let items = all.filter_map(|(holder, number, lease)| {
             let slack = lease.usage.slack(now)?;
             let fits = lease.replica == replica && lease.ending_since.is_none();
-            fits.then_some(EndingLease {
+            fits.then_some(PreemptedLease {
                 holder,
                 lease: number,
                 slack,
@@ -216,7 +216,7 @@
     }
 
     /// The item was ordered to end: its lease is free from now on.
-    pub fn note_ending(&mut self, ended: EndingLease, now: Instant) {
+    pub fn note_preempted(&mut self, ended: PreemptedLease, now: Instant) {
         let lease = self
             .holders
             .values_mut()
@@ -274,7 +274,7 @@
             return;
         };
         if lease.usage == SlotUse::Online {
-            self.ended.push(EndedLease {
+            self.ended.push(ReleasedLease {
                 replica: lease.replica,
                 held: now.saturating_duration_since(lease.granted_at),
             });
--- a/crates/slots/src/lib.rs
+++ b/crates/slots/src/lib.rs
@@ -16,13 +16,13 @@
 mod pacer;
 mod spill;
 
-pub use admission::{GroupAdmission, Newcomer};
+pub use admission::{GroupAdmission, QueuedRequest};
 pub use ejection::{
-    LeaseName, OutlierDetector, ProbeWork, RequestEnd, StandingChange, StandingEvent,
+    LeaseId, OutlierDetector, ProbeWork, RequestOutcome, StatusChange, StatusEvent,
 };
 pub use groups::{AreaKind, GroupId, GroupLayout, coordinator_of};
 pub use held::HeldSlots;
-pub use ledger::{EndedLease, EndingLease, HOLDER_LIFETIME, SlotCounts, SlotLedger, SlotUse};
+pub use ledger::{HOLDER_LIFETIME, PreemptedLease, ReleasedLease, SlotCounts, SlotLedger, SlotUse};
 pub use nearest::{MemberLocation, NearestMembers};
 pub use pacer::{COLD_GRANT_LIFETIME, ColdPace, ColdPacer, ColdUse};
-pub use spill::{Crossing, Room, is_better_off};
+pub use spill::{FreeCapacity, SpillCost, should_spill};
--- a/crates/slots/src/outcome_window.rs
+++ b/crates/slots/src/outcome_window.rs
@@ -23,7 +23,7 @@
     /// Failures among them.
     pub failures: u32,
     /// Failures among the newest, without one served in between.
-    pub in_a_row: u32,
+    pub consecutive_failures: u32,
     /// Age of the oldest that counts.
     pub age: Duration,
 }
@@ -64,7 +64,7 @@
             is_row &= is_failure;
             summary.outcomes += 1;
             summary.failures += u32::from(*is_failure);
-            summary.in_a_row += u32::from(is_row);
+            summary.consecutive_failures += u32::from(is_row);
             summary.age = age;
         }
         summary
--- a/crates/slots/src/pacer.rs
+++ b/crates/slots/src/pacer.rs
@@ -30,13 +30,13 @@
 pub struct ColdPace {
     /// Requests a second.
     pub per_second: f64,
-    /// Requests that may be saved up; below 1 nothing is given out.
-    pub saved: f64,
+    /// Requests that may be burst up; below 1 nothing is given out.
+    pub burst: f64,
 }
 
 impl ColdPace {
     /// The pace of a coordinator that sees `share` of the fleet, 0 to 1. Requests that arrive in a window were counted in
-    /// it or in the lifetime of grants before it, and in that time a coordinator gives out what it has saved and what
+    /// it or in the lifetime of grants before it, and in that time a coordinator gives out what it has burst and what
     /// accrues. Coordinators on the sides of a cut have shares that add up to 1 at the most.
     pub fn of(bounds: &RateBounds, limit: RateLimit, share: f64) -> Self {
         let part = bounds.most_in_window(limit) * share / COORDINATORS_AT_ONCE;
@@ -45,7 +45,7 @@
         let per_second = (limit.per_second() * share).min(most);
         Self {
             per_second,
-            saved: part - per_second * counted_over,
+            burst: part - per_second * counted_over,
         }
     }
 }
@@ -55,7 +55,7 @@
 pub enum ColdUse {
     /// A caller waits: any request that has accrued.
     Online,
-    /// A batch item: only what would be lost, as online has left it until no more can be saved.
+    /// A batch item: only what would be lost, as online has left it until no more can be burst.
     Item,
 }
 
@@ -118,7 +118,7 @@
     }
 
     /// True if a request for a cold replica of the group would be counted now.
-    pub fn has_room(
+    pub fn has_capacity(
         &mut self,
         group: &G,
         replica: u32,
@@ -135,7 +135,7 @@
         };
         match usage {
             ColdUse::Online => tokens >= 1.0,
-            ColdUse::Item => tokens >= 1.0 && tokens >= pace.saved,
+            ColdUse::Item => tokens >= 1.0 && tokens >= pace.burst,
         }
     }
 
@@ -170,14 +170,14 @@
 
     /// Brings a replica's bucket up to date. A new one is full: its coordinator has given out nothing for a window.
     fn fill(&mut self, replica: u32, pace: ColdPace, now: Instant) -> Option<f64> {
-        if pace.saved < 1.0 {
+        if pace.burst < 1.0 {
             return None;
         }
         let bucket = self
             .buckets
             .entry(replica)
-            .or_insert_with(|| TokenBucket::new(pace.saved, now));
-        bucket.fill(pace.per_second, pace.saved, now);
+            .or_insert_with(|| TokenBucket::new(pace.burst, now));
+        bucket.fill(pace.per_second, pace.burst, now);
         Some(bucket.tokens())
     }
 }
--- a/crates/slots/src/spill.rs
+++ b/crates/slots/src/spill.rs
@@ -4,8 +4,8 @@
 
 /// What is known of the room in some replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Room {
-    /// Slots that online requests could take, those of items that would give way among them, in thousandths of all.
+pub struct FreeCapacity {
+    /// Slots that online requests could take, those of items that would give rtt among them, in thousandths of all.
     pub free_permille: u32,
     /// Expected wait for a slot there.
     pub wait: Duration,
@@ -13,21 +13,21 @@
 
 /// What leaving costs, beside the wait there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Crossing {
-    /// Time on the way: of the question for a slot, and of the request itself.
-    pub way: Duration,
+pub struct SpillCost {
+    /// Time on the rtt: of the question for a slot, and of the request itself.
+    pub rtt: Duration,
     /// What the crossing must spare beyond that.
-    pub price: Duration,
+    pub penalty: Duration,
     /// Part of the slots there that must be free, in thousandths.
-    pub least_free_permille: u32,
+    pub min_free_permille: u32,
 }
 
 /// True if a request of a region with `own` room is better off with the `other` room.
 ///
 /// Why only from a full region to a roomy one: the two conditions exclude each other for the same replicas, so that two
 /// regions never swap load, whatever the waits are taken for.
-pub fn is_better_off(own: &Room, other: &Room, crossing: &Crossing) -> bool {
+pub fn should_spill(own: &FreeCapacity, other: &FreeCapacity, crossing: &SpillCost) -> bool {
     own.free_permille == 0
-        && other.free_permille >= crossing.least_free_permille.max(1)
-        && own.wait > other.wait + crossing.way + crossing.price
+        && other.free_permille >= crossing.min_free_permille.max(1)
+        && own.wait > other.wait + crossing.rtt + crossing.penalty
 }
--- a/crates/slots/tests/admission.rs
+++ b/crates/slots/tests/admission.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use harrierward_slots::{GroupAdmission, Newcomer};
+use harrierward_slots::{GroupAdmission, QueuedRequest};
 use proptest::prelude::*;
 use tokio::time::Instant;
 
 const OBJECTIVE: Duration = Duration::from_millis(300);
-const MAY_RETURN: Duration = Duration::from_millis(1_600);
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_600);
 
 /// Coordinators know that requests hold their slots for so long.
 fn observed(hold: Duration, now: Instant) -> GroupAdmission {
@@ -18,13 +18,13 @@
     admission
 }
 
-fn newcomer(position: u32) -> Newcomer {
-    Newcomer {
+fn newcomer(position: u32) -> QueuedRequest {
+    QueuedRequest {
         position,
         replica_slots: 6,
         group_slots: 144,
         objective: OBJECTIVE,
-        may_return: MAY_RETURN,
+        max_retry_after: MAX_RETRY_AFTER,
     }
 }
 
@@ -33,9 +33,9 @@
     let now = Instant::now();
     let mut admission = observed(Duration::from_millis(700), now);
     // A slot of six is given back each 117 ms.
-    assert_eq!(admission.come_back_after(&newcomer(1), 0.5, now), None);
-    assert_eq!(admission.come_back_after(&newcomer(2), 0.5, now), None);
-    assert!(admission.come_back_after(&newcomer(3), 0.5, now).is_some());
+    assert_eq!(admission.schedule_retry(&newcomer(1), 0.5, now), None);
+    assert_eq!(admission.schedule_retry(&newcomer(2), 0.5, now), None);
+    assert!(admission.schedule_retry(&newcomer(3), 0.5, now).is_some());
 }
 
 /// A coordinator that has just started has seen no request end: it sends nobody away for what it does not know.
@@ -44,7 +44,7 @@
     let now = Instant::now();
     let mut admission = GroupAdmission::new(now);
     admission.observe_hold(Duration::from_secs(9));
-    assert_eq!(admission.come_back_after(&newcomer(20), 0.5, now), None);
+    assert_eq!(admission.schedule_retry(&newcomer(20), 0.5, now), None);
 }
 
 proptest! {
@@ -65,12 +65,12 @@
         let newcomer = newcomer(position);
         let wait = admission.expected_wait(&newcomer).expect("enough was observed");
         for _ in 0..refused {
-            match admission.come_back_after(&newcomer, draw, now) {
+            match admission.schedule_retry(&newcomer, draw, now) {
                 None => prop_assert!(wait <= OBJECTIVE),
                 Some(after) => {
                     prop_assert!(wait > OBJECTIVE);
-                    prop_assert!(after <= MAY_RETURN);
-                    prop_assert!(after >= wait.min(MAY_RETURN.mul_f64(0.75)));
+                    prop_assert!(after <= MAX_RETRY_AFTER);
+                    prop_assert!(after >= wait.min(MAX_RETRY_AFTER.mul_f64(0.75)));
                 }
             }
         }
@@ -83,7 +83,7 @@
     let now = Instant::now();
     let mut admission = observed(Duration::from_millis(700), now);
     let mut moments: Vec<Duration> = (0..10)
-        .filter_map(|_| admission.come_back_after(&newcomer(3), 0.5, now))
+        .filter_map(|_| admission.schedule_retry(&newcomer(3), 0.5, now))
         .collect();
     assert_eq!(moments.len(), 10);
     moments.dedup();
@@ -95,15 +95,15 @@
 fn a_caller_that_was_told_to_come_is_known_when_it_does() {
     let now = Instant::now();
     let mut admission = observed(Duration::from_millis(700), now);
-    assert!(!admission.claim_return(now), "nobody was sent away");
+    assert!(!admission.claim_retry(now), "nobody was sent away");
     let after = admission
-        .come_back_after(&newcomer(4), 0.5, now)
+        .schedule_retry(&newcomer(4), 0.5, now)
         .expect("it would be late");
-    assert!(!admission.claim_return(now), "long before its moment");
-    assert!(admission.claim_return(now + after));
-    assert!(!admission.claim_return(now + after), "another one");
+    assert!(!admission.claim_retry(now), "long before its moment");
+    assert!(admission.claim_retry(now + after));
+    assert!(!admission.claim_retry(now + after), "another one");
     let after = admission
-        .come_back_after(&newcomer(4), 0.5, now)
+        .schedule_retry(&newcomer(4), 0.5, now)
         .expect("it would be late");
-    assert!(!admission.claim_return(now + after + Duration::from_secs(1)));
+    assert!(!admission.claim_retry(now + after + Duration::from_secs(1)));
 }
--- a/crates/slots/tests/ejection.rs
+++ b/crates/slots/tests/ejection.rs
@@ -5,7 +5,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use harrierward_slots::{ProbeWork, RequestEnd, StandingEvent};
+use harrierward_slots::{ProbeWork, RequestOutcome, StatusEvent};
 use harrierward_wire::OutcomeKind;
 use outliers::{GROUP, Group, LONG, ROUNDS, one_out};
 
@@ -23,8 +23,8 @@
         assert_eq!(group.end(1, kind), None);
         assert_eq!(group.end(1, kind), None);
         let third = group.end(1, kind);
-        assert!(matches!(third, Some(StandingEvent::Ejected(_))), "{kind:?}");
-        assert_eq!(group.detector.out(), HashSet::from([1]));
+        assert!(matches!(third, Some(StatusEvent::Ejected(_))), "{kind:?}");
+        assert_eq!(group.detector.ejected(), HashSet::from([1]));
     }
 }
 
@@ -45,7 +45,7 @@
             group.end(replica, OutcomeKind::Failed);
         }
     }
-    assert_eq!(group.detector.out(), HashSet::new());
+    assert_eq!(group.detector.ejected(), HashSet::new());
 }
 
 #[test]
@@ -88,8 +88,8 @@
     }
     let third = group.probe(1, ProbeWork::Item, OutcomeKind::Served);
     assert_eq!(
-        third.map(|change| change.what),
-        Some(StandingEvent::Returned)
+        third.map(|change| change.event),
+        Some(StatusEvent::Returned)
     );
     assert!(!group.is_out(1));
 }
@@ -101,7 +101,7 @@
     for _ in 0..8 {
         group.pass(LONG);
         let change = group.probe(1, ProbeWork::Item, OutcomeKind::Silent);
-        let Some(StandingEvent::Ejected(absence)) = change.map(|change| change.what) else {
+        let Some(StatusEvent::Ejected(absence)) = change.map(|change| change.event) else {
             panic!("{change:?}");
         };
         assert!(
@@ -120,11 +120,14 @@
     assert!(
         group
             .detector
-            .probed_by(ProbeWork::Item, group.now)
+            .probe_candidates(ProbeWork::Item, group.now)
             .is_empty()
     );
     group.pass(Duration::from_secs(1));
-    assert_eq!(group.detector.probed_by(ProbeWork::Item, group.now), [1]);
+    assert_eq!(
+        group.detector.probe_candidates(ProbeWork::Item, group.now),
+        [1]
+    );
 }
 
 /// Where all others are excluded a request is granted the ejected replica although a probe runs there.
@@ -135,7 +138,7 @@
         group.pass(LONG);
         assert!(group.detector.note_grant(1, (1, lease), group.now));
         assert!(!group.detector.note_grant(1, (1, lease + 1), group.now));
-        let served = RequestEnd {
+        let served = RequestOutcome {
             replica: 1,
             lease: (1, lease),
             kind: OutcomeKind::Served,
@@ -153,24 +156,28 @@
     assert!(
         group
             .detector
-            .probed_by(ProbeWork::Repeatable, group.now)
+            .probe_candidates(ProbeWork::Repeatable, group.now)
             .is_empty()
     );
     group.pass(Duration::from_millis(100));
     assert_eq!(
-        group.detector.probed_by(ProbeWork::Repeatable, group.now),
+        group
+            .detector
+            .probe_candidates(ProbeWork::Repeatable, group.now),
         [1]
     );
     group.pass(Duration::from_millis(1_900));
     assert!(
         group
             .detector
-            .probed_by(ProbeWork::OnceOnly, group.now)
+            .probe_candidates(ProbeWork::OnceOnly, group.now)
             .is_empty()
     );
     group.pass(Duration::from_millis(2_000));
     assert_eq!(
-        group.detector.probed_by(ProbeWork::OnceOnly, group.now),
+        group
+            .detector
+            .probe_candidates(ProbeWork::OnceOnly, group.now),
         [1]
     );
 }
@@ -182,7 +189,10 @@
         assert_eq!(group.end(1, OutcomeKind::Failed), None);
     }
     group.pass(Duration::from_millis(1_001));
-    assert_eq!(group.detector.probed_by(ProbeWork::Item, group.now), [1]);
+    assert_eq!(
+        group.detector.probe_candidates(ProbeWork::Item, group.now),
+        [1]
+    );
 }
 
 /// Long prompts of others hold single requests up for long.
@@ -198,7 +208,7 @@
             assert_eq!(change, None, "round {round}");
         }
     }
-    assert!(group.detector.is_quiet());
+    assert!(group.detector.has_no_outliers());
 }
 
 #[test]
@@ -229,17 +239,17 @@
         }
     }
     assert!(
-        group.detector.is_quiet(),
+        group.detector.has_no_outliers(),
         "it is as fast as the others again"
     );
     let told: Vec<_> = told
         .iter()
-        .map(|change| (change.replica, change.what))
+        .map(|change| (change.replica, change.event))
         .collect();
     assert!(
         matches!(
             told[..],
-            [(1, StandingEvent::Slowed(_)), (1, StandingEvent::Restored)]
+            [(1, StatusEvent::Slowed(_)), (1, StatusEvent::Restored)]
         ),
         "{told:?}"
     );
--- a/crates/slots/tests/ejection_properties.rs
+++ b/crates/slots/tests/ejection_properties.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashSet;
 
-use harrierward_slots::{ProbeWork, StandingEvent};
+use harrierward_slots::{ProbeWork, StatusEvent};
 use harrierward_wire::OutcomeKind;
 use outliers::{GROUP, Group, LONG, ROUNDS, one_out};
 use proptest::prelude::*;
@@ -57,7 +57,7 @@
         for (replica, kind) in ends {
             let kind = OutcomeKind::try_from(kind).expect("a kind");
             group.end(replica % size + 1, kind);
-            prop_assert!(group.detector.out().len() <= (size as usize / 2).max(1));
+            prop_assert!(group.detector.ejected().len() <= (size as usize / 2).max(1));
         }
     }
 
@@ -71,7 +71,7 @@
         for (replica, fails) in random_ends(seed, percent) {
             let kind = if fails { OutcomeKind::Spoilt } else { OutcomeKind::Served };
             let change = group.end(replica, kind);
-            out += u32::from(matches!(change, Some(StandingEvent::Ejected(_))));
+            out += u32::from(matches!(change, Some(StatusEvent::Ejected(_))));
         }
         prop_assert!(out <= 2, "{out} ejections");
     }
--- a/crates/slots/tests/groups.rs
+++ b/crates/slots/tests/groups.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use harrierward_slots::{
-    AreaKind, Crossing, GroupId, GroupLayout, Room, coordinator_of, is_better_off,
+    AreaKind, FreeCapacity, GroupId, GroupLayout, SpillCost, coordinator_of, should_spill,
 };
 use proptest::prelude::*;
 
@@ -100,52 +100,52 @@
     fn two_regions_never_swap_load(
         free in prop::collection::vec(0_u32..1_000, 2),
         waits in prop::collection::vec(0_u64..2_000, 2),
-        way in 0_u64..80,
-        price in 0_u64..100,
+        rtt in 0_u64..80,
+        penalty in 0_u64..100,
         least in 0_u32..300,
     ) {
-        let room = |at: usize| Room {
+        let room = |at: usize| FreeCapacity {
             free_permille: free[at],
             wait: Duration::from_millis(waits[at]),
         };
-        let crossing = Crossing {
-            way: Duration::from_millis(way),
-            price: Duration::from_millis(price),
-            least_free_permille: least,
+        let crossing = SpillCost {
+            rtt: Duration::from_millis(rtt),
+            penalty: Duration::from_millis(penalty),
+            min_free_permille: least,
         };
-        let there = is_better_off(&room(0), &room(1), &crossing);
-        let back = is_better_off(&room(1), &room(0), &crossing);
+        let there = should_spill(&room(0), &room(1), &crossing);
+        let back = should_spill(&room(1), &room(0), &crossing);
         prop_assert!(!(there && back));
     }
 }
 
 #[test]
 fn a_request_leaves_a_full_region_only_for_more_than_the_way_and_the_price() {
-    let crossing = Crossing {
-        way: Duration::from_millis(80),
-        price: Duration::from_millis(60),
-        least_free_permille: 150,
+    let crossing = SpillCost {
+        rtt: Duration::from_millis(80),
+        penalty: Duration::from_millis(60),
+        min_free_permille: 150,
     };
-    let roomy = Room {
+    let roomy = FreeCapacity {
         free_permille: 400,
         wait: Duration::ZERO,
     };
-    let full = |wait| Room {
+    let full = |wait| FreeCapacity {
         free_permille: 0,
         wait: Duration::from_millis(wait),
     };
-    assert!(!is_better_off(&full(140), &roomy, &crossing));
-    assert!(is_better_off(&full(141), &roomy, &crossing));
-    let nearly_full = Room {
+    assert!(!should_spill(&full(140), &roomy, &crossing));
+    assert!(should_spill(&full(141), &roomy, &crossing));
+    let nearly_full = FreeCapacity {
         free_permille: 1,
         ..full(900)
     };
-    assert!(!is_better_off(&nearly_full, &roomy, &crossing));
-    let tight = Room {
+    assert!(!should_spill(&nearly_full, &roomy, &crossing));
+    let tight = FreeCapacity {
         free_permille: 149,
         ..roomy
     };
-    assert!(!is_better_off(&full(900), &tight, &crossing));
+    assert!(!should_spill(&full(900), &tight, &crossing));
 }
 
 #[test]
--- a/crates/slots/tests/ledger.rs
+++ b/crates/slots/tests/ledger.rs
@@ -100,7 +100,7 @@
         };
         ledger.take_report(&released, address(1), now + millis(40));
         assert_eq!(ledger.counts(REPLICA), counts(0, 0));
-        assert_eq!(ledger.take_ended().len(), expected, "{kind:?}");
+        assert_eq!(ledger.take_released().len(), expected, "{kind:?}");
     }
 }
 
@@ -114,7 +114,7 @@
     }
     let elsewhere = held.next_number();
     held.take(elsewhere, OTHER_REPLICA, SlotUse::Online);
-    let report = held.whole_report(HOLDER, now, |replica| replica == REPLICA);
+    let report = held.full_report(HOLDER, now, |replica| replica == REPLICA);
     let mut ledger = SlotLedger::default();
     ledger.take_report(&report, address(1), now);
     assert_eq!(ledger.counts(REPLICA), counts(1, 1));
@@ -134,7 +134,7 @@
     for lease in [awaited, given_up] {
         ledger.grant(HOLDER, address(1), lease, REPLICA, SlotUse::Online, now);
     }
-    let report = held.whole_report(HOLDER, now, |_| true);
+    let report = held.full_report(HOLDER, now, |_| true);
     let later = held.next_number();
     ledger.grant(HOLDER, address(1), later, REPLICA, SlotUse::Online, now);
     ledger.take_report(&report, address(1), now);
@@ -153,8 +153,8 @@
     ledger.grant(9, address(3), 1, OTHER_REPLICA, item(now, 5_000), now);
     let ended = ledger.most_slack(REPLICA, now).expect("an item");
     assert_eq!((ended.holder, ended.lease), (address(2), 1));
-    ledger.note_ending(ended, now);
-    ledger.note_ending(ended, now);
+    ledger.note_preempted(ended, now);
+    ledger.note_preempted(ended, now);
     assert_eq!(ledger.counts(REPLICA), counts(0, 1));
     let next = ledger.most_slack(REPLICA, now).expect("the other one");
     assert_eq!(next.holder, address(1));
@@ -162,10 +162,10 @@
     let mut held = HeldSlots::default();
     let lease = held.next_number();
     held.take(lease, REPLICA, item(now, 900));
-    let early = held.whole_report(8, now, |_| true);
+    let early = held.full_report(8, now, |_| true);
     ledger.take_report(&early, address(2), now + millis(100));
     assert_eq!(ledger.counts(REPLICA), counts(0, 1), "it is just ending");
-    let late = held.whole_report(8, now, |_| true);
+    let late = held.full_report(8, now, |_| true);
     ledger.take_report(&late, address(2), now + millis(600));
     assert_eq!(ledger.counts(REPLICA), counts(0, 2), "the order was lost");
 }
@@ -320,14 +320,14 @@
                     }
                 }
                 Event::Whole { reported } => {
-                    let report = held.whole_report(HOLDER, now, |_| true);
+                    let report = held.full_report(HOLDER, now, |_| true);
                     if reported {
                         ledger.take_report(&report, address(1), now);
                     }
                 }
             }
         }
-        let report = held.whole_report(HOLDER, now, |_| true);
+        let report = held.full_report(HOLDER, now, |_| true);
         ledger.take_report(&report, address(1), now);
         let mut wanted: HashMap<u32, u32> = HashMap::new();
         for replica in truth.values() {
--- a/crates/slots/tests/outliers/mod.rs
+++ b/crates/slots/tests/outliers/mod.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use harrierward_slots::{OutlierDetector, ProbeWork, RequestEnd, StandingChange, StandingEvent};
+use harrierward_slots::{OutlierDetector, ProbeWork, RequestOutcome, StatusChange, StatusEvent};
 use harrierward_wire::OutcomeKind;
 use tokio::time::Instant;
 
@@ -39,9 +39,9 @@
         self.now += time;
     }
 
-    pub fn end(&mut self, replica: u32, kind: OutcomeKind) -> Option<StandingEvent> {
+    pub fn end(&mut self, replica: u32, kind: OutcomeKind) -> Option<StatusEvent> {
         self.end_after(replica, kind, Duration::ZERO)
-            .map(|change| change.what)
+            .map(|change| change.event)
     }
 
     /// A request at the replica ends; the replica may be out.
@@ -50,10 +50,10 @@
         replica: u32,
         kind: OutcomeKind,
         first_event: Duration,
-    ) -> Option<StandingChange> {
+    ) -> Option<StatusChange> {
         self.lease += 1;
         self.pass(Duration::from_millis(1));
-        let end = RequestEnd {
+        let end = RequestOutcome {
             replica,
             lease: (u64::from(self.lease % 8), self.lease),
             kind,
@@ -73,7 +73,7 @@
     }
 
     pub fn is_out(&self, replica: u32) -> bool {
-        self.detector.out().contains(&replica)
+        self.detector.ejected().contains(&replica)
     }
 
     /// A probe by this work, if it may be one now.
@@ -82,16 +82,20 @@
         replica: u32,
         work: ProbeWork,
         kind: OutcomeKind,
-    ) -> Option<StandingChange> {
-        if !self.detector.probed_by(work, self.now).contains(&replica) {
+    ) -> Option<StatusChange> {
+        if !self
+            .detector
+            .probe_candidates(work, self.now)
+            .contains(&replica)
+        {
             return None;
         }
         self.lease += 1;
         let lease = (1, self.lease);
         assert!(self.detector.note_grant(replica, lease, self.now));
-        let others = self.detector.probed_by(work, self.now);
+        let others = self.detector.probe_candidates(work, self.now);
         assert!(!others.contains(&replica), "one request at a time");
-        let end = RequestEnd {
+        let end = RequestOutcome {
             replica,
             lease,
             kind,
--- a/crates/slots/tests/pacer.rs
+++ b/crates/slots/tests/pacer.rs
@@ -205,7 +205,7 @@
         let pace = self.pace(coordinator);
         let (now, usage) = (self.now, ColdUse::Online);
         let pacer = &mut self.daemons[coordinator].pacer;
-        pacer.has_room(&GROUP, REPLICA, pace, usage, &BOUNDS, now)
+        pacer.has_capacity(&GROUP, REPLICA, pace, usage, &BOUNDS, now)
             && pacer.take(&GROUP, REPLICA, pace, &BOUNDS, now)
     }
 
@@ -349,7 +349,7 @@
         let counted_over = (bounds.window + COLD_GRANT_LIFETIME).as_secs_f64();
         let given = |share: f64| {
             let pace = ColdPace::of(&bounds, limit, share);
-            if pace.saved < 1.0 { 0.0 } else { pace.saved + pace.per_second * counted_over }
+            if pace.burst < 1.0 { 0.0 } else { pace.burst + pace.per_second * counted_over }
         };
         prop_assert!(given(1.0) * 2.0 <= most + 1e-9);
         let all: f64 = shares.iter().sum();
@@ -417,14 +417,14 @@
     for tick in 0..50 {
         pacer.tick(HashSet::from([GROUP]), 1.0, &BOUNDS, at(tick * 100));
     }
-    let has_room = |pacer: &mut ColdPacer<u32>, usage, ms| {
-        pacer.has_room(&GROUP, REPLICA, pace, usage, &BOUNDS, at(ms))
+    let has_capacity = |pacer: &mut ColdPacer<u32>, usage, ms| {
+        pacer.has_capacity(&GROUP, REPLICA, pace, usage, &BOUNDS, at(ms))
     };
-    assert!(has_room(&mut pacer, ColdUse::Item, 4_900));
+    assert!(has_capacity(&mut pacer, ColdUse::Item, 4_900));
     assert!(pacer.take(&GROUP, REPLICA, pace, &BOUNDS, at(4_900)));
-    assert!(has_room(&mut pacer, ColdUse::Online, 5_300));
-    assert!(!has_room(&mut pacer, ColdUse::Item, 5_300));
-    assert!(has_room(&mut pacer, ColdUse::Item, 5_700));
+    assert!(has_capacity(&mut pacer, ColdUse::Online, 5_300));
+    assert!(!has_capacity(&mut pacer, ColdUse::Item, 5_300));
+    assert!(has_capacity(&mut pacer, ColdUse::Item, 5_700));
 }
 
 /// A coordinator that has just become one, or stood still, gives out nothing at first.
@@ -436,7 +436,7 @@
     let at = |ms| start + Duration::from_millis(ms);
     let own = || HashSet::from([GROUP]);
     let may = |pacer: &mut ColdPacer<u32>, ms| {
-        pacer.has_room(&GROUP, REPLICA, pace, ColdUse::Online, &BOUNDS, at(ms))
+        pacer.has_capacity(&GROUP, REPLICA, pace, ColdUse::Online, &BOUNDS, at(ms))
     };
     for tick in 0..60 {
         pacer.tick(HashSet::new(), 1.0, &BOUNDS, at(tick * 100));
