--- a/crates/edge/src/quarantine/breaks.rs
+++ b/crates/edge/src/quarantine/breaks.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use harrierward_quarantine::{ContentId, ReplicaStart};
+use harrierward_quarantine::{ContentId, ReplicaInstance};
 use harrierward_serving::{Replica, ReplicaView};
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
@@ -51,13 +51,13 @@
 /// The breaks of the last seconds.
 #[derive(Default)]
 pub struct Breaks {
-    known: Mutex<HashMap<ReplicaStart, Break>>,
+    known: Mutex<HashMap<ReplicaInstance, Break>>,
     /// How many are known, for a look without the lock.
     count: AtomicUsize,
 }
 
 impl Breaks {
-    fn lock(&self) -> MutexGuard<'_, HashMap<ReplicaStart, Break>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<ReplicaInstance, Break>> {
         self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// A connection broke with the content in progress; true if it is the first to that replica.
-    pub fn note(&self, start: ReplicaStart, replica: &Arc<Replica>, content: ContentId) -> bool {
+    pub fn note(&self, start: ReplicaInstance, replica: &Arc<Replica>, content: ContentId) -> bool {
         let now = harrierward_clock::now();
         let mut known = self.lock();
         // Where starts are not told apart, the one that broke off then may be back under the same name.
@@ -89,7 +89,7 @@
     }
 
     /// True if the replica is known to have ended.
-    pub fn is_confirmed(&self, start: ReplicaStart) -> bool {
+    pub fn is_confirmed(&self, start: ReplicaInstance) -> bool {
         let known = self.lock();
         known
             .get(&start)
@@ -97,7 +97,10 @@
     }
 
     /// The replica has ended: gives when its connections broke, and what was in progress there and was not given yet.
-    pub fn confirm(&self, start: ReplicaStart) -> Option<(Instant, BTreeMap<ContentId, Instant>)> {
+    pub fn confirm(
+        &self,
+        start: ReplicaInstance,
+    ) -> Option<(Instant, BTreeMap<ContentId, Instant>)> {
         let mut known = self.lock();
         let one = known.get_mut(&start)?;
         one.word.send_replace(Word::Ended);
@@ -105,7 +108,7 @@
         (!contents.is_empty()).then_some((one.since, contents))
     }
 
-    fn note_listens(&self, start: ReplicaStart) {
+    fn note_listens(&self, start: ReplicaInstance) {
         if let Some(one) = self.lock().get(&start) {
             one.word.send_if_modified(|word| {
                 let is_new = *word == Word::Unknown;
@@ -125,14 +128,14 @@
     }
 
     /// Replicas whose entries went, or name another start, after connections to them broke. Those that left in order are none.
-    pub fn gone(&self, view: &ReplicaView, now: Instant) -> Vec<(ReplicaStart, Arc<Replica>)> {
+    pub fn gone(&self, view: &ReplicaView, now: Instant) -> Vec<(ReplicaInstance, Arc<Replica>)> {
         if self.is_quiet() {
             return Vec::new();
         }
         let mut known = self.lock();
         known.retain(|_, one| now.saturating_duration_since(one.since) < REMEMBERED_FOR);
         self.count.store(known.len(), Ordering::Relaxed);
-        let is_gone = |start: &ReplicaStart, one: &Break| {
+        let is_gone = |start: &ReplicaInstance, one: &Break| {
             let has_left = one.replica.is_draining();
             !one.contents.is_empty() && !has_left && view.by_hash(start.0).is_none()
         };
@@ -142,14 +145,14 @@
     }
 
     /// Replicas known here that others say have ended.
-    pub fn pending(&self, start: ReplicaStart) -> Option<Arc<Replica>> {
+    pub fn pending(&self, start: ReplicaInstance) -> Option<Arc<Replica>> {
         let known = self.lock();
         let one = known.get(&start)?;
         (!one.contents.is_empty()).then(|| one.replica.clone())
     }
 
     /// Waits a moment for the word on a replica; true if it has ended.
-    pub async fn wait(&self, start: ReplicaStart) -> bool {
+    pub async fn wait(&self, start: ReplicaInstance) -> bool {
         let mut word = match self.lock().get(&start) {
             Some(one) => one.word.subscribe(),
             None => return false,
@@ -161,7 +164,7 @@
 
 impl QuarantineService {
     /// Asks a replica to which a connection broke whether it still listens.
-    pub(super) async fn probe(self, start: ReplicaStart, replica: Arc<Replica>) {
+    pub(super) async fn probe(self, start: ReplicaInstance, replica: Arc<Replica>) {
         for pause in PROBE_PAUSES {
             sleep(pause).await;
             if self.inner.pool.is_refused(&replica.record.address).await {
--- a/crates/edge/src/quarantine/mod.rs
+++ b/crates/edge/src/quarantine/mod.rs
@@ -17,7 +17,9 @@
 use arc_swap::ArcSwap;
 use async_trait::async_trait;
 use harrierward_decisions::{DecisionLog, Record};
-use harrierward_quarantine::{ContentId, CrashLedger, ReplicaStart, Standing, Standings};
+use harrierward_quarantine::{
+    ContentId, ContentStatus, ContentStatuses, CrashLedger, ReplicaInstance,
+};
 use harrierward_serving::{Quarantine, Replica, ReplicaSet};
 use harrierward_wire::node_datagram;
 use tokio::net::UdpSocket;
@@ -47,7 +49,7 @@
     log: DecisionLog,
     ledger: Mutex<CrashLedger>,
     /// What the ledger comes to, for the request path.
-    standings: ArcSwap<Standings>,
+    standings: ArcSwap<ContentStatuses>,
     breaks: Breaks,
     own_row: OwnRow,
     members: ArcSwap<Vec<SocketAddr>>,
@@ -128,7 +130,7 @@
     }
 
     /// The replica has ended: whatever of this daemon was in progress there may have done it.
-    fn confirm(&self, start: ReplicaStart, replica: &Arc<Replica>, known_by: &'static str) {
+    fn confirm(&self, start: ReplicaInstance, replica: &Arc<Replica>, known_by: &'static str) {
         replica.set_ended();
         let Some((since, contents)) = self.inner.breaks.confirm(start) else {
             return;
@@ -144,7 +146,7 @@
             let now = harrierward_clock::now();
             let mut ledger = self.ledger();
             for (content, at) in contents {
-                is_news |= ledger.note_end(content, start, at, now);
+                is_news |= ledger.note_crash(content, start, at, now);
             }
         }
         if is_news {
@@ -158,17 +160,17 @@
         let now = harrierward_clock::now();
         // The ledger is held until the standings are in place: an older judgement must not replace a newer one.
         let ledger = self.ledger();
-        let standings = Arc::new(ledger.standings());
+        let standings = Arc::new(ledger.statuses());
         let before = self.inner.standings.swap(standings.clone());
         drop(ledger);
-        let held = standings.held().count();
-        for (content, hold) in standings.held() {
-            if !before.is_to_blame(content) {
+        let held = standings.quarantined().count();
+        for (content, hold) in standings.quarantined() {
+            if !before.is_cause(content) {
                 self.log_held(content, "held", hold, held, now);
             }
         }
-        for (content, hold) in before.held() {
-            if !standings.is_to_blame(content) {
+        for (content, hold) in before.quarantined() {
+            if !standings.is_cause(content) {
                 self.log_held(content, "cleared", hold, held, now);
             }
         }
@@ -178,14 +180,14 @@
         &self,
         content: ContentId,
         outcome: &str,
-        hold: harrierward_quarantine::Hold,
+        hold: harrierward_quarantine::QuarantinePeriod,
         held: usize,
         now: Instant,
     ) {
         self.inner.log.record(&Record::ContentHeld {
             content: &content.to_string(),
             outcome,
-            ends: hold.ends,
+            ends: hold.crashes,
             since_ms: millis(now.saturating_duration_since(hold.since)),
             hold_ms: millis(hold.until.saturating_duration_since(now)),
             held,
@@ -199,7 +201,7 @@
         !self.inner.standings.load().is_empty()
     }
 
-    fn standing(&self, content: ContentId) -> Standing {
+    fn standing(&self, content: ContentId) -> ContentStatus {
         self.inner
             .standings
             .load()
@@ -207,7 +209,7 @@
     }
 
     fn note_broken(&self, content: ContentId, replica: &Arc<Replica>) {
-        let start = ReplicaStart(replica.hash);
+        let start = ReplicaInstance(replica.hash);
         if self.inner.breaks.note(start, replica, content) {
             tokio::spawn(self.clone().probe(start, replica.clone()));
         } else if self.inner.breaks.is_confirmed(start) {
@@ -230,7 +232,7 @@
     }
 
     async fn has_ended(&self, replica: &Arc<Replica>) -> bool {
-        let start = ReplicaStart(replica.hash);
+        let start = ReplicaInstance(replica.hash);
         self.inner.breaks.wait(start).await || replica.has_ended()
     }
 }
--- a/crates/edge/src/quarantine/operating.rs
+++ b/crates/edge/src/quarantine/operating.rs
@@ -40,11 +40,11 @@
         let now = harrierward_clock::now();
         let age = |at: Instant| millis(now.saturating_duration_since(at));
         let standings = self.inner.standings.load();
-        let held = standings.held().map(|(content, hold)| HeldContent {
+        let held = standings.quarantined().map(|(content, hold)| HeldContent {
             content: content.to_string(),
-            ends: hold.ends,
+            ends: hold.crashes,
             since_ms: age(hold.since),
-            last_end_ms: age(hold.last_end),
+            last_end_ms: age(hold.last_crash),
             hold_ms: millis(hold.until.saturating_duration_since(now)),
         });
         held.collect()
@@ -56,7 +56,7 @@
             .inner
             .standings
             .load()
-            .held()
+            .quarantined()
             .find(|(one, _)| *one == content);
         if !self
             .ledger()
@@ -69,10 +69,10 @@
         self.inner.log.record(&Record::ContentHeld {
             content: &content.to_string(),
             outcome: "released",
-            ends: hold.map_or(0, |(_, hold)| hold.ends),
+            ends: hold.map_or(0, |(_, hold)| hold.crashes),
             since_ms: hold.map_or(0, |(_, hold)| millis(harrierward_clock::age(hold.since))),
             hold_ms: 0,
-            held: self.inner.standings.load().held().count(),
+            held: self.inner.standings.load().quarantined().count(),
         });
         true
     }
--- a/crates/edge/src/quarantine/stored.rs
+++ b/crates/edge/src/quarantine/stored.rs
@@ -102,7 +102,7 @@
     fn news_to_keep(&self) -> Option<CrashNews> {
         let ledger = self.ledger();
         let standings = self.inner.standings.load();
-        let kept = ledger.kept(&standings, harrierward_clock::now(), MOST_STORED);
+        let kept = ledger.to_store(&standings, harrierward_clock::now(), MOST_STORED);
         (!kept.is_empty()).then(|| to_message(&kept))
     }
 
--- a/crates/edge/src/quarantine/telling.rs
+++ b/crates/edge/src/quarantine/telling.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use harrierward_quarantine::{ContentId, ReplicaStart, ToldClearing, ToldContent, ToldEnd};
+use harrierward_quarantine::{
+    ContentId, ReplicaInstance, ReportedClearing, ReportedContent, ReportedCrash,
+};
 use harrierward_wire::{
     CrashNews, CrashedContent, NodeDatagram, ReplicaEnd, encode, node_datagram,
 };
@@ -70,7 +72,7 @@
         let told = {
             let ledger = self.ledger();
             let standings = self.inner.standings.load();
-            ledger.told(&standings, harrierward_clock::now(), MOST_TOLD)
+            ledger.to_announce(&standings, harrierward_clock::now(), MOST_TOLD)
         };
         let Some(socket) = self.inner.socket.get().filter(|_| !told.is_empty()) else {
             return;
@@ -86,20 +88,20 @@
     }
 
     pub(super) fn take_news(&self, news: &CrashNews) {
-        let told: Vec<ToldContent> = news.contents.iter().map(told_content).collect();
+        let told: Vec<ReportedContent> = news.contents.iter().map(told_content).collect();
         let now = harrierward_clock::now();
-        let is_news = self.ledger().take(&told, now);
+        let is_news = self.ledger().merge(&told, now);
         if is_news {
             self.judge();
         }
-        let ends = told.iter().flat_map(|content| &content.ends);
+        let ends = told.iter().flat_map(|content| &content.crashes);
         for start in ends.map(|end| end.replica) {
             self.take_end(start);
         }
     }
 
     /// Another daemon says that a replica has ended to which connections of this one broke.
-    fn take_end(&self, start: ReplicaStart) {
+    fn take_end(&self, start: ReplicaInstance) {
         if let Some(replica) = self.inner.breaks.pending(start) {
             self.confirm(start, &replica, "peer");
         }
@@ -110,11 +112,11 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-pub(super) fn to_message(told: &[ToldContent]) -> CrashNews {
+pub(super) fn to_message(told: &[ReportedContent]) -> CrashNews {
     let contents = told.iter().map(|one| CrashedContent {
         content: one.content.0,
         ends: one
-            .ends
+            .crashes
             .iter()
             .map(|end| ReplicaEnd {
                 replica: end.replica.0,
@@ -131,16 +133,16 @@
     }
 }
 
-fn told_content(message: &CrashedContent) -> ToldContent {
-    let ends = message.ends.iter().map(|end| ToldEnd {
-        replica: ReplicaStart(end.replica),
+fn told_content(message: &CrashedContent) -> ReportedContent {
+    let ends = message.ends.iter().map(|end| ReportedCrash {
+        replica: ReplicaInstance(end.replica),
         age: Duration::from_millis(u64::from(end.age_ms)),
     });
     let cleared = message.cleared_ms.checked_sub(1);
-    ToldContent {
+    ReportedContent {
         content: ContentId(message.content),
-        ends: ends.collect(),
-        cleared: cleared.map(|age_ms| ToldClearing {
+        crashes: ends.collect(),
+        cleared: cleared.map(|age_ms| ReportedClearing {
             number: message.clearing,
             age: Duration::from_millis(u64::from(age_ms)),
         }),
--- a/crates/edge/tests/stored_news.rs
+++ b/crates/edge/tests/stored_news.rs
@@ -12,7 +12,7 @@
     Write,
 };
 use harrierward_inline_jobs::crash_news;
-use harrierward_quarantine::{ContentId, Standing};
+use harrierward_quarantine::{ContentId, ContentStatus};
 use harrierward_serving::{Quarantine, ReplicaSet};
 use harrierward_wire::{
     CrashNews, CrashNewsRow, CrashedContent, ReplicaEnd, decode, encode, node_datagram::Kind,
@@ -143,11 +143,11 @@
 
 fn left(quarantine: &QuarantineService) -> Option<Duration> {
     match quarantine.standing(CONTENT) {
-        Standing::Held(hold) => Some(
+        ContentStatus::Quarantined(hold) => Some(
             hold.until
                 .saturating_duration_since(harrierward_clock::now()),
         ),
-        Standing::Clear | Standing::Suspect { .. } => None,
+        ContentStatus::Clear | ContentStatus::Suspect { .. } => None,
     }
 }
 
@@ -172,7 +172,7 @@
     for age_ms in [END_LIFETIME_MS, NOW_MS] {
         let quarantine = quarantine();
         quarantine.take_stored(&row(NOW_MS - age_ms), NOW_MS);
-        assert_eq!(quarantine.standing(CONTENT), Standing::Clear);
+        assert_eq!(quarantine.standing(CONTENT), ContentStatus::Clear);
         assert!(!quarantine.holds_any(), "{age_ms} ms old");
     }
 }
@@ -227,7 +227,7 @@
         for one in order {
             later.take_stored(one, read_at_ms);
         }
-        assert_eq!(later.standing(CONTENT), Standing::Clear);
+        assert_eq!(later.standing(CONTENT), ContentStatus::Clear);
     }
 }
 
--- a/crates/edge/tests/suspended.rs
+++ b/crates/edge/tests/suspended.rs
@@ -11,7 +11,7 @@
 use harrierward_edge::{
     ConnectionPool, CoordinatorCandidate, PoolSettings, QuarantineService, SlotService,
 };
-use harrierward_quarantine::{ContentId, Standing};
+use harrierward_quarantine::{ContentId, ContentStatus};
 use harrierward_serving::{
     ItemRoom, Location, Prompt, PromptLength, Quarantine, Replica, ReplicaRecord, ReplicaSet,
     SelectionCosts, SlotAnswer, SlotLeases, SlotQuery,
@@ -334,7 +334,7 @@
         }],
     };
     assert!(quarantine.receive(Kind::CrashNews(news)).is_none());
-    let Standing::Held(hold) = quarantine.standing(ContentId(5)) else {
+    let ContentStatus::Quarantined(hold) = quarantine.standing(ContentId(5)) else {
         panic!("not held");
     };
     harrierward_clock::imagine_suspension(Duration::from_secs(6));
@@ -347,5 +347,5 @@
     assert!(left <= expected && passed < PATIENCE, "{left:?}");
     harrierward_clock::imagine_suspension(HELD_FOR);
     let standing = quarantine.standing(ContentId(5));
-    assert_eq!(standing, Standing::Suspect { ends: 3 });
+    assert_eq!(standing, ContentStatus::Suspect { crashes: 3 });
 }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,4 +1,4 @@
-//! Requests under which replicas end: which content was there at each end, and what is held back for it.
+//! Requests under which replicas crash: which content was there at each crash, and what is held back for it.
 //!
 //! Why by content: such a request comes again under another id, at another daemon, and as an item of a batch job it has no
 //! caller that gives up. What stays the same is its path, its caller and its body.
@@ -8,8 +8,8 @@
 
 mod content;
 mod ledger;
-mod verdicts;
+mod status;
 
 pub use content::ContentId;
-pub use ledger::{CrashLedger, ReplicaStart, ToldClearing, ToldContent, ToldEnd};
-pub use verdicts::{Hold, Standing, Standings};
+pub use ledger::{CrashLedger, ReplicaInstance, ReportedClearing, ReportedContent, ReportedCrash};
+pub use status::{ContentStatus, ContentStatuses, QuarantinePeriod};
--- a/crates/quarantine/tests/ledger.rs
+++ b/crates/quarantine/tests/ledger.rs
@@ -1,8 +1,8 @@
-//! Who is to blame where replicas end, as one daemon and as several come to it.
+//! Who is to blame where replicas crash, as one daemon and as several come to it.
 
 use std::time::Duration;
 
-use harrierward_quarantine::{ContentId, CrashLedger, ReplicaStart, Standing};
+use harrierward_quarantine::{ContentId, ContentStatus, CrashLedger, ReplicaInstance};
 use proptest::prelude::*;
 use tokio::time::Instant;
 
@@ -18,114 +18,123 @@
     Instant::now() + Duration::from_secs(10_000)
 }
 
-fn end(ledger: &mut CrashLedger, contents: &[ContentId], replica: u32, at: Instant) {
+fn crash(ledger: &mut CrashLedger, contents: &[ContentId], replica: u32, at: Instant) {
     for content in contents {
-        ledger.note_end(*content, ReplicaStart(replica), at, at);
+        ledger.note_crash(*content, ReplicaInstance(replica), at, at);
     }
 }
 
-fn is_held(ledger: &CrashLedger, content: ContentId, now: Instant) -> bool {
-    matches!(ledger.standings().of(content, now), Standing::Held(_))
+fn is_quarantined(ledger: &CrashLedger, content: ContentId, now: Instant) -> bool {
+    matches!(
+        ledger.statuses().of(content, now),
+        ContentStatus::Quarantined(_)
+    )
 }
 
 #[test]
 fn a_content_is_held_back_from_its_third_end_on() {
     let (mut ledger, now) = (CrashLedger::default(), start());
     for replica in 1..=2 {
-        end(&mut ledger, &[CULPRIT], replica, now);
-        assert!(!is_held(&ledger, CULPRIT, now));
+        crash(&mut ledger, &[CULPRIT], replica, now);
+        assert!(!is_quarantined(&ledger, CULPRIT, now));
     }
-    end(&mut ledger, &[CULPRIT], 2, now + ms(5));
-    assert!(!is_held(&ledger, CULPRIT, now), "an end counts once");
-    end(&mut ledger, &[CULPRIT], 3, now + ms(9));
-    assert!(is_held(&ledger, CULPRIT, now + ms(10)));
+    crash(&mut ledger, &[CULPRIT], 2, now + ms(5));
+    assert!(
+        !is_quarantined(&ledger, CULPRIT, now),
+        "an crash counts once"
+    );
+    crash(&mut ledger, &[CULPRIT], 3, now + ms(9));
+    assert!(is_quarantined(&ledger, CULPRIT, now + ms(10)));
 }
 
-/// One that ran beside the culprit three times by chance is explained by it as soon as the culprit has one end more.
+/// One that ran beside the culprit three times by chance is explained by it as soon as the culprit has one crash more.
 #[test]
 fn what_ran_beside_the_culprit_is_not_held_back() {
     let (mut ledger, now) = (CrashLedger::default(), start());
     for replica in 1..=3 {
-        end(&mut ledger, &[CULPRIT, BYSTANDER], replica, now);
+        crash(&mut ledger, &[CULPRIT, BYSTANDER], replica, now);
     }
-    end(&mut ledger, &[CULPRIT], 4, now);
-    assert!(is_held(&ledger, CULPRIT, now));
-    assert_eq!(ledger.standings().of(BYSTANDER, now), Standing::Clear);
+    crash(&mut ledger, &[CULPRIT], 4, now);
+    assert!(is_quarantined(&ledger, CULPRIT, now));
+    assert_eq!(ledger.statuses().of(BYSTANDER, now), ContentStatus::Clear);
 }
 
 #[test]
 fn a_whole_answer_clears_and_old_news_does_not_undo_it() {
     let (mut ledger, now) = (CrashLedger::default(), start());
-    end(&mut ledger, &[BYSTANDER], 1, now);
-    end(&mut ledger, &[BYSTANDER], 2, now + ms(300));
-    let told = ledger.told(&ledger.standings(), now + ms(310), 10);
+    crash(&mut ledger, &[BYSTANDER], 1, now);
+    crash(&mut ledger, &[BYSTANDER], 2, now + ms(300));
+    let told = ledger.to_announce(&ledger.statuses(), now + ms(310), 10);
     assert!(ledger.clear(BYSTANDER, 7, now + ms(400)));
     // It was on its way for half a second.
-    ledger.take(&told, now + ms(810));
+    ledger.merge(&told, now + ms(810));
     assert_eq!(
-        ledger.standings().of(BYSTANDER, now + ms(810)),
-        Standing::Clear
+        ledger.statuses().of(BYSTANDER, now + ms(810)),
+        ContentStatus::Clear
     );
-    end(&mut ledger, &[BYSTANDER], 3, now + ms(2_000));
-    let standing = ledger.standings().of(BYSTANDER, now + ms(2_000));
-    assert_eq!(standing, Standing::Suspect { ends: 1 });
+    crash(&mut ledger, &[BYSTANDER], 3, now + ms(2_000));
+    let standing = ledger.statuses().of(BYSTANDER, now + ms(2_000));
+    assert_eq!(standing, ContentStatus::Suspect { crashes: 1 });
 }
 
 #[test]
 fn a_hold_ends_and_is_longer_after_each_further_end() {
     let (mut ledger, now) = (CrashLedger::default(), start());
     for replica in 1..=3 {
-        end(&mut ledger, &[CULPRIT], replica, now);
+        crash(&mut ledger, &[CULPRIT], replica, now);
     }
     let minutes = |count: u64| Duration::from_secs(count * 60);
-    assert!(is_held(&ledger, CULPRIT, now + minutes(9)));
-    assert!(!is_held(&ledger, CULPRIT, now + minutes(10)));
+    assert!(is_quarantined(&ledger, CULPRIT, now + minutes(9)));
+    assert!(!is_quarantined(&ledger, CULPRIT, now + minutes(10)));
     let again = now + minutes(11);
-    end(&mut ledger, &[CULPRIT], 4, again);
-    assert!(is_held(&ledger, CULPRIT, again + minutes(19)));
-    assert!(!is_held(&ledger, CULPRIT, again + minutes(20)));
+    crash(&mut ledger, &[CULPRIT], 4, again);
+    assert!(is_quarantined(&ledger, CULPRIT, again + minutes(19)));
+    assert!(!is_quarantined(&ledger, CULPRIT, again + minutes(20)));
 }
 
 #[test]
 fn an_operator_releases_it() {
     let (mut ledger, now) = (CrashLedger::default(), start());
     for replica in 1..=3 {
-        end(&mut ledger, &[CULPRIT], replica, now);
+        crash(&mut ledger, &[CULPRIT], replica, now);
     }
     assert!(ledger.clear(CULPRIT, 1, now + ms(2_000)));
-    assert!(!is_held(&ledger, CULPRIT, now + ms(2_000)));
+    assert!(!is_quarantined(&ledger, CULPRIT, now + ms(2_000)));
     assert!(
         !ledger.clear(CULPRIT, 2, now + ms(2_001)),
         "nothing is left"
     );
 }
 
-/// What lies in the store is read much later: its ends must not come back after what cleared them is no longer told.
+/// What lies in the store is read much later: its crashes must not come back after what cleared them is no longer told.
 #[test]
 fn a_clearing_is_kept_for_as_long_as_ends_count_and_old_ends_are_no_news() {
     let (mut ledger, now) = (CrashLedger::default(), start());
     for replica in 1..=3 {
-        end(&mut ledger, &[CULPRIT], replica, now);
+        crash(&mut ledger, &[CULPRIT], replica, now);
     }
-    let ends = ledger.kept(&ledger.standings(), now, 8);
+    let crashes = ledger.to_store(&ledger.statuses(), now, 8);
     assert!(ledger.clear(CULPRIT, 7, now + ms(10)));
     let later = now + Duration::from_secs(600);
     ledger.expire(later);
-    assert!(ledger.told(&ledger.standings(), later, 8).is_empty());
-    let kept = ledger.kept(&ledger.standings(), later, 8);
+    assert!(ledger.to_announce(&ledger.statuses(), later, 8).is_empty());
+    let kept = ledger.to_store(&ledger.statuses(), later, 8);
     assert_eq!(kept.len(), 1);
     let aged = |by: Duration| {
-        let mut ends = ends.clone();
-        for end in &mut ends[0].ends {
-            end.age += by;
+        let mut crashes = crashes.clone();
+        for crash in &mut crashes[0].crashes {
+            crash.age += by;
         }
-        ends
+        crashes
     };
     let mut other = CrashLedger::default();
-    other.take(&kept, later);
-    assert!(!other.take(&aged(later - now), later), "cleared");
+    other.merge(&kept, later);
+    assert!(!other.merge(&aged(later - now), later), "cleared");
     let mut other = CrashLedger::default();
-    assert!(!other.take(&aged(Duration::from_secs(3_600)), later), "old");
+    assert!(
+        !other.merge(&aged(Duration::from_secs(3_600)), later),
+        "old"
+    );
     assert!(other.is_empty());
     ledger.expire(now + Duration::from_secs(3_601));
     assert!(ledger.is_empty(), "nothing lasts");
@@ -135,36 +144,41 @@
 fn memory_is_bounded_and_the_culprit_stays() {
     let (mut ledger, now) = (CrashLedger::default(), start());
     for replica in 1..=3 {
-        end(&mut ledger, &[CULPRIT], replica, now);
+        crash(&mut ledger, &[CULPRIT], replica, now);
     }
     for content in 100..10_000 {
-        end(&mut ledger, &[ContentId(content)], 50, now + ms(content));
+        crash(&mut ledger, &[ContentId(content)], 50, now + ms(content));
     }
     assert!(ledger.len() <= 2_048);
-    assert!(is_held(&ledger, CULPRIT, now));
-    assert!(ledger.told(&ledger.standings(), now + ms(10_000), 8).len() <= 8);
+    assert!(is_quarantined(&ledger, CULPRIT, now));
+    assert!(
+        ledger
+            .to_announce(&ledger.statuses(), now + ms(10_000), 8)
+            .len()
+            <= 8
+    );
 }
 
 /// An item that was there by chance runs once more; one that has ended a fourth replica does not.
 #[test]
 fn an_item_has_one_trial() {
     let (mut ledger, now) = (CrashLedger::default(), start());
-    let allows = |ledger: &CrashLedger, at: Instant| match ledger.standings().of(CULPRIT, at) {
-        Standing::Held(hold) => hold.allows_trial(at),
+    let allows = |ledger: &CrashLedger, at: Instant| match ledger.statuses().of(CULPRIT, at) {
+        ContentStatus::Quarantined(hold) => hold.allows_trial(at),
         _ => true,
     };
     for replica in 1..=3 {
-        end(&mut ledger, &[CULPRIT], replica, now);
+        crash(&mut ledger, &[CULPRIT], replica, now);
     }
     assert!(!allows(&ledger, now + ms(4_900)));
     assert!(allows(&ledger, now + ms(5_100)));
-    end(&mut ledger, &[CULPRIT], 4, now + ms(5_200));
+    crash(&mut ledger, &[CULPRIT], 4, now + ms(5_200));
     assert!(!allows(&ledger, now + ms(60_000)));
 }
 
 #[derive(Debug, Clone)]
 enum Event {
-    End {
+    Crash {
         content: u64,
         replica: u32,
         at_ms: u64,
@@ -176,11 +190,11 @@
     },
 }
 
-/// A replica ends once; daemons date that a little differently.
+/// A replica crashes once; daemons date that a little differently.
 fn any_event() -> impl Strategy<Value = Event> {
-    let end = (1_u64..6, 1_u32..9, 0_u64..400).prop_map(|(content, replica, error_ms)| {
+    let crash = (1_u64..6, 1_u32..9, 0_u64..400).prop_map(|(content, replica, error_ms)| {
         let at_ms = u64::from(replica) * 600 + error_ms;
-        Event::End {
+        Event::Crash {
             content,
             replica,
             at_ms,
@@ -192,18 +206,18 @@
         at_ms,
         number,
     });
-    prop_oneof![4 => end, 1 => whole]
+    prop_oneof![4 => crash, 1 => whole]
 }
 
 fn apply(ledger: &mut CrashLedger, event: &Event, start: Instant) {
     match event {
-        Event::End {
+        Event::Crash {
             content,
             replica,
             at_ms,
         } => {
             let at = start + ms(*at_ms);
-            ledger.note_end(ContentId(*content), ReplicaStart(*replica), at, at);
+            ledger.note_crash(ContentId(*content), ReplicaInstance(*replica), at, at);
         }
         Event::Whole {
             content,
@@ -226,7 +240,7 @@
         let mut ledgers = vec![CrashLedger::default(); 3];
         let mut ordered = events.clone();
         ordered.sort_by_key(|(_, event)| match event {
-            Event::End { at_ms, .. } | Event::Whole { at_ms, .. } => *at_ms,
+            Event::Crash { at_ms, .. } | Event::Whole { at_ms, .. } => *at_ms,
         });
         for (seen_by, event) in &ordered {
             apply(&mut ledgers[*seen_by], event, start);
@@ -239,39 +253,39 @@
                     if round < 4 && losses.next().unwrap_or(false) {
                         continue;
                     }
-                    let told = ledgers[from].told(&ledgers[from].standings(), now, 100);
-                    ledgers[to].take(&told, now);
+                    let told = ledgers[from].to_announce(&ledgers[from].statuses(), now, 100);
+                    ledgers[to].merge(&told, now);
                 }
             }
         }
-        let standings: Vec<_> = ledgers.iter().map(CrashLedger::standings).collect();
+        let statuses: Vec<_> = ledgers.iter().map(CrashLedger::statuses).collect();
         for content in 1..6 {
-            // Each dates the ends by its own sight.
-            let of = |index: usize| match standings[index].of(ContentId(content), now) {
-                Standing::Clear => (false, 0),
-                Standing::Suspect { ends } => (false, ends),
-                Standing::Held(hold) => (true, hold.ends),
+            // Each dates the crashes by its own sight.
+            let of = |index: usize| match statuses[index].of(ContentId(content), now) {
+                ContentStatus::Clear => (false, 0),
+                ContentStatus::Suspect { crashes } => (false, crashes),
+                ContentStatus::Quarantined(hold) => (true, hold.crashes),
             };
             prop_assert_eq!(of(0), of(1));
             prop_assert_eq!(of(1), of(2));
         }
     }
 
-    /// Whatever runs beside it: a content with more ends than any other, and never a whole answer, is held back from three on.
+    /// Whatever runs beside it: a content with more crashes than any other, and never a whole answer, is held back from three on.
     #[test]
     fn the_culprit_is_always_held_back(
         beside in prop::collection::vec(prop::collection::vec(2_u64..20, 0..10), 3..10),
     ) {
         let (mut ledger, now) = (CrashLedger::default(), start());
         for (replica, contents) in (1..).zip(&beside) {
-            end(&mut ledger, &[CULPRIT], replica, now);
+            crash(&mut ledger, &[CULPRIT], replica, now);
             let others: Vec<ContentId> = contents.iter().map(|content| ContentId(*content)).collect();
-            end(&mut ledger, &others, replica, now);
+            crash(&mut ledger, &others, replica, now);
         }
-        prop_assert!(is_held(&ledger, CULPRIT, now));
-        // Nothing else is: all ends are the culprit's.
+        prop_assert!(is_quarantined(&ledger, CULPRIT, now));
+        // Nothing else is: all crashes are the culprit's.
         for content in 2..20 {
-            prop_assert!(!is_held(&ledger, ContentId(content), now));
+            prop_assert!(!is_quarantined(&ledger, ContentId(content), now));
         }
     }
 }
--- a/crates/serving/src/forwarder.rs
+++ b/crates/serving/src/forwarder.rs
@@ -7,7 +7,7 @@
 use futures::StreamExt;
 use harrierward_decisions::{DecisionLog, Record};
 use harrierward_execution::{Execution, promises_not_run};
-use harrierward_quarantine::{ContentId, Hold, Standing};
+use harrierward_quarantine::{ContentId, ContentStatus, QuarantinePeriod};
 use tokio::time::Instant;
 
 use crate::admission::{ConfigurationProof, KeyTrust, RateAnswer, RateLimits, caller_of};
@@ -124,10 +124,10 @@
         self.parts.quarantine.has_ended(replica).await
     }
 
-    fn hold(&self, content: ContentId) -> Option<Hold> {
+    fn hold(&self, content: ContentId) -> Option<QuarantinePeriod> {
         match self.parts.quarantine.standing(content) {
-            Standing::Held(hold) => Some(hold),
-            Standing::Clear | Standing::Suspect { .. } => None,
+            ContentStatus::Quarantined(hold) => Some(hold),
+            ContentStatus::Clear | ContentStatus::Suspect { .. } => None,
         }
     }
 
@@ -365,7 +365,7 @@
 }
 
 /// The refusal of a request under whose content replicas have ended. To come back earlier is of no use.
-fn held_back(hold: &Hold, state: &RequestState) -> Refusal {
+fn held_back(hold: &QuarantinePeriod, state: &RequestState) -> Refusal {
     let left = hold
         .until
         .saturating_duration_since(harrierward_clock::now());
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use async_trait::async_trait;
-use harrierward_quarantine::{ContentId, Standing};
+use harrierward_quarantine::{ContentId, ContentStatus};
 
 use crate::replica::Replica;
 
@@ -14,7 +14,7 @@
     fn holds_any(&self) -> bool;
 
     /// What is thought of a content. Takes no lock.
-    fn standing(&self, content: ContentId) -> Standing;
+    fn standing(&self, content: ContentId) -> ContentStatus;
 
     /// The connection to the replica broke while the content was in progress there. Does not wait.
     fn note_broken(&self, content: ContentId, replica: &Arc<Replica>);
@@ -35,8 +35,8 @@
         false
     }
 
-    fn standing(&self, _content: ContentId) -> Standing {
-        Standing::Clear
+    fn standing(&self, _content: ContentId) -> ContentStatus {
+        ContentStatus::Clear
     }
 
     fn note_broken(&self, _content: ContentId, _replica: &Arc<Replica>) {}
