--- a/crates/edge/src/members/peers.rs
+++ b/crates/edge/src/members/peers.rs
@@ -7,7 +7,7 @@
 use async_trait::async_trait;
 use harrierward_inline_jobs::{Peers, QuotaRequest};
 use harrierward_membership::MembershipView;
-use harrierward_ownership::OwnerStanding;
+use harrierward_ownership::OwnerStatus;
 use harrierward_serving::Location;
 use harrierward_tenants::AllowedRegions;
 use harrierward_wire::{QuotaAnswer, QuotaAsk, QuotaOutcome, node_datagram};
@@ -111,13 +111,13 @@
         Some(owners.into_iter().filter(is_in).collect())
     }
 
-    fn standing(&self, owner: &str) -> OwnerStanding {
+    fn standing(&self, owner: &str) -> OwnerStatus {
         let view = self.view();
         match view.member(owner) {
-            Some(member) if member.detached || member.leaving => OwnerStanding::Detached,
-            Some(_) => OwnerStanding::Present,
-            None if has_later_start(&view, owner) => OwnerStanding::Succeeded,
-            None => OwnerStanding::Gone,
+            Some(member) if member.detached || member.leaving => OwnerStatus::Detached,
+            Some(_) => OwnerStatus::Present,
+            None if has_later_start(&view, owner) => OwnerStatus::Superseded,
+            None => OwnerStatus::Absent,
         }
     }
 
--- a/crates/inline-jobs/src/adoption.rs
+++ b/crates/inline-jobs/src/adoption.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use harrierward_ownership::{OwnerStanding, Step};
+use harrierward_ownership::{OwnerStatus, Step};
 use harrierward_tenants::AllowedRegions;
 use tokio::time::{Instant, sleep};
 
@@ -42,7 +42,7 @@
     /// Does what is due for jobs whose owners are missing. `owners` are the daemons that may own jobs.
     fn look_for_orphans(&self, owners: &[String]) {
         let open = self.inner.view.open_jobs();
-        let mut standings: HashMap<&str, OwnerStanding> = HashMap::new();
+        let mut standings: HashMap<&str, OwnerStatus> = HashMap::new();
         for known in &open {
             if self.owns(&known.head) {
                 self.answer_if_challenged(known);
@@ -61,7 +61,7 @@
     }
 
     /// Does what is due for a job of another daemon, or of none.
-    fn consider(&self, known: &KnownHead, standing: OwnerStanding, owners: &[String]) {
+    fn consider(&self, known: &KnownHead, standing: OwnerStatus, owners: &[String]) {
         let delay = || {
             let adopters = self.adopters_of(known, owners)?;
             let near = self.inner.peers.owners_near(last_owner(&known.head));
@@ -72,11 +72,11 @@
         match step {
             Step::Wait => {}
             Step::Challenge => self.start_challenge(known.clone(), standing),
-            Step::Take => self.start_adoption(known.clone(), standing),
+            Step::TakeOver => self.start_adoption(known.clone(), standing),
         }
     }
 
-    fn start_adoption(&self, known: KnownHead, standing: OwnerStanding) {
+    fn start_adoption(&self, known: KnownHead, standing: OwnerStatus) {
         self.spawn_write(known, move |jobs, known| async move {
             jobs.adopt_job(&known, standing).await;
         });
@@ -97,7 +97,7 @@
         adopters.contains(&self.inner.life).then_some(adopters)
     }
 
-    async fn adopt_job(&self, known: &KnownHead, standing: OwnerStanding) {
+    async fn adopt_job(&self, known: &KnownHead, standing: OwnerStatus) {
         let head = adopted(&known.head, &self.inner.life);
         let until = Instant::now() + ADOPT_HOLD;
         let written = self
--- a/crates/inline-jobs/src/service.rs
+++ b/crates/inline-jobs/src/service.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use harrierward_decisions::{DecisionLog, Record};
 use harrierward_external::{ObjectStore, Table, WatchedTable};
-use harrierward_ownership::OwnerStanding;
+use harrierward_ownership::OwnerStatus;
 use harrierward_serving::Forwarder;
 use harrierward_tenants::AllowedRegions;
 use harrierward_wire::{JobHeadRow, QuotaOutcome, decode_head};
@@ -40,7 +40,7 @@
     }
 
     /// How this daemon sees another one that owns a job.
-    fn standing(&self, owner: &str) -> OwnerStanding;
+    fn standing(&self, owner: &str) -> OwnerStatus;
 
     /// Of those, the ones in the region of a daemon that may have died; empty if its region is not known.
     fn owners_near(&self, owner: &str) -> Vec<String>;
--- a/crates/inline-jobs/src/takeover.rs
+++ b/crates/inline-jobs/src/takeover.rs
@@ -4,7 +4,7 @@
 use std::sync::{MutexGuard, PoisonError};
 use std::time::Duration;
 
-use harrierward_ownership::{Claim, OwnerStanding, Step, TakeoverBounds, Takeovers};
+use harrierward_ownership::{OwnerStatus, OwnershipRecord, Step, TakeoverBounds, Takeovers};
 use harrierward_wire::JobHeadRow;
 use tokio::time::Instant;
 
@@ -54,7 +54,7 @@
     pub fn step(
         &mut self,
         known: &KnownHead,
-        standing: OwnerStanding,
+        standing: OwnerStatus,
         delay: impl FnOnce() -> Option<Duration>,
     ) -> Step {
         let job_id = &known.head.job_id;
@@ -110,10 +110,10 @@
 /// Delay of a daemon that must not adopt a job, since it may not read its bodies: longer than any job is open.
 const NOT_FOR_THIS_DAEMON: Duration = Duration::from_secs(1_000_000);
 
-fn claim(known: &KnownHead) -> Claim<'_> {
+fn claim(known: &KnownHead) -> OwnershipRecord<'_> {
     let head = &known.head;
-    Claim {
-        asset: &head.job_id,
+    OwnershipRecord {
+        resource: &head.job_id,
         owner: &head.owner,
         challenger: &head.challenger,
         epoch: head.epoch,
@@ -143,11 +143,11 @@
     }
 
     /// How this daemon sees the owner of a job.
-    pub(crate) fn owner_standing(&self, head: &JobHeadRow) -> OwnerStanding {
+    pub(crate) fn owner_standing(&self, head: &JobHeadRow) -> OwnerStatus {
         if head.owner.is_empty() {
-            OwnerStanding::GivenUp
+            OwnerStatus::Unowned
         } else if self.owns(head) {
-            OwnerStanding::Present
+            OwnerStatus::Present
         } else {
             self.inner.peers.standing(&head.owner)
         }
@@ -157,7 +157,7 @@
     pub(crate) fn note_owners(&self, change: &HeadChange) {
         let HeadChange { before, known } = change;
         if let Some(before) = before {
-            let is_present = self.owner_standing(&before.head) == OwnerStanding::Present;
+            let is_present = self.owner_standing(&before.head) == OwnerStatus::Present;
             let mut takeovers = self.takeovers();
             let now = takeovers.now();
             takeovers
@@ -199,13 +199,13 @@
         });
     }
 
-    pub(crate) fn start_challenge(&self, known: KnownHead, standing: OwnerStanding) {
+    pub(crate) fn start_challenge(&self, known: KnownHead, standing: OwnerStatus) {
         self.spawn_write(known, move |jobs, known| async move {
             jobs.challenge(&known, standing).await;
         });
     }
 
-    async fn challenge(&self, known: &KnownHead, standing: OwnerStanding) {
+    async fn challenge(&self, known: &KnownHead, standing: OwnerStatus) {
         let head = challenged(&known.head, &self.inner.life);
         let began = harrierward_clock::now();
         let until = Instant::now() + ADOPT_HOLD;
@@ -224,7 +224,7 @@
             let mut takeovers = self.takeovers();
             let now = takeovers.now();
             let took = harrierward_clock::age(began);
-            takeovers.core.challenged(claim(&current), took, now);
+            takeovers.core.note_challenge(claim(&current), took, now);
         }
         self.learn(current);
     }
--- a/crates/inline-jobs/tests/stale_listing.rs
+++ b/crates/inline-jobs/tests/stale_listing.rs
@@ -23,7 +23,7 @@
     InlineJobs, JobCaller, JobParts, JobSettings, KnownHead, Lookup, Peers, QuotaRequest,
     ResultPage,
 };
-use harrierward_ownership::OwnerStanding;
+use harrierward_ownership::OwnerStatus;
 use harrierward_serving::{
     ExchangeError, Forwarder, ForwarderParts, ForwarderSettings, ItemRoom, KeyTrust, LeaseEnd,
     NoQuarantine, RateAnswer, RateLimits, Replica, ReplicaAnswer, ReplicaClient, ReplicaRequest,
@@ -144,8 +144,8 @@
 
 #[async_trait]
 impl Peers for Nothing {
-    fn standing(&self, _owner: &str) -> OwnerStanding {
-        OwnerStanding::Gone
+    fn standing(&self, _owner: &str) -> OwnerStatus {
+        OwnerStatus::Absent
     }
 
     fn owners_near(&self, _owner: &str) -> Vec<String> {
--- a/crates/node/src/ownership.rs
+++ b/crates/node/src/ownership.rs
@@ -13,7 +13,7 @@
     TransactionOutcome,
 };
 use harrierward_gateway::Replica;
-use harrierward_ownership::Rests;
+use harrierward_ownership::Cooldowns;
 use harrierward_wire::{OwnershipRow, decode, encode};
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -61,7 +61,7 @@
     /// Something was lost, and what else is held has not been compared with the table since.
     must_verify: bool,
     /// Members that took something from this one live, whatever its view says, and are left alone for a while.
-    rests: Rests,
+    rests: Cooldowns,
 }
 
 /// Patience with a member that took something from this one the first time, in times of the first patience; it doubles each
@@ -164,7 +164,7 @@
             .retain(|asset, _| wanted.contains(asset));
         ownership.lost.retain(|asset| wanted.contains(asset));
         let longest = shared.settings.ownership_patience * LONGEST_REST;
-        ownership.rests.forget(longest, now);
+        ownership.rests.expire(longest, now);
         for asset in wanted {
             ownership.wanted_since.entry(asset.clone()).or_insert(now);
         }
@@ -221,7 +221,7 @@
     let longest = first * LONGEST_REST;
     if was_lost {
         let rests = &mut ownership.rests;
-        rests.extend(&owner, first * FIRST_REST, longest, now);
+        rests.start(&owner, first * FIRST_REST, longest, now);
     }
     if now < ownership.rests.until(&owner) {
         return false;
--- a/crates/ownership/src/takeovers.rs
+++ b/crates/ownership/src/takeovers.rs
@@ -3,63 +3,63 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::rests::Rests;
+use crate::cooldowns::Cooldowns;
 
 /// How long a challenge must stand, and how long an owner that refuted one is left alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TakeoverBounds {
     /// Time from the answer to the challenge's write to the takeover.
-    pub challenge_stands: Duration,
-    /// Part of the challenge's write, of its own length, for which it stands in addition: a store that is slow for the
+    pub challenge_duration: Duration,
+    /// Part of the challenge's write, of its own duration, for which it duration in addition: a store that is slow for the
     /// challenger is as slow for the owner, which must hear of the challenge and write once.
-    pub write_lengths: u32,
-    /// How long an owner is left alone after its first refutation.
-    pub first_rest: Duration,
+    pub write_time_factor: u32,
+    /// How long an owner is left alone after its initial refutation.
+    pub initial_cooldown: Duration,
     /// How long at most; each refutation doubles it.
-    pub longest_rest: Duration,
-    /// Doublings at most of the time for which a challenge stands; each takeover under a challenge doubles it.
-    pub most_doublings: u32,
+    pub max_cooldown: Duration,
+    /// Doublings at most of the time for which a challenge duration; each takeover under a challenge doubles it.
+    pub max_doublings: u32,
 }
 
 impl Default for TakeoverBounds {
     fn default() -> Self {
         Self {
             // A watch of the largest fleets gathers changes for 0.8 s, and two writes take some milliseconds.
-            challenge_stands: Duration::from_millis(1_100),
-            write_lengths: 2,
-            first_rest: Duration::from_secs(2),
-            // 260 owners beyond a cut: a challenge, a refutation and a take that comes too late in each rest, 39 writes a second
+            challenge_duration: Duration::from_millis(1_100),
+            write_time_factor: 2,
+            initial_cooldown: Duration::from_secs(2),
+            // 260 owners beyond a cut: a challenge, a refutation and a take that comes too late in each cooldown, 39 writes a second
             // of the 800 that a store takes.
-            longest_rest: Duration::from_secs(20),
+            max_cooldown: Duration::from_secs(20),
             // 4.4 s: an owner whose watch lags by more than that hears of no end of a job in time either.
-            most_doublings: 2,
+            max_doublings: 2,
         }
     }
 }
 
 /// How a daemon sees the owner of a thing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OwnerStanding {
+pub enum OwnerStatus {
     /// It is there and may own things.
     Present,
     /// Nobody owns the thing: its owner gave it up.
-    GivenUp,
+    Unowned,
     /// The owner's machine runs a later start of the daemon.
-    Succeeded,
+    Superseded,
     /// It is not in the view.
-    Gone,
+    Absent,
     /// It is in the view and says that it cannot reach the store, or that it leaves.
     Detached,
 }
 
-impl OwnerStanding {
+impl OwnerStatus {
     /// For lines and figures.
     pub fn name(self) -> &'static str {
         match self {
             Self::Present => "present",
-            Self::GivenUp => "given up",
-            Self::Succeeded => "succeeded by a later start",
-            Self::Gone => "gone from the view",
+            Self::Unowned => "given up",
+            Self::Superseded => "succeeded by a later start",
+            Self::Absent => "gone from the view",
             Self::Detached => "detached from the store, or leaving",
         }
     }
@@ -67,9 +67,9 @@
 
 /// The record of a thing, as far as its ownership goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Claim<'a> {
+pub struct OwnershipRecord<'a> {
     /// The thing.
-    pub asset: &'a str,
+    pub resource: &'a str,
     /// Its owner; empty if nobody owns it.
     pub owner: &'a str,
     /// Who challenged the owner; empty if nobody did since the owner last wrote the record.
@@ -90,7 +90,7 @@
     /// Write the own name into the record, under its revision.
     Challenge,
     /// Become the owner, under the record's revision.
-    Take,
+    TakeOver,
 }
 
 /// A thing whose owner is held for gone.
@@ -98,14 +98,14 @@
 struct Missing {
     owner: String,
     since: Duration,
-    /// The challenge that stands, and when it has stood for long enough.
+    /// The challenge that duration, and when it has stood for long enough.
     challenge: Option<(u64, Duration)>,
-    /// How long this daemon lets others go first, and when that was found out.
+    /// How long this daemon lets others go initial, and when that was found out.
     delay: Option<(Duration, Duration)>,
 }
 
 /// How long a daemon's place in the order of a thing is believed: it costs a look at all members.
-const DELAY_HOLDS: Duration = Duration::from_secs(1);
+const DELAY_TTL: Duration = Duration::from_secs(1);
 
 impl Missing {
     fn new(owner: &str, now: Duration) -> Self {
@@ -120,7 +120,7 @@
     fn delay(&mut self, find: impl FnOnce() -> Duration, now: Duration) -> Duration {
         let known = self
             .delay
-            .filter(|(_, found_at)| now < *found_at + DELAY_HOLDS);
+            .filter(|(_, found_at)| now < *found_at + DELAY_TTL);
         let (delay, found_at) = known.unwrap_or_else(|| (find(), now));
         self.delay = Some((delay, found_at));
         delay
@@ -132,9 +132,9 @@
 pub struct Takeovers {
     bounds: TakeoverBounds,
     missing: HashMap<String, Missing>,
-    rests: Rests,
-    /// By how much this daemon's rests are longer, so that not all daemons challenge at the same moment.
-    rests_longer: f64,
+    cooldowns: Cooldowns,
+    /// By how much this daemon's cooldowns are longer, so that not all daemons challenge at the same moment.
+    jitter_factor: f64,
 }
 
 impl Takeovers {
@@ -142,59 +142,63 @@
     pub fn new(bounds: TakeoverBounds, draw: f64) -> Self {
         Self {
             bounds,
-            rests_longer: 1.0 + draw.clamp(0.0, 1.0) / 2.0,
+            jitter_factor: 1.0 + draw.clamp(0.0, 1.0) / 2.0,
             ..Self::default()
         }
     }
 
-    /// What to do about a thing, whose owner has this standing. Daemons act one after the other: this one after `delay`, which is
+    /// What to do about a thing, whose owner has this status. Daemons act one after the other: this one after `delay`, which is
     /// asked for only where it counts.
     pub fn step(
         &mut self,
-        claim: Claim<'_>,
-        standing: OwnerStanding,
+        claim: OwnershipRecord<'_>,
+        status: OwnerStatus,
         delay: impl FnOnce() -> Duration,
         now: Duration,
     ) -> Step {
-        if standing == OwnerStanding::Present {
-            self.missing.remove(claim.asset);
-            self.rests.end(claim.owner);
+        if status == OwnerStatus::Present {
+            self.missing.remove(claim.resource);
+            self.cooldowns.clear(claim.owner);
             return Step::Wait;
         }
-        if matches!(standing, OwnerStanding::GivenUp | OwnerStanding::Succeeded) {
-            return self.consider_certain(claim, delay, now);
+        if matches!(status, OwnerStatus::Unowned | OwnerStatus::Superseded) {
+            return self.consider_takeover(claim, delay, now);
         }
         if !claim.challenger.is_empty() {
-            return self.consider_taking(claim, delay, now);
+            return self.consider_challenged(claim, delay, now);
         }
         self.consider_challenge(claim, delay, now)
     }
 
-    /// Nobody can refute that the owner is gone: a rest of it counts no more.
-    fn consider_certain(
+    /// Nobody can refute that the owner is gone: a cooldown of it counts no more.
+    fn consider_takeover(
         &mut self,
-        claim: Claim<'_>,
+        claim: OwnershipRecord<'_>,
         delay: impl FnOnce() -> Duration,
         now: Duration,
     ) -> Step {
         let missing = self.missing(claim, now);
         let due = missing.since + missing.delay(delay, now);
-        if now >= due { Step::Take } else { Step::Wait }
+        if now >= due {
+            Step::TakeOver
+        } else {
+            Step::Wait
+        }
     }
 
     fn consider_challenge(
         &mut self,
-        claim: Claim<'_>,
+        claim: OwnershipRecord<'_>,
         delay: impl FnOnce() -> Duration,
         now: Duration,
     ) -> Step {
-        let rested = self.rests.until(claim.owner);
+        let cooldown_until = self.cooldowns.until(claim.owner);
         let missing = self.missing(claim, now);
-        if now < rested {
+        if now < cooldown_until {
             return Step::Wait;
         }
-        // After a rest daemons act in their order again, or all would write at its end.
-        let due = missing.since.max(rested) + missing.delay(delay, now);
+        // After a cooldown daemons act in their order again, or all would write at its end.
+        let due = missing.since.max(cooldown_until) + missing.delay(delay, now);
         if now >= due {
             Step::Challenge
         } else {
@@ -202,8 +206,8 @@
         }
     }
 
-    fn missing(&mut self, claim: Claim<'_>, now: Duration) -> &mut Missing {
-        let missing = self.missing.entry(claim.asset.to_owned());
+    fn missing(&mut self, claim: OwnershipRecord<'_>, now: Duration) -> &mut Missing {
+        let missing = self.missing.entry(claim.resource.to_owned());
         let missing = missing.or_insert_with(|| Missing::new(claim.owner, now));
         if missing.owner != claim.owner {
             *missing = Missing::new(claim.owner, now);
@@ -212,34 +216,39 @@
     }
 
     /// How long a challenge of a thing must stand.
-    fn stands(&self, takeovers: u32) -> Duration {
-        let doublings = takeovers.min(self.bounds.most_doublings);
-        self.bounds.challenge_stands * 2_u32.pow(doublings)
+    fn challenge_duration(&self, takeovers: u32) -> Duration {
+        let doublings = takeovers.min(self.bounds.max_doublings);
+        self.bounds.challenge_duration * 2_u32.pow(doublings)
     }
 
-    /// Somebody has challenged the owner. Who did takes the thing first; the others, in their order, if it does not.
-    fn consider_taking(
+    /// Somebody has challenged the owner. Who did takes the thing initial; the others, in their order, if it does not.
+    fn consider_challenged(
         &mut self,
-        claim: Claim<'_>,
+        claim: OwnershipRecord<'_>,
         delay: impl FnOnce() -> Duration,
         now: Duration,
     ) -> Step {
-        let stands = self.stands(claim.takeovers);
+        let duration = self.challenge_duration(claim.takeovers);
         let missing = self.missing(claim, now);
-        let stands = stands + missing.delay(delay, now);
+        let duration = duration + missing.delay(delay, now);
         let until = match missing.challenge {
             Some((revision, until)) if revision == claim.revision => until,
-            _ => now + stands,
+            _ => now + duration,
         };
         missing.challenge = Some((claim.revision, until));
-        if now >= until { Step::Take } else { Step::Wait }
+        if now >= until {
+            Step::TakeOver
+        } else {
+            Step::Wait
+        }
     }
 
     /// This daemon's challenge is in the record, as this claim says; its write took so long.
-    pub fn challenged(&mut self, claim: Claim<'_>, took: Duration, now: Duration) {
-        let stands = self.stands(claim.takeovers) + took * self.bounds.write_lengths;
-        if let Some(missing) = self.missing.get_mut(claim.asset) {
-            missing.challenge = Some((claim.revision, now + stands));
+    pub fn note_challenge(&mut self, claim: OwnershipRecord<'_>, took: Duration, now: Duration) {
+        let duration =
+            self.challenge_duration(claim.takeovers) + took * self.bounds.write_time_factor;
+        if let Some(missing) = self.missing.get_mut(claim.resource) {
+            missing.challenge = Some((claim.revision, now + duration));
         }
     }
 
@@ -247,8 +256,8 @@
     /// view, or is this daemon.
     pub fn note_change(
         &mut self,
-        before: Claim<'_>,
-        after: Claim<'_>,
+        before: OwnershipRecord<'_>,
+        after: OwnershipRecord<'_>,
         is_present: bool,
         now: Duration,
     ) {
@@ -264,16 +273,16 @@
             && !after.owner.is_empty()
             && before.owner != after.owner;
         if has_refuted || took_from_present {
-            let first = self.bounds.first_rest.mul_f64(self.rests_longer);
-            let longest = self.bounds.longest_rest.mul_f64(self.rests_longer);
-            self.rests.renew(after.owner, first, longest, now);
+            let initial = self.bounds.initial_cooldown.mul_f64(self.jitter_factor);
+            let max = self.bounds.max_cooldown.mul_f64(self.jitter_factor);
+            self.cooldowns.restart(after.owner, initial, max, now);
         }
     }
 
     /// Forgets things that `is_open` does not name, and owners that were left alone long ago.
     pub fn retain(&mut self, is_open: impl Fn(&str) -> bool, now: Duration) {
-        self.missing.retain(|asset, _| is_open(asset));
-        let longest = self.bounds.longest_rest.mul_f64(self.rests_longer);
-        self.rests.forget(longest, now);
+        self.missing.retain(|resource, _| is_open(resource));
+        let max = self.bounds.max_cooldown.mul_f64(self.jitter_factor);
+        self.cooldowns.expire(max, now);
     }
 }
--- a/crates/ownership/tests/takeovers.rs
+++ b/crates/ownership/tests/takeovers.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use harrierward_ownership::{Claim, OwnerStanding, Step, TakeoverBounds, Takeovers};
+use harrierward_ownership::{OwnerStatus, OwnershipRecord, Step, TakeoverBounds, Takeovers};
 use proptest::prelude::*;
 
 /// Granularity of the simulation: how often a daemon looks for things without an owner.
@@ -101,15 +101,15 @@
         !is_stopped && !is_dead
     }
 
-    fn standing(&self, of: usize, at: usize, now: Duration) -> OwnerStanding {
+    fn status(&self, of: usize, at: usize, now: Duration) -> OwnerStatus {
         let is_held_for_dead = self
             .world
             .dies
             .is_some_and(|(one, when, noticed)| one == of && now >= when + noticed);
         if is_held_for_dead || self.world.parts[of] != self.world.parts[at] {
-            OwnerStanding::Gone
+            OwnerStatus::Absent
         } else {
-            OwnerStanding::Present
+            OwnerStatus::Present
         }
     }
 
@@ -137,7 +137,7 @@
                     ..write.record.clone()
                 };
                 let names = Names::of(&record);
-                self.cores[write.by].challenged(names.claim(&record), took, now);
+                self.cores[write.by].note_challenge(names.claim(&record), took, now);
             }
             let record = Record {
                 revision,
@@ -168,7 +168,7 @@
         }
         let before = std::mem::replace(&mut self.seen[daemon], newest.clone());
         let is_present = before.owner == daemon
-            || self.standing(before.owner, daemon, now) == OwnerStanding::Present;
+            || self.status(before.owner, daemon, now) == OwnerStatus::Present;
         let names = Names::of(&before);
         let after = Names::of(&newest);
         self.cores[daemon].note_change(names.claim(&before), after.claim(&newest), is_present, now);
@@ -198,10 +198,10 @@
         let before = (0..daemon).filter(|other| parts[*other] == parts[daemon]);
         let before = before.filter(|other| *other != record.owner);
         let rank = u32::try_from(before.count()).expect("a small number");
-        let standing = self.standing(record.owner, daemon, now);
+        let status = self.status(record.owner, daemon, now);
         let names = Names::of(&record);
         let delay = || RANK_DELAY * rank;
-        let step = self.cores[daemon].step(names.claim(&record), standing, delay, now);
+        let step = self.cores[daemon].step(names.claim(&record), status, delay, now);
         match step {
             Step::Wait => {}
             Step::Challenge => self.send(
@@ -212,7 +212,7 @@
                     ..record
                 },
             ),
-            Step::Take => self.send(
+            Step::TakeOver => self.send(
                 daemon,
                 now,
                 Record {
@@ -265,9 +265,9 @@
         }
     }
 
-    fn claim(&self, record: &Record) -> Claim<'_> {
-        Claim {
-            asset: "thing",
+    fn claim(&self, record: &Record) -> OwnershipRecord<'_> {
+        OwnershipRecord {
+            resource: "thing",
             owner: &self.owner,
             challenger: &self.challenger,
             epoch: record.epoch,
@@ -433,8 +433,8 @@
 #[test]
 fn a_thing_of_an_owner_that_was_started_again_is_taken_in_its_rest() {
     let mut core = Takeovers::new(TakeoverBounds::default(), 1.0);
-    let claim = |challenger: &'static str, revision| Claim {
-        asset: "thing",
+    let claim = |challenger: &'static str, revision| OwnershipRecord {
+        resource: "thing",
         owner: "daemon-0",
         challenger,
         epoch: 1,
@@ -444,10 +444,13 @@
     let now = Duration::from_secs(10);
     core.note_change(claim("daemon-1", 1), claim("", 2), false, now);
     let step =
-        |core: &mut Takeovers, standing, at| core.step(claim("", 2), standing, || RANK_DELAY, at);
+        |core: &mut Takeovers, status, at| core.step(claim("", 2), status, || RANK_DELAY, at);
     let later = now + Duration::from_secs(1);
-    assert_eq!(step(&mut core, OwnerStanding::Gone, later), Step::Wait);
+    assert_eq!(step(&mut core, OwnerStatus::Absent, later), Step::Wait);
     let later = later + RANK_DELAY;
-    assert_eq!(step(&mut core, OwnerStanding::Gone, later), Step::Wait);
-    assert_eq!(step(&mut core, OwnerStanding::Succeeded, later), Step::Take);
+    assert_eq!(step(&mut core, OwnerStatus::Absent, later), Step::Wait);
+    assert_eq!(
+        step(&mut core, OwnerStatus::Superseded, later),
+        Step::TakeOver
+    );
 }
--- a/crates/quarantine/tests/ledger.rs
+++ b/crates/quarantine/tests/ledger.rs
@@ -41,7 +41,7 @@
     crash(&mut ledger, &[CULPRIT], 2, now + ms(5));
     assert!(
         !is_quarantined(&ledger, CULPRIT, now),
-        "an crash counts once"
+        "a crash counts once"
     );
     crash(&mut ledger, &[CULPRIT], 3, now + ms(9));
     assert!(is_quarantined(&ledger, CULPRIT, now + ms(10)));
