--- a/crates/edge/src/fleet.rs
+++ b/crates/edge/src/fleet.rs
@@ -4,13 +4,13 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use harrierward_tenants::{FleetMemory, SeenFleet};
+use harrierward_tenants::{FleetSize, FleetSizes};
 use tokio::time::Instant;
 
 /// The memory, shared by those who give out.
 #[derive(Debug)]
 pub struct SharedFleet {
-    memory: Mutex<FleetMemory>,
+    memory: Mutex<FleetSizes>,
 }
 
 impl SharedFleet {
@@ -18,17 +18,17 @@
     /// long.
     pub fn new(expects_others: bool) -> Self {
         Self {
-            memory: Mutex::new(FleetMemory::new(expects_others, harrierward_clock::now())),
+            memory: Mutex::new(FleetSizes::new(expects_others, harrierward_clock::now())),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, FleetMemory> {
+    fn lock(&self) -> MutexGuard<'_, FleetSizes> {
         self.memory.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// So many members, this one among them, are known now.
     pub fn see(&self, members: usize, now: Instant) {
-        self.lock().see(members, now);
+        self.lock().observe(members, now);
     }
 
     /// Part of each limit that members may give out which see `members` now, 0 to 1.
@@ -43,7 +43,7 @@
         let Some(at) = harrierward_clock::now().checked_sub(ago) else {
             return false;
         };
-        self.lock().take(SeenFleet { members, at });
+        self.lock().merge(FleetSize { members, at });
         true
     }
 
--- a/crates/edge/src/rates/asking.rs
+++ b/crates/edge/src/rates/asking.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use harrierward_serving::Location;
-use harrierward_tenants::{RateDecision, Tenant, TokenStock};
+use harrierward_tenants::{RateDecision, Tenant, TokenPool};
 use harrierward_wire::{RateAsk, RateOutcome, node_datagram};
 use tokio::time::Instant;
 
@@ -61,7 +61,7 @@
         let (fleet_members, fleet_seen_ms_ago) = self.fleet.describe(now);
         let state = self.lock();
         let stock = state.stocks.get(&tenant.name);
-        let wanted = stock.map_or(1, TokenStock::wanted);
+        let wanted = stock.map_or(1, TokenPool::wanted);
         RateAsk {
             number: self.next_call.fetch_add(1, Ordering::Relaxed),
             tenant: tenant.name.to_string(),
@@ -202,7 +202,7 @@
     fn give_out_to_self(&self, tenant: &Tenant) -> Asked {
         match self.give_out(tenant, 1) {
             Some(RateDecision::Granted { .. }) => Asked::Granted,
-            Some(RateDecision::Empty { retry_after }) => Asked::Empty(retry_after),
+            Some(RateDecision::Exhausted { retry_after }) => Asked::Empty(retry_after),
             None => Asked::Silent,
         }
     }
--- a/crates/edge/src/rates/giving.rs
+++ b/crates/edge/src/rates/giving.rs
@@ -39,7 +39,7 @@
         let stood_in = may
             && state
                 .ledger
-                .stand_in(&tenant.name, limit, &self.bounds, share, now);
+                .take_as_fallback(&tenant.name, limit, &self.bounds, share, now);
         drop(state);
         self.log.record(&Record::RateStoodIn {
             tenant: &tenant.name,
@@ -63,7 +63,7 @@
         members: &[CoordinatorCandidate],
         now: Instant,
     ) -> bool {
-        let Some(gone) = succession.gone(now) else {
+        let Some(gone) = succession.departed(now) else {
             return false;
         };
         let members = members.iter().map(|member| member.id.as_str());
@@ -111,7 +111,7 @@
                 tokens,
                 ..RateGrant::default()
             },
-            RateDecision::Empty { retry_after } => RateGrant {
+            RateDecision::Exhausted { retry_after } => RateGrant {
                 number: ask.number,
                 outcome: RateOutcome::Empty as i32,
                 retry_after_ms: u32::try_from(retry_after.as_millis()).unwrap_or(u32::MAX),
--- a/crates/edge/src/rates/mod.rs
+++ b/crates/edge/src/rates/mod.rs
@@ -5,7 +5,7 @@
 //! only requests for which a coordinator gave it a token; with nobody to ask, it refuses and the caller goes elsewhere.
 //!
 //! A coordinator that died is found out after a second or more. Until then the member that follows it gives out a
-//! bounded stock in its place ([`Succession`], [`RateLedger::stand_in`]).
+//! bounded stock in its place ([`Succession`], [`RateLedger::take_as_fallback`]).
 
 mod asking;
 mod giving;
@@ -19,7 +19,7 @@
 use async_trait::async_trait;
 use harrierward_decisions::{DecisionLog, Record};
 use harrierward_serving::{Location, RateAnswer, RateLimits, SharedRoutes};
-use harrierward_tenants::{RateBounds, RateLedger, Succession, Tenant, TokenStock};
+use harrierward_tenants::{RateBounds, RateLedger, Succession, Tenant, TokenPool};
 use harrierward_wire::{NodeDatagram, RateGrant, encode, node_datagram};
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
@@ -35,7 +35,7 @@
 
 struct State {
     ledger: RateLedger,
-    stocks: HashMap<Arc<str>, TokenStock>,
+    stocks: HashMap<Arc<str>, TokenPool>,
     silent_until: HashMap<String, Instant>,
     /// Another member has told how large the fleet was, or could not be asked.
     is_told: bool,
@@ -85,7 +85,7 @@
                 stocks: HashMap::new(),
                 silent_until: HashMap::new(),
                 is_told: false,
-                succession: Succession::new(bounds.in_doubt_for(), harrierward_clock::now()),
+                succession: Succession::new(bounds.accounting_period(), harrierward_clock::now()),
             }),
         }
     }
@@ -102,7 +102,7 @@
     }
 
     fn note_running(&self, state: &mut State, now: Instant) {
-        if let Some(stood_still) = state.ledger.note_running(now) {
+        if let Some(stood_still) = state.ledger.detect_stall(now) {
             self.log.record(&Record::RatesStoodStill {
                 stood_still_ms: u64::try_from(stood_still.as_millis()).unwrap_or(u64::MAX),
             });
--- a/crates/edge/tests/rates.rs
+++ b/crates/edge/tests/rates.rs
@@ -199,7 +199,7 @@
         let tenant = tenants.iter().find(of_other).expect("a tenant of it");
         assert_eq!(daemon.rates.admit(tenant, "r").await, RateAnswer::Within);
     }
-    tokio::time::sleep(SHORT.in_doubt_for()).await;
+    tokio::time::sleep(SHORT.accounting_period()).await;
     daemons
 }
 
@@ -249,7 +249,7 @@
         for asker in askers {
             asker.rates.set_members(all.clone());
         }
-        tokio::time::sleep(SHORT.in_doubt_for()).await;
+        tokio::time::sleep(SHORT.accounting_period()).await;
         seen += 1;
     }
     assert_eq!(seen, 4);
--- a/crates/slots/src/pacer.rs
+++ b/crates/slots/src/pacer.rs
@@ -39,7 +39,7 @@
     /// it or in the lifetime of grants before it, and in that time a coordinator gives out what it has burst and what
     /// accrues. Coordinators on the sides of a cut have shares that add up to 1 at the most.
     pub fn of(bounds: &RateBounds, limit: RateLimit, share: f64) -> Self {
-        let part = bounds.most_in_window(limit) * share / COORDINATORS_AT_ONCE;
+        let part = bounds.max_in_window(limit) * share / COORDINATORS_AT_ONCE;
         let counted_over = (bounds.window + COLD_GRANT_LIFETIME).as_secs_f64();
         let most = ((part - 1.0) / counted_over).max(0.0);
         let per_second = (limit.per_second() * share).min(most);
--- a/crates/slots/tests/pacer.rs
+++ b/crates/slots/tests/pacer.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use harrierward_slots::{COLD_GRANT_LIFETIME, ColdPace, ColdPacer, ColdUse};
-use harrierward_tenants::{FleetMemory, RateBounds, RateLimit};
+use harrierward_tenants::{FleetSizes, RateBounds, RateLimit};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -47,7 +47,7 @@
 
 struct Daemon {
     pacer: ColdPacer<u32>,
-    fleet: FleetMemory,
+    fleet: FleetSizes,
     view: BTreeSet<usize>,
     refresh_at: Option<Instant>,
     lives: bool,
@@ -60,8 +60,8 @@
 
 impl Daemon {
     fn start(side: usize, view: BTreeSet<usize>, now: Instant) -> Self {
-        let mut fleet = FleetMemory::new(true, now);
-        fleet.see(view.len(), now);
+        let mut fleet = FleetSizes::new(true, now);
+        fleet.observe(view.len(), now);
         Self {
             pacer: ColdPacer::new(now),
             fleet,
@@ -170,7 +170,7 @@
                 let mut view = self.reachable(self.daemons[number].side);
                 view.insert(number);
                 let daemon = &mut self.daemons[number];
-                daemon.fleet.see(view.len(), self.now);
+                daemon.fleet.observe(view.len(), self.now);
                 daemon.view = view;
                 daemon.refresh_at = None;
             }
@@ -318,7 +318,7 @@
 }
 
 fn bound() -> f64 {
-    BOUNDS.most_in_window(limit(BEARS))
+    BOUNDS.max_in_window(limit(BEARS))
 }
 
 proptest! {
@@ -345,7 +345,7 @@
     ) {
         let bounds = RateBounds { window: Duration::from_secs(1), excess: over, slack };
         let limit = RateLimit::new(per_second, 0.0).expect("a rate");
-        let most = bounds.most_in_window(limit);
+        let most = bounds.max_in_window(limit);
         let counted_over = (bounds.window + COLD_GRANT_LIFETIME).as_secs_f64();
         let given = |share: f64| {
             let pace = ColdPace::of(&bounds, limit, share);
@@ -389,7 +389,7 @@
         });
         plays.max().expect("plays") as f64
     };
-    let bound = BOUNDS.most_in_window(limit(BUSY));
+    let bound = BOUNDS.max_in_window(limit(BUSY));
     assert!(most(Fault::None) <= bound);
     let unsafe_one = most(Fault::IgnoresLifetime);
     assert!(unsafe_one > bound, "{unsafe_one} of {bound}");
--- a/crates/tenants/src/bucket.rs
+++ b/crates/tenants/src/bucket.rs
@@ -5,15 +5,15 @@
 use tokio::time::Instant;
 
 /// Longest time after which a caller is told to come back.
-pub const LONGEST_RETRY: Duration = Duration::from_secs(5);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// The bucket. Its rate and capacity come with each call, as they follow the configuration and the fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
     tokens: f64,
     filled_at: Instant,
-    /// Callers that were refused have been told to come back at moments up to this one.
-    booked_until: Instant,
+    /// Callers that were refusal have been told to come back at moments up to this one.
+    scheduled_until: Instant,
 }
 
 impl TokenBucket {
@@ -22,7 +22,7 @@
         Self {
             tokens,
             filled_at: now,
-            booked_until: now,
+            scheduled_until: now,
         }
     }
 
@@ -55,18 +55,18 @@
         tokens
     }
 
-    /// The moment at which the next refused caller finds a token. Each one is told another moment, so that those who
+    /// The moment at which the next refusal caller finds a token. Each one is told another moment, so that those who
     /// come back do not meet at one token.
-    pub fn book(&mut self, rate: f64, now: Instant) -> Duration {
+    pub fn schedule_retry(&mut self, rate: f64, now: Instant) -> Duration {
         if rate <= 0.0 {
-            return LONGEST_RETRY;
+            return MAX_RETRY_AFTER;
         }
-        let interval = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(LONGEST_RETRY);
+        let interval = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(MAX_RETRY_AFTER);
         let missing = (1.0 - self.tokens).max(0.0) / rate;
-        let missing = Duration::try_from_secs_f64(missing).unwrap_or(LONGEST_RETRY);
-        let next = (self.booked_until + interval).max(now + missing);
-        self.booked_until = next.min(now + LONGEST_RETRY);
-        next.saturating_duration_since(now).min(LONGEST_RETRY)
+        let missing = Duration::try_from_secs_f64(missing).unwrap_or(MAX_RETRY_AFTER);
+        let next = (self.scheduled_until + interval).max(now + missing);
+        self.scheduled_until = next.min(now + MAX_RETRY_AFTER);
+        next.saturating_duration_since(now).min(MAX_RETRY_AFTER)
     }
 }
 
--- a/crates/tenants/src/directory.rs
+++ b/crates/tenants/src/directory.rs
@@ -40,7 +40,7 @@
 pub enum DirectoryError {
     /// Two tenants have the same name.
     #[error("tenants: {name} is there twice")]
-    NameTwice {
+    DuplicateName {
         /// The name.
         name: String,
     },
@@ -77,7 +77,7 @@
             });
             let name = tenant.name.clone();
             if directory.by_name.insert(name, tenant.clone()).is_some() {
-                return Err(DirectoryError::NameTwice {
+                return Err(DirectoryError::DuplicateName {
                     name: spec.name.clone(),
                 });
             }
--- a/crates/tenants/src/starter.rs
+++ b/crates/tenants/src/initial_allowance.rs
@@ -10,31 +10,31 @@
 
 /// What is left of the stock of one tenant.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Starter {
+pub(crate) struct InitialAllowance {
     left: f64,
     /// From then on no window holds what was taken and what is taken next, so the stock is whole again.
-    whole_at: Instant,
+    full_at: Instant,
 }
 
-impl Starter {
+impl InitialAllowance {
     /// One of which so many tokens are left at `now`.
     pub(crate) fn new(left: f64, bounds: &RateBounds, now: Instant) -> Self {
         Self {
             left,
-            whole_at: now + bounds.in_doubt_for(),
+            full_at: now + bounds.accounting_period(),
         }
     }
 
     /// Tokens left of a stock that has `whole` at most.
     pub(crate) fn left(&self, whole: f64, now: Instant) -> f64 {
-        if self.is_whole(now) {
+        if self.is_full(now) {
             return whole;
         }
         self.left.min(whole)
     }
 
     /// True if it need not be remembered.
-    pub(crate) fn is_whole(&self, now: Instant) -> bool {
-        now >= self.whole_at
+    pub(crate) fn is_full(&self, now: Instant) -> bool {
+        now >= self.full_at
     }
 }
--- a/crates/tenants/src/ledger.rs
+++ b/crates/tenants/src/ledger.rs
@@ -5,17 +5,17 @@
 
 use tokio::time::Instant;
 
-use crate::bucket::{LONGEST_RETRY, TokenBucket};
+use crate::bucket::{MAX_RETRY_AFTER, TokenBucket};
+use crate::initial_allowance::InitialAllowance;
 use crate::rate::{RateBounds, RateLimit};
-use crate::starter::Starter;
 
 /// Most tenants for which this daemon remembers what it gave out without being their coordinator; 48 bytes and a name
 /// each. Beyond it stands in for no further ones.
-const MOST_STARTERS: usize = 1_024;
+const MAX_ALLOWANCES: usize = 1_024;
 
 /// A daemon that did not run for so long stood still. Longer than its ticks are apart on a busy machine, and shorter
 /// than the time after which members take one for dead.
-const STOOD_STILL_AFTER: Duration = Duration::from_millis(500);
+const STALL_THRESHOLD: Duration = Duration::from_millis(500);
 
 /// What becomes of a question for tokens.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -26,7 +26,7 @@
         tokens: u32,
     },
     /// The tenant is at its limit.
-    Empty {
+    Exhausted {
         /// When a token will be there for this caller.
         retry_after: Duration,
     },
@@ -37,7 +37,7 @@
 pub struct RateLedger {
     buckets: HashMap<String, TokenBucket>,
     /// Of tenants without a bucket here: what is left to begin with, or to stand in with.
-    starters: HashMap<String, Starter>,
+    allowances: HashMap<String, InitialAllowance>,
     /// When this daemon was last seen running.
     ran_at: Option<Instant>,
 }
@@ -47,10 +47,10 @@
     /// long it stood still, if it did.
     ///
     /// Why: another member may have given out what accrued in that time, and the buckets would give it out once more.
-    pub fn note_running(&mut self, now: Instant) -> Option<Duration> {
+    pub fn detect_stall(&mut self, now: Instant) -> Option<Duration> {
         let ran_at = self.ran_at.replace(now)?;
         let gap = now.saturating_duration_since(ran_at);
-        if gap < STOOD_STILL_AFTER {
+        if gap < STALL_THRESHOLD {
             return None;
         }
         for bucket in self.buckets.values_mut() {
@@ -73,22 +73,22 @@
         let rate = limit.per_second() * share;
         let capacity = bounds.capacity(limit) * share;
         if !self.buckets.contains_key(tenant) {
-            let whole = bounds.starter(limit) * share;
-            let starter = self.starters.remove(tenant);
-            let tokens = starter.map_or(whole, |starter| starter.left(whole, now));
+            let whole = bounds.initial_allowance(limit) * share;
+            let allowance = self.allowances.remove(tenant);
+            let tokens = allowance.map_or(whole, |allowance| allowance.left(whole, now));
             self.buckets
                 .insert(tenant.to_owned(), TokenBucket::new(tokens, now));
         }
         let Some(bucket) = self.buckets.get_mut(tenant) else {
-            return RateDecision::Empty {
-                retry_after: LONGEST_RETRY,
+            return RateDecision::Exhausted {
+                retry_after: MAX_RETRY_AFTER,
             };
         };
         bucket.fill(rate, capacity, now);
         let tokens = bucket.take(wanted);
         if tokens == 0 {
-            return RateDecision::Empty {
-                retry_after: bucket.book(rate, now),
+            return RateDecision::Exhausted {
+                retry_after: bucket.schedule_retry(rate, now),
             };
         }
         RateDecision::Granted { tokens }
@@ -99,7 +99,7 @@
     /// if that is used up.
     ///
     /// Why bounded: the coordinator may be silent to this asker alone, and give out the whole limit to all others.
-    pub fn stand_in(
+    pub fn take_as_fallback(
         &mut self,
         tenant: &str,
         limit: RateLimit,
@@ -107,25 +107,26 @@
         share: f64,
         now: Instant,
     ) -> bool {
-        if !self.starters.contains_key(tenant) && !self.has_room(now) {
+        if !self.allowances.contains_key(tenant) && !self.has_capacity(now) {
             return false;
         }
-        let whole = bounds.starter(limit) * share;
-        let starter = self.starters.get(tenant);
-        let left = starter.map_or(whole, |starter| starter.left(whole, now));
+        let whole = bounds.initial_allowance(limit) * share;
+        let allowance = self.allowances.get(tenant);
+        let left = allowance.map_or(whole, |allowance| allowance.left(whole, now));
         if left < 1.0 {
             return false;
         }
-        let starter = Starter::new(left - 1.0, bounds, now);
-        self.starters.insert(tenant.to_owned(), starter);
+        let allowance = InitialAllowance::new(left - 1.0, bounds, now);
+        self.allowances.insert(tenant.to_owned(), allowance);
         true
     }
 
-    fn has_room(&mut self, now: Instant) -> bool {
-        if self.starters.len() >= MOST_STARTERS {
-            self.starters.retain(|_, starter| !starter.is_whole(now));
+    fn has_capacity(&mut self, now: Instant) -> bool {
+        if self.allowances.len() >= MAX_ALLOWANCES {
+            self.allowances
+                .retain(|_, allowance| !allowance.is_full(now));
         }
-        self.starters.len() < MOST_STARTERS
+        self.allowances.len() < MAX_ALLOWANCES
     }
 
     /// Forgets the counts of tenants that this daemon does not coordinate any more: should it coordinate them again,
@@ -138,13 +139,13 @@
         coordinates: impl Fn(&str) -> bool,
     ) -> usize {
         let before = self.buckets.len();
-        let starters = &mut self.starters;
-        starters.retain(|_, starter| !starter.is_whole(now));
+        let allowances = &mut self.allowances;
+        allowances.retain(|_, allowance| !allowance.is_full(now));
         self.buckets.retain(|tenant, bucket| {
             let is_kept = coordinates(tenant);
             if !is_kept {
-                let left = Starter::new(bucket.tokens(), bounds, now);
-                starters.insert(tenant.clone(), left);
+                let left = InitialAllowance::new(bucket.tokens(), bounds, now);
+                allowances.insert(tenant.clone(), left);
             }
             is_kept
         });
--- a/crates/tenants/src/rate.rs
+++ b/crates/tenants/src/rate.rs
@@ -7,14 +7,14 @@
 pub const TOKEN_LIFETIME: Duration = Duration::from_millis(500);
 
 /// Highest rate and burst that are taken for meant, requests a second and requests.
-const HIGHEST: f64 = 1e9;
+const MAX_VALUE: f64 = 1e9;
 
 /// Part of the permitted excess that a coordinator uses for its burst. The rest is kept for coordinators that follow
-/// each other within one window, each of which begins with [`STARTER_PART`] of it.
-const BURST_PART: f64 = 0.5;
+/// each other within one window, each of which begins with [`INITIAL_ALLOWANCE_SHARE`] of it.
+const BURST_SHARE: f64 = 0.5;
 
 /// Part of the permitted excess with which a new coordinator begins.
-const STARTER_PART: f64 = 0.25;
+const INITIAL_ALLOWANCE_SHARE: f64 = 0.25;
 
 /// A tenant's limit. Both values are finite and not negative.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -49,7 +49,7 @@
     /// A value is negative, not a number, or absurdly high.
     pub fn new(per_second: f64, burst: f64) -> Result<Self, InvalidRate> {
         for (field, value) in [("rate", per_second), ("burst", burst)] {
-            if !(0.0..=HIGHEST).contains(&value) {
+            if !(0.0..=MAX_VALUE).contains(&value) {
                 return Err(InvalidRate { field, value });
             }
         }
@@ -80,7 +80,7 @@
 
 impl RateBounds {
     /// Most requests that may run in any window.
-    pub fn most_in_window(&self, limit: RateLimit) -> f64 {
+    pub fn max_in_window(&self, limit: RateLimit) -> f64 {
         self.allowed(limit) + self.permitted_excess(limit)
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// How long tokens that were given out count: they are used within their lifetime, and a window after that is over.
-    pub fn in_doubt_for(&self) -> Duration {
+    pub fn accounting_period(&self) -> Duration {
         self.window + TOKEN_LIFETIME
     }
 
@@ -101,13 +101,13 @@
     /// or in [`TOKEN_LIFETIME`] before it, so what accrues in that time is taken off the burst.
     pub(crate) fn capacity(&self, limit: RateLimit) -> f64 {
         let resting = limit.per_second * TOKEN_LIFETIME.as_secs_f64();
-        let excess = self.permitted_excess(limit) * BURST_PART;
+        let excess = self.permitted_excess(limit) * BURST_SHARE;
         (limit.burst + excess - resting).max(1.0)
     }
 
     /// Tokens with which a new coordinator begins: an earlier one may have given out all others.
-    pub(crate) fn starter(&self, limit: RateLimit) -> f64 {
-        let excess = self.permitted_excess(limit) * STARTER_PART;
+    pub(crate) fn initial_allowance(&self, limit: RateLimit) -> f64 {
+        let excess = self.permitted_excess(limit) * INITIAL_ALLOWANCE_SHARE;
         excess.min(self.capacity(limit))
     }
 }
--- a/crates/tenants/src/stock.rs
+++ b/crates/tenants/src/token_pool.rs
@@ -8,17 +8,17 @@
 use crate::rate::TOKEN_LIFETIME;
 
 /// Time ahead for which tokens are asked. Half of their lifetime, so that few of them lapse unused.
-const AHEAD: Duration = Duration::from_millis(250);
+const LOOKAHEAD: Duration = Duration::from_millis(250);
 
 /// Most tokens asked for at once.
-const MOST_WANTED: u32 = 64;
+const MAX_WANTED: u32 = 64;
 
 /// Time over which the rate of requests is averaged.
-const AVERAGED_OVER: Duration = Duration::from_secs(1);
+const AVERAGING_WINDOW: Duration = Duration::from_secs(1);
 
 /// Longest time for which a daemon refuses by itself after its coordinator had nothing: bounds the questions of a
 /// tenant far above its limit.
-const LONGEST_REFUSAL: Duration = Duration::from_millis(50);
+const MAX_REFUSAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Clone, Copy)]
 struct Batch {
@@ -28,24 +28,24 @@
 
 /// The stock.
 #[derive(Debug, Default)]
-pub struct TokenStock {
+pub struct TokenPool {
     batches: VecDeque<Batch>,
     /// Requests a second, averaged.
     demand: f64,
     last_request: Option<Instant>,
-    refused: Option<Refused>,
+    refusal: Option<Refusal>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Refused {
+struct Refusal {
     until: Instant,
-    come_back_at: Instant,
+    retry_at: Instant,
 }
 
-impl TokenStock {
+impl TokenPool {
     /// Counts a request of the tenant.
     pub fn note_request(&mut self, now: Instant) {
-        let averaged = AVERAGED_OVER.as_secs_f64();
+        let averaged = AVERAGING_WINDOW.as_secs_f64();
         let since = self.last_request.map_or(averaged, |last| {
             now.saturating_duration_since(last).as_secs_f64()
         });
@@ -75,8 +75,8 @@
     /// Tokens to ask for: those of the next requests, one at least.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn wanted(&self) -> u32 {
-        let expected = (self.demand * AHEAD.as_secs_f64()).floor();
-        (expected as u32).clamp(1, MOST_WANTED)
+        let expected = (self.demand * LOOKAHEAD.as_secs_f64()).floor();
+        (expected as u32).clamp(1, MAX_WANTED)
     }
 
     /// Keeps tokens that were asked for at `asked_at`; they lapse a fixed time after that, however late they come.
@@ -91,15 +91,15 @@
 
     /// The coordinator had nothing; a caller may come back after `retry_after`.
     pub fn note_refusal(&mut self, retry_after: Duration, now: Instant) {
-        self.refused = Some(Refused {
-            until: now + retry_after.min(LONGEST_REFUSAL),
-            come_back_at: now + retry_after,
+        self.refusal = Some(Refusal {
+            until: now + retry_after.min(MAX_REFUSAL),
+            retry_at: now + retry_after,
         });
     }
 
     /// When a caller may come back, while this daemon need not ask to know that there is nothing.
     pub fn refusal(&self, now: Instant) -> Option<Duration> {
-        let refused = self.refused.filter(|refused| now < refused.until)?;
-        Some(refused.come_back_at.saturating_duration_since(now))
+        let refusal = self.refusal.filter(|refusal| now < refusal.until)?;
+        Some(refusal.retry_at.saturating_duration_since(now))
     }
 }
--- a/crates/tenants/tests/directory.rs
+++ b/crates/tenants/tests/directory.rs
@@ -38,7 +38,7 @@
     assert!(text.contains("ada") && text.contains("bo"), "{text}");
     assert!(!text.contains("secret-key"), "{text}");
     let twice = TenantDirectory::new(&[spec("ada", &[]), spec("ada", &[])]);
-    assert!(matches!(twice, Err(DirectoryError::NameTwice { .. })));
+    assert!(matches!(twice, Err(DirectoryError::DuplicateName { .. })));
 }
 
 #[test]
--- a/crates/tenants/tests/rates.rs
+++ b/crates/tenants/tests/rates.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use harrierward_tenants::{
-    FleetMemory, RateBounds, RateDecision, RateLedger, RateLimit, Succession, TOKEN_LIFETIME,
-    TokenStock,
+    FleetSizes, RateBounds, RateDecision, RateLedger, RateLimit, Succession, TOKEN_LIFETIME,
+    TokenPool,
 };
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
@@ -33,8 +33,8 @@
 /// A daemon: what it believes of the fleet, the tokens that it holds and gives out.
 struct Daemon {
     ledger: RateLedger,
-    stock: TokenStock,
-    fleet: FleetMemory,
+    stock: TokenPool,
+    fleet: FleetSizes,
     view: Vec<usize>,
     silent_until: Option<Instant>,
     succession: Succession,
@@ -49,11 +49,11 @@
     fn start(side: usize, now: Instant) -> Self {
         Self {
             ledger: RateLedger::default(),
-            stock: TokenStock::default(),
-            fleet: FleetMemory::new(true, now),
+            stock: TokenPool::default(),
+            fleet: FleetSizes::new(true, now),
             view: Vec::new(),
             silent_until: None,
-            succession: Succession::new(BOUNDS.in_doubt_for(), now),
+            succession: Succession::new(BOUNDS.accounting_period(), now),
             lives: true,
             frozen_until: None,
             side,
@@ -107,7 +107,7 @@
         let daemons = (0..size).map(|_| {
             let mut daemon = Daemon::start(0, now);
             daemon.view.clone_from(&view);
-            daemon.fleet.see(size, now);
+            daemon.fleet.observe(size, now);
             daemon
         });
         Self {
@@ -137,7 +137,7 @@
     /// True if a daemon may give out tokens for the coordinator that is silent to another one.
     fn may_stand_in(&self, daemon: usize, silent: usize) -> bool {
         let own = &self.daemons[daemon];
-        let Some(gone) = own.succession.gone(self.now) else {
+        let Some(gone) = own.succession.departed(self.now) else {
             return false;
         };
         let gone = gone.filter_map(|id| id.parse().ok());
@@ -154,7 +154,9 @@
         let (limit, now) = (self.limit, self.now);
         let daemon = &mut self.daemons[daemon];
         let share = daemon.fleet.share(daemon.view.len(), now);
-        daemon.ledger.stand_in(TENANT, limit, &BOUNDS, share, now)
+        daemon
+            .ledger
+            .take_as_fallback(TENANT, limit, &BOUNDS, share, now)
     }
 
     /// The coordinator is silent to this daemon, which asks the one that follows.
@@ -235,7 +237,7 @@
             let is_there = |id: &str| view.iter().any(|member| member.to_string() == id);
             daemon.succession.note_change(gone, is_there, now);
             daemon.view = view;
-            daemon.fleet.see(daemon.view.len(), now);
+            daemon.fleet.observe(daemon.view.len(), now);
         }
         for number in 0..self.daemons.len() {
             let coordinates = self.coordinator(number) == number;
@@ -289,7 +291,7 @@
         if coordinator == daemon {
             match self.give_out(daemon, 1) {
                 RateDecision::Granted { .. } => self.admit(),
-                RateDecision::Empty { .. } => self.refused += 1,
+                RateDecision::Exhausted { .. } => self.refused += 1,
             }
             return;
         }
@@ -333,14 +335,14 @@
             }
             let wanted = self.daemons[ask.from].stock.wanted();
             if let Some(seen) = self.daemons[ask.from].fleet.largest(self.now) {
-                self.daemons[ask.to].fleet.take(seen);
+                self.daemons[ask.to].fleet.merge(seen);
             }
             match self.give_out(ask.to, wanted) {
                 RateDecision::Granted { tokens, .. } => {
                     self.daemons[ask.from].stock.keep(tokens - 1, ask.asked_at);
                     self.admit();
                 }
-                RateDecision::Empty { retry_after } => {
+                RateDecision::Exhausted { retry_after } => {
                     let now = self.now;
                     self.daemons[ask.from].stock.note_refusal(retry_after, now);
                     self.refused += 1;
@@ -383,7 +385,7 @@
         for daemon in &mut self.daemons {
             thawed |= daemon.frozen_until.take_if(|until| *until <= now).is_some();
             if daemon.frozen_until.is_none() {
-                daemon.ledger.note_running(now);
+                daemon.ledger.detect_stall(now);
             }
         }
         if thawed {
@@ -400,7 +402,7 @@
     }
 
     fn bound(&self) -> f64 {
-        BOUNDS.most_in_window(self.limit)
+        BOUNDS.max_in_window(self.limit)
     }
 }
 
@@ -505,7 +507,7 @@
     let limit = limit(10.0, 20.0);
     let mut ledger = RateLedger::default();
     let take = |ledger: &mut RateLedger, at: Instant| {
-        let stood_still = ledger.note_running(at);
+        let stood_still = ledger.detect_stall(at);
         let decision = ledger.take(TENANT, limit, &BOUNDS, 1.0, 100, at);
         (stood_still, decision)
     };
@@ -517,7 +519,7 @@
     let (stood_still, decision) = take(&mut ledger, woken);
     assert_eq!(stood_still, Some(Duration::from_secs(4)));
     assert!(
-        matches!(decision, RateDecision::Empty { .. }),
+        matches!(decision, RateDecision::Exhausted { .. }),
         "{decision:?}"
     );
 }
@@ -564,7 +566,7 @@
         fleet.pass(Duration::from_secs(6), 400.0, &mut random);
         most.push(fleet.most_in_window as f64);
     }
-    let bound = BOUNDS.most_in_window(limit(80.0, 80.0));
+    let bound = BOUNDS.max_in_window(limit(80.0, 80.0));
     assert!(most[0] <= bound, "{} of {bound}", most[0]);
     assert!(most[1] > bound, "the unsafe variant admits {}", most[1]);
 }
@@ -575,7 +577,7 @@
 fn halves_that_do_not_hear_each_other_for_long_give_out_a_limit_each_and_no_more() {
     const DAEMONS: usize = 60;
     const REMEMBERED: Duration = Duration::from_secs(20);
-    let bound = BOUNDS.most_in_window(limit(80.0, 80.0));
+    let bound = BOUNDS.max_in_window(limit(80.0, 80.0));
     let mut random = SmallRng::seed_from_u64(11);
     let mut fleet = Fleet::new(DAEMONS, limit(80.0, 80.0));
     fleet.pass(Duration::from_secs(6), 400.0, &mut random);
@@ -611,7 +613,7 @@
         assert!(fleet.stood_in > 0);
         most.push(fleet.most_in_window as f64);
     }
-    let bound = BOUNDS.most_in_window(limit(40.0, 40.0));
+    let bound = BOUNDS.max_in_window(limit(40.0, 40.0));
     assert!(most[0] <= bound, "{} of {bound}", most[0]);
     assert!(most[1] > bound, "the unsafe variant admits {}", most[1]);
 }
@@ -656,16 +658,16 @@
     let mut ledger = RateLedger::default();
     let count = |ledger: &mut RateLedger, at: Instant| {
         (0..100)
-            .filter(|_| ledger.stand_in(TENANT, limit, &BOUNDS, 1.0, at))
+            .filter(|_| ledger.take_as_fallback(TENANT, limit, &BOUNDS, 1.0, at))
             .count()
     };
     // A quarter of (2/s x 5 s + 2) x 0.1 + 20.
     assert_eq!(count(&mut ledger, start), 5);
     assert_eq!(count(&mut ledger, start + BOUNDS.window), 0);
-    assert_eq!(count(&mut ledger, start + BOUNDS.in_doubt_for()), 5);
-    let now = start + BOUNDS.in_doubt_for() + STEP;
+    assert_eq!(count(&mut ledger, start + BOUNDS.accounting_period()), 5);
+    let now = start + BOUNDS.accounting_period() + STEP;
     let decision = ledger.take(TENANT, limit, &BOUNDS, 1.0, 100, now);
-    assert!(matches!(decision, RateDecision::Empty { .. }));
+    assert!(matches!(decision, RateDecision::Exhausted { .. }));
     // It accrued four tokens, then another member came first, and this one stands in for that.
     let now = now + Duration::from_secs(2);
     let decision = ledger.take(TENANT, limit, &BOUNDS, 1.0, 2, now);
@@ -677,11 +679,11 @@
 #[test]
 fn the_share_of_members_that_are_gone_is_given_out_after_a_while() {
     let start = Instant::now();
-    let mut fleet = FleetMemory::new(true, start);
-    fleet.see(61, start);
-    fleet.see(40, start + Duration::from_secs(1));
+    let mut fleet = FleetSizes::new(true, start);
+    fleet.observe(61, start);
+    fleet.observe(40, start + Duration::from_secs(1));
     let share =
-        |fleet: &mut FleetMemory, seconds| fleet.share(40, start + Duration::from_secs(seconds));
+        |fleet: &mut FleetSizes, seconds| fleet.share(40, start + Duration::from_secs(seconds));
     assert!((share(&mut fleet, 5) - 40.0 / 61.0).abs() < 1e-9);
     assert!((share(&mut fleet, 25) - 1.0).abs() < 1e-9);
 }
@@ -690,19 +692,19 @@
 #[test]
 fn a_member_that_expects_others_gives_out_nothing_until_it_finds_them_or_has_looked_for_long() {
     let start = Instant::now();
-    let mut fleet = FleetMemory::new(true, start);
-    fleet.see(1, start);
+    let mut fleet = FleetSizes::new(true, start);
+    fleet.observe(1, start);
     assert!(fleet.share(1, start + Duration::from_secs(19)) == 0.0);
     assert!((fleet.share(1, start + Duration::from_secs(21)) - 1.0).abs() < 1e-9);
-    let mut joined = FleetMemory::new(true, start);
-    joined.see(2, start + Duration::from_secs(1));
+    let mut joined = FleetSizes::new(true, start);
+    joined.observe(2, start + Duration::from_secs(1));
     assert!((joined.share(2, start + Duration::from_secs(1)) - 1.0).abs() < 1e-9);
 }
 
 #[test]
 fn tokens_lapse_from_the_moment_of_the_question_however_late_the_answer_comes() {
     let asked_at = Instant::now();
-    let mut stock = TokenStock::default();
+    let mut stock = TokenPool::default();
     stock.keep(3, asked_at);
     assert!(stock.take(asked_at + TOKEN_LIFETIME - STEP));
     assert!(!stock.take(asked_at + TOKEN_LIFETIME));
@@ -721,7 +723,7 @@
     for _ in 0..40 {
         match ledger.take(TENANT, limit, &BOUNDS, 1.0, 1, start) {
             RateDecision::Granted { .. } => {}
-            RateDecision::Empty { retry_after } => returns.push(start + retry_after),
+            RateDecision::Exhausted { retry_after } => returns.push(start + retry_after),
         }
     }
     assert!(returns.len() >= 20, "{} are refused", returns.len());
