--- a/crates/edge/src/slots/reports.rs
+++ b/crates/edge/src/slots/reports.rs
@@ -34,7 +34,7 @@
             let mut state = self.lock();
             state
                 .ledger
-                .take_report(report, from, harrierward_clock::now());
+                .apply_report(report, from, harrierward_clock::now());
             self.observe_ended(&mut state);
         }
         self.take_outcomes(report);
--- a/crates/slots/src/admission.rs
+++ b/crates/slots/src/admission.rs
@@ -1,7 +1,7 @@
 //! Whether an online request that would wait for a slot is better told to come back, and when.
 //!
 //! Why: in a group whose slots are all taken, a request that is let in although it must be late makes the next ones
-//! late too. Callers that come back a moment later find slots, as peaks are short beside what callers wait.
+//! late too. Callers that come back a retry_at later find slots, as peaks are short beside what callers wait.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,21 +12,21 @@
 const HOLD_WEIGHT: f64 = 0.05;
 
 /// Requests that must have ended before their mean time is believed.
-const LEAST_OBSERVED: u32 = 16;
+const MIN_OBSERVATIONS: u32 = 16;
 
 /// Time over which arrivals are averaged, seconds.
-const ARRIVALS_OVER: f64 = 1.0;
+const ARRIVAL_WINDOW_SECONDS: f64 = 1.0;
 
 /// Least part of the slots' throughput that is taken for free to callers who come back.
-const LEAST_SPARE: f64 = 0.1;
+const MIN_SPARE_SHARE: f64 = 0.1;
 
-/// Part of the longest time at which a caller that finds no earlier moment is told to come back, so that not all come
+/// Part of the longest time at which a caller that finds no earlier retry_at is told to come back, so that not all come
 /// at the same one.
-const LATEST_PART: std::ops::Range<f64> = 0.75..0.95;
+const MAX_DELAY_SHARE: std::ops::Range<f64> = 0.75..0.95;
 
 /// How much earlier or later than told a caller may come and be taken for one that was told to.
-const EARLY: Duration = Duration::from_millis(100);
-const LATE: Duration = Duration::from_millis(500);
+const EARLY_TOLERANCE: Duration = Duration::from_millis(100);
+const LATE_TOLERANCE: Duration = Duration::from_millis(500);
 
 /// A request that finds no free slot.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -39,7 +39,7 @@
     pub group_slots: u32,
     /// Time within which its answer must begin.
     pub objective: Duration,
-    /// Longest time after which its caller still comes back.
+    /// Longest time delay which its caller still comes back.
     pub max_retry_after: Duration,
 }
 
@@ -47,12 +47,12 @@
 #[derive(Debug, Clone)]
 pub struct GroupAdmission {
     hold_seconds: f64,
-    observed: u32,
+    observations: u32,
     arrivals_per_second: f64,
     last_arrival: Instant,
-    booked_until: Instant,
+    scheduled_until: Instant,
     /// Moments at which callers were told to come back, and have not yet.
-    expected: VecDeque<Instant>,
+    scheduled_retries: VecDeque<Instant>,
 }
 
 impl GroupAdmission {
@@ -60,49 +60,51 @@
     pub fn new(now: Instant) -> Self {
         Self {
             hold_seconds: 0.0,
-            observed: 0,
+            observations: 0,
             arrivals_per_second: 0.0,
             last_arrival: now,
-            booked_until: now,
-            expected: VecDeque::new(),
+            scheduled_until: now,
+            scheduled_retries: VecDeque::new(),
         }
     }
 
     /// True if a caller that comes late is probably one that was told to come now: it has waited for its turn, and goes
     /// before others.
     pub fn claim_retry(&mut self, now: Instant) -> bool {
-        self.expected.retain(|moment| *moment + LATE >= now);
-        let due = self
-            .expected
+        self.scheduled_retries
+            .retain(|retry_at| *retry_at + LATE_TOLERANCE >= now);
+        let matching = self
+            .scheduled_retries
             .iter()
-            .position(|moment| *moment <= now + EARLY);
-        due.and_then(|position| self.expected.remove(position))
+            .position(|retry_at| *retry_at <= now + EARLY_TOLERANCE);
+        matching
+            .and_then(|position| self.scheduled_retries.remove(position))
             .is_some()
     }
 
     /// An online request has given its slot back.
     pub fn observe_hold(&mut self, held: Duration) {
-        let weight = HOLD_WEIGHT.max(1.0 / f64::from(self.observed + 1));
+        let weight = HOLD_WEIGHT.max(1.0 / f64::from(self.observations + 1));
         self.hold_seconds += (held.as_secs_f64() - self.hold_seconds) * weight;
-        self.observed = self.observed.saturating_add(1);
+        self.observations = self.observations.saturating_add(1);
     }
 
     /// An online request asks for a slot.
     pub fn observe_arrival(&mut self, now: Instant) {
-        let since = now.saturating_duration_since(self.last_arrival);
-        let kept = (-since.as_secs_f64() / ARRIVALS_OVER).exp();
-        self.arrivals_per_second = self.arrivals_per_second * kept + 1.0 / ARRIVALS_OVER;
+        let elapsed = now.saturating_duration_since(self.last_arrival);
+        let decay = (-elapsed.as_secs_f64() / ARRIVAL_WINDOW_SECONDS).exp();
+        self.arrivals_per_second = self.arrivals_per_second * decay + 1.0 / ARRIVAL_WINDOW_SECONDS;
         self.last_arrival = now;
     }
 
     /// Expected time until a request begins; `None` while too little was observed.
-    pub fn expected_wait(&self, newcomer: &QueuedRequest) -> Option<Duration> {
-        if self.observed < LEAST_OBSERVED {
+    pub fn expected_wait(&self, request: &QueuedRequest) -> Option<Duration> {
+        if self.observations < MIN_OBSERVATIONS {
             return None;
         }
-        let between_ends = self.hold_seconds / f64::from(newcomer.replica_slots.max(1));
+        let completion_interval = self.hold_seconds / f64::from(request.replica_slots.max(1));
         Some(Duration::from_secs_f64(
-            between_ends * f64::from(newcomer.position),
+            completion_interval * f64::from(request.position),
         ))
     }
 
@@ -110,27 +112,29 @@
     /// random number from 0 to 1.
     pub fn schedule_retry(
         &mut self,
-        newcomer: &QueuedRequest,
+        request: &QueuedRequest,
         draw: f64,
         now: Instant,
     ) -> Option<Duration> {
-        let wait = self.expected_wait(newcomer)?;
-        if wait <= newcomer.objective {
+        let wait = self.expected_wait(request)?;
+        if wait <= request.objective {
             return None;
         }
-        let throughput = f64::from(newcomer.group_slots) / self.hold_seconds.max(1e-3);
-        let spare = (throughput - self.arrivals_per_second).max(throughput * LEAST_SPARE);
+        let throughput = f64::from(request.group_slots) / self.hold_seconds.max(1e-3);
+        let spare = (throughput - self.arrivals_per_second).max(throughput * MIN_SPARE_SHARE);
         let interval = Duration::from_secs_f64(1.0 / spare.max(1e-3));
-        let moment = (self.booked_until + interval).max(now + wait);
-        let latest = LATEST_PART.start + (LATEST_PART.end - LATEST_PART.start) * draw;
-        let latest = newcomer.max_retry_after.mul_f64(latest);
-        let after = moment.saturating_duration_since(now);
-        if after <= latest {
-            self.booked_until = moment;
+        let retry_at = (self.scheduled_until + interval).max(now + wait);
+        let max_delay =
+            MAX_DELAY_SHARE.start + (MAX_DELAY_SHARE.end - MAX_DELAY_SHARE.start) * draw;
+        let max_delay = request.max_retry_after.mul_f64(max_delay);
+        let delay = retry_at.saturating_duration_since(now);
+        if delay <= max_delay {
+            self.scheduled_until = retry_at;
         }
-        let after = after.min(latest);
-        self.expected.retain(|moment| *moment + LATE >= now);
-        self.expected.push_back(now + after);
-        Some(after)
+        let delay = delay.min(max_delay);
+        self.scheduled_retries
+            .retain(|retry_at| *retry_at + LATE_TOLERANCE >= now);
+        self.scheduled_retries.push_back(now + delay);
+        Some(delay)
     }
 }
--- a/crates/slots/src/ejection.rs
+++ b/crates/slots/src/ejection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection over the replicas of one group, as their coordinator sees their requests end: pure.
+//! Outlier detection over the replicas of one group, as their coordinator sees their requests outcome: pure.
 //!
 //! A replica that fails is judged against the others of its group only: what all do alike is the load's or the
 //! service's doing, and taking replicas out would make it worse. What is known is a hint and dies with the coordinator.
@@ -9,42 +9,42 @@
 use harrierward_wire::OutcomeKind;
 use tokio::time::Instant;
 
-use crate::bad_luck::{stands_out, usual_rate};
 use crate::outcome_window::{OutcomeWindow, median};
+use crate::significance::{baseline_rate, is_outlier};
 
 /// Share of a group's replicas that may be out at the same time, in percent: beyond it the others would not bear the
 /// load, and the fault is hardly the replicas'.
-const MOST_OUT_PERCENT: usize = 50;
+const MAX_EJECTED_PERCENT: usize = 50;
 
 /// How long a replica is ejected for the first time, and how often that doubles at most.
-const FIRST_ABSENCE: Duration = Duration::from_millis(1_000);
-const MOST_DOUBLINGS: u32 = 5;
+const BASE_EJECTION_TIME: Duration = Duration::from_millis(1_000);
+const MAX_DOUBLINGS: u32 = 5;
 
 /// Time in service after which an earlier ejection is forgotten.
-const FORGIVEN_AFTER: Duration = Duration::from_secs(30);
+const EJECTION_RESET_AFTER: Duration = Duration::from_secs(30);
 
 /// Probes that must be served before a replica returns.
 const PROBES_TO_RETURN: u32 = 3;
 
 /// How long the end of a probe is waited for before another is sent: an item may run for long, and a report may have
 /// been lost. What fails a request does so in less.
-const PROBE_PATIENCE: Duration = Duration::from_secs(1);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long after its absence a replica waits for items to probe it, and for work that may be repeated before any
+/// How long after its ejection_time a replica waits for items to probe it, and for work that may be repeated before any
 /// work may.
-const ITEMS_FIRST: Duration = Duration::from_millis(150);
-const REPEATABLE_FIRST: Duration = Duration::from_millis(2_000);
+const REPEATABLE_PROBE_DELAY: Duration = Duration::from_millis(150);
+const ONCE_ONLY_PROBE_DELAY: Duration = Duration::from_millis(2_000);
 
 /// Samples from which the time to the first event is compared, and how many times the others' it must be to count as
 /// slow.
-const LEAST_TIMED: usize = 6;
+const MIN_TIMINGS: usize = 6;
 const SLOW_FACTOR: f64 = 4.0;
 
 /// Least difference from the others' time to the first event, milliseconds.
-const LEAST_SLOW_MS: f64 = 100.0;
+const MIN_SLOW_EXCESS_MS: f64 = 100.0;
 
 /// Share of its new work that even the slowest replica keeps, so that its recovery is seen.
-const LEAST_SHARE: f64 = 0.05;
+const MIN_SHARE: f64 = 0.05;
 
 /// The lease of a request: its holder and its number there.
 pub type LeaseId = (u64, u32);
@@ -73,7 +73,7 @@
     OnceOnly,
 }
 
-/// A change of a replica's standing, with what it rests on.
+/// A change of a replica's status, with what it rests on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StatusChange {
     /// The replica.
@@ -92,7 +92,7 @@
     pub others_permille: u32,
 }
 
-/// What changed of a replica's standing.
+/// What changed of a replica's status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StatusEvent {
     /// It gets no work for so long.
@@ -108,44 +108,44 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum Status {
     InService,
-    Out {
+    Ejected {
         until: Instant,
-        good_probes: u32,
+        successful_probes: u32,
         probe: Option<(LeaseId, Instant)>,
     },
 }
 
 #[derive(Debug)]
-struct Watched {
+struct ReplicaState {
     window: OutcomeWindow,
-    standing: Standing,
+    status: Status,
     ejections: u32,
-    since: Instant,
+    in_service_since: Instant,
     spared_at: Option<Instant>,
 }
 
-impl Watched {
+impl ReplicaState {
     fn new(now: Instant) -> Self {
         Self {
             window: OutcomeWindow::default(),
-            standing: Standing::InService,
+            status: Status::InService,
             ejections: 0,
-            since: now,
+            in_service_since: now,
             spared_at: None,
         }
     }
 
-    fn is_out(&self) -> bool {
-        self.standing != Standing::InService
+    fn is_ejected(&self) -> bool {
+        self.status != Status::InService
     }
 }
 
-/// The replicas of one group, as their requests end.
+/// The replicas of one group, as their requests outcome.
 #[derive(Debug, Default)]
 pub struct OutlierDetector {
-    watched: HashMap<u32, Watched>,
+    replicas: HashMap<u32, ReplicaState>,
     shares: HashMap<u32, f64>,
     last_repeatable: Option<Instant>,
 }
@@ -153,21 +153,21 @@
 impl OutlierDetector {
     /// Replicas that get no work now.
     pub fn ejected(&self) -> HashSet<u32> {
-        let out = self.watched.iter().filter(|(_, one)| one.is_out());
-        out.map(|(replica, _)| *replica).collect()
+        let ejected = self.replicas.iter().filter(|(_, state)| state.is_ejected());
+        ejected.map(|(replica, _)| *replica).collect()
     }
 
     /// Number of replicas that get no work now.
     pub fn ejected_count(&self) -> u64 {
-        self.watched
+        self.replicas
             .values()
-            .map(|one| u64::from(one.is_out()))
+            .map(|state| u64::from(state.is_ejected()))
             .sum()
     }
 
     /// True if no replica is out and none is slow.
     pub fn has_no_outliers(&self) -> bool {
-        self.shares.is_empty() && !self.watched.values().any(Watched::is_out)
+        self.shares.is_empty() && !self.replicas.values().any(ReplicaState::is_ejected)
     }
 
     /// Part of its new work that a replica still gets; 1 unless it is slow beside the others.
@@ -177,7 +177,7 @@
 
     /// Forgets replicas that are not listed any more.
     pub fn retain_listed(&mut self, listed: &HashSet<u32>) {
-        self.watched.retain(|replica, _| listed.contains(replica));
+        self.replicas.retain(|replica, _| listed.contains(replica));
         self.shares.retain(|replica, _| listed.contains(replica));
     }
 
@@ -186,19 +186,19 @@
         if work != ProbeWork::OnceOnly {
             self.last_repeatable = Some(now);
         }
-        let hardly_repeatable = self
+        let lacks_repeatable = self
             .last_repeatable
-            .is_none_or(|last| now.saturating_duration_since(last) >= REPEATABLE_FIRST);
-        let due = self.watched.iter().filter(|(_, one)| {
-            let Standing::Out { until, probe, .. } = one.standing else {
+            .is_none_or(|last| now.saturating_duration_since(last) >= ONCE_ONLY_PROBE_DELAY);
+        let due = self.replicas.iter().filter(|(_, state)| {
+            let Status::Ejected { until, probe, .. } = state.status else {
                 return false;
             };
             let may_probe = match work {
                 ProbeWork::Item => now >= until,
-                ProbeWork::Repeatable => now >= until + ITEMS_FIRST,
-                ProbeWork::OnceOnly => hardly_repeatable && now >= until + REPEATABLE_FIRST,
+                ProbeWork::Repeatable => now >= until + REPEATABLE_PROBE_DELAY,
+                ProbeWork::OnceOnly => lacks_repeatable && now >= until + ONCE_ONLY_PROBE_DELAY,
             };
-            may_probe && !is_probed(probe, now)
+            may_probe && !is_probing(probe, now)
         });
         due.map(|(replica, _)| *replica).collect()
     }
@@ -206,11 +206,11 @@
     /// A lease was granted at the replica. True if its request is a probe; one beside a probe that still runs is none,
     /// else the probe's end would never be taken where requests keep coming.
     pub fn note_grant(&mut self, replica: u32, lease: LeaseId, now: Instant) -> bool {
-        let Some(watched) = self.watched.get_mut(&replica) else {
+        let Some(state) = self.replicas.get_mut(&replica) else {
             return false;
         };
-        match &mut watched.standing {
-            Standing::Out { until, probe, .. } if now >= *until && !is_probed(*probe, now) => {
+        match &mut state.status {
+            Status::Ejected { until, probe, .. } if now >= *until && !is_probing(*probe, now) => {
                 *probe = Some((lease, now));
                 true
             }
@@ -221,101 +221,107 @@
     /// A request has ended. `group` is the number of the group's replicas that could take work.
     pub fn observe(
         &mut self,
-        end: RequestOutcome,
+        outcome: RequestOutcome,
         group: usize,
         now: Instant,
     ) -> Option<StatusChange> {
-        if let Some(watched) = self.watched.get(&end.replica).filter(|one| one.is_out()) {
-            let Standing::Out { probe, .. } = watched.standing else {
+        if let Some(state) = self
+            .replicas
+            .get(&outcome.replica)
+            .filter(|state| state.is_ejected())
+        {
+            let Status::Ejected { probe, .. } = state.status else {
                 return None;
             };
             // What was sent before it was ejected says nothing new.
-            let is_probe = probe.is_some_and(|(lease, _)| lease == end.lease);
-            return is_probe.then(|| self.take_probe(end, now)).flatten();
+            let is_probe = probe.is_some_and(|(lease, _)| lease == outcome.lease);
+            return is_probe.then(|| self.apply_probe(outcome, now)).flatten();
         }
-        let is_failure = is_failure(end.kind)?;
-        let watched = self.watched.entry(end.replica);
-        let watched = watched.or_insert_with(|| Watched::new(now));
-        watched.window.add(is_failure, now);
+        let is_failure = is_failure(outcome.kind)?;
+        let state = self.replicas.entry(outcome.replica);
+        let state = state.or_insert_with(|| ReplicaState::new(now));
+        state.window.add(is_failure, now);
         if is_failure {
-            return self.judge(end.replica, group, now);
+            return self.evaluate(outcome.replica, group, now);
         }
-        if !end.first_event.is_zero() && watched.window.time(end.first_event, now) {
-            return self.compare_times(end.replica, now);
+        if !outcome.first_event.is_zero() && state.window.add_timing(outcome.first_event, now) {
+            return self.compare_times(outcome.replica, now);
         }
         None
     }
 
     /// Ejects a replica that fails as the others do not, as far as the bound allows.
-    fn judge(&mut self, replica: u32, group: usize, now: Instant) -> Option<StatusChange> {
+    fn evaluate(&mut self, replica: u32, group: usize, now: Instant) -> Option<StatusChange> {
         let others = self.others_rate(replica, now)?;
-        let watched = self.watched.get(&replica)?;
-        if !stands_out(&watched.window.summary(now), others) {
+        let state = self.replicas.get(&replica)?;
+        if !is_outlier(&state.window.summary(now), others) {
             return None;
         }
-        let is_full = self.ejected_count() >= most_out(group);
-        let watched = self.watched.get_mut(&replica)?;
-        if is_full {
-            let told = watched.spared_at;
-            if told.is_some_and(|at| now < at + FIRST_ABSENCE) {
+        let is_at_limit = self.ejected_count() >= max_ejected(group);
+        let state = self.replicas.get_mut(&replica)?;
+        if is_at_limit {
+            let last_spared = state.spared_at;
+            if last_spared.is_some_and(|at| now < at + BASE_EJECTION_TIME) {
                 return None;
             }
-            watched.spared_at = Some(now);
+            state.spared_at = Some(now);
             return Some(self.change(replica, StatusEvent::Spared, others, now));
         }
-        if now.saturating_duration_since(watched.since) >= FORGIVEN_AFTER {
-            watched.ejections = 0;
+        if now.saturating_duration_since(state.in_service_since) >= EJECTION_RESET_AFTER {
+            state.ejections = 0;
         }
-        let absence = watched.eject(now);
-        Some(self.change(replica, StatusEvent::Ejected(absence), others, now))
+        let ejection_time = state.eject(now);
+        Some(self.change(replica, StatusEvent::Ejected(ejection_time), others, now))
     }
 
-    fn take_probe(&mut self, end: RequestOutcome, now: Instant) -> Option<StatusChange> {
-        let watched = self.watched.get_mut(&end.replica)?;
-        let Standing::Out {
-            good_probes, probe, ..
-        } = &mut watched.standing
+    fn apply_probe(&mut self, outcome: RequestOutcome, now: Instant) -> Option<StatusChange> {
+        let state = self.replicas.get_mut(&outcome.replica)?;
+        let Status::Ejected {
+            successful_probes,
+            probe,
+            ..
+        } = &mut state.status
         else {
             return None;
         };
         *probe = None;
-        let is_failure = is_failure(end.kind)?;
+        let is_failure = is_failure(outcome.kind)?;
         let event = if is_failure {
-            watched.window.add(true, now);
-            StatusEvent::Ejected(watched.eject(now))
+            state.window.add(true, now);
+            StatusEvent::Ejected(state.eject(now))
         } else {
-            *good_probes += 1;
-            if *good_probes < PROBES_TO_RETURN {
+            *successful_probes += 1;
+            if *successful_probes < PROBES_TO_RETURN {
                 return None;
             }
-            watched.standing = Standing::InService;
-            self.shares.remove(&end.replica);
-            watched.window = OutcomeWindow::default();
-            watched.since = now;
+            state.status = Status::InService;
+            self.shares.remove(&outcome.replica);
+            state.window = OutcomeWindow::default();
+            state.in_service_since = now;
             StatusEvent::Returned
         };
-        let others = self.others_rate(end.replica, now).unwrap_or_default();
-        Some(self.change(end.replica, event, others, now))
+        let others = self.others_rate(outcome.replica, now).unwrap_or_default();
+        Some(self.change(outcome.replica, event, others, now))
     }
 
     /// Share of failures that is usual among the others in service. `None` if nothing is known of any.
     fn others_rate(&self, replica: u32, now: Instant) -> Option<f64> {
-        let others = self.watched.iter();
-        let others = others.filter(|(other, one)| **other != replica && !one.is_out());
-        let others = others.map(|(_, one)| one.window.summary(now));
-        usual_rate(others.collect())
+        let others = self.replicas.iter();
+        let others = others.filter(|(other, state)| **other != replica && !state.is_ejected());
+        let others = others.map(|(_, state)| state.window.summary(now));
+        baseline_rate(others.collect())
     }
 
     /// Looks anew whether a replica's first events come late beside the others'. Tells when that changes.
     fn compare_times(&mut self, replica: u32, now: Instant) -> Option<StatusChange> {
-        let own = self.watched.get(&replica)?;
-        let own = own.window.first_event_ms(LEAST_TIMED, now)?;
-        let others = self.watched.iter().filter(|(other, _)| **other != replica);
-        let others = others.filter_map(|(_, one)| one.window.first_event_ms(LEAST_TIMED, now));
+        let own = self.replicas.get(&replica)?;
+        let own = own.window.first_event_ms(MIN_TIMINGS, now)?;
+        let others = self.replicas.iter().filter(|(other, _)| **other != replica);
+        let others = others.filter_map(|(_, state)| state.window.first_event_ms(MIN_TIMINGS, now));
         let usual = median(others.collect())?;
-        let is_slow = own >= usual * SLOW_FACTOR && own >= usual + LEAST_SLOW_MS;
+        let is_slow = own >= usual * SLOW_FACTOR && own >= usual + MIN_SLOW_EXCESS_MS;
         let event = if is_slow {
-            let share = (usual * SLOW_FACTOR / 2.0 / own).max(LEAST_SHARE);
+            let share = (usual * SLOW_FACTOR / 2.0 / own).max(MIN_SHARE);
             let was_slow = self.shares.insert(replica, share).is_some();
             (!was_slow).then(|| StatusEvent::Slowed(permille(share)))
         } else {
@@ -328,9 +334,9 @@
 
     fn change(&self, replica: u32, event: StatusEvent, others: f64, now: Instant) -> StatusChange {
         let window = self
-            .watched
+            .replicas
             .get(&replica)
-            .map(|one| one.window.summary(now));
+            .map(|state| state.window.summary(now));
         let window = window.unwrap_or_default();
         StatusChange {
             replica,
@@ -344,27 +350,27 @@
     }
 }
 
-impl Watched {
+impl ReplicaState {
     fn eject(&mut self, now: Instant) -> Duration {
-        let absence = FIRST_ABSENCE * (1 << self.ejections.min(MOST_DOUBLINGS));
+        let ejection_time = BASE_EJECTION_TIME * (1 << self.ejections.min(MAX_DOUBLINGS));
         self.ejections += 1;
-        self.standing = Standing::Out {
-            until: now + absence,
-            good_probes: 0,
+        self.status = Status::Ejected {
+            until: now + ejection_time,
+            successful_probes: 0,
             probe: None,
         };
-        absence
+        ejection_time
     }
 }
 
 /// True while the end of a probe is waited for.
-fn is_probed(probe: Option<(LeaseId, Instant)>, now: Instant) -> bool {
-    probe.is_some_and(|(_, at)| now < at + PROBE_PATIENCE)
+fn is_probing(probe: Option<(LeaseId, Instant)>, now: Instant) -> bool {
+    probe.is_some_and(|(_, at)| now < at + PROBE_TIMEOUT)
 }
 
 /// Replicas of a group of this size that may be out at the same time: one at least where there is another.
-fn most_out(group: usize) -> u64 {
-    let share = group * MOST_OUT_PERCENT / 100;
+fn max_ejected(group: usize) -> u64 {
+    let share = group * MAX_EJECTED_PERCENT / 100;
     share.max(usize::from(group > 1)) as u64
 }
 
--- a/crates/slots/src/groups.rs
+++ b/crates/slots/src/groups.rs
@@ -3,17 +3,17 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Most replicas that one coordinator's group holds on the mean: what one small daemon can count by heart.
-const GROUP_REPLICAS: usize = 32;
+const MAX_MEAN_GROUP_SIZE: usize = 32;
 
 /// Fewest replicas that a zone must have on the mean for its groups to be its own. Smaller pools differ too much in
 /// what they have free: requests would have to ask twice.
-const LEAST_ZONE_REPLICAS: usize = 12;
+const MIN_ZONE_REPLICAS: usize = 12;
 
 /// Fewest replicas that a region must have on the mean for its groups to be its own. A question to another region takes
 /// longer than one more question within the own, so regions have groups of their own long before zones have; with one
 /// to three replicas, though, nearly every request of a busy region would find its group full and ask twice, once far
 /// away.
-const LEAST_REGION_REPLICAS: usize = 4;
+const MIN_REGION_REPLICAS: usize = 4;
 
 /// A group of a service's replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -56,14 +56,13 @@
 impl<'a> GroupLayout<'a> {
     /// The layout for so many replicas in `zones` and `regions` (hashes of their names, each once).
     pub fn new(replicas: usize, zones: &'a [u32], regions: &'a [u32]) -> Self {
-        let in_a_zone = replicas / zones.len().max(1);
-        let in_a_region = replicas / regions.len().max(1);
-        let is_by_zone = replicas > GROUP_REPLICAS && in_a_zone >= LEAST_ZONE_REPLICAS;
+        let per_zone = replicas / zones.len().max(1);
+        let per_region = replicas / regions.len().max(1);
+        let is_by_zone = replicas > MAX_MEAN_GROUP_SIZE && per_zone >= MIN_ZONE_REPLICAS;
         if is_by_zone {
-            Self::over(AreaKind::Zone, zones, in_a_zone)
-        } else if regions.len() == 1 || (regions.len() > 1 && in_a_region >= LEAST_REGION_REPLICAS)
-        {
-            Self::over(AreaKind::Region, regions, in_a_region)
+            Self::over(AreaKind::Zone, zones, per_zone)
+        } else if regions.len() == 1 || (regions.len() > 1 && per_region >= MIN_REGION_REPLICAS) {
+            Self::over(AreaKind::Region, regions, per_region)
         } else {
             Self::over(AreaKind::All, &[], replicas)
         }
@@ -135,8 +134,8 @@
     /// The group at a position of an endless turn through all groups.
     pub fn at(&self, position: u32) -> GroupId {
         let number = position % self.numbers.max(1);
-        let turn = (position / self.numbers.max(1)) as usize;
-        let area = self.areas.get(turn % self.areas.len().max(1));
+        let round = (position / self.numbers.max(1)) as usize;
+        let area = self.areas.get(round % self.areas.len().max(1));
         GroupId {
             area: area.copied().unwrap_or(0),
             number,
@@ -146,7 +145,7 @@
 
 /// Number of groups for so many replicas.
 fn group_count(replicas: usize) -> u32 {
-    let needed = replicas.div_ceil(GROUP_REPLICAS).max(1);
+    let needed = replicas.div_ceil(MAX_MEAN_GROUP_SIZE).max(1);
     u32::try_from(needed.next_power_of_two()).unwrap_or(u32::MAX)
 }
 
@@ -157,8 +156,8 @@
     group: GroupId,
     members: impl IntoIterator<Item = &'a str>,
 ) -> Option<&'a str> {
-    let lease = u64::from(group.area) << u32::BITS | u64::from(group.number);
-    let seed = (u64::from(service) << u32::BITS) ^ lease;
+    let group_bits = u64::from(group.area) << u32::BITS | u64::from(group.number);
+    let seed = (u64::from(service) << u32::BITS) ^ group_bits;
     members
         .into_iter()
         .max_by_key(|member| xxh3_64_with_seed(member.as_bytes(), seed))
--- a/crates/slots/src/held.rs
+++ b/crates/slots/src/held.rs
@@ -9,7 +9,7 @@
 use crate::ledger::SlotUse;
 
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct HeldLease {
     replica: u32,
     usage: SlotUse,
 }
@@ -17,17 +17,17 @@
 /// A daemon's own leases, by number.
 #[derive(Debug, Default)]
 pub struct HeldSlots {
-    leases: HashMap<u32, Held>,
+    leases: HashMap<u32, HeldLease>,
     awaited: HashSet<u32>,
-    last: u32,
-    reports: u64,
+    last_number: u32,
+    last_report: u64,
 }
 
 impl HeldSlots {
     /// A number for a lease that is asked for or taken next.
     pub fn next_number(&mut self) -> u32 {
-        self.last += 1;
-        self.last
+        self.last_number += 1;
+        self.last_number
     }
 
     /// A coordinator is asked for the lease.
@@ -42,7 +42,7 @@
 
     /// The lease is held.
     pub fn take(&mut self, lease: u32, replica: u32, usage: SlotUse) {
-        self.leases.insert(lease, Held { replica, usage });
+        self.leases.insert(lease, HeldLease { replica, usage });
     }
 
     /// The lease is given back. Returns its replica.
@@ -79,7 +79,7 @@
         now: Instant,
         is_kept: impl Fn(u32) -> bool,
     ) -> SlotReport {
-        self.reports += 1;
+        self.last_report += 1;
         let kept = self.leases.iter().filter(|(_, held)| is_kept(held.replica));
         SlotReport {
             holder,
@@ -89,15 +89,15 @@
             released: Vec::new(),
             outcomes: Vec::new(),
             whole: Some(WholeReport {
-                number: self.reports,
-                next_lease: self.last + 1,
+                number: self.last_report,
+                next_lease: self.last_number + 1,
                 awaited: self.awaited.iter().copied().collect(),
             }),
         }
     }
 }
 
-fn describe(lease: u32, held: &Held, now: Instant) -> HeldSlot {
+fn describe(lease: u32, held: &HeldLease, now: Instant) -> HeldSlot {
     let slack = held.usage.slack(now);
     let slack_ms = slack.map_or(0, |slack| {
         u32::try_from(slack.as_millis()).unwrap_or(u32::MAX)
--- a/crates/slots/src/ledger.rs
+++ b/crates/slots/src/ledger.rs
@@ -11,7 +11,7 @@
 pub const HOLDER_LIFETIME: Duration = Duration::from_millis(2_500);
 
 /// How long an item that was ordered to end may go on before its lease counts again: the order may have been lost.
-const END_PATIENCE: Duration = Duration::from_millis(400);
+const PREEMPTION_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// What a lease is used for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,7 +34,7 @@
         }
     }
 
-    fn of(held: &HeldSlot, now: Instant) -> Self {
+    fn reported(held: &HeldSlot, now: Instant) -> Self {
         if held.batch {
             let due = now + Duration::from_millis(u64::from(held.slack_ms));
             Self::Batch { due }
@@ -44,7 +44,7 @@
     }
 }
 
-/// SlotLeases at one replica.
+/// Leases at one replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SlotCounts {
     /// Online requests.
@@ -69,7 +69,7 @@
     replica: u32,
     usage: SlotUse,
     granted_at: Instant,
-    ending_since: Option<Instant>,
+    preempted_at: Option<Instant>,
 }
 
 /// An online request that has given its lease back.
@@ -84,14 +84,14 @@
 #[derive(Debug)]
 struct Holder {
     address: SocketAddr,
-    last_whole: u64,
-    heard_at: Instant,
+    last_full_report: u64,
+    last_report_at: Instant,
     leases: HashMap<u32, Lease>,
 }
 
 impl Holder {
-    fn is_silent(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.heard_at) >= HOLDER_LIFETIME
+    fn is_unresponsive(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.last_report_at) >= HOLDER_LIFETIME
     }
 }
 
@@ -108,7 +108,7 @@
     holders: HashMap<u64, Holder>,
     counts: HashMap<u32, SlotCounts>,
     changed: HashSet<u32>,
-    ended: Vec<ReleasedLease>,
+    released: Vec<ReleasedLease>,
 }
 
 impl SlotLedger {
@@ -118,7 +118,7 @@
         Some(lease.replica)
     }
 
-    /// SlotLeases at a replica.
+    /// Leases at a replica.
     pub fn counts(&self, replica: u32) -> SlotCounts {
         self.counts.get(&replica).copied().unwrap_or_default()
     }
@@ -130,7 +130,7 @@
 
     /// Online requests that have given their leases back since this was last asked.
     pub fn take_released(&mut self) -> Vec<ReleasedLease> {
-        std::mem::take(&mut self.ended)
+        std::mem::take(&mut self.released)
     }
 
     /// Gives out a lease.
@@ -143,36 +143,36 @@
         usage: SlotUse,
         now: Instant,
     ) {
-        self.hear(holder, address, now);
+        self.refresh_holder(holder, address, now);
         self.set(holder, number, replica, usage, now);
     }
 
     /// Takes a holder's report.
-    pub fn take_report(&mut self, report: &SlotReport, address: SocketAddr, now: Instant) {
+    pub fn apply_report(&mut self, report: &SlotReport, address: SocketAddr, now: Instant) {
         let holder = report.holder;
-        let known = self.hear(holder, address, now);
+        let known = self.refresh_holder(holder, address, now);
         if let Some(whole) = &report.whole {
-            if whole.number <= known.last_whole {
+            if whole.number <= known.last_full_report {
                 return;
             }
-            known.last_whole = whole.number;
-            let named: HashSet<u32> = report.held.iter().map(|held| held.lease).collect();
-            let over = known.leases.keys().copied().filter(|lease| {
+            known.last_full_report = whole.number;
+            let reported: HashSet<u32> = report.held.iter().map(|held| held.lease).collect();
+            let stale = known.leases.keys().copied().filter(|lease| {
                 *lease < whole.next_lease
-                    && !named.contains(lease)
+                    && !reported.contains(lease)
                     && !whole.awaited.contains(lease)
             });
-            let over: Vec<u32> = over.collect();
-            for lease in over {
+            let stale: Vec<u32> = stale.collect();
+            for lease in stale {
                 self.remove(holder, lease);
             }
         }
         for held in &report.held {
-            self.take_held(holder, held, now);
+            self.apply_held(holder, held, now);
         }
         for lease in &report.released {
             if !is_unused(report, *lease) {
-                self.note_ended(holder, *lease, now);
+                self.note_released(holder, *lease, now);
             }
             self.remove(holder, *lease);
         }
@@ -180,24 +180,24 @@
 
     /// Forgets holders that have not been heard of for long.
     pub fn expire(&mut self, now: Instant) {
-        let silent = self.holders.iter();
-        let silent = silent.filter(|(_, holder)| holder.is_silent(now));
-        let silent: Vec<u64> = silent.map(|(holder, _)| *holder).collect();
-        for holder in silent {
-            self.forget(holder);
+        let unresponsive = self.holders.iter();
+        let unresponsive = unresponsive.filter(|(_, holder)| holder.is_unresponsive(now));
+        let unresponsive: Vec<u64> = unresponsive.map(|(holder, _)| *holder).collect();
+        for holder in unresponsive {
+            self.remove_holder(holder);
         }
     }
 
-    fn forget(&mut self, holder: u64) {
-        let Some(gone) = self.holders.remove(&holder) else {
+    fn remove_holder(&mut self, holder: u64) {
+        let Some(removed) = self.holders.remove(&holder) else {
             return;
         };
-        for lease in gone.leases.values() {
-            self.count(lease, false);
+        for lease in removed.leases.values() {
+            self.adjust_count(lease, false);
         }
     }
 
-    /// The item at the replica that can best be ended: the one with most time left.
+    /// The item at the replica that can best be item: the one with most time left.
     pub fn most_slack(&self, replica: u32, now: Instant) -> Option<PreemptedLease> {
         let all = self.holders.values().flat_map(|holder| {
             let leases = holder.leases.iter();
@@ -205,7 +205,7 @@
         });
         let items = all.filter_map(|(holder, number, lease)| {
             let slack = lease.usage.slack(now)?;
-            let fits = lease.replica == replica && lease.ending_since.is_none();
+            let fits = lease.replica == replica && lease.preempted_at.is_none();
             fits.then_some(PreemptedLease {
                 holder,
                 lease: number,
@@ -216,65 +216,67 @@
     }
 
     /// The item was ordered to end: its lease is free from now on.
-    pub fn note_preempted(&mut self, ended: PreemptedLease, now: Instant) {
+    pub fn note_preempted(&mut self, item: PreemptedLease, now: Instant) {
         let lease = self
             .holders
             .values_mut()
-            .filter(|holder| holder.address == ended.holder)
-            .find_map(|holder| holder.leases.get_mut(&ended.lease));
-        let Some(lease) = lease.filter(|lease| lease.ending_since.is_none()) else {
+            .filter(|holder| holder.address == item.holder)
+            .find_map(|holder| holder.leases.get_mut(&item.lease));
+        let Some(lease) = lease.filter(|lease| lease.preempted_at.is_none()) else {
             return;
         };
         let counted = *lease;
-        lease.ending_since = Some(now);
-        self.count(&counted, false);
+        lease.preempted_at = Some(now);
+        self.adjust_count(&counted, false);
     }
 
     /// A holder that was not heard for too long begins anew: its word makes nothing of its earlier leases fresh.
-    fn hear(&mut self, holder: u64, address: SocketAddr, now: Instant) -> &mut Holder {
+    fn refresh_holder(&mut self, holder: u64, address: SocketAddr, now: Instant) -> &mut Holder {
         let known = self.holders.get(&holder);
-        if known.is_some_and(|known| known.is_silent(now)) {
-            self.forget(holder);
+        if known.is_some_and(|known| known.is_unresponsive(now)) {
+            self.remove_holder(holder);
         }
         let known = self.holders.entry(holder).or_insert_with(|| Holder {
             address,
-            last_whole: 0,
-            heard_at: now,
+            last_full_report: 0,
+            last_report_at: now,
             leases: HashMap::new(),
         });
-        known.heard_at = now;
+        known.last_report_at = now;
         known
     }
 
-    fn take_held(&mut self, holder: u64, held: &HeldSlot, now: Instant) {
+    fn apply_held(&mut self, holder: u64, held: &HeldSlot, now: Instant) {
         let leases = self.holders.get_mut(&holder).map(|known| &mut known.leases);
         let known = leases.and_then(|leases| leases.get_mut(&held.lease));
         match known {
             Some(lease) if lease.replica == held.replica => {
-                let due = lease.ending_since;
-                if due.is_some_and(|since| now.saturating_duration_since(since) >= END_PATIENCE) {
-                    lease.ending_since = None;
+                let preempted_at = lease.preempted_at;
+                if preempted_at
+                    .is_some_and(|since| now.saturating_duration_since(since) >= PREEMPTION_TIMEOUT)
+                {
+                    lease.preempted_at = None;
                     let counted = *lease;
-                    self.count(&counted, true);
+                    self.adjust_count(&counted, true);
                 }
             }
             _ => self.set(
                 holder,
                 held.lease,
                 held.replica,
-                SlotUse::of(held, now),
+                SlotUse::reported(held, now),
                 now,
             ),
         }
     }
 
-    fn note_ended(&mut self, holder: u64, lease: u32, now: Instant) {
+    fn note_released(&mut self, holder: u64, lease: u32, now: Instant) {
         let leases = self.holders.get(&holder).map(|known| &known.leases);
         let Some(lease) = leases.and_then(|leases| leases.get(&lease)) else {
             return;
         };
         if lease.usage == SlotUse::Online {
-            self.ended.push(ReleasedLease {
+            self.released.push(ReleasedLease {
                 replica: lease.replica,
                 held: now.saturating_duration_since(lease.granted_at),
             });
@@ -287,24 +289,24 @@
             replica,
             usage,
             granted_at: now,
-            ending_since: None,
+            preempted_at: None,
         };
         if let Some(known) = self.holders.get_mut(&holder) {
             known.leases.insert(number, lease);
-            self.count(&lease, true);
+            self.adjust_count(&lease, true);
         }
     }
 
     fn remove(&mut self, holder: u64, number: u32) {
         let leases = self.holders.get_mut(&holder).map(|known| &mut known.leases);
         if let Some(lease) = leases.and_then(|leases| leases.remove(&number)) {
-            self.count(&lease, false);
+            self.adjust_count(&lease, false);
         }
     }
 
     /// Counts a lease in or out; one whose item was ordered to end is out already.
-    fn count(&mut self, lease: &Lease, enters: bool) {
-        if lease.ending_since.is_some() {
+    fn adjust_count(&mut self, lease: &Lease, is_added: bool) {
+        if lease.preempted_at.is_some() {
             return;
         }
         let counts = self.counts.entry(lease.replica).or_default();
@@ -312,7 +314,7 @@
             SlotUse::Online => &mut counts.online,
             SlotUse::Batch { .. } => &mut counts.batch,
         };
-        *count = if enters {
+        *count = if is_added {
             *count + 1
         } else {
             count.saturating_sub(1)
--- a/crates/slots/src/lib.rs
+++ b/crates/slots/src/lib.rs
@@ -6,7 +6,6 @@
 //! reports within a second, and no promise depends on it.
 
 mod admission;
-mod bad_luck;
 mod ejection;
 mod groups;
 mod held;
@@ -14,6 +13,7 @@
 mod nearest;
 mod outcome_window;
 mod pacer;
+mod significance;
 mod spill;
 
 pub use admission::{GroupAdmission, QueuedRequest};
--- a/crates/slots/src/nearest.rs
+++ b/crates/slots/src/nearest.rs
@@ -44,8 +44,8 @@
             1 + u8::from(Some(of) != region)
         }
     };
-    let least = members.clone().map(distance).min();
+    let min_distance = members.clone().map(distance).min();
     let nearest = members.enumerate();
-    let nearest = nearest.filter(|(_, member)| Some(distance(*member)) == least);
+    let nearest = nearest.filter(|(_, member)| Some(distance(*member)) == min_distance);
     nearest.map(|(position, _)| position).collect()
 }
--- a/crates/slots/src/outcome_window.rs
+++ b/crates/slots/src/outcome_window.rs
@@ -6,14 +6,14 @@
 use tokio::time::Instant;
 
 /// Outcomes kept, and how long they count.
-const MOST_OUTCOMES: usize = 32;
-const LIFETIME: Duration = Duration::from_secs(10);
+const MAX_OUTCOMES: usize = 32;
+const OUTCOME_TTL: Duration = Duration::from_secs(10);
 
 /// Times to a first event kept.
-const MOST_TIMES: usize = 16;
+const MAX_TIMINGS: usize = 16;
 
 /// Least time between two comparisons of times.
-const COMPARED_EVERY: Duration = Duration::from_millis(100);
+const COMPARISON_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What a window holds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -38,47 +38,47 @@
 /// The last outcomes at one replica, and how late its first events came.
 #[derive(Debug, Default)]
 pub struct OutcomeWindow {
-    recent: VecDeque<(Instant, bool)>,
-    times: VecDeque<(Instant, Duration)>,
+    outcomes: VecDeque<(Instant, bool)>,
+    timings: VecDeque<(Instant, Duration)>,
     compared_at: Option<Instant>,
 }
 
 impl OutcomeWindow {
     /// Adds an outcome.
     pub fn add(&mut self, is_failure: bool, now: Instant) {
-        if self.recent.len() == MOST_OUTCOMES {
-            self.recent.pop_front();
+        if self.outcomes.len() == MAX_OUTCOMES {
+            self.outcomes.pop_front();
         }
-        self.recent.push_back((now, is_failure));
+        self.outcomes.push_back((now, is_failure));
     }
 
     /// What counts now.
     pub fn summary(&self, now: Instant) -> WindowSummary {
         let mut summary = WindowSummary::default();
-        let mut is_row = true;
-        for (at, is_failure) in self.recent.iter().rev() {
+        let mut in_run = true;
+        for (at, is_failure) in self.outcomes.iter().rev() {
             let age = now.saturating_duration_since(*at);
-            if age >= LIFETIME {
+            if age >= OUTCOME_TTL {
                 break;
             }
-            is_row &= is_failure;
+            in_run &= is_failure;
             summary.outcomes += 1;
             summary.failures += u32::from(*is_failure);
-            summary.consecutive_failures += u32::from(is_row);
+            summary.consecutive_failures += u32::from(in_run);
             summary.age = age;
         }
         summary
     }
 
     /// Takes the time to a first event. True if times are to be compared again.
-    pub fn time(&mut self, first_event: Duration, now: Instant) -> bool {
-        if self.times.len() == MOST_TIMES {
-            self.times.pop_front();
+    pub fn add_timing(&mut self, first_event: Duration, now: Instant) -> bool {
+        if self.timings.len() == MAX_TIMINGS {
+            self.timings.pop_front();
         }
-        self.times.push_back((now, first_event));
+        self.timings.push_back((now, first_event));
         let is_due = self
             .compared_at
-            .is_none_or(|at| now.saturating_duration_since(at) >= COMPARED_EVERY);
+            .is_none_or(|at| now.saturating_duration_since(at) >= COMPARISON_INTERVAL);
         if is_due {
             self.compared_at = Some(now);
         }
@@ -87,13 +87,13 @@
 
     /// The middle one of the times to the first event, milliseconds, if at least `least` were taken lately. Not their
     /// mean: a request that waits while a long prompt is read raises that for long.
-    pub fn first_event_ms(&self, least: usize, now: Instant) -> Option<f64> {
-        let times = self.times.iter();
-        let young = times.filter(|(at, _)| now.saturating_duration_since(*at) < LIFETIME);
-        let young: Vec<f64> = young
+    pub fn first_event_ms(&self, min: usize, now: Instant) -> Option<f64> {
+        let timings = self.timings.iter();
+        let recent = timings.filter(|(at, _)| now.saturating_duration_since(*at) < OUTCOME_TTL);
+        let recent: Vec<f64> = recent
             .map(|(_, time)| time.as_secs_f64() * 1_000.0)
             .collect();
-        (young.len() >= least).then(|| median(young)).flatten()
+        (recent.len() >= min).then(|| median(recent)).flatten()
     }
 }
 
--- a/crates/slots/src/pacer.rs
+++ b/crates/slots/src/pacer.rs
@@ -16,14 +16,14 @@
 pub const COLD_GRANT_LIFETIME: Duration = Duration::from_millis(250);
 
 /// Time between two ticks after which the daemon counts as one that stood still. Ticks come every 100 ms.
-const STOOD_STILL: Duration = Duration::from_millis(1_000);
+const STALL_THRESHOLD: Duration = Duration::from_millis(1_000);
 
 /// Time after a daemon's start in which it gives out nothing: it may see few of its members yet, and take itself for
 /// the coordinator of others' groups.
-const START_WAIT: Duration = Duration::from_millis(3_000);
+const STARTUP_DELAY: Duration = Duration::from_millis(3_000);
 
 /// Coordinators that may give out at the same time: the one before and the one after.
-const COORDINATORS_AT_ONCE: f64 = 2.0;
+const CONCURRENT_COORDINATORS: f64 = 2.0;
 
 /// What one coordinator may give out for one cold replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -39,13 +39,13 @@
     /// it or in the lifetime of grants before it, and in that time a coordinator gives out what it has burst and what
     /// accrues. Coordinators on the sides of a cut have shares that add up to 1 at the most.
     pub fn of(bounds: &RateBounds, limit: RateLimit, share: f64) -> Self {
-        let part = bounds.max_in_window(limit) * share / COORDINATORS_AT_ONCE;
+        let budget = bounds.max_in_window(limit) * share / CONCURRENT_COORDINATORS;
         let counted_over = (bounds.window + COLD_GRANT_LIFETIME).as_secs_f64();
-        let most = ((part - 1.0) / counted_over).max(0.0);
-        let per_second = (limit.per_second() * share).min(most);
+        let max_rate = ((budget - 1.0) / counted_over).max(0.0);
+        let per_second = (limit.per_second() * share).min(max_rate);
         Self {
             per_second,
-            burst: part - per_second * counted_over,
+            burst: budget - per_second * counted_over,
         }
     }
 }
@@ -85,9 +85,9 @@
 
     /// To be called regularly, with the groups that this daemon coordinates and the part of the fleet that it sees. One
     /// that it did not coordinate before, or
-    /// before it stood still, begins with a wait: others may have given out all that its replicas bear.
+    /// before it stood still, begins with a delay: others may have given out all that its replicas bear.
     pub fn tick(&mut self, own: HashSet<G>, share: f64, bounds: &RateBounds, now: Instant) {
-        if self.stood_still(now) {
+        if self.is_stalled(now) {
             self.groups.clear();
         }
         self.ticked_at = now;
@@ -95,22 +95,22 @@
         for group in own {
             self.groups.entry(group).or_insert(now);
         }
-        let wait = wait(bounds);
+        let delay = handover_delay(bounds);
         self.shares.push_back((now, share));
-        while self.is_past_first_share(wait, now) {
+        while self.is_first_share_expired(delay, now) {
             self.shares.pop_front();
         }
         self.buckets
-            .retain(|_, bucket| now.saturating_duration_since(bucket.filled_at()) <= wait);
+            .retain(|_, bucket| now.saturating_duration_since(bucket.filled_at()) <= delay);
     }
 
-    /// True if the second of the shares kept was seen before the wait, so that the first says nothing more.
-    fn is_past_first_share(&self, wait: Duration, now: Instant) -> bool {
+    /// True if the second of the shares kept was seen before the delay, so that the first says nothing more.
+    fn is_first_share_expired(&self, delay: Duration, now: Instant) -> bool {
         let second = self.shares.get(1);
-        second.is_some_and(|(at, _)| now.saturating_duration_since(*at) > wait)
+        second.is_some_and(|(at, _)| now.saturating_duration_since(*at) > delay)
     }
 
-    /// The part of the fleet that counts for a daemon which sees `share` now. One that has grown counts after a wait:
+    /// The part of the fleet that counts for a daemon which sees `share` now. One that has grown counts after a delay:
     /// those that are back may not know yet that another one gives out.
     pub fn share(&self, share: f64) -> f64 {
         let seen = self.shares.iter().map(|(_, seen)| *seen);
@@ -127,7 +127,7 @@
         bounds: &RateBounds,
         now: Instant,
     ) -> bool {
-        if !self.may_give(group, bounds, now) {
+        if !self.may_grant(group, bounds, now) {
             return false;
         }
         let Some(tokens) = self.fill(replica, pace, now) else {
@@ -148,7 +148,7 @@
         bounds: &RateBounds,
         now: Instant,
     ) -> bool {
-        if !self.may_give(group, bounds, now) {
+        if !self.may_grant(group, bounds, now) {
             return false;
         }
         self.fill(replica, pace, now);
@@ -156,16 +156,16 @@
         bucket.is_some_and(|bucket| bucket.take(1) == 1)
     }
 
-    fn may_give(&self, group: &G, bounds: &RateBounds, now: Instant) -> bool {
+    fn may_grant(&self, group: &G, bounds: &RateBounds, now: Instant) -> bool {
         let since = self.groups.get(group);
-        let waited =
-            since.is_some_and(|since| now.saturating_duration_since(*since) >= wait(bounds));
-        let started = now.saturating_duration_since(self.started) >= START_WAIT;
-        waited && started && !self.stood_still(now)
+        let waited = since
+            .is_some_and(|since| now.saturating_duration_since(*since) >= handover_delay(bounds));
+        let started = now.saturating_duration_since(self.started) >= STARTUP_DELAY;
+        waited && started && !self.is_stalled(now)
     }
 
-    fn stood_still(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.ticked_at) >= STOOD_STILL
+    fn is_stalled(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.ticked_at) >= STALL_THRESHOLD
     }
 
     /// Brings a replica's bucket up to date. A new one is full: its coordinator has given out nothing for a window.
@@ -183,6 +183,6 @@
 }
 
 /// How long a new coordinator waits: what the one before gave out has been used or has lapsed, and is out of the window.
-fn wait(bounds: &RateBounds) -> Duration {
+fn handover_delay(bounds: &RateBounds) -> Duration {
     bounds.window + COLD_GRANT_LIFETIME
 }
--- a/crates/slots/src/spill.rs
+++ b/crates/slots/src/spill.rs
@@ -16,7 +16,7 @@
 pub struct SpillCost {
     /// Time on the rtt: of the question for a slot, and of the request itself.
     pub rtt: Duration,
-    /// What the crossing must spare beyond that.
+    /// What the cost must spare beyond that.
     pub penalty: Duration,
     /// Part of the slots there that must be free, in thousandths.
     pub min_free_permille: u32,
@@ -26,8 +26,8 @@
 ///
 /// Why only from a full region to a roomy one: the two conditions exclude each other for the same replicas, so that two
 /// regions never swap load, whatever the waits are taken for.
-pub fn should_spill(own: &FreeCapacity, other: &FreeCapacity, crossing: &SpillCost) -> bool {
+pub fn should_spill(own: &FreeCapacity, other: &FreeCapacity, cost: &SpillCost) -> bool {
     own.free_permille == 0
-        && other.free_permille >= crossing.min_free_permille.max(1)
-        && own.wait > other.wait + crossing.rtt + crossing.penalty
+        && other.free_permille >= cost.min_free_permille.max(1)
+        && own.wait > other.wait + cost.rtt + cost.penalty
 }
--- a/crates/slots/tests/ledger.rs
+++ b/crates/slots/tests/ledger.rs
@@ -53,8 +53,8 @@
         released: vec![1],
         ..SlotReport::default()
     };
-    ledger.take_report(&released, address(1), now);
-    ledger.take_report(&released, address(1), now);
+    ledger.apply_report(&released, address(1), now);
+    ledger.apply_report(&released, address(1), now);
     assert_eq!(ledger.counts(REPLICA), counts(0, 1));
 }
 
@@ -72,7 +72,7 @@
         ..SlotReport::default()
     };
     let last = now + HOLDER_LIFETIME - millis(1);
-    ledger.take_report(&released, address(1), last);
+    ledger.apply_report(&released, address(1), last);
     assert_eq!(ledger.counts(REPLICA), counts(2, 0), "in time");
     let late = last + HOLDER_LIFETIME;
     ledger.grant(HOLDER, address(1), 4, REPLICA, SlotUse::Online, late);
@@ -98,7 +98,7 @@
             }],
             ..SlotReport::default()
         };
-        ledger.take_report(&released, address(1), now + millis(40));
+        ledger.apply_report(&released, address(1), now + millis(40));
         assert_eq!(ledger.counts(REPLICA), counts(0, 0));
         assert_eq!(ledger.take_released().len(), expected, "{kind:?}");
     }
@@ -116,7 +116,7 @@
     held.take(elsewhere, OTHER_REPLICA, SlotUse::Online);
     let report = held.full_report(HOLDER, now, |replica| replica == REPLICA);
     let mut ledger = SlotLedger::default();
-    ledger.take_report(&report, address(1), now);
+    ledger.apply_report(&report, address(1), now);
     assert_eq!(ledger.counts(REPLICA), counts(1, 1));
     assert_eq!(ledger.counts(OTHER_REPLICA), counts(0, 0));
 }
@@ -137,7 +137,7 @@
     let report = held.full_report(HOLDER, now, |_| true);
     let later = held.next_number();
     ledger.grant(HOLDER, address(1), later, REPLICA, SlotUse::Online, now);
-    ledger.take_report(&report, address(1), now);
+    ledger.apply_report(&report, address(1), now);
     assert_eq!(ledger.replica_of(HOLDER, awaited), Some(REPLICA));
     assert_eq!(ledger.replica_of(HOLDER, given_up), None);
     assert_eq!(ledger.replica_of(HOLDER, later), Some(REPLICA));
@@ -163,10 +163,10 @@
     let lease = held.next_number();
     held.take(lease, REPLICA, item(now, 900));
     let early = held.full_report(8, now, |_| true);
-    ledger.take_report(&early, address(2), now + millis(100));
+    ledger.apply_report(&early, address(2), now + millis(100));
     assert_eq!(ledger.counts(REPLICA), counts(0, 1), "it is just ending");
     let late = held.full_report(8, now, |_| true);
-    ledger.take_report(&late, address(2), now + millis(600));
+    ledger.apply_report(&late, address(2), now + millis(600));
     assert_eq!(ledger.counts(REPLICA), counts(0, 2), "the order was lost");
 }
 
@@ -300,7 +300,7 @@
                         ..SlotReport::default()
                     };
                     if reported {
-                        ledger.take_report(&report, address(1), now);
+                        ledger.apply_report(&report, address(1), now);
                     }
                 }
                 Event::Release { pick, reported } => {
@@ -316,19 +316,19 @@
                         ..SlotReport::default()
                     };
                     if reported {
-                        ledger.take_report(&report, address(1), now);
+                        ledger.apply_report(&report, address(1), now);
                     }
                 }
                 Event::Whole { reported } => {
                     let report = held.full_report(HOLDER, now, |_| true);
                     if reported {
-                        ledger.take_report(&report, address(1), now);
+                        ledger.apply_report(&report, address(1), now);
                     }
                 }
             }
         }
         let report = held.full_report(HOLDER, now, |_| true);
-        ledger.take_report(&report, address(1), now);
+        ledger.apply_report(&report, address(1), now);
         let mut wanted: HashMap<u32, u32> = HashMap::new();
         for replica in truth.values() {
             *wanted.entry(*replica).or_default() += 1;
