--- a/crates/edge/src/slots/choosing_group.rs
+++ b/crates/edge/src/slots/choosing_group.rs
@@ -231,7 +231,11 @@
             let other = self.room(service, group);
             let crossing = self.crossing(service, group, groups.query.objective)?;
             let is_worthwhile = should_spill(&own, &other, &crossing);
-            is_worthwhile.then_some((other.wait + crossing.rtt, rand::random::<u32>(), group))
+            is_worthwhile.then_some((
+                other.wait + crossing.network_delay,
+                rand::random::<u32>(),
+                group,
+            ))
         });
         let (_, _, group) = worthwhile.min()?;
         Some(Target {
@@ -279,7 +283,7 @@
         let trip = self.calls.trips().mean(peer.location);
         Some(SpillCost {
             // Before it was ever measured, no longer than an answer is waited for.
-            rtt: trip.map_or(objective / LONGEST_PART, |trip| trip * ROUND_TRIPS),
+            network_delay: trip.map_or(objective / LONGEST_PART, |trip| trip * ROUND_TRIPS),
             penalty: Duration::from_secs_f64(self.costs.other_region_ms.max(0.0) / 1_000.0),
             min_free_permille: ROOMY_PERMILLE,
         })
--- a/crates/slots/src/admission.rs
+++ b/crates/slots/src/admission.rs
@@ -1,49 +1,49 @@
-//! Whether an online request that would wait for a slot is better told to come back, and when.
+//! Admission control of one group: refuses online requests that would miss their objective and schedules their
+//! retries.
 //!
-//! Why: in a group whose slots are all taken, a request that is let in although it must be late makes the next ones
-//! late too. Callers that come back a retry_at later find slots, as peaks are short beside what callers wait.
+//! A request admitted to a saturated group although it must be late delays those behind it. Peaks are short, so a
+//! retry a little later usually finds a slot.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Weight of a new observation in the mean time for which requests hold a slot.
+/// Smoothing factor of the mean slot holding time.
 const HOLD_WEIGHT: f64 = 0.05;
 
-/// Requests that must have ended before their mean time is believed.
+/// Observations below which no wait is estimated.
 const MIN_OBSERVATIONS: u32 = 16;
 
-/// Time over which arrivals are averaged, seconds.
 const ARRIVAL_WINDOW_SECONDS: f64 = 1.0;
 
-/// Least part of the slots' throughput that is taken for free to callers who come back.
+/// Minimum share of the slots' throughput that is assumed to be available to retries.
 const MIN_SPARE_SHARE: f64 = 0.1;
 
-/// Part of the longest time at which a caller that finds no earlier retry_at is told to come back, so that not all come
-/// at the same one.
+/// Range of the random share of `max_retry_after` to which a later retry is capped, so that retries don't
+/// synchronize.
 const MAX_DELAY_SHARE: std::ops::Range<f64> = 0.75..0.95;
 
-/// How much earlier or later than told a caller may come and be taken for one that was told to.
+/// How much earlier or later than scheduled a retry is still recognized.
 const EARLY_TOLERANCE: Duration = Duration::from_millis(100);
 const LATE_TOLERANCE: Duration = Duration::from_millis(500);
 
-/// A request that finds no free slot.
+/// An online request that finds no free slot.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueuedRequest {
-    /// Requests that must end at its replica before it can begin, itself counted.
+    /// Queue position at its replica, counted from 1: completions until it can begin.
     pub position: u32,
-    /// Slots of the replica.
+    /// Number of slots of its replica.
     pub replica_slots: u32,
-    /// Slots of the group.
+    /// Number of slots of the group's replicas together.
     pub group_slots: u32,
-    /// Time within which its answer must begin.
+    /// Time within which its response must begin.
     pub objective: Duration,
-    /// Longest time delay which its caller still comes back.
+    /// Longest retry delay that its caller accepts.
     pub max_retry_after: Duration,
 }
 
-/// What a coordinator observed of one group.
+/// Slot holding time and arrival rate of one group, and the retries scheduled for refused callers.
 #[derive(Debug, Clone)]
 pub struct GroupAdmission {
     hold_seconds: f64,
@@ -51,12 +51,12 @@
     arrivals_per_second: f64,
     last_arrival: Instant,
     scheduled_until: Instant,
-    /// Moments at which callers were told to come back, and have not yet.
+    /// Times of the scheduled retries that haven't arrived.
     scheduled_retries: VecDeque<Instant>,
 }
 
 impl GroupAdmission {
-    /// Nothing was observed yet.
+    /// Creates the state without any observation; requests are admitted until there are enough of them.
     pub fn new(now: Instant) -> Self {
         Self {
             hold_seconds: 0.0,
@@ -68,8 +68,8 @@
         }
     }
 
-    /// True if a caller that comes late is probably one that was told to come now: it has waited for its turn, and goes
-    /// before others.
+    /// Consumes the scheduled retry that is due now. True if there was one: the request has already waited and is
+    /// given priority.
     pub fn claim_retry(&mut self, now: Instant) -> bool {
         self.scheduled_retries
             .retain(|retry_at| *retry_at + LATE_TOLERANCE >= now);
@@ -82,14 +82,14 @@
             .is_some()
     }
 
-    /// An online request has given its slot back.
+    /// Records for how long an online request held its slot.
     pub fn observe_hold(&mut self, held: Duration) {
         let weight = HOLD_WEIGHT.max(1.0 / f64::from(self.observations + 1));
         self.hold_seconds += (held.as_secs_f64() - self.hold_seconds) * weight;
         self.observations = self.observations.saturating_add(1);
     }
 
-    /// An online request asks for a slot.
+    /// Records the arrival of an online request.
     pub fn observe_arrival(&mut self, now: Instant) {
         let elapsed = now.saturating_duration_since(self.last_arrival);
         let decay = (-elapsed.as_secs_f64() / ARRIVAL_WINDOW_SECONDS).exp();
@@ -97,7 +97,7 @@
         self.last_arrival = now;
     }
 
-    /// Expected time until a request begins; `None` while too little was observed.
+    /// Returns the expected time until the request begins; `None` with too few observations.
     pub fn expected_wait(&self, request: &QueuedRequest) -> Option<Duration> {
         if self.observations < MIN_OBSERVATIONS {
             return None;
@@ -108,8 +108,8 @@
         ))
     }
 
-    /// When the caller of a request that would be late is to come back; `None` if the request is let in. `draw` is a
-    /// random number from 0 to 1.
+    /// Returns the delay after which the caller of a request that would miss its objective must retry; `None` admits
+    /// the request. `draw` is a random number from 0 to 1.
     pub fn schedule_retry(
         &mut self,
         request: &QueuedRequest,
--- a/crates/slots/src/ejection.rs
+++ b/crates/slots/src/ejection.rs
@@ -1,7 +1,7 @@
-//! Outlier detection over the replicas of one group, as their coordinator sees their requests outcome: pure.
+//! Outlier detection over the replicas of one group, from the outcomes that their coordinator receives. Pure.
 //!
-//! A replica that fails is judged against the others of its group only: what all do alike is the load's or the
-//! service's doing, and taking replicas out would make it worse. What is known is a hint and dies with the coordinator.
+//! A replica is compared with the others of its group only: ejecting replicas for failures that all of them share
+//! would make an overload worse. The state is a hint and isn't persisted.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -12,98 +12,95 @@
 use crate::outcome_window::{OutcomeWindow, median};
 use crate::significance::{baseline_rate, is_outlier};
 
-/// Share of a group's replicas that may be out at the same time, in percent: beyond it the others would not bear the
-/// load, and the fault is hardly the replicas'.
+/// Maximum share of a group's replicas that may be ejected at a time, in percent; the others must sustain the load.
 const MAX_EJECTED_PERCENT: usize = 50;
 
-/// How long a replica is ejected for the first time, and how often that doubles at most.
+/// Time of the first ejection, and how often it may double for repeated ones.
 const BASE_EJECTION_TIME: Duration = Duration::from_millis(1_000);
 const MAX_DOUBLINGS: u32 = 5;
 
-/// Time in service after which an earlier ejection is forgotten.
+/// Time in service after which the count of ejections is reset.
 const EJECTION_RESET_AFTER: Duration = Duration::from_secs(30);
 
-/// Probes that must be served before a replica returns.
+/// Consecutive successful probes after which a replica returns to service.
 const PROBES_TO_RETURN: u32 = 3;
 
-/// How long the end of a probe is waited for before another is sent: an item may run for long, and a report may have
-/// been lost. What fails a request does so in less.
+/// Time after which an unanswered probe is replaced: a batch item may run for long, and reports may be lost.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long after its ejection_time a replica waits for items to probe it, and for work that may be repeated before any
-/// work may.
+/// Time after an ejection's end from which repeatable requests may probe besides batch items, and from which any
+/// request may if there is no repeatable work.
 const REPEATABLE_PROBE_DELAY: Duration = Duration::from_millis(150);
 const ONCE_ONLY_PROBE_DELAY: Duration = Duration::from_millis(2_000);
 
-/// Samples from which the time to the first event is compared, and how many times the others' it must be to count as
-/// slow.
+/// Samples needed to compare times to the first event, and the factor above the others' at which a replica is slow.
 const MIN_TIMINGS: usize = 6;
 const SLOW_FACTOR: f64 = 4.0;
 
-/// Least difference from the others' time to the first event, milliseconds.
+/// Minimum difference from the others' time to the first event, milliseconds.
 const MIN_SLOW_EXCESS_MS: f64 = 100.0;
 
-/// Share of its new work that even the slowest replica keeps, so that its recovery is seen.
+/// Minimum share of new work that a slow replica keeps, so that its recovery is observed.
 const MIN_SHARE: f64 = 0.05;
 
-/// The lease of a request: its holder and its number there.
+/// Identifies a lease by its holder and the holder's number for it.
 pub type LeaseId = (u64, u32);
 
-/// The end of one request.
+/// The outcome of one request, reported by its holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestOutcome {
-    /// Its replica.
+    /// Hash of the replica's id.
     pub replica: u32,
-    /// Its lease.
+    /// Lease under which the request ran.
     pub lease: LeaseId,
-    /// How it ended.
+    /// Classification by the holder.
     pub kind: OutcomeKind,
-    /// Time to the first event; zero if that says nothing.
+    /// Time to the first event; zero if it wasn't measured or isn't comparable.
     pub first_event: Duration,
 }
 
-/// What kind of work may try a replica that was ejected.
+/// Work that may probe an ejected replica, in the order of preference.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeWork {
-    /// A batch item.
+    /// A batch item; it can run again.
     Item,
-    /// A request that may be sent again elsewhere.
+    /// A request that may be sent again to another replica.
     Repeatable,
-    /// A request that may run once only.
+    /// A request that must run at most once.
     OnceOnly,
 }
 
-/// A change of a replica's status, with what it rests on.
+/// A change of a replica's status, with the evidence for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StatusChange {
-    /// The replica.
+    /// Hash of the replica's id.
     pub replica: u32,
-    /// What changed.
+    /// The transition.
     pub event: StatusEvent,
-    /// Outcomes counted, and failures among them.
+    /// Number of outcomes in the window.
     pub outcomes: u32,
-    /// Failures among them.
+    /// Number of failures in the window.
     pub failures: u32,
-    /// Failures in a row up to now.
+    /// Number of failures since the last success.
     pub consecutive_failures: u32,
-    /// Age of the oldest outcome counted.
+    /// Age of the oldest outcome in the window.
     pub window: Duration,
-    /// Share of failures of the group's others, in thousandths.
+    /// Failure rate of the group's other replicas, in thousandths.
     pub others_permille: u32,
 }
 
-/// What changed of a replica's status.
+/// Transition of a replica's status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StatusEvent {
-    /// It gets no work for so long.
+    /// Ejected for this time.
     Ejected(Duration),
-    /// It would be ejected, but as many of its group are out as may be.
+    /// Outlier that isn't ejected since the group is at its limit of ejections.
     Spared,
-    /// It gets work again.
+    /// Back in service after its probes succeeded.
     Returned,
-    /// Its first events come late: it gets this part of its new work, in thousandths.
+    /// Slow to the first event: its share of new work is reduced to this value, in thousandths.
     Slowed(u32),
-    /// It gets all of its new work again.
+    /// No longer slow: its full share of new work is restored.
     Restored,
 }
 
@@ -142,7 +139,7 @@
     }
 }
 
-/// The replicas of one group, as their requests outcome.
+/// Health of the replicas of one group.
 #[derive(Debug, Default)]
 pub struct OutlierDetector {
     replicas: HashMap<u32, ReplicaState>,
@@ -151,13 +148,13 @@
 }
 
 impl OutlierDetector {
-    /// Replicas that get no work now.
+    /// Returns the replicas that are ejected.
     pub fn ejected(&self) -> HashSet<u32> {
         let ejected = self.replicas.iter().filter(|(_, state)| state.is_ejected());
         ejected.map(|(replica, _)| *replica).collect()
     }
 
-    /// Number of replicas that get no work now.
+    /// Returns the number of ejected replicas.
     pub fn ejected_count(&self) -> u64 {
         self.replicas
             .values()
@@ -165,23 +162,23 @@
             .sum()
     }
 
-    /// True if no replica is out and none is slow.
+    /// True if no replica is ejected and none is slow.
     pub fn has_no_outliers(&self) -> bool {
         self.shares.is_empty() && !self.replicas.values().any(ReplicaState::is_ejected)
     }
 
-    /// Part of its new work that a replica still gets; 1 unless it is slow beside the others.
+    /// Returns the share of its new work that a replica receives; 1 unless it is slow compared with the others.
     pub fn share(&self, replica: u32) -> f64 {
         self.shares.get(&replica).copied().unwrap_or(1.0)
     }
 
-    /// Forgets replicas that are not listed any more.
+    /// Removes the state of replicas that aren't in `listed`.
     pub fn retain_listed(&mut self, listed: &HashSet<u32>) {
         self.replicas.retain(|replica, _| listed.contains(replica));
         self.shares.retain(|replica, _| listed.contains(replica));
     }
 
-    /// Replicas that this work may try now; one request at a time each.
+    /// Returns the ejected replicas that this work may probe now; those with a probe in progress aren't among them.
     pub fn probe_candidates(&mut self, work: ProbeWork, now: Instant) -> Vec<u32> {
         if work != ProbeWork::OnceOnly {
             self.last_repeatable = Some(now);
@@ -203,8 +200,8 @@
         due.map(|(replica, _)| *replica).collect()
     }
 
-    /// A lease was granted at the replica. True if its request is a probe; one beside a probe that still runs is none,
-    /// else the probe's end would never be taken where requests keep coming.
+    /// Records a grant at the replica. True if it becomes the replica's probe; a grant during a probe doesn't replace
+    /// it, or under steady load no probe would ever complete.
     pub fn note_grant(&mut self, replica: u32, lease: LeaseId, now: Instant) -> bool {
         let Some(state) = self.replicas.get_mut(&replica) else {
             return false;
@@ -218,7 +215,7 @@
         }
     }
 
-    /// A request has ended. `group` is the number of the group's replicas that could take work.
+    /// Records a request's outcome. `group` is the number of the group's replicas that can take work.
     pub fn observe(
         &mut self,
         outcome: RequestOutcome,
@@ -233,7 +230,7 @@
             let Status::Ejected { probe, .. } = state.status else {
                 return None;
             };
-            // What was sent before it was ejected says nothing new.
+            // Outcomes of requests sent before the ejection are no new evidence.
             let is_probe = probe.is_some_and(|(lease, _)| lease == outcome.lease);
             return is_probe.then(|| self.apply_probe(outcome, now)).flatten();
         }
@@ -250,7 +247,7 @@
         None
     }
 
-    /// Ejects a replica that fails as the others do not, as far as the bound allows.
+    /// Ejects the replica if it is an outlier, within the limit of ejections.
     fn evaluate(&mut self, replica: u32, group: usize, now: Instant) -> Option<StatusChange> {
         let others = self.others_rate(replica, now)?;
         let state = self.replicas.get(&replica)?;
@@ -304,7 +301,7 @@
         Some(self.change(outcome.replica, event, others, now))
     }
 
-    /// Share of failures that is usual among the others in service. `None` if nothing is known of any.
+    /// Returns the baseline failure rate of the other replicas in service; `None` without outcomes.
     fn others_rate(&self, replica: u32, now: Instant) -> Option<f64> {
         let others = self.replicas.iter();
         let others = others.filter(|(other, state)| **other != replica && !state.is_ejected());
@@ -312,7 +309,7 @@
         baseline_rate(others.collect())
     }
 
-    /// Looks anew whether a replica's first events come late beside the others'. Tells when that changes.
+    /// Updates whether the replica is slow compared with the others; returns the change, if any.
     fn compare_times(&mut self, replica: u32, now: Instant) -> Option<StatusChange> {
         let own = self.replicas.get(&replica)?;
         let own = own.window.first_event_ms(MIN_TIMINGS, now)?;
@@ -363,18 +360,18 @@
     }
 }
 
-/// True while the end of a probe is waited for.
+/// True while a probe is in progress and hasn't timed out.
 fn is_probing(probe: Option<(LeaseId, Instant)>, now: Instant) -> bool {
     probe.is_some_and(|(_, at)| now < at + PROBE_TIMEOUT)
 }
 
-/// Replicas of a group of this size that may be out at the same time: one at least where there is another.
+/// Returns the limit of ejections for a group of this size; at least 1 if it has several replicas.
 fn max_ejected(group: usize) -> u64 {
     let share = group * MAX_EJECTED_PERCENT / 100;
     share.max(usize::from(group > 1)) as u64
 }
 
-/// Whether an outcome is a failure of the replica; `None` if it says nothing.
+/// Whether an outcome is a failure of the replica; `None` if it is no evidence.
 fn is_failure(kind: OutcomeKind) -> Option<bool> {
     match kind {
         OutcomeKind::NoEvidence | OutcomeKind::NotSent => None,
--- a/crates/slots/src/groups.rs
+++ b/crates/slots/src/groups.rs
@@ -1,60 +1,54 @@
-//! Which replicas belong together, and which daemon coordinates their slots.
+//! Partition of a service's replicas into groups, and the choice of each group's coordinator.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Most replicas that one coordinator's group holds on the mean: what one small daemon can count by heart.
+/// Maximum mean number of replicas in a group; bounds the work of one coordinator.
 const MAX_MEAN_GROUP_SIZE: usize = 32;
 
-/// Fewest replicas that a zone must have on the mean for its groups to be its own. Smaller pools differ too much in
-/// what they have free: requests would have to ask twice.
+/// Minimum mean number of replicas per zone for groups by zone. In smaller pools requests would often need a second
+/// group.
 const MIN_ZONE_REPLICAS: usize = 12;
 
-/// Fewest replicas that a region must have on the mean for its groups to be its own. A question to another region takes
-/// longer than one more question within the own, so regions have groups of their own long before zones have; with one
-/// to three replicas, though, nearly every request of a busy region would find its group full and ask twice, once far
-/// away.
+/// Minimum mean number of replicas per region for groups by region. With fewer, most requests of a busy region would
+/// find their group full and need a second query, to another region.
 const MIN_REGION_REPLICAS: usize = 4;
 
-/// A group of a service's replicas.
+/// Identifies one group of a service's replicas; ordered by area.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct GroupId {
-    /// Hash of the zone or the region that the group lies in; 0 for a group over all places.
+    /// Hash of the group's zone or region; 0 for groups over all areas.
     pub area: u32,
-    /// Its number within the area, or among all.
+    /// Number within the area.
     pub number: u32,
 }
 
-/// What the groups of a service lie in.
+/// Area that the groups of a service are confined to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AreaKind {
-    /// Each lies in one zone.
+    /// Each group lies in one zone.
     Zone,
-    /// Each lies in one region.
+    /// Each group lies in one region.
     Region,
-    /// They reach over all places.
+    /// Groups span all zones and regions.
     All,
 }
 
-/// How a service's replicas are divided into groups: all daemons that know the same replicas divide them alike.
+/// Partition of a service's replicas into groups, a function of the replicas alone: all daemons that know the same
+/// replicas compute the same one.
 ///
-/// Why by zone where zones are large enough: most requests stay in their zone, so that the datagrams about their
-/// slots need not leave it either, and a zone that is cut off goes on by itself. Why else by region: a coordinator in
-/// another region answers later than a request can wait.
-///
-/// Why nothing is remembered of earlier layouts: daemons that started at different times would divide the same
-/// replicas differently for good, and refuse each other's questions. A layout that changes costs what a coordinator
-/// that changes costs: the new one learns from the holders' next whole report.
+/// Groups by zone keep slot traffic within the zone and let an isolated zone go on. Otherwise groups lie in a region,
+/// as a coordinator in another region replies too late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupLayout<'a> {
     kind: AreaKind,
-    /// Areas with groups of their own; empty if the groups reach over all places.
+    /// Areas with their own groups; empty if groups span all areas.
     areas: &'a [u32],
-    /// Groups of each area, or of all together: a power of two, so that it seldom changes.
+    /// Groups per area: a power of two, so that it seldom changes.
     numbers: u32,
 }
 
 impl<'a> GroupLayout<'a> {
-    /// The layout for so many replicas in `zones` and `regions` (hashes of their names, each once).
+    /// Computes the layout for `replicas` replicas in `zones` and `regions` (distinct hashes of their names).
     pub fn new(replicas: usize, zones: &'a [u32], regions: &'a [u32]) -> Self {
         let per_zone = replicas / zones.len().max(1);
         let per_region = replicas / regions.len().max(1);
@@ -76,17 +70,17 @@
         }
     }
 
-    /// What each group lies in.
+    /// Returns the kind of area that each group lies in.
     pub fn kind(&self) -> AreaKind {
         self.kind
     }
 
-    /// True if there is only one group.
+    /// True if there is at most one group.
     pub fn is_single(&self) -> bool {
         self.areas.len() <= 1 && self.numbers <= 1
     }
 
-    /// The group of a replica, from the hashes of its id, its zone and its region.
+    /// Returns the group of a replica, from the hashes of its id, its zone and its region.
     pub fn group_of(&self, replica: u32, zone: u32, region: u32) -> GroupId {
         GroupId {
             area: self.area_at(zone, region),
@@ -94,7 +88,7 @@
         }
     }
 
-    /// The area of a place.
+    /// Returns the area of a location; 0 if groups span all areas.
     pub fn area_at(&self, zone: u32, region: u32) -> u32 {
         match self.kind {
             AreaKind::Zone => zone,
@@ -103,7 +97,7 @@
         }
     }
 
-    /// True for a group of this layout.
+    /// True if the group belongs to this layout.
     pub fn contains(&self, group: GroupId) -> bool {
         let is_area = match self.kind {
             AreaKind::Zone | AreaKind::Region => self.areas.contains(&group.area),
@@ -112,7 +106,7 @@
         is_area && group.number < self.numbers
     }
 
-    /// All groups, area after area.
+    /// Returns all groups, ordered by area.
     pub fn all(&self) -> impl Iterator<Item = GroupId> + use<'a> {
         let everywhere: &[u32] = &[0];
         let areas = if self.areas.is_empty() {
@@ -126,12 +120,12 @@
             .flat_map(move |&area| (0..numbers).map(move |number| GroupId { area, number }))
     }
 
-    /// The groups that lie in an area; none if there is no such area.
+    /// Returns the groups of an area; none if the layout doesn't have it.
     pub fn in_area(&self, area: u32) -> impl Iterator<Item = GroupId> + use<'a> {
         self.all().filter(move |group| group.area == area)
     }
 
-    /// The group at a position of an endless turn through all groups.
+    /// Returns the group at a position of a cyclic sequence over all groups.
     pub fn at(&self, position: u32) -> GroupId {
         let number = position % self.numbers.max(1);
         let round = (position / self.numbers.max(1)) as usize;
@@ -143,14 +137,13 @@
     }
 }
 
-/// Number of groups for so many replicas.
 fn group_count(replicas: usize) -> u32 {
     let needed = replicas.div_ceil(MAX_MEAN_GROUP_SIZE).max(1);
     u32::try_from(needed.next_power_of_two()).unwrap_or(u32::MAX)
 }
 
-/// The member that coordinates a group: all daemons that know the same members name the same one (rendezvous
-/// hashing).
+/// Returns the member that coordinates a group, by rendezvous hashing: all daemons with the same members choose the
+/// same one.
 pub fn coordinator_of<'a>(
     service: u32,
     group: GroupId,
--- a/crates/slots/src/held.rs
+++ b/crates/slots/src/held.rs
@@ -1,4 +1,4 @@
-//! The leases that this daemon holds, and those that it waits for.
+//! The leases that this daemon holds or has requested.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -14,7 +14,7 @@
     usage: SlotUse,
 }
 
-/// A daemon's own leases, by number.
+/// Leases of this daemon by their number, and the numbers whose grant is pending.
 #[derive(Debug, Default)]
 pub struct HeldSlots {
     leases: HashMap<u32, HeldLease>,
@@ -24,34 +24,33 @@
 }
 
 impl HeldSlots {
-    /// A number for a lease that is asked for or taken next.
+    /// Allocates the number of the next lease.
     pub fn next_number(&mut self) -> u32 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// A coordinator is asked for the lease.
+    /// Marks the lease as requested from a coordinator, so that full reports don't revoke it.
     pub fn wait_for(&mut self, lease: u32) {
         self.awaited.insert(lease);
     }
 
-    /// The coordinator's answer has come, or is not waited for any more.
+    /// Removes the mark: the reply was received or isn't awaited any more.
     pub fn stop_waiting(&mut self, lease: u32) {
         self.awaited.remove(&lease);
     }
 
-    /// The lease is held.
+    /// Records a lease as held.
     pub fn take(&mut self, lease: u32, replica: u32, usage: SlotUse) {
         self.leases.insert(lease, HeldLease { replica, usage });
     }
 
-    /// The lease is given back. Returns its replica.
+    /// Removes a lease and returns its replica; `None` if it wasn't held.
     pub fn release(&mut self, lease: u32) -> Option<u32> {
         self.leases.remove(&lease).map(|held| held.replica)
     }
 
-    /// The item at the replica that can best be ended: the one with most time left. Its lease does not count as an
-    /// item's any more.
+    /// Returns the batch item at the replica with the most slack, and that slack: the best one to preempt.
     pub fn most_slack(&self, replica: u32, now: Instant) -> Option<(u32, Duration)> {
         let items = self.leases.iter().filter_map(|(lease, held)| {
             let slack = held.usage.slack(now)?;
@@ -60,19 +59,20 @@
         items.max_by_key(|(_, slack)| *slack)
     }
 
-    /// Replicas at which leases are held, each once.
+    /// Returns the distinct replicas with held leases.
     pub fn replicas(&self) -> HashSet<u32> {
         self.leases.values().map(|held| held.replica).collect()
     }
 
-    /// One lease as it is reported to coordinators.
+    /// Returns one lease in the form in which it is reported to coordinators.
     pub fn describe(&self, lease: u32, now: Instant) -> Option<HeldSlot> {
         self.leases
             .get(&lease)
             .map(|held| describe(lease, held, now))
     }
 
-    /// Names all leases at replicas for which `is_kept` holds.
+    /// Builds a full report of the leases at replicas for which `is_kept` holds. Its number increases with each
+    /// report.
     pub fn full_report(
         &mut self,
         holder: u64,
--- a/crates/slots/src/ledger.rs
+++ b/crates/slots/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The leases of all other daemons at the replicas that this one keeps.
+//! The coordinator's ledger of the leases that other daemons hold at its replicas.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -7,26 +7,26 @@
 use harrierward_wire::{HeldSlot, OutcomeKind, SlotReport};
 use tokio::time::Instant;
 
-/// How long a holder's leases are believed after its last report.
+/// How long a holder's leases stay valid after its last report.
 pub const HOLDER_LIFETIME: Duration = Duration::from_millis(2_500);
 
-/// How long an item that was ordered to end may go on before its lease counts again: the order may have been lost.
+/// How long a preempted item may still be reported before its lease counts again: the order may have been lost.
 const PREEMPTION_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// What a lease is used for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotUse {
-    /// A caller waits.
+    /// An online request.
     Online,
-    /// A batch item, which must run again at `due` if it is ended now.
+    /// A batch item, which can be preempted.
     Batch {
-        /// When it must run again.
+        /// When it must run again if it is preempted.
         due: Instant,
     },
 }
 
 impl SlotUse {
-    /// For an item: how long it may rest if it is ended now.
+    /// Returns for how long a batch item could be deferred if it were preempted now; `None` for online requests.
     pub fn slack(&self, now: Instant) -> Option<Duration> {
         match self {
             Self::Online => None,
@@ -44,23 +44,23 @@
     }
 }
 
-/// Leases at one replica.
+/// Number of leases at one replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SlotCounts {
     /// Online requests.
     pub online: u32,
-    /// Batch items that were not ordered to end.
+    /// Batch items that weren't preempted.
     pub batch: u32,
 }
 
-/// An item that shall end.
+/// A batch item chosen for preemption.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PreemptedLease {
-    /// Where its holder is.
+    /// Address of its holder.
     pub holder: SocketAddr,
-    /// Its number there.
+    /// The holder's number for it.
     pub lease: u32,
-    /// How long it may rest.
+    /// How long it can be deferred.
     pub slack: Duration,
 }
 
@@ -72,12 +72,12 @@
     preempted_at: Option<Instant>,
 }
 
-/// An online request that has given its lease back.
+/// A released lease of an online request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReleasedLease {
-    /// Its replica.
+    /// Hash of the replica's id.
     pub replica: u32,
-    /// How long it held the lease.
+    /// Time from the grant to the release.
     pub held: Duration,
 }
 
@@ -95,14 +95,14 @@
     }
 }
 
-/// True for a lease under which nothing was sent: it does not tell how long requests hold theirs.
+/// True if nothing was sent under the lease: its duration isn't a slot holding time.
 fn is_unused(report: &SlotReport, lease: u32) -> bool {
     let outcomes = report.outcomes.iter();
     let mut outcomes = outcomes.filter(|outcome| outcome.lease == lease);
     outcomes.any(|outcome| outcome.kind() == OutcomeKind::NotSent)
 }
 
-/// The leases of all other daemons.
+/// Leases of the other daemons by holder, and their counts by replica.
 #[derive(Debug, Default)]
 pub struct SlotLedger {
     holders: HashMap<u64, Holder>,
@@ -112,28 +112,28 @@
 }
 
 impl SlotLedger {
-    /// Replica of a lease that was given out before.
+    /// Returns the replica of a known lease.
     pub fn replica_of(&self, holder: u64, lease: u32) -> Option<u32> {
         let lease = self.holders.get(&holder)?.leases.get(&lease)?;
         Some(lease.replica)
     }
 
-    /// Leases at a replica.
+    /// Returns the number of leases at a replica.
     pub fn counts(&self, replica: u32) -> SlotCounts {
         self.counts.get(&replica).copied().unwrap_or_default()
     }
 
-    /// Replicas whose counts have changed since this was last asked.
+    /// Returns and clears the set of replicas whose counts have changed.
     pub fn take_changed(&mut self) -> Vec<u32> {
         self.changed.drain().collect()
     }
 
-    /// Online requests that have given their leases back since this was last asked.
+    /// Returns and clears the leases that online requests have released.
     pub fn take_released(&mut self) -> Vec<ReleasedLease> {
         std::mem::take(&mut self.released)
     }
 
-    /// Gives out a lease.
+    /// Records the grant of a lease; replaces one of the same number.
     pub fn grant(
         &mut self,
         holder: u64,
@@ -147,7 +147,7 @@
         self.set(holder, number, replica, usage, now);
     }
 
-    /// Takes a holder's report.
+    /// Applies a holder's report. A full report also removes leases that it doesn't list; an outdated one is ignored.
     pub fn apply_report(&mut self, report: &SlotReport, address: SocketAddr, now: Instant) {
         let holder = report.holder;
         let known = self.refresh_holder(holder, address, now);
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Forgets holders that have not been heard of for long.
+    /// Removes holders whose last report is older than [`HOLDER_LIFETIME`].
     pub fn expire(&mut self, now: Instant) {
         let unresponsive = self.holders.iter();
         let unresponsive = unresponsive.filter(|(_, holder)| holder.is_unresponsive(now));
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The item at the replica that can best be item: the one with most time left.
+    /// Returns the batch item at the replica with the most slack: the best one to preempt.
     pub fn most_slack(&self, replica: u32, now: Instant) -> Option<PreemptedLease> {
         let all = self.holders.values().flat_map(|holder| {
             let leases = holder.leases.iter();
@@ -215,7 +215,7 @@
         items.max_by_key(|item| item.slack)
     }
 
-    /// The item was ordered to end: its lease is free from now on.
+    /// Marks an item as preempted: its lease doesn't count any more.
     pub fn note_preempted(&mut self, item: PreemptedLease, now: Instant) {
         let lease = self
             .holders
@@ -230,7 +230,8 @@
         self.adjust_count(&counted, false);
     }
 
-    /// A holder that was not heard for too long begins anew: its word makes nothing of its earlier leases fresh.
+    /// Records contact with a holder. The leases of one that was unresponsive for too long have expired and are
+    /// removed.
     fn refresh_holder(&mut self, holder: u64, address: SocketAddr, now: Instant) -> &mut Holder {
         let known = self.holders.get(&holder);
         if known.is_some_and(|known| known.is_unresponsive(now)) {
@@ -304,7 +305,7 @@
         }
     }
 
-    /// Counts a lease in or out; one whose item was ordered to end is out already.
+    /// Adds a lease to the counts or removes it; a preempted one was already removed.
     fn adjust_count(&mut self, lease: &Lease, is_added: bool) {
         if lease.preempted_at.is_some() {
             return;
--- a/crates/slots/src/lib.rs
+++ b/crates/slots/src/lib.rs
@@ -1,9 +1,8 @@
-//! The leases that requests hold at replicas, as one daemon for each group of replicas keeps them: pure.
+//! Slot leases at replicas, granted by one coordinator for each group of replicas. Pure: callers do the I/O.
 //!
-//! Why: daemons that choose by what they last heard of each other choose the same replica at the same moment, and a
-//! request that meets batch items there does not know that it must ask for a slot. One coordinator that gives out the
-//! leases of a group one after the other knows both. What it knows is a hint: it is built anew from the holders'
-//! reports within a second, and no promise depends on it.
+//! Daemons that choose replicas by stale load reports of each other choose the same ones at the same time, and batch
+//! items would occupy slots unseen. A coordinator serializes the grants of its group. Its state is a hint, rebuilt
+//! from the holders' reports within a second.
 
 mod admission;
 mod ejection;
--- a/crates/slots/src/nearest.rs
+++ b/crates/slots/src/nearest.rs
@@ -1,19 +1,19 @@
-//! Which members are nearest to an area of groups, found once for each area and not for each group: a fleet has hundreds of groups,
-//! and its members change many times a second while they are replaced.
+//! The members nearest to each area, cached: there are hundreds of groups, and members change often during a rollout.
 
 use std::collections::HashMap;
 
-/// The members nearest to each area that was asked for, by their positions.
+/// Cache of the nearest members by area, as positions in the list of members.
 #[derive(Debug, Default)]
 pub struct NearestMembers {
     by_area: HashMap<(u32, Option<u32>), Vec<usize>>,
 }
 
-/// Where a member is: hashes of its zone and its region.
+/// Location of a member: hashes of its zone and its region.
 pub type MemberLocation = (u32, u32);
 
 impl NearestMembers {
-    /// Positions of the members in an area, a zone or a region; if there are none, of those in the area's region, else of all.
+    /// Returns the positions of the members in an area (a zone or a region); if there are none, of those in its
+    /// region, else of all members.
     pub fn of(
         &mut self,
         area: u32,
@@ -26,7 +26,7 @@
             .or_insert_with(|| nearest(area, region, members))
     }
 
-    /// Forgets all: the members are others.
+    /// Clears the cache; to be called when the members have changed.
     pub fn clear(&mut self) {
         self.by_area.clear();
     }
--- a/crates/slots/src/outcome_window.rs
+++ b/crates/slots/src/outcome_window.rs
@@ -1,41 +1,40 @@
-//! The last outcomes at one replica.
+//! Sliding window over the recent outcomes at one replica.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Outcomes kept, and how long they count.
+/// Maximum number of outcomes, and how long each of them counts.
 const MAX_OUTCOMES: usize = 32;
 const OUTCOME_TTL: Duration = Duration::from_secs(10);
 
-/// Times to a first event kept.
+/// Maximum number of samples of the time to the first event.
 const MAX_TIMINGS: usize = 16;
 
-/// Least time between two comparisons of times.
 const COMPARISON_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a window holds.
+/// Summary of the outcomes that haven't expired.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WindowSummary {
-    /// Outcomes that count.
+    /// Number of outcomes.
     pub outcomes: u32,
-    /// Failures among them.
+    /// Number of failures.
     pub failures: u32,
-    /// Failures among the newest, without one served in between.
+    /// Number of failures since the last success.
     pub consecutive_failures: u32,
-    /// Age of the oldest that counts.
+    /// Age of the oldest outcome.
     pub age: Duration,
 }
 
 impl WindowSummary {
-    /// Share of failures; 0 without outcomes.
+    /// Returns the failure rate; 0 without outcomes.
     pub fn rate(&self) -> f64 {
         f64::from(self.failures) / f64::from(self.outcomes.max(1))
     }
 }
 
-/// The last outcomes at one replica, and how late its first events came.
+/// Recent outcomes and times to the first event of one replica.
 #[derive(Debug, Default)]
 pub struct OutcomeWindow {
     outcomes: VecDeque<(Instant, bool)>,
@@ -44,7 +43,7 @@
 }
 
 impl OutcomeWindow {
-    /// Adds an outcome.
+    /// Records an outcome; drops the oldest one if the window is full.
     pub fn add(&mut self, is_failure: bool, now: Instant) {
         if self.outcomes.len() == MAX_OUTCOMES {
             self.outcomes.pop_front();
@@ -52,7 +51,7 @@
         self.outcomes.push_back((now, is_failure));
     }
 
-    /// What counts now.
+    /// Summarizes the outcomes that haven't expired.
     pub fn summary(&self, now: Instant) -> WindowSummary {
         let mut summary = WindowSummary::default();
         let mut in_run = true;
@@ -70,7 +69,7 @@
         summary
     }
 
-    /// Takes the time to a first event. True if times are to be compared again.
+    /// Records a time to the first event. True if a comparison with the other replicas is due.
     pub fn add_timing(&mut self, first_event: Duration, now: Instant) -> bool {
         if self.timings.len() == MAX_TIMINGS {
             self.timings.pop_front();
@@ -85,8 +84,8 @@
         is_due
     }
 
-    /// The middle one of the times to the first event, milliseconds, if at least `least` were taken lately. Not their
-    /// mean: a request that waits while a long prompt is read raises that for long.
+    /// Returns the median time to the first event, milliseconds; `None` with fewer than `min` recent samples. The
+    /// median isn't skewed by single requests that wait behind a long prompt.
     pub fn first_event_ms(&self, min: usize, now: Instant) -> Option<f64> {
         let timings = self.timings.iter();
         let recent = timings.filter(|(at, _)| now.saturating_duration_since(*at) < OUTCOME_TTL);
@@ -97,7 +96,7 @@
     }
 }
 
-/// The middle one of some numbers, the lower of two; `None` without any.
+/// Returns the median, the lower one of two; `None` without numbers.
 pub fn median(mut numbers: Vec<f64>) -> Option<f64> {
     if numbers.is_empty() {
         return None;
--- a/crates/slots/src/pacer.rs
+++ b/crates/slots/src/pacer.rs
@@ -1,7 +1,7 @@
-//! How many requests a coordinator gives out for cold replicas, so that all daemons together stay within what these bear.
+//! Rate limit of the requests that coordinators grant at cold replicas, over all daemons together.
 //!
-//! Why half for each coordinator: while members' views differ, the coordinator before and the one after may both give
-//! out. No third one does, since each waits for a window before its first request, and one that stood still begins anew.
+//! Each coordinator gets half of the rate: while members' views differ, the former and the new coordinator may both
+//! grant. A third one can't, since each waits for a window before its first grant, and again after a stall.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::Hash;
@@ -10,34 +10,33 @@
 use harrierward_tenants::{RateBounds, RateLimit, TokenBucket};
 use tokio::time::Instant;
 
-/// How long a request that was counted may still be sent to a cold replica, from the moment of the question. Above the
-/// longest patience with a coordinator and what placing takes; short, as what may rest at daemons is missing in
-/// the rate.
+/// How long a granted request may still be sent to a cold replica, counted from the query. Exceeds the timeout of
+/// queries to coordinators; kept short, since grants that are unused lower the rate.
 pub const COLD_GRANT_LIFETIME: Duration = Duration::from_millis(250);
 
-/// Time between two ticks after which the daemon counts as one that stood still. Ticks come every 100 ms.
+/// Time between two ticks after which this daemon is considered stalled.
 const STALL_THRESHOLD: Duration = Duration::from_millis(1_000);
 
-/// Time after a daemon's start in which it gives out nothing: it may see few of its members yet, and take itself for
-/// the coordinator of others' groups.
+/// Time after the start of a daemon in which it grants nothing: its view may be incomplete, so that it wrongly
+/// considers itself the coordinator of a group.
 const STARTUP_DELAY: Duration = Duration::from_millis(3_000);
 
-/// Coordinators that may give out at the same time: the one before and the one after.
+/// Number of coordinators of a group that may grant at a time: the former and the new one.
 const CONCURRENT_COORDINATORS: f64 = 2.0;
 
-/// What one coordinator may give out for one cold replica.
+/// Token bucket parameters of one coordinator for one cold replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdPace {
-    /// Requests a second.
+    /// Rate, requests per second.
     pub per_second: f64,
-    /// Requests that may be burst up; below 1 nothing is given out.
+    /// Bucket capacity, requests; nothing is granted if it is below 1.
     pub burst: f64,
 }
 
 impl ColdPace {
-    /// The pace of a coordinator that sees `share` of the fleet, 0 to 1. Requests that arrive in a window were counted in
-    /// it or in the lifetime of grants before it, and in that time a coordinator gives out what it has burst and what
-    /// accrues. Coordinators on the sides of a cut have shares that add up to 1 at the most.
+    /// Computes the pace of a coordinator that sees `share` of the fleet, 0 to 1. Any window contains the requests
+    /// granted in it or in [`COLD_GRANT_LIFETIME`] before it: at most the burst and what accrues in that time. The
+    /// shares of the sides of a partition add up to at most 1.
     pub fn of(bounds: &RateBounds, limit: RateLimit, share: f64) -> Self {
         let budget = bounds.max_in_window(limit) * share / CONCURRENT_COORDINATORS;
         let counted_over = (bounds.window + COLD_GRANT_LIFETIME).as_secs_f64();
@@ -50,29 +49,29 @@
     }
 }
 
-/// Who is to be sent to a cold replica.
+/// Kind of request to be sent to a cold replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ColdUse {
-    /// A caller waits: any request that has accrued.
+    /// An online request: takes any available token.
     Online,
-    /// A batch item: only what would be lost, as online has left it until no more can be burst.
+    /// A batch item: takes only tokens that would overflow the bucket.
     Item,
 }
 
-/// The counts of one coordinator, by group and replica. `G` names a group.
+/// Token buckets of one coordinator by replica. `G` identifies a group.
 #[derive(Debug)]
 pub struct ColdPacer<G> {
     started: Instant,
     ticked_at: Instant,
-    /// Since when this daemon coordinates its groups.
+    /// Since when this daemon has coordinated each of its groups.
     groups: HashMap<G, Instant>,
     buckets: HashMap<u32, TokenBucket>,
-    /// Parts of the fleet that this daemon saw within the last wait.
+    /// Shares of the fleet that this daemon saw within the handover delay.
     shares: VecDeque<(Instant, f64)>,
 }
 
 impl<G: Eq + Hash> ColdPacer<G> {
-    /// A daemon that starts at `now`.
+    /// Creates the state of a daemon that starts at `now`.
     pub fn new(now: Instant) -> Self {
         Self {
             started: now,
@@ -83,9 +82,9 @@
         }
     }
 
-    /// To be called regularly, with the groups that this daemon coordinates and the part of the fleet that it sees. One
-    /// that it did not coordinate before, or
-    /// before it stood still, begins with a delay: others may have given out all that its replicas bear.
+    /// Updates the groups that this daemon coordinates and the share of the fleet that it sees; to be called
+    /// regularly. Grants for a new group, or after a stall, begin after a delay, as another coordinator may have
+    /// granted the full rate.
     pub fn tick(&mut self, own: HashSet<G>, share: f64, bounds: &RateBounds, now: Instant) {
         if self.is_stalled(now) {
             self.groups.clear();
@@ -104,20 +103,20 @@
             .retain(|_, bucket| now.saturating_duration_since(bucket.filled_at()) <= delay);
     }
 
-    /// True if the second of the shares kept was seen before the delay, so that the first says nothing more.
+    /// True if the second share is older than the delay, so that the first one is obsolete.
     fn is_first_share_expired(&self, delay: Duration, now: Instant) -> bool {
         let second = self.shares.get(1);
         second.is_some_and(|(at, _)| now.saturating_duration_since(*at) > delay)
     }
 
-    /// The part of the fleet that counts for a daemon which sees `share` now. One that has grown counts after a delay:
-    /// those that are back may not know yet that another one gives out.
+    /// Returns the lowest share seen within the handover delay: after the share has grown, members that returned may
+    /// still follow another coordinator.
     pub fn share(&self, share: f64) -> f64 {
         let seen = self.shares.iter().map(|(_, seen)| *seen);
         seen.fold(share, f64::min)
     }
 
-    /// True if a request for a cold replica of the group would be counted now.
+    /// True if a request for a cold replica of the group would be granted now.
     pub fn has_capacity(
         &mut self,
         group: &G,
@@ -139,7 +138,7 @@
         }
     }
 
-    /// Counts a request for a cold replica; false if none may be sent there now.
+    /// Takes a token for a request to a cold replica; false if there is none or the coordinator may not grant yet.
     pub fn take(
         &mut self,
         group: &G,
@@ -168,7 +167,8 @@
         now.saturating_duration_since(self.ticked_at) >= STALL_THRESHOLD
     }
 
-    /// Brings a replica's bucket up to date. A new one is full: its coordinator has given out nothing for a window.
+    /// Refills a replica's bucket and returns its tokens; `None` if the capacity is below 1. A new bucket is full, as
+    /// nothing was granted within a window.
     fn fill(&mut self, replica: u32, pace: ColdPace, now: Instant) -> Option<f64> {
         if pace.burst < 1.0 {
             return None;
@@ -182,7 +182,7 @@
     }
 }
 
-/// How long a new coordinator waits: what the one before gave out has been used or has lapsed, and is out of the window.
+/// Returns the delay after which all grants of the former coordinator are outside the window.
 fn handover_delay(bounds: &RateBounds) -> Duration {
     bounds.window + COLD_GRANT_LIFETIME
 }
--- a/crates/slots/src/significance.rs
+++ b/crates/slots/src/significance.rs
@@ -1,25 +1,25 @@
-//! What failures at summary replica tell beside those at the baseline.
+//! Significance test for the failures of one replica against those of the others in its group.
 
 use crate::outcome_window::{WindowSummary, median};
 
-/// Failures in a row that no replica is ejected below.
+/// Minimum number of consecutive failures for an ejection.
 const MIN_CONSECUTIVE_FAILURES: f64 = 3.0;
 
-/// Chance of a row of failures, at the rate at which the baseline fail, below which it is not taken for bad luck.
+/// Probability of a run of failures, at the baseline rate, below which it is significant.
 const RUN_SIGNIFICANCE_LEVEL: f64 = 1e-6;
 
-/// Outcomes in a window from which its share of failures is compared, and standard deviations that it must lie above
-/// what the baseline' rate explains.
+/// Minimum number of outcomes for a comparison of rates, and the standard deviations above the expected failures that
+/// are significant.
 const MIN_COMPARED_OUTCOMES: u32 = 8;
 const MIN_DEVIATIONS: f64 = 5.0;
 
-/// Least difference of the share of failures from the baseline'.
+/// Minimum difference from the baseline rate.
 const MIN_RATE_DIFFERENCE: f64 = 0.2;
 
-/// Share of failures above which a replica does not count for what is usual, unless most are like it.
+/// Failure rate above which a replica is excluded from the baseline, unless most replicas exceed it.
 const MAX_BASELINE_RATE: f64 = 0.5;
 
-/// True if the failures are more than bad luck explains at the rate at which the baseline fail.
+/// True if the failures are significant at the baseline rate.
 pub fn is_outlier(own: &WindowSummary, baseline: f64) -> bool {
     if f64::from(own.consecutive_failures) >= significant_run(baseline) {
         return true;
@@ -34,8 +34,8 @@
         && failures / outcomes >= baseline + MIN_RATE_DIFFERENCE
 }
 
-/// The share of failures of all that do not fail most of their requests, or the median_rate summary of the shares where more do.
-/// Few outcomes without a failure do not show that none fails, so summary more failure is assumed.
+/// Computes the pooled failure rate of the replicas that serve most of their requests, but at least the median rate.
+/// One failure is added, as few outcomes without a failure don't prove a rate of zero.
 pub fn baseline_rate(mut others: Vec<WindowSummary>) -> Option<f64> {
     others.retain(|summary| summary.outcomes > 0);
     let median_rate = median(others.iter().map(WindowSummary::rate).collect())?;
@@ -46,7 +46,8 @@
     Some(pooled.max(median_rate))
 }
 
-/// Failures in a row that are no bad luck where others fail at this rate; without bound where all fail.
+/// Returns the number of consecutive failures that is significant at the baseline rate; infinite if all requests
+/// fail.
 fn significant_run(baseline: f64) -> f64 {
     if baseline >= 1.0 {
         return f64::INFINITY;
--- a/crates/slots/src/spill.rs
+++ b/crates/slots/src/spill.rs
@@ -1,33 +1,33 @@
-//! Whether a request leaves its region for another one's replicas.
+//! Decides when a request spills over to another region's replicas.
 
 use std::time::Duration;
 
-/// What is known of the room in some replicas.
+/// Free capacity of a group of replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FreeCapacity {
-    /// Slots that online requests could take, those of items that would give rtt among them, in thousandths of all.
+    /// Share of slots available to online requests, including those of preemptible items, in thousandths.
     pub free_permille: u32,
-    /// Expected wait for a slot there.
+    /// Expected wait for a slot.
     pub wait: Duration,
 }
 
-/// What leaving costs, beside the wait there.
+/// Cost of leaving the region, besides the wait for a slot there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SpillCost {
-    /// Time on the rtt: of the question for a slot, and of the request itself.
-    pub rtt: Duration,
-    /// What the cost must spare beyond that.
+    /// Network delay of the slot query and of the request.
+    pub network_delay: Duration,
+    /// Gain that is required beyond the network delay.
     pub penalty: Duration,
-    /// Part of the slots there that must be free, in thousandths.
+    /// Minimum share of free slots in the other region, in thousandths.
     pub min_free_permille: u32,
 }
 
-/// True if a request of a region with `own` room is better off with the `other` room.
+/// True if a request of a region with `own` capacity should run at the `other` region.
 ///
-/// Why only from a full region to a roomy one: the two conditions exclude each other for the same replicas, so that two
-/// regions never swap load, whatever the waits are taken for.
+/// Only a full region spills, and only to one with free slots. The conditions exclude each other, so that two regions
+/// never exchange load, however wrong the waits are.
 pub fn should_spill(own: &FreeCapacity, other: &FreeCapacity, cost: &SpillCost) -> bool {
     own.free_permille == 0
         && other.free_permille >= cost.min_free_permille.max(1)
-        && own.wait > other.wait + cost.rtt + cost.penalty
+        && own.wait > other.wait + cost.network_delay + cost.penalty
 }
--- a/crates/slots/tests/groups.rs
+++ b/crates/slots/tests/groups.rs
@@ -100,7 +100,7 @@
     fn two_regions_never_swap_load(
         free in prop::collection::vec(0_u32..1_000, 2),
         waits in prop::collection::vec(0_u64..2_000, 2),
-        rtt in 0_u64..80,
+        network_delay in 0_u64..80,
         penalty in 0_u64..100,
         least in 0_u32..300,
     ) {
@@ -109,7 +109,7 @@
             wait: Duration::from_millis(waits[at]),
         };
         let crossing = SpillCost {
-            rtt: Duration::from_millis(rtt),
+            network_delay: Duration::from_millis(network_delay),
             penalty: Duration::from_millis(penalty),
             min_free_permille: least,
         };
@@ -122,7 +122,7 @@
 #[test]
 fn a_request_leaves_a_full_region_only_for_more_than_the_way_and_the_price() {
     let crossing = SpillCost {
-        rtt: Duration::from_millis(80),
+        network_delay: Duration::from_millis(80),
         penalty: Duration::from_millis(60),
         min_free_permille: 150,
     };
