--- a/crates/slots/src/outcome_window.rs
+++ b/crates/slots/src/outcome_window.rs
@@ -1,103 +1,102 @@
-//! The last outcomes at one replica.
+//! Sliding window over the recent outcomes at one replica.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Outcomes kept, and how long they count.
-const MOST_OUTCOMES: usize = 32;
-const LIFETIME: Duration = Duration::from_secs(10);
+/// Maximum number of outcomes, and how long each of them counts.
+const MAX_OUTCOMES: usize = 32;
+const OUTCOME_TTL: Duration = Duration::from_secs(10);
 
-/// Times to a first event kept.
-const MOST_TIMES: usize = 16;
+/// Maximum number of samples of the time to the first event.
+const MAX_TIMINGS: usize = 16;
 
-/// Least time between two comparisons of times.
-const COMPARED_EVERY: Duration = Duration::from_millis(100);
+const COMPARISON_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a window holds.
+/// Summary of the outcomes that haven't expired.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WindowSummary {
-    /// Outcomes that count.
+    /// Number of outcomes.
     pub outcomes: u32,
-    /// Failures among them.
+    /// Number of failures.
     pub failures: u32,
-    /// Failures among the newest, without one served in between.
-    pub in_a_row: u32,
-    /// Age of the oldest that counts.
+    /// Number of failures since the last success.
+    pub consecutive_failures: u32,
+    /// Age of the oldest outcome.
     pub age: Duration,
 }
 
 impl WindowSummary {
-    /// Share of failures; 0 without outcomes.
+    /// Returns the failure rate; 0 without outcomes.
     pub fn rate(&self) -> f64 {
         f64::from(self.failures) / f64::from(self.outcomes.max(1))
     }
 }
 
-/// The last outcomes at one replica, and how late its first events came.
+/// Recent outcomes and times to the first event of one replica.
 #[derive(Debug, Default)]
 pub struct OutcomeWindow {
-    recent: VecDeque<(Instant, bool)>,
-    times: VecDeque<(Instant, Duration)>,
+    outcomes: VecDeque<(Instant, bool)>,
+    timings: VecDeque<(Instant, Duration)>,
     compared_at: Option<Instant>,
 }
 
 impl OutcomeWindow {
-    /// Adds an outcome.
+    /// Records an outcome; drops the oldest one if the window is full.
     pub fn add(&mut self, is_failure: bool, now: Instant) {
-        if self.recent.len() == MOST_OUTCOMES {
-            self.recent.pop_front();
+        if self.outcomes.len() == MAX_OUTCOMES {
+            self.outcomes.pop_front();
         }
-        self.recent.push_back((now, is_failure));
+        self.outcomes.push_back((now, is_failure));
     }
 
-    /// What counts now.
+    /// Summarizes the outcomes that haven't expired.
     pub fn summary(&self, now: Instant) -> WindowSummary {
         let mut summary = WindowSummary::default();
-        let mut is_row = true;
-        for (at, is_failure) in self.recent.iter().rev() {
+        let mut in_run = true;
+        for (at, is_failure) in self.outcomes.iter().rev() {
             let age = now.saturating_duration_since(*at);
-            if age >= LIFETIME {
+            if age >= OUTCOME_TTL {
                 break;
             }
-            is_row &= is_failure;
+            in_run &= is_failure;
             summary.outcomes += 1;
             summary.failures += u32::from(*is_failure);
-            summary.in_a_row += u32::from(is_row);
+            summary.consecutive_failures += u32::from(in_run);
             summary.age = age;
         }
         summary
     }
 
-    /// Takes the time to a first event. True if times are to be compared again.
-    pub fn time(&mut self, first_event: Duration, now: Instant) -> bool {
-        if self.times.len() == MOST_TIMES {
-            self.times.pop_front();
+    /// Records a time to the first event. True if a comparison with the other replicas is due.
+    pub fn add_timing(&mut self, first_event: Duration, now: Instant) -> bool {
+        if self.timings.len() == MAX_TIMINGS {
+            self.timings.pop_front();
         }
-        self.times.push_back((now, first_event));
+        self.timings.push_back((now, first_event));
         let is_due = self
             .compared_at
-            .is_none_or(|at| now.saturating_duration_since(at) >= COMPARED_EVERY);
+            .is_none_or(|at| now.saturating_duration_since(at) >= COMPARISON_INTERVAL);
         if is_due {
             self.compared_at = Some(now);
         }
         is_due
     }
 
-    /// The middle one of the times to the first event, milliseconds, if at least `least` were taken lately. Not their
-    /// mean: a request that waits while a long prompt is read raises that for long.
-    pub fn first_event_ms(&self, least: usize, now: Instant) -> Option<f64> {
-        let times = self.times.iter();
-        let young = times.filter(|(at, _)| now.saturating_duration_since(*at) < LIFETIME);
-        let young: Vec<f64> = young
+    /// Returns the median time to the first event, milliseconds; `None` with fewer than `min` recent samples. The
+    /// median isn't skewed by single requests that wait behind a long prompt.
+    pub fn first_event_ms(&self, min: usize, now: Instant) -> Option<f64> {
+        let timings = self.timings.iter();
+        let recent = timings.filter(|(at, _)| now.saturating_duration_since(*at) < OUTCOME_TTL);
+        let recent: Vec<f64> = recent
             .map(|(_, time)| time.as_secs_f64() * 1_000.0)
             .collect();
-        (young.len() >= least).then(|| median(young)).flatten()
+        (recent.len() >= min).then(|| median(recent)).flatten()
     }
 }
 
-/// The middle one of some numbers, the lower of two; `None` without any.
+/// Returns the median, the lower one of two; `None` without numbers.
 pub fn median(mut numbers: Vec<f64>) -> Option<f64> {
     if numbers.is_empty() {
         return None;
