--- a/crates/edge/src/discovery/evacuations.rs
+++ b/crates/edge/src/discovery/evacuations.rs
@@ -6,7 +6,9 @@
 
 use harrierward_decisions::Record;
 use harrierward_relay::SpaceUpdate;
-use harrierward_serving::{EvacuatedZones, EvacuationNews, EvacuationRows, WorkClass, ZoneChange};
+use harrierward_serving::{
+    EvacuatedZones, EvacuationRows, EvacuationUpdate, WorkClass, ZoneChange,
+};
 use tokio::time::{Instant, sleep};
 
 use super::Discovery;
@@ -35,16 +37,16 @@
             .iter()
             .filter_map(|key| zone_of(key))
             .collect();
-        let news = self.zones().rows.take(written, &gone, update.complete_at);
+        let news = self.zones().rows.apply(written, &gone, update.complete_at);
         self.take_evacuations(&news, origin);
         self.log_without_room(&news, origin);
     }
 
     /// Rows that are not in force since there are too many: told again at each whole read, for as long as it is so.
-    fn log_without_room(&self, news: &EvacuationNews, origin: &str) {
+    fn log_without_room(&self, news: &EvacuationUpdate, origin: &str) {
         let standing = news.zones.iter().filter(|(_, mark)| !mark.is_over);
         for (zone, mark) in standing {
-            if self.zones().zones.is_kept(zone) {
+            if self.zones().zones.is_tracked(zone) {
                 continue;
             }
             self.log_zone(zone, mark.revision, "ignored", origin);
@@ -52,7 +54,7 @@
     }
 
     /// Takes what the store or a peer knows of evacuated zones.
-    pub fn take_evacuations(&self, news: &EvacuationNews, origin: &str) {
+    pub fn take_evacuations(&self, news: &EvacuationUpdate, origin: &str) {
         // The lock is held until the replicas know: an older set must not come after a newer one.
         let mut known = self.zones();
         let changes = known.zones.merge(news, harrierward_clock::now());
@@ -67,8 +69,8 @@
     }
 
     /// What this daemon knows of evacuated zones.
-    pub fn evacuations(&self) -> EvacuationNews {
-        self.zones().zones.news()
+    pub fn evacuations(&self) -> EvacuationUpdate {
+        self.zones().zones.to_update()
     }
 
     /// When this daemon learned that the zone's last evacuation was over; `None` if there was none.
@@ -80,8 +82,9 @@
     fn running_in(&self, zone: &str) -> u32 {
         let view = self.replicas.view();
         let there = view.all().filter(|replica| replica.record.zone == zone);
-        let running =
-            there.map(|replica| replica.own(WorkClass::Online) + replica.own(WorkClass::Batch));
+        let running = there.map(|replica| {
+            replica.own_in_progress(WorkClass::Online) + replica.own_in_progress(WorkClass::Batch)
+        });
         running.sum()
     }
 
--- a/crates/inline-jobs/src/item_run.rs
+++ b/crates/inline-jobs/src/item_run.rs
@@ -4,8 +4,8 @@
 
 use futures::StreamExt;
 use harrierward_serving::{
-    AttemptFailure, AttemptTimes, EventSplitter, Forwarder, Placement, Sending, ServingRequest,
-    StreamEvent, Verdict, wait_for_progress,
+    AttemptFailure, AttemptOptions, AttemptOutcome, AttemptTimeouts, EventSplitter, Forwarder,
+    Placement, ServingRequest, StreamEvent, wait_for_progress,
 };
 use tokio::time::Instant;
 
@@ -45,12 +45,12 @@
     failed_before: bool,
 ) -> RunOutcome {
     let resume_after = lock(progress).last_event;
-    let times = AttemptTimes {
+    let times = AttemptTimeouts {
         time_left: None,
-        dark: DARK,
-        longest: LONGEST_SILENCE,
+        stall_timeout: DARK,
+        max_wait: LONGEST_SILENCE,
     };
-    let sending = Sending {
+    let sending = AttemptOptions {
         resume_after,
         fresh_connection: false,
         number: 1,
@@ -61,7 +61,7 @@
         .await;
     let attempt = match attempt {
         Ok(attempt) => attempt,
-        Err(AttemptFailure::NoReplica | AttemptFailure::ComeBack { .. }) => {
+        Err(AttemptFailure::NoReplica | AttemptFailure::RetryLater { .. }) => {
             return RunOutcome::NotRun("no replica".to_owned());
         }
         Err(AttemptFailure::NotRun { cause, .. } | AttemptFailure::Unattributed { cause }) => {
@@ -69,7 +69,7 @@
         }
         Err(AttemptFailure::MayHaveRun { cause }) => return RunOutcome::Broken(cause),
     };
-    match attempt.answer.status {
+    match attempt.response.status {
         200..=299 => {}
         FAILED => return RunOutcome::Failed,
         IMPOSSIBLE => return RunOutcome::Impossible,
@@ -77,27 +77,27 @@
     }
     let in_progress = attempt.in_progress;
     let replica = in_progress.replica().clone();
-    let mut body = attempt.answer.body;
+    let mut body = attempt.response.body;
     let mut splitter = EventSplitter::default();
     loop {
         let next = wait_for_progress(body.next(), &replica, DARK, LONGEST_SILENCE).await;
         let bytes = match next {
             None => {
                 replica.suspect();
-                in_progress.conclude(Verdict::Silent);
+                in_progress.conclude(AttemptOutcome::Unresponsive);
                 return RunOutcome::Broken("no event in time".to_owned());
             }
-            Some(None) if splitter.left_over() > 0 => {
-                in_progress.break_off();
+            Some(None) if splitter.buffered_bytes() > 0 => {
+                in_progress.note_disconnect();
                 return RunOutcome::Broken("the stream ended within an event".to_owned());
             }
             Some(None) => {
-                in_progress.conclude(Verdict::Served);
-                in_progress.note_whole();
+                in_progress.conclude(AttemptOutcome::Served);
+                in_progress.note_complete();
                 return RunOutcome::Finished;
             }
             Some(Some(Err(error))) => {
-                in_progress.break_off();
+                in_progress.note_disconnect();
                 return RunOutcome::Broken(error.to_string());
             }
             Some(Some(Ok(bytes))) => bytes,
@@ -106,7 +106,7 @@
         splitter.push(&bytes);
         while let Some(event) = splitter.next_event() {
             if let Err(cause) = take_event(progress, &event) {
-                in_progress.conclude(Verdict::Spoilt);
+                in_progress.conclude(AttemptOutcome::Corrupt);
                 return RunOutcome::Broken(cause.to_owned());
             }
         }
--- a/crates/serving/src/choice.rs
+++ b/crates/serving/src/choice.rs
@@ -38,7 +38,7 @@
 
 /// Why a request leaves the region of the daemon that it came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeftRegion {
+pub enum CrossRegionReason {
     /// The own region's replicas are full, and the way costs less than their queues.
     Full,
     /// The own region has no replica that may take it and answers.
@@ -47,7 +47,7 @@
     Price,
 }
 
-impl LeftRegion {
+impl CrossRegionReason {
     /// Name in the log.
     pub fn name(self) -> &'static str {
         match self {
@@ -72,7 +72,7 @@
     /// Until when the request may be sent there although the replica is cold; `None` if it was not counted there.
     pub cold_until: Option<Instant>,
     /// Why a replica in another region was looked for; `None` where the own region's were.
-    pub left_region: Option<LeftRegion>,
+    pub left_region: Option<CrossRegionReason>,
     /// The replica was out of service and is tried for its return.
     pub is_probe: bool,
     /// Another one that probably keeps more of the prompt: its memory of it is copied instead of being made anew.
@@ -81,7 +81,7 @@
 
 impl Choice {
     /// The work ran at `earlier` before, which may still keep all of its prompt.
-    pub fn copy_from_earlier(&mut self, view: &ReplicaView, earlier: u32, policy: Policy) {
+    pub fn copy_from_previous(&mut self, view: &ReplicaView, earlier: u32, policy: Policy) {
         let source = view.by_hash(earlier);
         let source = source.filter(|_| policy.has(Mechanism::PromptCopies));
         if let Some(source) = source.filter(|source| can_copy(source, &self.replica)) {
@@ -110,7 +110,7 @@
 /// Part of the slots looked at that must be free to online requests for their replicas to count as roomy, in
 /// thousandths. Below it a replica's silence is more likely a queue than a fault (issue 21: 15 % free or less where
 /// all attempts were given up for silence), and a group is not asked for its prompt's sake.
-pub const ROOMY_PERMILLE: u32 = 150;
+pub const MIN_FREE_PERMILLE: u32 = 150;
 
 /// Fewest shared tokens for which a copy is made: below, reading them anew takes no longer.
 const LEAST_COPIED_TOKENS: u32 = 1_000;
@@ -139,7 +139,7 @@
     pub is_overdue: bool,
     /// Most replicas that are looked at beside the preferred one: few, where their loads are old, so that daemons
     /// that know the same do not all choose the same.
-    pub most_candidates: usize,
+    pub max_candidates: usize,
 }
 
 /// Chooses one of the replicas, which are those that take new work.
@@ -162,7 +162,7 @@
         usable
     };
     let preferred = preferred(&usable, view, query);
-    let replicas = narrow(usable, preferred.as_ref(), query.most_candidates);
+    let replicas = narrow(usable, preferred.as_ref(), query.max_candidates);
     let shared_tokens = query.prompt.shared_tokens();
     let candidates: Vec<Candidate> = replicas
         .iter()
@@ -178,7 +178,10 @@
             own_zone: (query.is_own_zone)(replica),
             own_region: (query.is_own_region)(replica),
             connected: (query.is_connected)(replica),
-            separation: separation(query.length, view.is_long_prompt_home(&replica.record.id)),
+            separation: separation(
+                query.length,
+                view.has_long_prompt_affinity(&replica.record.id),
+            ),
             suspected: (query.is_suspected)(replica),
         })
         .collect();
@@ -207,7 +210,7 @@
 pub fn own_region_first(
     replicas: Vec<Arc<Replica>>,
     query: &ChoiceQuery<'_>,
-) -> (Vec<Arc<Replica>>, Option<LeftRegion>) {
+) -> (Vec<Arc<Replica>>, Option<CrossRegionReason>) {
     let may_take = |replica: &&Arc<Replica>| {
         (query.is_own_region)(replica)
             && !(query.is_excluded)(replica)
@@ -216,7 +219,7 @@
     };
     let near: Vec<Arc<Replica>> = replicas.iter().filter(may_take).cloned().collect();
     if near.is_empty() {
-        (replicas, Some(LeftRegion::NoReplica))
+        (replicas, Some(CrossRegionReason::NoReplica))
     } else {
         (near, None)
     }
@@ -241,11 +244,11 @@
 ) -> Option<Arc<Replica>> {
     let part = query.prompt.shared().last()?.id;
     let fits = |replica: &&Arc<Replica>| {
-        let home = view.is_long_prompt_home(&replica.record.id);
+        let home = view.has_long_prompt_affinity(&replica.record.id);
         match query.length {
             PromptLength::Long => home,
             PromptLength::Short => !home && (query.is_own_zone)(replica),
-            PromptLength::Alike => (query.is_own_zone)(replica),
+            PromptLength::Uniform => (query.is_own_zone)(replica),
         }
     };
     let weight = |replica: &&Arc<Replica>| preference_weight(part, &replica.record.id);
@@ -282,8 +285,8 @@
 
 fn separation(length: PromptLength, home: bool) -> Separation {
     match (length, home) {
-        (PromptLength::Long, false) => Separation::LongAway,
-        (PromptLength::Short, true) => Separation::ShortBesideLong,
+        (PromptLength::Long, false) => Separation::LongWithoutAffinity,
+        (PromptLength::Short, true) => Separation::ShortAmongLong,
         _ => Separation::Fits,
     }
 }
--- a/crates/serving/src/in_progress.rs
+++ b/crates/serving/src/in_progress.rs
@@ -5,7 +5,7 @@
 use harrierward_quarantine::ContentId;
 
 use crate::leases::SlotLease;
-use crate::outcome::{Evidence, Verdict};
+use crate::outcome::{AttemptOutcome, Evidence};
 use crate::quarantine::Quarantine;
 use crate::replica::{Replica, WorkClass};
 
@@ -53,19 +53,19 @@
     }
 
     /// The connection broke after the request may have been begun.
-    pub fn break_off(&self) {
-        self.conclude(Verdict::Cut);
+    pub fn note_disconnect(&self) {
+        self.conclude(AttemptOutcome::Disconnected);
         if let Some(watched) = &self.content {
             watched
                 .quarantine
-                .note_broken(watched.content, &self.replica);
+                .note_disconnect(watched.content, &self.replica);
         }
     }
 
     /// The whole answer came, whatever it says: the replica has outlived the request.
-    pub fn note_whole(&self) {
+    pub fn note_complete(&self) {
         if let Some(watched) = &self.content {
-            watched.quarantine.note_whole(watched.content);
+            watched.quarantine.note_complete(watched.content);
         }
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Number of its place.
-    pub fn place(&self) -> Option<u32> {
+    pub fn lease(&self) -> Option<u32> {
         self.place.as_ref().map(SlotLease::number)
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// The request ended so.
-    pub fn conclude(&self, verdict: Verdict) {
+    pub fn conclude(&self, verdict: AttemptOutcome) {
         if let Some(evidence) = self.evidence() {
             evidence.conclude(verdict);
         }
--- a/crates/serving/tests/silence.rs
+++ b/crates/serving/tests/silence.rs
@@ -12,10 +12,11 @@
 use futures::StreamExt;
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_serving::{
-    Choice, ChosenBy, ExchangeError, Forwarder, ForwarderParts, ForwarderSettings, ItemRoom,
-    KeyTrust, LeaseEnd, NoQuarantine, Prompt, RefusalCause, Replica, ReplicaAnswer, ReplicaClient,
-    ReplicaRecord, ReplicaRequest, ReplicaSet, Reply, Route, RouteKind, RouteTable, SelectionCosts,
-    ServingConfiguration, ServingRequest, SlotAnswer, SlotLeases, SlotQuery, WeightedService,
+    Choice, ChosenBy, ExchangeError, Forwarder, ForwarderParts, ForwarderSettings, ItemSlack,
+    KeyTrust, NoQuarantine, Prompt, RefusalCause, ReleaseReport, Replica, ReplicaClient,
+    ReplicaRecord, ReplicaRequest, ReplicaResponse, ReplicaSet, Reply, Route, RouteKind,
+    RouteTable, SelectionCosts, ServingConfiguration, ServingRequest, SlotLeases, SlotQuery,
+    SlotReply, WeightedService,
 };
 use harrierward_tenants::AllowedRegions;
 use http::{HeaderMap, Method};
@@ -35,12 +36,12 @@
 
 #[async_trait]
 impl ReplicaClient for QueueingClient {
-    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaAnswer, ExchangeError> {
+    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError> {
         self.sends.fetch_add(1, Ordering::Relaxed);
         sleep(QUEUED_FOR).await;
-        Ok(ReplicaAnswer {
+        Ok(ReplicaResponse {
             status: 200,
-            answers: Some(request.request.id.clone()),
+            request_id: Some(request.request.id.clone()),
             is_first_on_connection: true,
             not_run: false,
             other_replica: false,
@@ -61,17 +62,17 @@
 
 #[async_trait]
 impl SlotLeases for Group {
-    async fn ask(&self, query: SlotQuery<'_>) -> SlotAnswer {
-        if let Some(after) = self.come_back.filter(|_| query.may_return.is_some()) {
-            return SlotAnswer::ComeBack { after };
+    async fn acquire(&self, query: SlotQuery<'_>) -> SlotReply {
+        if let Some(after) = self.come_back.filter(|_| query.max_retry_after.is_some()) {
+            return SlotReply::RetryLater { after };
         }
         let view = self.replicas.view();
         let mut all = view.all();
         let replica = all.find(|replica| !query.excluded.contains(&replica.record.id));
         let Some(replica) = replica else {
-            return SlotAnswer::NoCoordinator;
+            return SlotReply::NoCoordinator;
         };
-        SlotAnswer::Given {
+        SlotReply::Granted {
             choice: Choice {
                 replica: replica.clone(),
                 by: ChosenBy::Coordinator,
@@ -86,17 +87,17 @@
         }
     }
 
-    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemRoom>) -> u32 {
+    fn acquire_locally(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         1
     }
 
-    fn release(&self, _place: u32, _end: LeaseEnd) {}
+    fn release(&self, _place: u32, _end: ReleaseReport) {}
 
     fn is_coordinated(&self, _replica: &Replica) -> bool {
         false
     }
 
-    fn free_slot(&self, _replica: &Arc<Replica>) {}
+    fn preempt_item(&self, _replica: &Arc<Replica>) {}
 }
 
 fn routes() -> RouteTable {
@@ -146,7 +147,7 @@
         routes: Arc::new(ArcSwapOption::from_pointee(routes())),
         replicas: replicas.clone(),
         client: client.clone(),
-        places: Arc::new(Group {
+        leases: Arc::new(Group {
             replicas,
             free_permille,
             come_back,
@@ -174,7 +175,7 @@
         target: "/ask/x".to_owned(),
         headers: HeaderMap::new(),
         body: Bytes::new(),
-        patience: Some(patience),
+        timeout: Some(patience),
         resume_after: None,
         prompt: Prompt::default(),
         key: None,
@@ -189,7 +190,7 @@
 async fn sends_where_free(free_permille: u32) -> usize {
     let (forwarder, client) = forwarder(free_permille, None);
     let reply = forwarder.forward(request(PATIENCE), Instant::now()).await;
-    assert!(matches!(reply, Reply::Answer(_)), "an answer");
+    assert!(matches!(reply, Reply::Response(_)), "an answer");
     client.sends.load(Ordering::Relaxed)
 }
 
@@ -214,7 +215,7 @@
     let reply = forwarder
         .forward(request(PATIENCE - after), Instant::now())
         .await;
-    assert!(matches!(reply, Reply::Answer(_)), "an answer");
+    assert!(matches!(reply, Reply::Response(_)), "an answer");
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/serving/tests/support/mod.rs
+++ b/crates/serving/tests/support/mod.rs
@@ -13,10 +13,11 @@
 use futures::StreamExt;
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_serving::{
-    BodyError, ExchangeError, Forwarder, ForwarderParts, ForwarderSettings, ItemRoom, KeyTrust,
-    LeaseEnd, NoQuarantine, Prompt, RateAnswer, RateLimits, Replica, ReplicaAnswer, ReplicaClient,
-    ReplicaRecord, ReplicaRequest, ReplicaSet, Route, RouteKind, RouteTable, SelectionCosts,
-    ServingConfiguration, ServingRequest, SlotAnswer, SlotLeases, SlotQuery, WeightedService,
+    BodyError, ExchangeError, Forwarder, ForwarderParts, ForwarderSettings, ItemSlack, KeyTrust,
+    NoQuarantine, Prompt, RateLimits, RateStatus, ReleaseReport, Replica, ReplicaClient,
+    ReplicaRecord, ReplicaRequest, ReplicaResponse, ReplicaSet, Route, RouteKind, RouteTable,
+    SelectionCosts, ServingConfiguration, ServingRequest, SlotLeases, SlotQuery, SlotReply,
+    WeightedService,
 };
 use harrierward_tenants::{AllowedRegions, Tenant};
 use http::{HeaderMap, Method};
@@ -122,10 +123,10 @@
     }
 }
 
-fn answer(status: u16, answers: Answers, not_run: bool, id: &str) -> ReplicaAnswer {
-    ReplicaAnswer {
+fn answer(status: u16, answers: Answers, not_run: bool, id: &str) -> ReplicaResponse {
+    ReplicaResponse {
         status,
-        answers: match answers {
+        request_id: match answers {
             Answers::Own => Some(id.to_owned()),
             Answers::Another => Some("another".to_owned()),
             Answers::Nobody | Answers::NobodyLate => None,
@@ -141,7 +142,7 @@
 
 #[async_trait]
 impl ReplicaClient for Scripted {
-    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaAnswer, ExchangeError> {
+    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError> {
         let end = {
             let mut script = self.lock();
             let mut end = script.ends.pop_front().unwrap_or(End::Whole);
@@ -161,7 +162,7 @@
             End::CutAfterHead => {
                 let cut = BodyError { peer, detail };
                 let body = futures::stream::iter([Err::<Bytes, _>(cut)]).boxed();
-                Ok(ReplicaAnswer {
+                Ok(ReplicaResponse {
                     body,
                     ..answer(200, Answers::Own, false, id)
                 })
@@ -178,8 +179,8 @@
 
 #[async_trait]
 impl RateLimits for NoLimits {
-    async fn admit(&self, _tenant: &Tenant, _request: &str) -> RateAnswer {
-        RateAnswer::Within
+    async fn admit(&self, _tenant: &Tenant, _request: &str) -> RateStatus {
+        RateStatus::Within
     }
 }
 
@@ -188,25 +189,25 @@
 
 #[async_trait]
 impl SlotLeases for Uncoordinated {
-    async fn ask(&self, _query: SlotQuery<'_>) -> SlotAnswer {
-        SlotAnswer::NoCoordinator
+    async fn acquire(&self, _query: SlotQuery<'_>) -> SlotReply {
+        SlotReply::NoCoordinator
     }
 
-    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemRoom>) -> u32 {
+    fn acquire_locally(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         1
     }
 
-    fn release(&self, _place: u32, _end: LeaseEnd) {}
+    fn release(&self, _place: u32, _end: ReleaseReport) {}
 
     fn is_coordinated(&self, _replica: &Replica) -> bool {
         false
     }
 
-    fn is_told_cold(&self, _replica: &Replica) -> bool {
+    fn is_reported_cold(&self, _replica: &Replica) -> bool {
         false
     }
 
-    fn free_slot(&self, _replica: &Arc<Replica>) {}
+    fn preempt_item(&self, _replica: &Arc<Replica>) {}
 }
 
 /// Attempts of the route.
@@ -271,7 +272,7 @@
             routes: Arc::new(ArcSwapOption::from_pointee(routes(kind))),
             replicas: set.clone(),
             client: client.clone(),
-            places: Arc::new(Uncoordinated),
+            leases: Arc::new(Uncoordinated),
             rates: Arc::new(NoLimits),
             quarantine: Arc::new(NoQuarantine),
             proof: Arc::default(),
@@ -301,7 +302,7 @@
         target: "/ask/x".to_owned(),
         headers: HeaderMap::new(),
         body: Bytes::from_static(b"body"),
-        patience: Some(Duration::from_secs(5)),
+        timeout: Some(Duration::from_secs(5)),
         resume_after: None,
         prompt: Prompt::default(),
         key: None,
