--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -6,7 +6,7 @@
 use arc_swap::ArcSwapOption;
 use harrierward_decisions::{DecisionLog, Record};
 use harrierward_external::{ObjectStore, Table, WatchedTable};
-use harrierward_inline_jobs::{HEADS, InlineJobs, JobParts, JobSettings};
+use harrierward_inline_jobs::{InlineJobs, JOB_HEADERS, JobParts, JobSettings};
 use harrierward_relay::Relay;
 use harrierward_serving::{
     ConfigurationProof, Forwarder, ForwarderParts, ForwarderSettings, Location, Replica,
@@ -194,7 +194,11 @@
             jobs: jobs.clone(),
             members: members.clone(),
         }));
-        let spaces = [source.configuration_space(), source.replica_space(), HEADS];
+        let spaces = [
+            source.configuration_space(),
+            source.replica_space(),
+            JOB_HEADERS,
+        ];
         let peers = Arc::new(HttpPeers::new(pool.clone()));
         let life = members.life();
         let relay = Relay::new(life, watched, peers, &spaces, log.clone());
--- a/crates/edge/src/watches.rs
+++ b/crates/edge/src/watches.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use harrierward_decisions::DecisionLog;
-use harrierward_inline_jobs::{HEADS, InlineJobs, RowKind, partitions, row_kind};
+use harrierward_inline_jobs::{InlineJobs, JOB_HEADERS, RowKind, partitions, row_kind};
 use harrierward_relay::{
     Relay, SharedSpace, SpaceUpdate, Watch, WatchPace, WatchSettings, WholeReadPace,
     gathering_interval, unpaced, whole_read_interval,
@@ -129,8 +129,13 @@
     let copy = paces.copy(source.replica_space());
     tokio::spawn(replicas.run_shared(copy, move |update| taker.take_replicas(&update)));
     let wait = WatchSettings::default().wait;
-    let heads = watch(HEADS, partitions(), paces.gathering(HEADS), wait);
-    let copy = paces.copy(HEADS);
+    let heads = watch(
+        JOB_HEADERS,
+        partitions(),
+        paces.gathering(JOB_HEADERS),
+        wait,
+    );
+    let copy = paces.copy(JOB_HEADERS);
     let first = discovery.clone();
     tokio::spawn(async move {
         // Where all daemons start at once the store takes only part of their calls: what callers wait for is read first.
@@ -168,7 +173,7 @@
         view.note_revision(update.revision);
         for row in &update.written {
             match row_kind(&row.key) {
-                RowKind::Head => self.jobs.learn_row(&row.value, row.revision),
+                RowKind::Header => self.jobs.learn_row(&row.value, row.revision),
                 RowKind::Fence => view.take_fence_row(&row.value, row.revision),
                 // Before the store's clock is told to those that write such rows: a daemon that has started must not replace
                 // what its last life knew before it has read it.
@@ -176,8 +181,8 @@
             }
         }
         for key in &update.removed {
-            if let (RowKind::Head, Some(job_id)) = (row_kind(key), key.rsplit('/').next()) {
-                self.jobs.head_removed(job_id);
+            if let (RowKind::Header, Some(job_id)) = (row_kind(key), key.rsplit('/').next()) {
+                self.jobs.header_removed(job_id);
             }
         }
         if let Some(moment) = update.as_of {
--- a/crates/inline-jobs/src/adoption.rs
+++ b/crates/inline-jobs/src/adoption.rs
@@ -12,7 +12,7 @@
 use crate::owned_job::LeftWork;
 use crate::service::InlineJobs;
 use crate::store::WriteOutcome;
-use crate::view::KnownHead;
+use crate::view::KnownHeader;
 
 /// How often jobs without owner are looked for.
 const CHECK_EVERY: Duration = Duration::from_millis(100);
@@ -44,29 +44,29 @@
         let open = self.inner.view.open_jobs();
         let mut standings: HashMap<&str, OwnerStanding> = HashMap::new();
         for known in &open {
-            if self.owns(&known.head) {
+            if self.owns(&known.header) {
                 self.answer_if_challenged(known);
                 continue;
             }
-            let owner = known.head.owner.as_str();
+            let owner = known.header.owner.as_str();
             let standing = standings.entry(owner);
-            let standing = *standing.or_insert_with(|| self.owner_standing(&known.head));
+            let standing = *standing.or_insert_with(|| self.owner_standing(&known.header));
             self.consider(known, standing, owners);
         }
         let open: HashSet<&str> = open
             .iter()
-            .map(|known| known.head.job_id.as_str())
+            .map(|known| known.header.job_id.as_str())
             .collect();
         self.takeovers().retain(|job| open.contains(job));
     }
 
     /// Does what is due for a job of another daemon, or of none.
-    fn consider(&self, known: &KnownHead, standing: OwnerStanding, owners: &[String]) {
+    fn consider(&self, known: &KnownHeader, standing: OwnerStanding, owners: &[String]) {
         let delay = || {
             let adopters = self.adopters_of(known, owners)?;
-            let near = self.inner.peers.owners_near(last_owner(&known.head));
+            let near = self.inner.peers.owners_near(last_owner(&known.header));
             let life = &self.inner.life;
-            Some(adoption_delay(&known.head, life, &adopters, &near))
+            Some(adoption_delay(&known.header, life, &adopters, &near))
         };
         let step = self.takeovers().step(known, standing, delay);
         match step {
@@ -76,7 +76,7 @@
         }
     }
 
-    fn start_adoption(&self, known: KnownHead, standing: OwnerStanding) {
+    fn start_adoption(&self, known: KnownHeader, standing: OwnerStanding) {
         self.spawn_write(known, move |jobs, known| async move {
             jobs.adopt_job(&known, standing).await;
         });
@@ -86,10 +86,10 @@
     /// daemon of an allowed region lives the job waits.
     fn adopters_of<'a>(
         &self,
-        known: &KnownHead,
+        known: &KnownHeader,
         owners: &'a [String],
     ) -> Option<Cow<'a, [String]>> {
-        let regions = self.regions_of(&known.head.route, &known.head.tenant)?;
+        let regions = self.regions_of(&known.header.route, &known.header.tenant)?;
         let adopters = match &regions {
             AllowedRegions::Any => Cow::Borrowed(owners),
             AllowedRegions::Only(_) => Cow::Owned(self.inner.peers.owners_in(&regions)?),
@@ -97,19 +97,19 @@
         adopters.contains(&self.inner.life).then_some(adopters)
     }
 
-    async fn adopt_job(&self, known: &KnownHead, standing: OwnerStanding) {
-        let head = adopted(&known.head, &self.inner.life);
+    async fn adopt_job(&self, known: &KnownHeader, standing: OwnerStanding) {
+        let header = adopted(&known.header, &self.inner.life);
         let until = Instant::now() + ADOPT_HOLD;
         let written = self
             .inner
             .store
-            .replace_head(known.revision, &head, until)
+            .replace_header(known.revision, &header, until)
             .await;
         match written {
             WriteOutcome::Committed { revision } => {
-                self.log_ownership(&known.head, &head, "adopted", standing.name());
+                self.log_ownership(&known.header, &header, "adopted", standing.name());
                 // The watch may have been faster and have begun the loading.
-                self.learn(KnownHead { head, revision });
+                self.learn(KnownHeader { header, revision });
             }
             WriteOutcome::Conflict {
                 current: Some(current),
@@ -124,35 +124,35 @@
     /// Gives one job up, with what is left of its items.
     pub(crate) async fn hand_over(
         &self,
-        mut known: KnownHead,
+        mut known: KnownHeader,
         mut left: LeftWork,
         reason: &str,
         until: Instant,
     ) {
-        while known.is_open() && self.owns(&known.head) && Instant::now() < until {
-            let mut head = given_up(&known.head);
+        while known.is_open() && self.owns(&known.header) && Instant::now() < until {
+            let mut header = given_up(&known.header);
             if !left.failures.is_empty() {
-                head.failures.clone_from(&left.failures);
+                header.failures.clone_from(&left.failures);
             }
             // A listing that was under way may have come first.
             left.results
-                .retain(|result| !head.listed.contains(&result.item));
-            let position = u32::try_from(head.listed.len()).unwrap_or(u32::MAX);
+                .retain(|result| !header.listed.contains(&result.item));
+            let position = u32::try_from(header.listed.len()).unwrap_or(u32::MAX);
             let listed = left.results.iter().map(|result| result.item);
-            head.listed.extend(listed);
+            header.listed.extend(listed);
             let results = (position, left.results.as_slice());
             let written = self
                 .inner
                 .store
-                .hand_over(known.revision, &head, results, &left.progress, until)
+                .hand_over(known.revision, &header, results, &left.progress, until)
                 .await;
             match written {
                 WriteOutcome::Committed { revision } => {
-                    self.log_ownership(&known.head, &head, "handed over", reason);
+                    self.log_ownership(&known.header, &header, "handed over", reason);
                     if !left.results.is_empty() {
-                        self.log_listed(&head.job_id, position, left.results.len(), "committed");
+                        self.log_listed(&header.job_id, position, left.results.len(), "committed");
                     }
-                    self.learn(KnownHead { head, revision });
+                    self.learn(KnownHeader { header, revision });
                     return;
                 }
                 WriteOutcome::Conflict {
@@ -174,7 +174,7 @@
             let keep_ms = u64::try_from(keep.as_millis()).unwrap_or(u64::MAX);
             let before = self.inner.view.store_now_ms().saturating_sub(keep_ms);
             for known in self.inner.view.closed_before(before) {
-                if adoption_rank(&known.head.job_id, &self.inner.life, &owners) == 0 {
+                if adoption_rank(&known.header.job_id, &self.inner.life, &owners) == 0 {
                     // What is not removed now is found again at the next round.
                     let _ = self.inner.store.remove(&known).await;
                 }
--- a/crates/inline-jobs/src/adoption_order.rs
+++ b/crates/inline-jobs/src/adoption_order.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use harrierward_serving::preference_weight;
-use harrierward_wire::JobHeadRow;
+use harrierward_wire::JobHeaderRow;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// How long an owner must be missing before it is challenged: a member that is held for dead and lives refutes that within
@@ -18,49 +18,49 @@
 const RANK_DELAY: Duration = Duration::from_millis(400);
 
 /// The head of a job that its owner gives up.
-pub fn given_up(head: &JobHeadRow) -> JobHeadRow {
-    JobHeadRow {
+pub fn given_up(header: &JobHeaderRow) -> JobHeaderRow {
+    JobHeaderRow {
         owner: String::new(),
-        last_owner: head.owner.clone(),
+        last_owner: header.owner.clone(),
         challenger: String::new(),
-        ..head.clone()
+        ..header.clone()
     }
 }
 
 /// The head of a job that the daemon with this life adopts.
-pub fn adopted(head: &JobHeadRow, life: &str) -> JobHeadRow {
-    JobHeadRow {
+pub fn adopted(header: &JobHeaderRow, life: &str) -> JobHeaderRow {
+    JobHeaderRow {
         owner: life.to_owned(),
         last_owner: String::new(),
         challenger: String::new(),
-        takeovers: head.takeovers + u32::from(!head.challenger.is_empty()),
-        epoch: head.epoch + 1,
-        ..head.clone()
+        takeovers: header.takeovers + u32::from(!header.challenger.is_empty()),
+        epoch: header.epoch + 1,
+        ..header.clone()
     }
 }
 
 /// The head of a job whose owner the daemon with this life holds for gone.
-pub fn challenged(head: &JobHeadRow, life: &str) -> JobHeadRow {
-    JobHeadRow {
+pub fn challenged(header: &JobHeaderRow, life: &str) -> JobHeaderRow {
+    JobHeaderRow {
         challenger: life.to_owned(),
-        ..head.clone()
+        ..header.clone()
     }
 }
 
 /// The head as its owner writes it: whoever challenged it is refuted.
-pub fn refuted(head: &JobHeadRow) -> JobHeadRow {
-    JobHeadRow {
+pub fn refuted(header: &JobHeaderRow) -> JobHeaderRow {
+    JobHeaderRow {
         challenger: String::new(),
-        ..head.clone()
+        ..header.clone()
     }
 }
 
 /// Life of the daemon that runs a job or ran it last.
-pub fn last_owner(head: &JobHeadRow) -> &str {
-    if head.owner.is_empty() {
-        &head.last_owner
+pub fn last_owner(header: &JobHeaderRow) -> &str {
+    if header.owner.is_empty() {
+        &header.last_owner
     } else {
-        &head.owner
+        &header.owner
     }
 }
 
@@ -68,7 +68,7 @@
 /// order of its own, so that they do not all try at once: those `near` its last owner first, since its clients and the
 /// replicas that keep its prompts are there. `owners` are all that may adopt it.
 pub fn adoption_delay(
-    head: &JobHeadRow,
+    header: &JobHeaderRow,
     life: &str,
     owners: &[String],
     near: &[String],
@@ -76,17 +76,17 @@
     let near: HashSet<&String> = near.iter().collect();
     let is_near = near.iter().any(|owner| *owner == life);
     let rank = if near.is_empty() {
-        adoption_rank(&head.job_id, life, owners)
+        adoption_rank(&header.job_id, life, owners)
     } else if is_near {
-        adoption_rank(&head.job_id, life, near)
+        adoption_rank(&header.job_id, life, near)
     } else {
         let others = owners.iter().filter(|owner| !near.contains(owner));
-        1 + adoption_rank(&head.job_id, life, others)
+        1 + adoption_rank(&header.job_id, life, others)
     };
     // One that was given up is known to be nobody's.
-    let first = if !head.owner.is_empty() {
+    let first = if !header.owner.is_empty() {
         MISSING_FOR
-    } else if head.last_owner == life {
+    } else if header.last_owner == life {
         GAVE_UP_BEFORE
     } else {
         Duration::ZERO
--- a/crates/inline-jobs/src/book.rs
+++ b/crates/inline-jobs/src/book.rs
@@ -59,16 +59,16 @@
     pub fn startable(&self) -> Vec<StartableItem> {
         let now = Instant::now();
         let mut jobs: Vec<&OwnedJob> = self.jobs.values().collect();
-        jobs.sort_by_key(|job| job.known.head.accepted_ms);
+        jobs.sort_by_key(|job| job.known.header.accepted_ms);
         let mut startable = Vec::new();
         for job in jobs {
             for (number, item) in (0..).zip(&job.items) {
                 if item.is_startable(now) {
                     startable.push(StartableItem {
-                        job: job.known.head.job_id.clone(),
+                        job: job.known.header.job_id.clone(),
                         number,
-                        route: job.known.head.route.clone(),
-                        accepted_ms: job.known.head.accepted_ms,
+                        route: job.known.header.route.clone(),
+                        accepted_ms: job.known.header.accepted_ms,
                         began_anew: lock(&item.progress).last_event.is_none(),
                         ran_at: item.ran_at,
                         failures: item.failures,
@@ -89,7 +89,10 @@
         now: Instant,
         patience: Duration,
     ) {
-        let routes = self.jobs.values().map(|job| job.known.head.route.as_str());
+        let routes = self
+            .jobs
+            .values()
+            .map(|job| job.known.header.route.as_str());
         let missing: Vec<String> = routes
             .filter(|route| !is_known(route))
             .map(str::to_owned)
@@ -101,7 +104,7 @@
         }
         let routes_missing = &self.routes_missing;
         for job in self.jobs.values_mut() {
-            let since = routes_missing.get(&job.known.head.route);
+            let since = routes_missing.get(&job.known.header.route);
             if since.is_none_or(|since| now.saturating_duration_since(*since) < patience) {
                 continue;
             }
@@ -154,7 +157,7 @@
                 runs.push(RunInProgress {
                     since: *since,
                     yielded: YieldedItem {
-                        job: job.known.head.job_id.clone(),
+                        job: job.known.header.job_id.clone(),
                         item: item.request.id.clone(),
                         replica: at.replica.clone(),
                         events: lock(&item.progress).last_event.unwrap_or_default(),
--- a/crates/inline-jobs/src/checkpoint.rs
+++ b/crates/inline-jobs/src/checkpoint.rs
@@ -45,7 +45,7 @@
             }
             job.checkpoint_at = Instant::now();
             let store = self.inner.store.clone();
-            let job_id = job.known.head.job_id.clone();
+            let job_id = job.known.header.job_id.clone();
             tokio::spawn(async move {
                 // What is not saved now is saved with the next checkpoint.
                 let _ = store.save_progress(&job_id, &rows).await;
--- a/crates/inline-jobs/src/keys.rs
+++ b/crates/inline-jobs/src/keys.rs
@@ -3,7 +3,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Space of the jobs' heads, which every daemon watches.
-pub const HEADS: &str = "jobheads";
+pub const JOB_HEADERS: &str = "jobheads";
 
 /// Space of the items as accepted.
 const ITEMS: &str = "jobitems";
@@ -45,8 +45,8 @@
 }
 
 /// Key of a job's head.
-pub fn head(job_id: &str) -> String {
-    key(HEADS, job_id)
+pub fn header(job_id: &str) -> String {
+    key(JOB_HEADERS, job_id)
 }
 
 /// Beginning of the names of the quotas' fences among the heads; no job's id can begin so.
@@ -60,13 +60,13 @@
 /// Key of a route's fence in the partition of a job.
 pub fn fence(route: &str, job_id: &str) -> String {
     let partition = partition_name(partition(job_id));
-    format!("{HEADS}/{partition}/{}", fence_name(route))
+    format!("{JOB_HEADERS}/{partition}/{}", fence_name(route))
 }
 
 /// Keys of a route's fence in all partitions.
 pub fn fences(route: &str) -> Vec<String> {
     let name = fence_name(route);
-    let key = |partition| format!("{HEADS}/{partition}/{name}");
+    let key = |partition| format!("{JOB_HEADERS}/{partition}/{name}");
     partitions().into_iter().map(key).collect()
 }
 
@@ -83,14 +83,14 @@
         .map_or(life, |(member, _)| member);
     let hash = xxh3_64(member.as_bytes());
     let partition = partition_name(hash % PARTITIONS);
-    format!("{HEADS}/{partition}/{CRASH_MARK}{hash:016x}")
+    format!("{JOB_HEADERS}/{partition}/{CRASH_MARK}{hash:016x}")
 }
 
 /// What a row of the space of heads is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RowKind {
     /// A job's head.
-    Head,
+    Header,
     /// Who keeps a route's quota.
     Fence,
     /// What a daemon knows of ends of replicas.
@@ -105,7 +105,7 @@
     } else if name.starts_with(CRASH_MARK) {
         RowKind::CrashNews
     } else {
-        RowKind::Head
+        RowKind::Header
     }
 }
 
--- a/crates/inline-jobs/src/lib.rs
+++ b/crates/inline-jobs/src/lib.rs
@@ -28,7 +28,7 @@
 mod takeover;
 mod view;
 
-pub use keys::{HEADS, RowKind, crash_news, partitions, row_kind};
+pub use keys::{JOB_HEADERS, RowKind, crash_news, partitions, row_kind};
 pub use model::{
     EndOutcome, JobCaller, JobResult, Lookup, ResultPage, SubmitOutcome, SubmittedItem,
     SubmittedJob,
@@ -37,4 +37,4 @@
 pub use quota_book::{QuotaBook, QuotaDecision, QuotaRequest, RouteCount};
 pub use service::{InlineJobs, JobParts, JobSettings, Peers};
 pub use store::{FenceOutcome, JobStore, KnownFence, ListedResult, ReadResult, WriteOutcome};
-pub use view::{HeadChange, JobView, KnownHead};
+pub use view::{HeaderChange, JobView, KnownHeader};
--- a/crates/inline-jobs/src/listing.rs
+++ b/crates/inline-jobs/src/listing.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use harrierward_decisions::Record;
-use harrierward_wire::{ItemFailuresRow, ItemProgressRow, JobHeadRow};
+use harrierward_wire::{ItemFailuresRow, ItemProgressRow, JobHeaderRow};
 use tokio::time::{Instant, sleep};
 
 use crate::adoption_order::refuted;
 use crate::item::ItemPhase;
 use crate::service::InlineJobs;
 use crate::store::{ListedResult, WriteOutcome};
-use crate::view::KnownHead;
+use crate::view::KnownHeader;
 
 /// Most results listed at once, and their text in bytes; within one transaction's bounds.
 const MOST_RESULTS: usize = 40;
@@ -25,7 +25,7 @@
 
 /// A change of a job's head by its owner.
 struct Listing {
-    known: KnownHead,
+    known: KnownHeader,
     results: Vec<ListedResult>,
     /// Failures of items that are to run again.
     failures: Vec<ItemFailuresRow>,
@@ -86,37 +86,39 @@
             failures,
             failed,
         } = listing;
-        let mut head = refuted(&known.head);
-        let position = u32::try_from(head.listed.len()).unwrap_or(u32::MAX);
-        head.listed.extend(results.iter().map(|result| result.item));
-        head.failures.clone_from(failures);
+        let mut header = refuted(&known.header);
+        let position = u32::try_from(header.listed.len()).unwrap_or(u32::MAX);
+        header
+            .listed
+            .extend(results.iter().map(|result| result.item));
+        header.failures.clone_from(failures);
         let until = Instant::now() + WRITE_HOLD;
         let written = self
             .inner
             .store
-            .list(known.revision, &head, (position, results), failed, until)
+            .list(known.revision, &header, (position, results), failed, until)
             .await;
         let (outcome, settled) = match written {
             WriteOutcome::Committed { revision } => {
-                self.adopt(KnownHead { head, revision });
+                self.adopt(KnownHeader { header, revision });
                 ("committed", true)
             }
             WriteOutcome::Conflict {
                 current: Some(current),
             } => {
-                let outcome = conflict_name(&current.head, &head);
+                let outcome = conflict_name(&current.header, &header);
                 self.adopt(*current);
                 (outcome, true)
             }
             WriteOutcome::Conflict { current: None } => {
-                self.head_removed(&head.job_id);
+                self.header_removed(&header.job_id);
                 ("job removed", true)
             }
             // Only new jobs are written under a fence.
             WriteOutcome::NotDone | WriteOutcome::Fenced { .. } => ("not done", false),
             WriteOutcome::InDoubt => ("in doubt", false),
         };
-        self.log_listed(&known.head.job_id, position, results.len(), outcome);
+        self.log_listed(&known.header.job_id, position, results.len(), outcome);
         settled
     }
 
@@ -129,15 +131,15 @@
         });
     }
 
-    fn adopt(&self, known: KnownHead) {
+    fn adopt(&self, known: KnownHeader) {
         self.learn(known.clone());
         // The watch may have been faster; the book must hear of it in any case.
-        self.head_changed(&known);
+        self.header_changed(&known);
     }
 }
 
 /// A conflict with a head that already lists the results is a write whose answer was lost.
-fn conflict_name(current: &JobHeadRow, wanted: &JobHeadRow) -> &'static str {
+fn conflict_name(current: &JobHeaderRow, wanted: &JobHeaderRow) -> &'static str {
     if current.listed == wanted.listed && current.failures == wanted.failures {
         "committed before"
     } else {
--- a/crates/inline-jobs/src/lookup.rs
+++ b/crates/inline-jobs/src/lookup.rs
@@ -11,7 +11,7 @@
 use crate::model::{EndOutcome, JobCaller, JobResult, Lookup, ResultPage, kept_id};
 use crate::service::InlineJobs;
 use crate::store::WriteOutcome;
-use crate::view::KnownHead;
+use crate::view::KnownHeader;
 
 /// Age up to which this daemon's copy of a head is as good as the store's for what no caller can have seen change: an
 /// item's body, the head that an end replaces under its revision.
@@ -32,7 +32,7 @@
 const END_HOLD: Duration = Duration::from_millis(3_000);
 
 /// True if a head of any age tells what to answer from a position on: a result there, or that the list never grows again.
-fn says_all(known: &KnownHead, after: u32) -> bool {
+fn says_all(known: &KnownHeader, after: u32) -> bool {
     known.lists_beyond(after) || !known.is_open()
 }
 
@@ -43,23 +43,23 @@
     }
 
     /// The head, from this daemon's copy if that is younger than `bound`, else from the store.
-    async fn find(&self, job_id: &str, bound: Duration) -> Lookup<KnownHead> {
+    async fn find(&self, job_id: &str, bound: Duration) -> Lookup<KnownHeader> {
         let fresh = self.is_proven_within(bound);
         match self.inner.view.get(job_id).filter(|_| fresh) {
             Some(known) => Lookup::Found(known),
-            None => self.read_head(job_id).await,
+            None => self.read_header(job_id).await,
         }
     }
 
     /// The head as the store has it. A reading that is older than what this daemon has heard of the store says neither that
     /// there is no such job, nor what it does not list yet.
-    pub(crate) async fn read_head(&self, job_id: &str) -> Lookup<KnownHead> {
+    pub(crate) async fn read_header(&self, job_id: &str) -> Lookup<KnownHeader> {
         let view = &self.inner.view;
         let newest = view.newest_revision();
-        let Ok(reading) = self.inner.store.read_head(job_id).await else {
+        let Ok(reading) = self.inner.store.read_header(job_id).await else {
             return Lookup::Unsure;
         };
-        if let Some(known) = reading.head {
+        if let Some(known) = reading.header {
             self.learn(known);
         }
         if reading.revision < newest {
@@ -89,7 +89,7 @@
 
     /// The head of a job that the caller may know of. Jobs of nobody, accepted while there were no tenants or on a
     /// route that asks for no key, are for all.
-    async fn find_for(&self, caller: &JobCaller, id: &str, bound: Duration) -> Lookup<KnownHead> {
+    async fn find_for(&self, caller: &JobCaller, id: &str, bound: Duration) -> Lookup<KnownHeader> {
         if let JobCaller::Tenant(tenant) = caller {
             let found = self.find(&kept_id(Some(tenant), id), bound).await;
             if found != Lookup::Missing {
@@ -97,7 +97,7 @@
             }
         }
         match self.find(id, bound).await {
-            Lookup::Found(known) if !known.head.tenant.is_empty() => Lookup::Missing,
+            Lookup::Found(known) if !known.header.tenant.is_empty() => Lookup::Missing,
             found => found,
         }
     }
@@ -155,7 +155,7 @@
         job: &str,
         position: u32,
         proof_age: Option<Duration>,
-        found: &Lookup<KnownHead>,
+        found: &Lookup<KnownHeader>,
     ) {
         let outcome = match found {
             Lookup::Found(known) if known.lists_beyond(position) => "more",
@@ -173,22 +173,22 @@
     }
 
     /// The caller's job, if this daemon's copy says all there is to say now from `after` on.
-    fn known_to_say(&self, caller: &JobCaller, id: &str, after: u32) -> Option<KnownHead> {
+    fn known_to_say(&self, caller: &JobCaller, id: &str, after: u32) -> Option<KnownHeader> {
         let view = &self.inner.view;
         let of_tenant = match caller {
             JobCaller::Tenant(tenant) => view.get(&kept_id(Some(tenant), id)),
             JobCaller::Anyone | JobCaller::Refused(_) => None,
         };
-        let of_nobody = || view.get(id).filter(|known| known.head.tenant.is_empty());
+        let of_nobody = || view.get(id).filter(|known| known.header.tenant.is_empty());
         let known = of_tenant.or_else(of_nobody)?;
         says_all(&known, after).then_some(known)
     }
 
-    async fn page(&self, known: &KnownHead, after: u32) -> Lookup<ResultPage> {
-        let head = &known.head;
+    async fn page(&self, known: &KnownHeader, after: u32) -> Lookup<ResultPage> {
+        let header = &known.header;
         if !known.lists_beyond(after) {
             return Lookup::Found(ResultPage {
-                total: head.items.len(),
+                total: header.items.len(),
                 next: after,
                 results: Vec::new(),
             });
@@ -196,17 +196,17 @@
         let read = self
             .inner
             .store
-            .read_results(&head.job_id, after, PAGE_BYTES)
+            .read_results(&header.job_id, after, PAGE_BYTES)
             .await;
         let Ok(read) = read else {
             return Lookup::Unsure;
         };
         // Rows may be newer than the head, or a stale read older; only what both tell is given out.
-        let items = head.listed.iter().skip(after as usize);
+        let items = header.listed.iter().skip(after as usize);
         let results: Vec<JobResult> = items
             .zip(read)
             .filter_map(|(number, result)| {
-                let item = head.items.get(*number as usize)?;
+                let item = header.items.get(*number as usize)?;
                 Some(JobResult {
                     item: item.id.clone(),
                     failed: result.failed,
@@ -218,7 +218,7 @@
             return Lookup::Unsure;
         }
         Lookup::Found(ResultPage {
-            total: head.items.len(),
+            total: header.items.len(),
             next: after + u32::try_from(results.len()).unwrap_or_default(),
             results,
         })
@@ -231,16 +231,16 @@
             Lookup::Missing => return Lookup::Missing,
             Lookup::Unsure => return Lookup::Unsure,
         };
-        if known.head.ended {
+        if known.header.ended {
             return Lookup::Missing;
         }
-        if let Some(job) = self.book().jobs.get(&known.head.job_id) {
+        if let Some(job) = self.book().jobs.get(&known.header.job_id) {
             let item = job.items.iter().find(|item| item.request.id == item_id);
             if let Some(item) = item {
                 return Lookup::Found(item.request.body.clone());
             }
         }
-        let Ok(items) = self.inner.store.read_items(&known.head).await else {
+        let Ok(items) = self.inner.store.read_items(&known.header).await else {
             return Lookup::Unsure;
         };
         let found = items.items.into_iter().find(|item| item.id == item_id);
@@ -273,25 +273,25 @@
             Lookup::Unsure => return EndOutcome::NotDone,
         };
         loop {
-            if known.head.ended {
+            if known.header.ended {
                 return EndOutcome::Ended;
             }
-            let mut head = known.head.clone();
-            head.ended = true;
+            let mut header = known.header.clone();
+            header.ended = true;
             let written = self
                 .inner
                 .store
-                .replace_head(known.revision, &head, until)
+                .replace_header(known.revision, &header, until)
                 .await;
             match written {
                 WriteOutcome::Committed { revision } => {
-                    self.learn(KnownHead { head, revision });
+                    self.learn(KnownHeader { header, revision });
                     return EndOutcome::Ended;
                 }
                 WriteOutcome::Conflict {
                     current: Some(current),
                 } => {
-                    self.learn(KnownHead::clone(&current));
+                    self.learn(KnownHeader::clone(&current));
                     known = *current;
                 }
                 WriteOutcome::Conflict { current: None } => return EndOutcome::Missing,
--- a/crates/inline-jobs/src/model.rs
+++ b/crates/inline-jobs/src/model.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use harrierward_serving::{Prompt, PromptPart, RefusalCause, ServingRequest};
 use harrierward_tenants::{AllowedRegions, ApiKey};
-use harrierward_wire::{HeaderRow, ItemBodyRow, JobHeadRow, PromptPartRow};
+use harrierward_wire::{HeaderRow, ItemBodyRow, JobHeaderRow, PromptPartRow};
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -168,7 +168,7 @@
 }
 
 /// The request that runs an item of the job with this head.
-pub fn item_request(row: ItemBodyRow, head: &JobHeadRow) -> ServingRequest {
+pub fn item_request(row: ItemBodyRow, header: &JobHeaderRow) -> ServingRequest {
     let mut headers = HeaderMap::new();
     for header in row.headers {
         let name = HeaderName::from_bytes(header.name.as_bytes());
@@ -188,7 +188,7 @@
     ServingRequest {
         regions: AllowedRegions::default(),
         id: row.id,
-        host: head.host.clone(),
+        host: header.host.clone(),
         method: Method::POST,
         target: row.target,
         headers,
@@ -201,6 +201,6 @@
             output_tokens: row.output_tokens,
         },
         key: None,
-        tenant: (!head.tenant.is_empty()).then(|| Arc::from(head.tenant.as_str())),
+        tenant: (!header.tenant.is_empty()).then(|| Arc::from(header.tenant.as_str())),
     }
 }
--- a/crates/inline-jobs/src/owned_job.rs
+++ b/crates/inline-jobs/src/owned_job.rs
@@ -9,7 +9,7 @@
 
 use crate::item::{Item, ItemPhase, ItemProgress, SharedProgress, end_run, lock};
 use crate::store::ListedResult;
-use crate::view::KnownHead;
+use crate::view::KnownHeader;
 
 /// Most results listed as a job is handed over, and their text in bytes: half of a transaction, so that progress has room.
 const MOST_HANDED_RESULTS: usize = 40;
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct OwnedJob {
     /// Its head.
-    pub known: KnownHead,
+    pub known: KnownHeader,
     /// Its items.
     pub items: Vec<Item>,
     /// A task lists results of the job.
@@ -67,7 +67,7 @@
 impl OwnedJob {
     /// A job whose items were read; `progress` is what an earlier owner left.
     pub fn new(
-        known: KnownHead,
+        known: KnownHeader,
         requests: Vec<ServingRequest>,
         progress: Vec<(u32, ItemProgressRow)>,
     ) -> Self {
@@ -105,17 +105,17 @@
             broken_run_at: None,
             listed_at: None,
         };
-        job.take_head(known);
+        job.update_header(known);
         job
     }
 
     /// Takes a newer head of the same owner and epoch: what it lists, and the failures that it counts.
-    pub fn take_head(&mut self, known: KnownHead) {
-        if known.head.listed.len() > self.known.head.listed.len() {
+    pub fn update_header(&mut self, known: KnownHeader) {
+        if known.header.listed.len() > self.known.header.listed.len() {
             self.listed_at = Some(Instant::now());
         }
         self.known = known;
-        for row in &self.known.head.failures {
+        for row in &self.known.header.failures {
             if let Some(item) = self.items.get_mut(row.item as usize) {
                 item.failures = item.failures.max(row.count);
                 item.failures_kept = item.failures_kept.max(row.count);
@@ -126,7 +126,7 @@
 
     /// Items that the head lists need nothing more.
     fn mark_listed(&mut self) {
-        for number in &self.known.head.listed {
+        for number in &self.known.header.listed {
             if let Some(item) = self.items.get_mut(*number as usize) {
                 end_run(&item.phase);
                 item.phase = ItemPhase::Listed;
@@ -229,7 +229,7 @@
             let ItemPhase::Done { failed } = item.phase else {
                 continue;
             };
-            if self.known.head.listed.contains(&number) {
+            if self.known.header.listed.contains(&number) {
                 continue;
             }
             let text = if failed {
--- a/crates/inline-jobs/src/quota.rs
+++ b/crates/inline-jobs/src/quota.rs
@@ -176,11 +176,11 @@
         };
         self.inner.view.take_fence(route, fence.clone());
         // What was kept under earlier fences is in the store now; nothing more can be.
-        let Some(heads) = self.inner.store.read_heads(fence.revision, until).await else {
+        let Some(headers) = self.inner.store.read_headers(fence.revision, until).await else {
             return;
         };
-        for head in heads {
-            self.learn(head);
+        for header in headers {
+            self.learn(header);
         }
         self.quotas().begin(route, fence.revision);
         self.inner.log.record(&Record::QuotaKept {
--- a/crates/inline-jobs/src/service.rs
+++ b/crates/inline-jobs/src/service.rs
@@ -11,18 +11,18 @@
 use harrierward_ownership::OwnerStanding;
 use harrierward_serving::Forwarder;
 use harrierward_tenants::AllowedRegions;
-use harrierward_wire::{JobHeadRow, QuotaOutcome, decode_head};
+use harrierward_wire::{JobHeaderRow, QuotaOutcome, decode_job_header};
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
 use crate::adoption_order::last_owner;
 use crate::book::JobBook;
-use crate::keys::HEADS;
+use crate::keys::JOB_HEADERS;
 use crate::owned_job::OwnedJob;
 use crate::quota_book::{QuotaBook, QuotaRequest};
 use crate::store::JobStore;
 use crate::takeover::JobTakeovers;
-use crate::view::{JobView, KnownHead};
+use crate::view::{JobView, KnownHeader};
 
 /// Other daemons, as far as the jobs need them.
 #[async_trait]
@@ -173,32 +173,32 @@
         Some(routes.configuration.allowed_regions(route, tenant))
     }
 
-    pub(crate) fn owns(&self, head: &JobHeadRow) -> bool {
-        head.owner == self.inner.life
+    pub(crate) fn owns(&self, header: &JobHeaderRow) -> bool {
+        header.owner == self.inner.life
     }
 
     /// Takes a head that was read or written; nothing happens if a newer one is known.
-    pub fn learn(&self, known: KnownHead) {
+    pub fn learn(&self, known: KnownHeader) {
         if let Some(change) = self.inner.view.take(known) {
             self.note_owners(&change);
-            self.head_changed(&change.known);
+            self.header_changed(&change.known);
         }
     }
 
     /// Takes the row of a head; one that cannot be read names no job.
     pub fn learn_row(&self, value: &Bytes, revision: u64) {
-        if let Some(head) = decode_head(value) {
-            self.learn(KnownHead { head, revision });
+        if let Some(header) = decode_job_header(value) {
+            self.learn(KnownHeader { header, revision });
         }
     }
 
     /// A head changed in the store.
-    pub fn head_changed(&self, known: &KnownHead) {
-        let job_id = &known.head.job_id;
+    pub fn header_changed(&self, known: &KnownHeader) {
+        let job_id = &known.header.job_id;
         let mut book = self.book();
         let Some(job) = book.jobs.get_mut(job_id) else {
             drop(book);
-            if self.owns(&known.head) && known.is_open() && !self.is_stopping() {
+            if self.owns(&known.header) && known.is_open() && !self.is_stopping() {
                 self.load(known.clone());
             }
             return;
@@ -206,25 +206,25 @@
         if job.known.revision >= known.revision {
             return;
         }
-        let before = job.known.head.clone();
-        let lost = !self.owns(&known.head) || known.head.epoch != before.epoch;
+        let before = job.known.header.clone();
+        let lost = !self.owns(&known.header) || known.header.epoch != before.epoch;
         if known.is_open() && !lost {
-            job.take_head(known.clone());
+            job.update_header(known.clone());
             return;
         }
         job.stop_runs();
         book.jobs.remove(job_id);
         drop(book);
-        let (outcome, reason) = match known.head.owner.as_str() {
+        let (outcome, reason) = match known.header.owner.as_str() {
             _ if !lost => ("closed", ""),
             "" => ("released", ""),
             other => ("lost", other),
         };
-        self.log_ownership(&before, &known.head, outcome, reason);
+        self.log_ownership(&before, &known.header, outcome, reason);
     }
 
     /// A job's row is gone.
-    pub fn head_removed(&self, job_id: &str) {
+    pub fn header_removed(&self, job_id: &str) {
         self.inner.view.forget(job_id);
         if let Some(mut job) = self.book().jobs.remove(job_id) {
             job.stop_runs();
@@ -233,15 +233,15 @@
 
     pub(crate) fn log_ownership(
         &self,
-        before: &JobHeadRow,
-        head: &JobHeadRow,
+        before: &JobHeaderRow,
+        header: &JobHeaderRow,
         outcome: &str,
         reason: &str,
     ) {
         self.inner.log.record(&Record::JobOwnership {
-            job: &head.job_id,
+            job: &header.job_id,
             outcome,
-            epoch: head.epoch,
+            epoch: header.epoch,
             owner_before: last_owner(before),
             epoch_before: before.epoch,
             reason,
@@ -251,51 +251,51 @@
 
     /// Enters a job whose items are known.
     pub(crate) fn enter(&self, job: OwnedJob) {
-        let job_id = job.known.head.job_id.clone();
+        let job_id = job.known.header.job_id.clone();
         let mut book = self.book();
         book.jobs.entry(job_id.clone()).or_insert(job);
         drop(book);
         // The head may have changed while the items were read; a change from now on finds the job here.
         if let Some(newest) = self.inner.view.get(&job_id) {
-            self.head_changed(&newest);
+            self.header_changed(&newest);
         }
         self.inner.wake.notify_one();
     }
 
     /// Reads a job's items, and enters it; nothing happens if that is under way.
-    pub(crate) fn load(&self, known: KnownHead) {
-        if !self.takeovers().begin_load(&known.head.job_id) {
+    pub(crate) fn load(&self, known: KnownHeader) {
+        if !self.takeovers().begin_load(&known.header.job_id) {
             return;
         }
         let jobs = self.clone();
         tokio::spawn(async move {
-            let job_id = known.head.job_id.clone();
+            let job_id = known.header.job_id.clone();
             jobs.read_and_enter(known).await;
             jobs.takeovers().loaded(&job_id);
             // Lost and won again meanwhile: the task may have ended on the loss.
             if let Some(newest) = jobs.inner.view.get(&job_id) {
-                jobs.head_changed(&newest);
+                jobs.header_changed(&newest);
             }
         });
     }
 
-    async fn read_and_enter(&self, known: KnownHead) {
+    async fn read_and_enter(&self, known: KnownHeader) {
         let store = &self.inner.store;
         loop {
-            let current = self.inner.view.get(&known.head.job_id);
+            let current = self.inner.view.get(&known.header.job_id);
             let current = current.unwrap_or_else(|| known.clone());
-            if !self.owns(&current.head) || !current.is_open() || self.is_stopping() {
+            if !self.owns(&current.header) || !current.is_open() || self.is_stopping() {
                 return;
             }
-            let items = store.read_items(&current.head).await;
-            let progress = store.read_progress(&current.head.job_id).await;
+            let items = store.read_items(&current.header).await;
+            let progress = store.read_progress(&current.header.job_id).await;
             if let (Ok(items), Ok(progress)) = (items, progress) {
                 let requests = items
                     .items
                     .into_iter()
-                    .map(|row| crate::model::item_request(row, &current.head))
+                    .map(|row| crate::model::item_request(row, &current.header))
                     .collect();
-                let attempts = self.attempts_of(&current.head.route);
+                let attempts = self.attempts_of(&current.header.route);
                 let mut job = OwnedJob::new(current, requests, progress);
                 job.fail_spent_items(attempts);
                 self.enter(job);
@@ -332,7 +332,7 @@
         let handed = timeout_at(until, futures::future::join_all(handing)).await;
         if handed.is_err() {
             self.inner.log.record(&Record::DependencyLost {
-                dependency: HEADS,
+                dependency: JOB_HEADERS,
                 cause: "no answer while jobs were handed over",
             });
         }
--- a/crates/inline-jobs/src/store.rs
+++ b/crates/inline-jobs/src/store.rs
@@ -11,15 +11,15 @@
     Condition, ObjectStore, PlatformError, RequestClass, Row, Table, Transaction, WatchedTable,
 };
 use harrierward_wire::{
-    ItemProgressRow, JobHeadRow, JobItemsRow, QuotaFenceRow, decode, decode_head, encode,
-    encode_head,
+    ItemProgressRow, JobHeaderRow, JobItemsRow, QuotaFenceRow, decode, decode_job_header, encode,
+    encode_job_header,
 };
 use tokio::time::Instant;
 
 use crate::keys;
-use crate::view::KnownHead;
+use crate::view::KnownHeader;
 
-use transactions::{ROW_BYTES, TRANSACTION_BYTES, add_progress, head_change, listing};
+use transactions::{ROW_BYTES, TRANSACTION_BYTES, add_progress, header_change, listing};
 
 /// How a conditional write of a head ended.
 #[derive(Debug, Clone, PartialEq)]
@@ -32,7 +32,7 @@
     /// The head is another one; nothing was done by the last try.
     Conflict {
         /// The head as it stands; `None` if there is none.
-        current: Option<Box<KnownHead>>,
+        current: Option<Box<KnownHeader>>,
     },
     /// The quota's fence is another one; nothing was done, and nothing will be.
     Fenced {
@@ -98,16 +98,16 @@
 
 /// What the store says of a job's head.
 #[derive(Debug, Clone, PartialEq)]
-pub struct HeadReading {
+pub struct HeaderReading {
     /// The head; `None` if there is none.
-    pub head: Option<KnownHead>,
+    pub header: Option<KnownHeader>,
     /// Revision of the store that the reading reflects at least.
     pub revision: u64,
 }
 
-fn known(row: &Row) -> Option<KnownHead> {
-    Some(KnownHead {
-        head: decode_head(&row.value)?,
+fn known(row: &Row) -> Option<KnownHeader> {
+    Some(KnownHeader {
+        header: decode_job_header(&row.value)?,
         revision: row.revision,
     })
 }
@@ -138,26 +138,26 @@
     /// this revision of its route's fence, if the route has one.
     pub async fn create(
         &self,
-        mut head: JobHeadRow,
+        mut header: JobHeaderRow,
         items: &JobItemsRow,
         fence: Option<u64>,
         until: Instant,
     ) -> WriteOutcome {
         let content = Bytes::from(encode(items));
-        let head_key = keys::head(&head.job_id);
+        let header_key = keys::header(&header.job_id);
         // The head comes first: where both conditions fail, the job is kept already.
         let mut transaction = Transaction::default().require(Condition::Absent {
-            key: head_key.clone(),
+            key: header_key.clone(),
         });
         if let Some(revision) = fence {
-            let key = keys::fence(&head.route, &head.job_id);
+            let key = keys::fence(&header.route, &header.job_id);
             transaction = transaction.require(Condition::AtRevision { key, revision });
         }
         if content.len() > TRANSACTION_BYTES {
-            head.item_object = format!("jobitems-{}-{}", head.job_id, head.owner);
+            header.item_object = format!("jobitems-{}-{}", header.job_id, header.owner);
             let put = self
                 .objects
-                .put(RequestClass::Commit, &head.item_object, content);
+                .put(RequestClass::Commit, &header.item_object, content);
             if put.await.is_err() {
                 return WriteOutcome::NotDone;
             }
@@ -166,12 +166,12 @@
             let mut rest = content;
             while !rest.is_empty() {
                 let piece = rest.split_to(rest.len().min(ROW_BYTES));
-                transaction = transaction.put(keys::items(&head.job_id, number), piece);
+                transaction = transaction.put(keys::items(&header.job_id, number), piece);
                 number += 1;
             }
-            head.item_rows = number;
+            header.item_rows = number;
         }
-        transaction = transaction.put(head_key, encode_head(&head));
+        transaction = transaction.put(header_key, encode_job_header(&header));
         self.settle(RequestClass::Urgent, transaction, until).await
     }
 
@@ -209,13 +209,13 @@
     }
 
     /// Replaces a head under its revision.
-    pub async fn replace_head(
+    pub async fn replace_header(
         &self,
         revision: u64,
-        head: &JobHeadRow,
+        header: &JobHeaderRow,
         until: Instant,
     ) -> WriteOutcome {
-        let transaction = head_change(revision, head);
+        let transaction = header_change(revision, header);
         self.settle(RequestClass::Urgent, transaction, until).await
     }
 
@@ -223,13 +223,13 @@
     pub async fn list(
         &self,
         revision: u64,
-        head: &JobHeadRow,
+        header: &JobHeaderRow,
         (position, results): (u32, &[ListedResult]),
         progress: &[(u32, ItemProgressRow)],
         until: Instant,
     ) -> WriteOutcome {
-        let transaction = listing(revision, head, position, results);
-        let transaction = add_progress(transaction, &head.job_id, progress);
+        let transaction = listing(revision, header, position, results);
+        let transaction = add_progress(transaction, &header.job_id, progress);
         self.settle(RequestClass::Commit, transaction, until).await
     }
 
@@ -237,13 +237,13 @@
     pub async fn hand_over(
         &self,
         revision: u64,
-        head: &JobHeadRow,
+        header: &JobHeaderRow,
         (position, results): (u32, &[ListedResult]),
         progress: &[(u32, ItemProgressRow)],
         until: Instant,
     ) -> WriteOutcome {
-        let transaction = listing(revision, head, position, results);
-        let transaction = add_progress(transaction, &head.job_id, progress);
+        let transaction = listing(revision, header, position, results);
+        let transaction = add_progress(transaction, &header.job_id, progress);
         self.settle_side_by_side(transaction, until).await
     }
 
--- a/crates/inline-jobs/src/store/reads.rs
+++ b/crates/inline-jobs/src/store/reads.rs
@@ -3,13 +3,13 @@
 use harrierward_external::{
     Condition, PlatformError, PlatformErrorKind, RequestClass, Row, Transaction,
 };
-use harrierward_wire::{ItemProgressRow, JobHeadRow, JobItemsRow, ResultPieceRow, decode};
+use harrierward_wire::{ItemProgressRow, JobHeaderRow, JobItemsRow, ResultPieceRow, decode};
 use tokio::time::{Instant, sleep};
 
 use super::settling::LONGEST_PAUSE;
-use super::{HeadReading, JobStore, ReadResult, known};
+use super::{HeaderReading, JobStore, ReadResult, known};
 use crate::keys::{self, RowKind};
-use crate::view::KnownHead;
+use crate::view::KnownHeader;
 
 /// Most rows read at once.
 const READ_ROWS: usize = 500;
@@ -22,17 +22,20 @@
 
 impl JobStore {
     /// All heads, as of `revision` at least; `None` if they could not be read before `until`.
-    pub async fn read_heads(&self, revision: u64, until: Instant) -> Option<Vec<KnownHead>> {
+    pub async fn read_headers(&self, revision: u64, until: Instant) -> Option<Vec<KnownHeader>> {
         let partitions = keys::partitions();
         while Instant::now() < until {
-            let read = self.watched.read_space(keys::HEADS, &partitions).await;
+            let read = self
+                .watched
+                .read_space(keys::JOB_HEADERS, &partitions)
+                .await;
             // A read may be older than what was written before it.
             if let Ok(snapshot) = read.as_ref()
                 && snapshot.revision >= revision
             {
-                let is_head = |row: &&Row| keys::row_kind(&row.key) == RowKind::Head;
-                let heads = snapshot.rows.iter().filter(is_head);
-                return Some(heads.filter_map(known).collect());
+                let is_header = |row: &&Row| keys::row_kind(&row.key) == RowKind::Header;
+                let headers = snapshot.rows.iter().filter(is_header);
+                return Some(headers.filter_map(known).collect());
             }
             sleep(LONGEST_PAUSE / 2).await;
         }
@@ -40,10 +43,10 @@
     }
 
     /// A job's head as the store has it.
-    pub async fn read_head(&self, job_id: &str) -> Result<HeadReading, PlatformError> {
-        let reading = self.watched.read_row(&keys::head(job_id)).await?;
-        Ok(HeadReading {
-            head: reading.row.as_ref().and_then(known),
+    pub async fn read_header(&self, job_id: &str) -> Result<HeaderReading, PlatformError> {
+        let reading = self.watched.read_row(&keys::header(job_id)).await?;
+        Ok(HeaderReading {
+            header: reading.row.as_ref().and_then(known),
             revision: reading.revision,
         })
     }
@@ -66,11 +69,11 @@
     }
 
     /// A job's items.
-    pub async fn read_items(&self, head: &JobHeadRow) -> Result<JobItemsRow, PlatformError> {
+    pub async fn read_items(&self, header: &JobHeaderRow) -> Result<JobItemsRow, PlatformError> {
         const STEP: &str = "jobs.read_items";
-        let content = if head.item_object.is_empty() {
-            let rows = self.read_all(&keys::items_prefix(&head.job_id)).await?;
-            if rows.len() < head.item_rows as usize {
+        let content = if header.item_object.is_empty() {
+            let rows = self.read_all(&keys::items_prefix(&header.job_id)).await?;
+            if rows.len() < header.item_rows as usize {
                 let kind = PlatformErrorKind::Unknown;
                 return Err(PlatformError::new(STEP, "store", kind, "rows are missing"));
             }
@@ -79,7 +82,7 @@
                 .collect()
         } else {
             self.objects
-                .get(RequestClass::Commit, &head.item_object)
+                .get(RequestClass::Commit, &header.item_object)
                 .await?
         };
         decode(&content).ok_or_else(|| {
@@ -146,8 +149,8 @@
     }
 
     /// Removes all rows of a job whose time is over.
-    pub async fn remove(&self, known: &KnownHead) -> Result<(), PlatformError> {
-        let job_id = &known.head.job_id;
+    pub async fn remove(&self, known: &KnownHeader) -> Result<(), PlatformError> {
+        let job_id = &known.header.job_id;
         for prefix in [
             keys::items_prefix(job_id),
             keys::results_prefix(job_id),
@@ -164,12 +167,12 @@
                     .await?;
             }
         }
-        if !known.head.item_object.is_empty() {
+        if !known.header.item_object.is_empty() {
             self.objects
-                .delete(RequestClass::Listing, &known.head.item_object)
+                .delete(RequestClass::Listing, &known.header.item_object)
                 .await?;
         }
-        let key = keys::head(job_id);
+        let key = keys::header(job_id);
         let transaction = Transaction::default()
             .require(Condition::AtRevision {
                 key: key.clone(),
--- a/crates/inline-jobs/src/store/transactions.rs
+++ b/crates/inline-jobs/src/store/transactions.rs
@@ -1,7 +1,7 @@
 //! The transactions that change a job's rows, within the bounds of the store.
 
 use harrierward_external::{Condition, Transaction, Write};
-use harrierward_wire::{ItemProgressRow, JobHeadRow, ResultPieceRow, encode, encode_head};
+use harrierward_wire::{ItemProgressRow, JobHeaderRow, ResultPieceRow, encode, encode_job_header};
 
 use super::ListedResult;
 use crate::keys;
@@ -35,11 +35,11 @@
 /// The change of a head that lists results from `position` on.
 pub(super) fn listing(
     revision: u64,
-    head: &JobHeadRow,
+    header: &JobHeaderRow,
     position: u32,
     results: &[ListedResult],
 ) -> Transaction {
-    let mut transaction = head_change(revision, head);
+    let mut transaction = header_change(revision, header);
     for (position, result) in (position..).zip(results) {
         let pieces = pieces_of(&result.text);
         let count = u32::try_from(pieces.len()).unwrap_or(u32::MAX);
@@ -49,7 +49,7 @@
                 pieces: count,
                 text: text.to_owned(),
             };
-            let key = keys::result(&head.job_id, position, number);
+            let key = keys::result(&header.job_id, position, number);
             transaction = transaction.put(key, encode(&row));
         }
     }
@@ -82,12 +82,12 @@
     transaction
 }
 
-pub(super) fn head_change(revision: u64, head: &JobHeadRow) -> Transaction {
-    let key = keys::head(&head.job_id);
+pub(super) fn header_change(revision: u64, header: &JobHeaderRow) -> Transaction {
+    let key = keys::header(&header.job_id);
     Transaction::default()
         .require(Condition::AtRevision {
             key: key.clone(),
             revision,
         })
-        .put(key, encode_head(head))
+        .put(key, encode_job_header(header))
 }
--- a/crates/inline-jobs/src/submit.rs
+++ b/crates/inline-jobs/src/submit.rs
@@ -4,7 +4,7 @@
 
 use harrierward_decisions::Record;
 use harrierward_serving::{Route, caller_of};
-use harrierward_wire::{ItemHeadRow, JobHeadRow, JobItemsRow};
+use harrierward_wire::{ItemHeadRow, JobHeaderRow, JobItemsRow};
 use tokio::time::{Instant, sleep};
 
 use crate::adoption_order::given_up;
@@ -15,7 +15,7 @@
 use crate::quota_book::QuotaRequest;
 use crate::service::InlineJobs;
 use crate::store::WriteOutcome;
-use crate::view::KnownHead;
+use crate::view::KnownHeader;
 
 /// Most items of a job.
 const MOST_ITEMS: usize = 200;
@@ -80,7 +80,7 @@
         if view.get(&job.id).is_some() {
             return SubmitOutcome::Accepted;
         }
-        if !self.knows_heads(arrived).await {
+        if !self.knows_headers(arrived).await {
             // Nothing was sent: another daemon may still reach the store.
             return SubmitOutcome::NotKept {
                 retry_after: STORE_RETRY,
@@ -107,11 +107,11 @@
                     };
                 }
             };
-            let head = self.head_of(job, route, tenant);
+            let header = self.header_of(job, route, tenant);
             let store = &self.inner.store;
-            match store.create(head.clone(), &rows, fence, until).await {
+            match store.create(header.clone(), &rows, fence, until).await {
                 WriteOutcome::Committed { revision } => {
-                    self.begin(head, rows, revision);
+                    self.begin(header, rows, revision);
                     return SubmitOutcome::Accepted;
                 }
                 WriteOutcome::Conflict {
@@ -141,7 +141,7 @@
 
     /// True if the copy of the heads is true enough to tell what waits. A daemon that has just started waits a
     /// moment for its first read.
-    async fn knows_heads(&self, arrived: Instant) -> bool {
+    async fn knows_headers(&self, arrived: Instant) -> bool {
         let view = &self.inner.view;
         while view.proof_age().is_none() && arrived.elapsed() < FIRST_READ_WAIT {
             sleep(FIRST_READ_LOOK).await;
@@ -149,7 +149,7 @@
         view.proof_age().is_some_and(|age| age <= STORE_AWAY_AFTER)
     }
 
-    fn head_of(&self, job: &SubmittedJob, route: &Route, tenant: &str) -> JobHeadRow {
+    fn header_of(&self, job: &SubmittedJob, route: &Route, tenant: &str) -> JobHeaderRow {
         let items = job
             .items
             .iter()
@@ -158,7 +158,7 @@
                 tokens: item.tokens,
             })
             .collect();
-        let head = JobHeadRow {
+        let header = JobHeaderRow {
             job_id: job.id.clone(),
             route: route.name.clone(),
             host: route.host.clone(),
@@ -178,18 +178,18 @@
             later_fields: Vec::new(),
         };
         if self.is_stopping() {
-            given_up(&head)
+            given_up(&header)
         } else {
-            head
+            header
         }
     }
 
     /// The job is kept: enter it, unless it is for others.
-    fn begin(&self, head: JobHeadRow, rows: JobItemsRow, revision: u64) {
-        let owned = self.owns(&head);
-        let known = KnownHead { head, revision };
+    fn begin(&self, header: JobHeaderRow, rows: JobItemsRow, revision: u64) {
+        let owned = self.owns(&header);
+        let known = KnownHeader { header, revision };
         // The watch may have brought the head already, and with it the loading of the items.
-        let entered = self.book().jobs.contains_key(&known.head.job_id);
+        let entered = self.book().jobs.contains_key(&known.header.job_id);
         self.inner.view.take(known.clone());
         if !owned || entered {
             return;
@@ -197,14 +197,14 @@
         let requests = rows
             .items
             .into_iter()
-            .map(|row| item_request(row, &known.head))
+            .map(|row| item_request(row, &known.header))
             .collect();
         self.enter(OwnedJob::new(known, requests, Vec::new()));
     }
 
     /// A job that does not fit may have been taken already by another daemon.
     async fn refuse_unless_kept(&self, job_id: &str) -> SubmitOutcome {
-        match self.read_head(job_id).await {
+        match self.read_header(job_id).await {
             Lookup::Found(_) => SubmitOutcome::Accepted,
             Lookup::Missing => SubmitOutcome::DoesNotFit {
                 retry_after: FULL_RETRY,
--- a/crates/inline-jobs/src/takeover.rs
+++ b/crates/inline-jobs/src/takeover.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use harrierward_ownership::{Claim, OwnerStanding, Step, TakeoverBounds, Takeovers};
-use harrierward_wire::JobHeadRow;
+use harrierward_wire::JobHeaderRow;
 use tokio::time::Instant;
 
 use crate::adoption::ADOPT_HOLD;
@@ -13,7 +13,7 @@
 use crate::owned_job::LeftWork;
 use crate::service::InlineJobs;
 use crate::store::WriteOutcome;
-use crate::view::{HeadChange, KnownHead};
+use crate::view::{HeaderChange, KnownHeader};
 
 /// An owner that is challenged and whose job came to nothing for so long gives it up instead of refuting: it reaches the
 /// store, and perhaps no replica.
@@ -53,11 +53,11 @@
     /// others go first, `None` if the job is not for it.
     pub fn step(
         &mut self,
-        known: &KnownHead,
+        known: &KnownHeader,
         standing: OwnerStanding,
         delay: impl FnOnce() -> Option<Duration>,
     ) -> Step {
-        let job_id = &known.head.job_id;
+        let job_id = &known.header.job_id;
         if self.writing.len() >= MOST_WRITES || self.writing.contains(job_id) {
             return Step::Wait;
         }
@@ -110,14 +110,14 @@
 /// Delay of a daemon that must not adopt a job, since it may not read its bodies: longer than any job is open.
 const NOT_FOR_THIS_DAEMON: Duration = Duration::from_secs(1_000_000);
 
-fn claim(known: &KnownHead) -> Claim<'_> {
-    let head = &known.head;
+fn claim(known: &KnownHeader) -> Claim<'_> {
+    let header = &known.header;
     Claim {
-        asset: &head.job_id,
-        owner: &head.owner,
-        challenger: &head.challenger,
-        epoch: head.epoch,
-        takeovers: head.takeovers,
+        asset: &header.job_id,
+        owner: &header.owner,
+        challenger: &header.challenger,
+        epoch: header.epoch,
+        takeovers: header.takeovers,
         revision: known.revision,
     }
 }
@@ -143,36 +143,36 @@
     }
 
     /// How this daemon sees the owner of a job.
-    pub(crate) fn owner_standing(&self, head: &JobHeadRow) -> OwnerStanding {
-        if head.owner.is_empty() {
+    pub(crate) fn owner_standing(&self, header: &JobHeaderRow) -> OwnerStanding {
+        if header.owner.is_empty() {
             OwnerStanding::GivenUp
-        } else if self.owns(head) {
+        } else if self.owns(header) {
             OwnerStanding::Present
         } else {
-            self.inner.peers.standing(&head.owner)
+            self.inner.peers.standing(&header.owner)
         }
     }
 
     /// What a change of a head shows of owners, and an answer to whoever challenges this one.
-    pub(crate) fn note_owners(&self, change: &HeadChange) {
-        let HeadChange { before, known } = change;
+    pub(crate) fn note_owners(&self, change: &HeaderChange) {
+        let HeaderChange { before, known } = change;
         if let Some(before) = before {
-            let is_present = self.owner_standing(&before.head) == OwnerStanding::Present;
+            let is_present = self.owner_standing(&before.header) == OwnerStanding::Present;
             let mut takeovers = self.takeovers();
             let now = takeovers.now();
             takeovers
                 .core
                 .note_change(claim(before), claim(known), is_present, now);
         }
-        if self.owns(&known.head) && known.is_open() {
+        if self.owns(&known.header) && known.is_open() {
             self.answer_if_challenged(known);
         }
     }
 
     /// Answers a challenge of a job of this daemon. Called again and again while it stands: an answer may be lost on its way.
-    pub(crate) fn answer_if_challenged(&self, known: &KnownHead) {
-        let job_id = &known.head.job_id;
-        let is_challenged = !known.head.challenger.is_empty() && !self.is_stopping();
+    pub(crate) fn answer_if_challenged(&self, known: &KnownHeader) {
+        let job_id = &known.header.job_id;
+        let is_challenged = !known.header.challenger.is_empty() && !self.is_stopping();
         if !is_challenged || !self.takeovers().begin_write(job_id) {
             return;
         }
@@ -185,12 +185,12 @@
     /// Runs the write of a job's head that has been entered as under way; it is taken off however the write ends.
     pub(crate) fn spawn_write<F: Future<Output = ()> + Send>(
         &self,
-        known: KnownHead,
-        write: impl FnOnce(Self, KnownHead) -> F + Send + 'static,
+        known: KnownHeader,
+        write: impl FnOnce(Self, KnownHeader) -> F + Send + 'static,
     ) {
         let entered = EnteredWrite {
             jobs: self.clone(),
-            job_id: known.head.job_id.clone(),
+            job_id: known.header.job_id.clone(),
         };
         let jobs = self.clone();
         tokio::spawn(async move {
@@ -199,19 +199,19 @@
         });
     }
 
-    pub(crate) fn start_challenge(&self, known: KnownHead, standing: OwnerStanding) {
+    pub(crate) fn start_challenge(&self, known: KnownHeader, standing: OwnerStanding) {
         self.spawn_write(known, move |jobs, known| async move {
             jobs.challenge(&known, standing).await;
         });
     }
 
-    async fn challenge(&self, known: &KnownHead, standing: OwnerStanding) {
-        let head = challenged(&known.head, &self.inner.life);
+    async fn challenge(&self, known: &KnownHeader, standing: OwnerStanding) {
+        let header = challenged(&known.header, &self.inner.life);
         let began = harrierward_clock::now();
         let until = Instant::now() + ADOPT_HOLD;
         let store = &self.inner.store;
-        let current = match store.replace_head(known.revision, &head, until).await {
-            WriteOutcome::Committed { revision } => KnownHead { head, revision },
+        let current = match store.replace_header(known.revision, &header, until).await {
+            WriteOutcome::Committed { revision } => KnownHeader { header, revision },
             WriteOutcome::Conflict {
                 current: Some(current),
             } => *current,
@@ -219,8 +219,13 @@
             _ => return,
         };
         // A write whose answer was lost is met here too.
-        if current.head.challenger == self.inner.life {
-            self.log_ownership(&known.head, &current.head, "challenged", standing.name());
+        if current.header.challenger == self.inner.life {
+            self.log_ownership(
+                &known.header,
+                &current.header,
+                "challenged",
+                standing.name(),
+            );
             let mut takeovers = self.takeovers();
             let now = takeovers.now();
             let took = harrierward_clock::age(began);
@@ -230,19 +235,19 @@
     }
 
     /// Another daemon holds this one for gone.
-    async fn answer_challenge(&self, known: &KnownHead) {
+    async fn answer_challenge(&self, known: &KnownHeader) {
         let until = Instant::now() + ADOPT_HOLD;
-        if let Some(left) = self.take_stuck(&known.head.job_id) {
+        if let Some(left) = self.take_stuck(&known.header.job_id) {
             let reason = "challenged while it got nowhere";
             self.hand_over(known.clone(), left, reason, until).await;
             return;
         }
-        let head = refuted(&known.head);
+        let header = refuted(&known.header);
         let store = &self.inner.store;
-        match store.replace_head(known.revision, &head, until).await {
+        match store.replace_header(known.revision, &header, until).await {
             WriteOutcome::Committed { revision } => {
-                self.log_ownership(&known.head, &head, "refuted", &known.head.challenger);
-                self.learn(KnownHead { head, revision });
+                self.log_ownership(&known.header, &header, "refuted", &known.header.challenger);
+                self.learn(KnownHeader { header, revision });
             }
             // Listed results refute it as well, and so does what else this daemon has written meanwhile.
             WriteOutcome::Conflict {
--- a/crates/inline-jobs/src/view.rs
+++ b/crates/inline-jobs/src/view.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use harrierward_wire::{JobHeadRow, QuotaFenceRow, decode};
+use harrierward_wire::{JobHeaderRow, QuotaFenceRow, decode};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
@@ -13,35 +13,35 @@
 
 /// A head and the revision at which it was read.
 #[derive(Debug, Clone, PartialEq)]
-pub struct KnownHead {
+pub struct KnownHeader {
     /// The head.
-    pub head: JobHeadRow,
+    pub header: JobHeaderRow,
     /// Revision of its row.
     pub revision: u64,
 }
 
-impl KnownHead {
+impl KnownHeader {
     /// True if items are left to be listed.
     pub fn is_open(&self) -> bool {
-        !self.head.ended && self.head.listed.len() < self.head.items.len()
+        !self.header.ended && self.header.listed.len() < self.header.items.len()
     }
 
     /// True if a result is listed at the position.
     pub fn lists_beyond(&self, position: u32) -> bool {
-        self.head.listed.len() > position as usize
+        self.header.listed.len() > position as usize
     }
 
     /// Tokens of the items that are not listed.
     pub fn waiting_tokens(&self) -> u64 {
-        if self.head.ended {
+        if self.header.ended {
             return 0;
         }
-        let all: u64 = self.head.items.iter().map(|item| item.tokens).sum();
+        let all: u64 = self.header.items.iter().map(|item| item.tokens).sum();
         let listed: u64 = self
-            .head
+            .header
             .listed
             .iter()
-            .filter_map(|number| self.head.items.get(*number as usize))
+            .filter_map(|number| self.header.items.get(*number as usize))
             .map(|item| item.tokens)
             .sum();
         all.saturating_sub(listed)
@@ -50,16 +50,16 @@
 
 /// A newer head, and the one known before.
 #[derive(Debug, Clone, PartialEq)]
-pub struct HeadChange {
+pub struct HeaderChange {
     /// `None` for a job that was not known.
-    pub before: Option<KnownHead>,
+    pub before: Option<KnownHeader>,
     /// The head as it is now.
-    pub known: KnownHead,
+    pub known: KnownHeader,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    heads: HashMap<String, KnownHead>,
+    headers: HashMap<String, KnownHeader>,
     /// The fences of the routes' quotas.
     fences: HashMap<String, SeenFence>,
     /// Newest revision of the store that this daemon has heard of.
@@ -182,55 +182,55 @@
     }
 
     /// Takes a head; `None` if it is not newer than what was known.
-    pub fn take(&self, known: KnownHead) -> Option<HeadChange> {
+    pub fn take(&self, known: KnownHeader) -> Option<HeaderChange> {
         let mut state = self.lock();
         state.newest_revision = state.newest_revision.max(known.revision);
-        let old = state.heads.get(&known.head.job_id);
+        let old = state.headers.get(&known.header.job_id);
         if old.is_some_and(|old| old.revision >= known.revision) {
             return None;
         }
-        let job_id = known.head.job_id.clone();
-        let before = state.heads.insert(job_id, known.clone());
+        let job_id = known.header.job_id.clone();
+        let before = state.headers.insert(job_id, known.clone());
         drop(state);
         self.wake();
-        Some(HeadChange { before, known })
+        Some(HeaderChange { before, known })
     }
 
     /// Forgets a job whose row is gone.
     pub fn forget(&self, job_id: &str) {
-        self.lock().heads.remove(job_id);
+        self.lock().headers.remove(job_id);
         self.wake();
     }
 
     /// A job's head.
-    pub fn get(&self, job_id: &str) -> Option<KnownHead> {
-        self.lock().heads.get(job_id).cloned()
+    pub fn get(&self, job_id: &str) -> Option<KnownHeader> {
+        self.lock().headers.get(job_id).cloned()
     }
 
     /// All jobs with items left.
-    pub fn open_jobs(&self) -> Vec<KnownHead> {
+    pub fn open_jobs(&self) -> Vec<KnownHeader> {
         let state = self.lock();
-        let open = state.heads.values().filter(|known| known.is_open());
+        let open = state.headers.values().filter(|known| known.is_open());
         open.cloned().collect()
     }
 
     /// Jobs accepted before `before_ms` on the store's clock that have no items left.
-    pub fn closed_before(&self, before_ms: u64) -> Vec<KnownHead> {
+    pub fn closed_before(&self, before_ms: u64) -> Vec<KnownHeader> {
         let state = self.lock();
         let old = state
-            .heads
+            .headers
             .values()
-            .filter(|known| !known.is_open() && known.head.accepted_ms < before_ms);
+            .filter(|known| !known.is_open() && known.header.accepted_ms < before_ms);
         old.cloned().collect()
     }
 
     /// Tokens of all items of a tenant's jobs on a route that are not listed.
     pub fn waiting_tokens(&self, route: &str, tenant: &str) -> u64 {
         let state = self.lock();
-        let heads = state.heads.values();
-        heads
-            .filter(|known| known.head.route == route && known.head.tenant == tenant)
-            .map(KnownHead::waiting_tokens)
+        let headers = state.headers.values();
+        headers
+            .filter(|known| known.header.route == route && known.header.tenant == tenant)
+            .map(KnownHeader::waiting_tokens)
             .sum()
     }
 }
--- a/crates/inline-jobs/tests/adoption_order.rs
+++ b/crates/inline-jobs/tests/adoption_order.rs
@@ -4,24 +4,24 @@
 use std::time::Duration;
 
 use harrierward_inline_jobs::adoption_order::{adopted, adoption_delay, given_up, last_owner};
-use harrierward_wire::JobHeadRow;
+use harrierward_wire::JobHeaderRow;
 
 fn owners() -> Vec<String> {
     (0..12).map(|number| format!("daemon-{number}")).collect()
 }
 
-fn head() -> JobHeadRow {
-    JobHeadRow {
+fn header() -> JobHeaderRow {
+    JobHeaderRow {
         job_id: "job-1".to_owned(),
         owner: "gone".to_owned(),
         epoch: 4,
-        ..JobHeadRow::default()
+        ..JobHeaderRow::default()
     }
 }
 
 #[test]
 fn a_job_that_was_given_up_is_adopted_near_its_last_owner_and_at_once() {
-    let handed_over = given_up(&head());
+    let handed_over = given_up(&header());
     assert_eq!(handed_over.owner, "");
     assert_eq!(last_owner(&handed_over), "gone");
     let owners = owners();
@@ -38,7 +38,7 @@
 fn a_dead_owner_is_waited_for_and_then_followed_one_by_one() {
     let owners = owners();
     let delays = owners.iter();
-    let delays = delays.map(|owner| adoption_delay(&head(), owner, &owners, &[]));
+    let delays = delays.map(|owner| adoption_delay(&header(), owner, &owners, &[]));
     let delays: HashSet<Duration> = delays.collect();
     assert_eq!(delays.len(), owners.len());
     assert_eq!(delays.into_iter().min(), Some(Duration::from_millis(100)));
@@ -46,7 +46,7 @@
 
 #[test]
 fn an_adopted_job_has_one_owner_and_a_new_epoch() {
-    let taken = adopted(&given_up(&head()), "daemon-1");
+    let taken = adopted(&given_up(&header()), "daemon-1");
     assert_eq!((last_owner(&taken), taken.epoch), ("daemon-1", 5));
     assert_eq!(taken.last_owner, "");
 }
--- a/crates/inline-jobs/tests/quota_book.rs
+++ b/crates/inline-jobs/tests/quota_book.rs
@@ -48,7 +48,7 @@
 }
 
 /// What the store holds, or a daemon has heard of it: tokens by job, 0 for one that is over.
-type Heads = BTreeMap<u8, u64>;
+type Headers = BTreeMap<u8, u64>;
 
 struct Write {
     job: u8,
@@ -72,26 +72,26 @@
 
 fn decide(
     book: &mut QuotaBook,
-    heads: &Heads,
+    headers: &Headers,
     job: u8,
     tokens: u64,
     now: Instant,
 ) -> QuotaDecision {
-    decide_for(book, heads, job, tokens, now, 1)
+    decide_for(book, headers, job, tokens, now, 1)
 }
 
 fn decide_for(
     book: &mut QuotaBook,
-    heads: &Heads,
+    headers: &Headers,
     job: u8,
     tokens: u64,
     now: Instant,
     submission: u64,
 ) -> QuotaDecision {
-    let known: HashSet<String> = heads.keys().map(|job| name(*job)).collect();
+    let known: HashSet<String> = headers.keys().map(|job| name(*job)).collect();
     let count = RouteCount {
         limit: LIMIT,
-        waiting: heads.values().sum(),
+        waiting: headers.values().sum(),
         is_known: &|job| known.contains(job),
     };
     let request = QuotaRequest {
@@ -114,12 +114,12 @@
     ) {
         let mut now = Instant::now();
         let mut fence = 0;
-        let mut store = Heads::new();
+        let mut store = Headers::new();
         let mut under_way: Vec<Write> = Vec::new();
         let mut given_back: Vec<Write> = Vec::new();
         let mut submissions = 0;
         let mut books: Vec<QuotaBook> = (0..DAEMONS).map(|_| QuotaBook::default()).collect();
-        let mut heard: Vec<Heads> = vec![Heads::new(); DAEMONS];
+        let mut heard: Vec<Headers> = vec![Headers::new(); DAEMONS];
         for event in events {
             match event {
                 Event::Fence { daemon } => {
@@ -129,8 +129,8 @@
                 }
                 Event::Ask { daemon, job, tokens } => {
                     submissions += 1;
-                    let (book, heads) = (&mut books[daemon], &heard[daemon]);
-                    let decision = decide_for(book, heads, job, tokens, now, submissions);
+                    let (book, headers) = (&mut books[daemon], &heard[daemon]);
+                    let decision = decide_for(book, headers, job, tokens, now, submissions);
                     if let QuotaDecision::Granted { fence } = decision {
                         under_way.push(Write {
                             job,
@@ -172,7 +172,7 @@
 fn a_grant_that_stays_unseen_asks_for_a_new_fence_and_a_returned_one_is_free_at_once() {
     let start = Instant::now();
     let mut book = QuotaBook::default();
-    let none = Heads::new();
+    let none = Headers::new();
     assert_eq!(
         decide(&mut book, &none, 1, 60, start),
         QuotaDecision::NotKept
@@ -205,7 +205,7 @@
 fn what_one_daemon_gives_back_stays_granted_to_another_that_submits_the_same_job() {
     let now = Instant::now();
     let mut book = QuotaBook::default();
-    let none = Heads::new();
+    let none = Headers::new();
     book.begin(ROUTE, 5);
     let granted = QuotaDecision::Granted { fence: 5 };
     assert_eq!(decide_for(&mut book, &none, 1, 60, now, 1), granted);
@@ -225,7 +225,7 @@
 fn a_grant_never_covers_more_tokens_than_were_asked_for() {
     let now = Instant::now();
     let mut book = QuotaBook::default();
-    let none = Heads::new();
+    let none = Headers::new();
     book.begin(ROUTE, 5);
     let granted = QuotaDecision::Granted { fence: 5 };
     assert_eq!(decide_for(&mut book, &none, 1, 10, now, 1), granted);
--- a/crates/inline-jobs/tests/rows_of_heads.rs
+++ b/crates/inline-jobs/tests/rows_of_headers.rs
@@ -10,18 +10,18 @@
     ChangePage, PageStart, PlatformError, Row, RowReading, SpacePage, WatchedTable,
 };
 use harrierward_inline_jobs::{JobStore, RowKind, crash_news, partitions, row_kind};
-use harrierward_wire::{CrashNewsRow, JobHeadRow, QuotaFenceRow, encode};
+use harrierward_wire::{CrashNewsRow, JobHeaderRow, QuotaFenceRow, encode};
 use support::{AwayStore, away};
 use tokio::time::Instant;
 
 const JOB: &str = "job-1";
 const LIFE: &str = "node@1";
-const HEAD_KEY: &str = "jobheads/p0/job-1";
+const HEADER_KEY: &str = "jobheads/p0/job-1";
 const FENCE_KEY: &str = "jobheads/p0/~quota.0000000000000001";
 
 #[test]
 fn a_key_tells_what_the_row_is() {
-    assert_eq!(row_kind(HEAD_KEY), RowKind::Head);
+    assert_eq!(row_kind(HEADER_KEY), RowKind::Header);
     assert_eq!(row_kind(FENCE_KEY), RowKind::Fence);
     assert_eq!(row_kind(&crash_news(LIFE)), RowKind::CrashNews);
 }
@@ -42,9 +42,9 @@
 #[async_trait]
 impl WatchedTable for EachKind {
     async fn read_page(&self, _: &str, start: PageStart<'_>) -> Result<SpacePage, PlatformError> {
-        let head = JobHeadRow {
+        let header = JobHeaderRow {
             job_id: JOB.to_owned(),
-            ..JobHeadRow::default()
+            ..JobHeaderRow::default()
         };
         let fence = QuotaFenceRow {
             route: "route".to_owned(),
@@ -55,7 +55,7 @@
             ..CrashNewsRow::default()
         };
         let rows = [
-            (HEAD_KEY.to_owned(), encode(&head)),
+            (HEADER_KEY.to_owned(), encode(&header)),
             (FENCE_KEY.to_owned(), encode(&fence)),
             (crash_news(LIFE), encode(&news)),
         ];
@@ -88,15 +88,15 @@
 }
 
 #[tokio::test]
-async fn only_heads_are_read_as_heads() {
+async fn only_headers_are_read_as_headers() {
     let rows = Arc::new(EachKind);
     let away = Arc::new(AwayStore);
     let store = JobStore::new(away.clone(), away, rows);
     let until = Instant::now() + Duration::from_secs(2);
-    let heads = store.read_heads(1, until).await.expect("read");
-    let ids: Vec<&str> = heads
+    let headers = store.read_headers(1, until).await.expect("read");
+    let ids: Vec<&str> = headers
         .iter()
-        .map(|known| known.head.job_id.as_str())
+        .map(|known| known.header.job_id.as_str())
         .collect();
     assert_eq!(ids, [JOB]);
 }
--- a/crates/inline-jobs/tests/stale_listing.rs
+++ b/crates/inline-jobs/tests/stale_listing.rs
@@ -20,7 +20,7 @@
     Transaction, TransactionOutcome, WatchedTable,
 };
 use harrierward_inline_jobs::{
-    InlineJobs, JobCaller, JobParts, JobSettings, KnownHead, Lookup, Peers, QuotaRequest,
+    InlineJobs, JobCaller, JobParts, JobSettings, KnownHeader, Lookup, Peers, QuotaRequest,
     ResultPage,
 };
 use harrierward_ownership::OwnerStanding;
@@ -30,7 +30,7 @@
     ReplicaSet, SelectionCosts, SlotAnswer, SlotLeases, SlotQuery,
 };
 use harrierward_tenants::Tenant;
-use harrierward_wire::{ItemHeadRow, JobHeadRow, QuotaOutcome, ResultPieceRow, encode};
+use harrierward_wire::{ItemHeadRow, JobHeaderRow, QuotaOutcome, ResultPieceRow, encode};
 use support::{AwayStore, away};
 use tokio::time::{Instant, advance};
 
@@ -44,7 +44,7 @@
 #[derive(Default)]
 struct OneJob {
     /// Reads of the job's head.
-    head_reads: AtomicUsize,
+    header_reads: AtomicUsize,
     /// The store answers nothing.
     is_away: bool,
     /// Results that the store holds.
@@ -53,8 +53,8 @@
     is_missing: bool,
 }
 
-fn head(listed: u32) -> JobHeadRow {
-    JobHeadRow {
+fn header(listed: u32) -> JobHeaderRow {
+    JobHeaderRow {
         job_id: JOB.to_owned(),
         items: (0..3)
             .map(|number| ItemHeadRow {
@@ -65,7 +65,7 @@
         listed: (0..listed).collect(),
         owner: "another-daemon".to_owned(),
         epoch: 1,
-        ..JobHeadRow::default()
+        ..JobHeaderRow::default()
     }
 }
 
@@ -114,14 +114,14 @@
     }
 
     async fn read_row(&self, key: &str) -> Result<RowReading, PlatformError> {
-        self.head_reads.fetch_add(1, Ordering::Relaxed);
+        self.header_reads.fetch_add(1, Ordering::Relaxed);
         if self.is_away {
             return Err(away("read row"));
         }
         let revision = 10 + u64::from(self.listed);
         let row = Row {
             key: key.to_owned(),
-            value: Bytes::from(encode(&head(self.listed))),
+            value: Bytes::from(encode(&header(self.listed))),
             revision,
         };
         Ok(RowReading {
@@ -246,8 +246,8 @@
     });
     let log = DecisionLog::new(LogBounds::default());
     let jobs = jobs_over(store.clone(), log);
-    jobs.view().take(KnownHead {
-        head: head(known),
+    jobs.view().take(KnownHeader {
+        header: header(known),
         revision: 10 + u64::from(known),
     });
     jobs.view().prove(Instant::now(), 1);
@@ -306,7 +306,7 @@
     let (jobs, store) = daemon(Duration::from_secs(5), 1, 2, false).await;
     let found = read(&jobs, 0, Duration::ZERO).await;
     assert!(count(&found).is_some_and(|count| count >= 1), "{found:?}");
-    assert_eq!(store.head_reads.load(Ordering::Relaxed), 0);
+    assert_eq!(store.header_reads.load(Ordering::Relaxed), 0);
 }
 
 #[tokio::test(start_paused = true)]
@@ -315,7 +315,7 @@
         let (jobs, store) = daemon(Duration::from_millis(200), 0, 0, false).await;
         let found = read(&jobs, 0, Duration::from_millis(wait)).await;
         assert_eq!(count(&found), Some(0));
-        assert_eq!(store.head_reads.load(Ordering::Relaxed), 1, "{wait} ms");
+        assert_eq!(store.header_reads.load(Ordering::Relaxed), 1, "{wait} ms");
     }
 }
 
@@ -324,7 +324,7 @@
     let (jobs, store) = daemon(Duration::from_secs(5), 3, 3, false).await;
     let found = read(&jobs, 3, Duration::ZERO).await;
     assert_eq!(count(&found), Some(0));
-    assert_eq!(store.head_reads.load(Ordering::Relaxed), 0);
+    assert_eq!(store.header_reads.load(Ordering::Relaxed), 0);
 }
 
 #[tokio::test(start_paused = true)]
@@ -356,8 +356,8 @@
         ..OneJob::default()
     });
     let jobs = jobs_over(store, log.clone());
-    jobs.view().take(KnownHead {
-        head: head(0),
+    jobs.view().take(KnownHeader {
+        header: header(0),
         revision: 10,
     });
     jobs.view().prove(Instant::now(), 1);
--- a/crates/inline-jobs/tests/stuck.rs
+++ b/crates/inline-jobs/tests/stuck.rs
@@ -2,26 +2,26 @@
 
 use std::time::Duration;
 
-use harrierward_inline_jobs::KnownHead;
+use harrierward_inline_jobs::KnownHeader;
 use harrierward_inline_jobs::owned_job::OwnedJob;
-use harrierward_wire::{ItemHeadRow, JobHeadRow};
+use harrierward_wire::{ItemHeadRow, JobHeaderRow};
 use tokio::time::{Instant, advance};
 
 const PATIENCE: Duration = Duration::from_secs(5);
 
-fn known(listed: &[u32]) -> KnownHead {
+fn known(listed: &[u32]) -> KnownHeader {
     let items = (0..3).map(|number| ItemHeadRow {
         id: format!("item-{number}"),
         tokens: 10,
     });
-    KnownHead {
-        head: JobHeadRow {
+    KnownHeader {
+        header: JobHeaderRow {
             job_id: "job-1".to_owned(),
             items: items.collect(),
             listed: listed.to_vec(),
             owner: "this-daemon".to_owned(),
             epoch: 1,
-            ..JobHeadRow::default()
+            ..JobHeaderRow::default()
         },
         revision: 10 + listed.len() as u64,
     }
@@ -59,7 +59,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_job_of_which_a_result_was_listed_lately_is_not_stuck() {
     let mut job = job_with_a_broken_run().await;
-    job.take_head(known(&[0]));
+    job.update_header(known(&[0]));
     advance(Duration::from_millis(2_800)).await;
     job.broken_run_at = Some(Instant::now());
     assert!(!job.is_stuck(PATIENCE));
--- a/crates/wire/src/inline_job.rs
+++ b/crates/wire/src/inline_job.rs
@@ -73,7 +73,7 @@
 
 /// The job's head: small, watched by every daemon, changed only under its revision.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct JobHeadRow {
+pub struct JobHeaderRow {
     /// Job id.
     #[prost(string, tag = "1")]
     pub job_id: String,
@@ -122,7 +122,7 @@
     /// Takeovers of the job under a challenge.
     #[prost(uint32, tag = "16")]
     pub takeovers: u32,
-    /// Fields that a later build has added, as it wrote them; empty in nearly all rows. [`decode_head`] fills it and [`encode_head`]
+    /// Fields that a later build has added, as it wrote them; empty in nearly all rows. [`decode_job_header`] fills it and [`encode_job_header`]
     /// writes it back as fields of their own.
     #[prost(bytes = "vec", tag = "536870911")]
     pub later_fields: Vec<u8>,
@@ -132,18 +132,18 @@
 const HEAD_FIELDS: RangeInclusive<u32> = 1..=16;
 
 /// Reads a job's head, with whatever a later build has added to it; `None` if the bytes are not one.
-pub fn decode_head(bytes: &[u8]) -> Option<JobHeadRow> {
-    let mut head: JobHeadRow = decode(bytes)?;
+pub fn decode_job_header(bytes: &[u8]) -> Option<JobHeaderRow> {
+    let mut head: JobHeaderRow = decode(bytes)?;
     head.later_fields = later_fields(bytes, &HEAD_FIELDS)?;
     Some(head)
 }
 
 /// Bytes of a job's head, with whatever a later build has added to it.
-pub fn encode_head(head: &JobHeadRow) -> Vec<u8> {
+pub fn encode_job_header(head: &JobHeaderRow) -> Vec<u8> {
     if head.later_fields.is_empty() {
         return encode(head);
     }
-    let own = JobHeadRow {
+    let own = JobHeaderRow {
         later_fields: Vec::new(),
         ..head.clone()
     };
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -41,8 +41,8 @@
     assert_eq!(encode(&read), *bytes, "{name}");
 }
 
-fn earliest_head() -> JobHeadRow {
-    JobHeadRow {
+fn earliest_head() -> JobHeaderRow {
+    JobHeaderRow {
         job_id: "job-1".into(),
         route: "lots".into(),
         host: "host".into(),
@@ -65,12 +65,12 @@
         item_object: "object".into(),
         tenant: "tenant".into(),
         last_owner: "node-2@1a2b-0002".into(),
-        ..JobHeadRow::default()
+        ..JobHeaderRow::default()
     }
 }
 
-fn head() -> JobHeadRow {
-    JobHeadRow {
+fn head() -> JobHeaderRow {
+    JobHeaderRow {
         challenger: "node-3@1a2b-0003".into(),
         failures: vec![ItemFailuresRow { item: 1, count: 2 }],
         takeovers: 3,
@@ -271,7 +271,7 @@
 #[test]
 fn news_of_ends_are_no_head() {
     let later = samples(include_str!("formats/862e326.txt"));
-    assert_eq!(decode_head(&later["crash_news_row"]), None);
+    assert_eq!(decode_job_header(&later["crash_news_row"]), None);
 }
 
 /// A field as a later build may write it: a number above all that are known here, of any kind.
@@ -309,18 +309,18 @@
         epoch in any::<u64>(),
     ) {
         let bytes = [before.concat(), encode(&head()), after.concat()].concat();
-        let read = decode_head(&bytes).expect("a head");
-        let rewritten = encode_head(&JobHeadRow { epoch, ..read });
-        let read_again = decode_head(&rewritten).expect("a head");
+        let read = decode_job_header(&bytes).expect("a head");
+        let rewritten = encode_job_header(&JobHeaderRow { epoch, ..read });
+        let read_again = decode_job_header(&rewritten).expect("a head");
         prop_assert_eq!(&read_again.later_fields, &[before.concat(), after.concat()].concat());
-        let own = JobHeadRow { later_fields: Vec::new(), ..read_again };
-        prop_assert_eq!(own, JobHeadRow { epoch, ..head() });
+        let own = JobHeaderRow { later_fields: Vec::new(), ..read_again };
+        prop_assert_eq!(own, JobHeaderRow { epoch, ..head() });
     }
 
     /// Bytes of any kind are a head or none; nothing panics.
     #[test]
     fn arbitrary_bytes_are_read_or_not(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let _ = decode_head(&bytes);
+        let _ = decode_job_header(&bytes);
         let _ = decode::<NodeDatagram>(&bytes);
         let _ = decode::<KnownRows>(&bytes);
     }
@@ -336,7 +336,7 @@
 /// All numbers that a head knows are among those that a rewrite takes for its own.
 #[test]
 fn a_head_of_this_build_has_no_later_fields() {
-    let read = decode_head(&encode(&head())).expect("a head");
+    let read = decode_job_header(&encode(&head())).expect("a head");
     assert_eq!(read, head());
 }
 
