--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -177,7 +177,7 @@
         let news = Arc::new(PeerNews::new(discovery.clone(), log.clone()));
         members.set_news(news.clone());
         let jobs = InlineJobs::new(JobParts {
-            life,
+            instance_id: life,
             table: table.clone(),
             objects,
             watched: watched.clone(),
@@ -185,7 +185,7 @@
             peers: members.clone(),
             log: log.clone(),
             settings: JobSettings {
-                keep: settings.keep_jobs,
+                retention: settings.keep_jobs,
                 cancel_within: settings.cancel_within,
             },
         });
@@ -286,11 +286,11 @@
 
 impl YieldItems for Yielding {
     fn yield_lease(&self, place: u32) {
-        self.jobs.yield_lease(place);
+        self.jobs.preempt_lease(place);
     }
 
     fn yield_at(&self, replica: &str, count: u32) {
-        self.jobs.yield_slots(replica, count);
+        self.jobs.preempt_slots(replica, count);
     }
 
     fn ask_peer(&self, replica: &Arc<Replica>) {
--- a/crates/edge/src/members/peers.rs
+++ b/crates/edge/src/members/peers.rs
@@ -43,10 +43,10 @@
             submission: ask.submission,
         };
         if ask.returned {
-            jobs.give_back_quota(request);
+            jobs.release_grant(request);
             return;
         }
-        let (outcome, fence) = jobs.answer_quota(request);
+        let (outcome, fence) = jobs.decide_quota(request);
         let answer = QuotaAnswer {
             number: ask.number,
             outcome: outcome as i32,
@@ -111,7 +111,7 @@
         Some(owners.into_iter().filter(is_in).collect())
     }
 
-    fn standing(&self, owner: &str) -> OwnerStanding {
+    fn owner_status(&self, owner: &str) -> OwnerStanding {
         let view = self.view();
         match view.member(owner) {
             Some(member) if member.detached || member.leaving => OwnerStanding::Detached,
@@ -131,7 +131,7 @@
         near.map(|member| member.id.clone()).collect()
     }
 
-    async fn ask_quota(
+    async fn request_quota(
         &self,
         coordinator: &str,
         request: QuotaRequest<'_>,
@@ -151,7 +151,7 @@
         Some((answer.outcome(), answer.fence))
     }
 
-    fn return_quota(&self, coordinator: &str, request: QuotaRequest<'_>) {
+    fn release_quota(&self, coordinator: &str, request: QuotaRequest<'_>) {
         if let Some(address) = self.address_of(coordinator) {
             let ask = QuotaAsk {
                 returned: true,
--- a/crates/edge/src/quarantine/stored.rs
+++ b/crates/edge/src/quarantine/stored.rs
@@ -11,7 +11,7 @@
 use harrierward_external::{
     PlatformError, PlatformErrorKind, RequestClass, Row, Table, Transaction, TransactionOutcome,
 };
-use harrierward_inline_jobs::crash_news;
+use harrierward_inline_jobs::crash_updates_key;
 use harrierward_wire::{CrashNews, CrashNewsRow, decode, encode};
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
@@ -64,7 +64,7 @@
     /// Keeps the own row up to date, one write at a time; ends with the process. `store_now_ms` gives the store's clock, 0
     /// while it is not known.
     pub async fn keep_stored(self, table: Arc<dyn Table>, store_now_ms: impl Fn() -> u64) {
-        let key = crash_news(&self.inner.life);
+        let key = crash_updates_key(&self.inner.life);
         loop {
             self.inner.own_row.is_due.notified().await;
             self.write_until_done(table.as_ref(), &key, &store_now_ms)
--- a/crates/edge/src/watches.rs
+++ b/crates/edge/src/watches.rs
@@ -173,11 +173,11 @@
         view.note_revision(update.revision);
         for row in &update.written {
             match row_kind(&row.key) {
-                RowKind::Header => self.jobs.learn_row(&row.value, row.revision),
-                RowKind::Fence => view.take_fence_row(&row.value, row.revision),
+                RowKind::Header => self.jobs.note_header_row(&row.value, row.revision),
+                RowKind::Fence => view.update_fence_row(&row.value, row.revision),
                 // Before the store's clock is told to those that write such rows: a daemon that has started must not replace
                 // what its last life knew before it has read it.
-                RowKind::CrashNews => self.quarantine.take_stored(row, update.store_time_ms),
+                RowKind::CrashUpdates => self.quarantine.take_stored(row, update.store_time_ms),
             }
         }
         for key in &update.removed {
@@ -186,7 +186,7 @@
             }
         }
         if let Some(moment) = update.as_of {
-            view.prove(moment, update.store_time_ms);
+            view.note_proof(moment, update.store_time_ms);
         }
     }
 }
--- a/crates/edge/tests/stored_news.rs
+++ b/crates/edge/tests/stored_news.rs
@@ -11,7 +11,7 @@
     PlatformError, PlatformErrorKind, RequestClass, Row, Table, Transaction, TransactionOutcome,
     Write,
 };
-use harrierward_inline_jobs::crash_news;
+use harrierward_inline_jobs::crash_updates_key;
 use harrierward_quarantine::{ContentId, Standing};
 use harrierward_serving::{Quarantine, ReplicaSet};
 use harrierward_wire::{
@@ -45,7 +45,11 @@
 impl Rows {
     fn written(&self) -> Vec<CrashNewsRow> {
         let written = self.written.lock().expect("rows");
-        assert!(written.iter().all(|(key, _)| *key == crash_news(LIFE)));
+        assert!(
+            written
+                .iter()
+                .all(|(key, _)| *key == crash_updates_key(LIFE))
+        );
         let rows = written.iter().map(|(_, value)| decode(value));
         rows.map(|row| row.expect("a row of news")).collect()
     }
@@ -131,7 +135,7 @@
         news: Some(news),
     };
     Row {
-        key: crash_news(life),
+        key: crash_updates_key(life),
         value: encode(&row).into(),
         revision,
     }
--- a/crates/inline-jobs/src/adoption.rs
+++ b/crates/inline-jobs/src/adoption.rs
@@ -8,8 +8,8 @@
 use harrierward_tenants::AllowedRegions;
 use tokio::time::{Instant, sleep};
 
-use crate::adoption_order::{adopted, adoption_delay, adoption_rank, given_up, last_owner};
-use crate::owned_job::LeftWork;
+use crate::adoption_order::{adopted, adoption_delay, adoption_rank, last_owner, released};
+use crate::owned_job::HandoverState;
 use crate::service::InlineJobs;
 use crate::store::WriteOutcome;
 use crate::view::KnownHeader;
@@ -42,16 +42,16 @@
     /// Does what is due for jobs whose owners are missing. `owners` are the daemons that may own jobs.
     fn look_for_orphans(&self, owners: &[String]) {
         let open = self.inner.view.open_jobs();
-        let mut standings: HashMap<&str, OwnerStanding> = HashMap::new();
+        let mut statuses: HashMap<&str, OwnerStanding> = HashMap::new();
         for known in &open {
             if self.owns(&known.header) {
                 self.answer_if_challenged(known);
                 continue;
             }
             let owner = known.header.owner.as_str();
-            let standing = standings.entry(owner);
-            let standing = *standing.or_insert_with(|| self.owner_standing(&known.header));
-            self.consider(known, standing, owners);
+            let status = statuses.entry(owner);
+            let status = *status.or_insert_with(|| self.owner_status(&known.header));
+            self.consider(known, status, owners);
         }
         let open: HashSet<&str> = open
             .iter()
@@ -61,24 +61,24 @@
     }
 
     /// Does what is due for a job of another daemon, or of none.
-    fn consider(&self, known: &KnownHeader, standing: OwnerStanding, owners: &[String]) {
+    fn consider(&self, known: &KnownHeader, status: OwnerStanding, owners: &[String]) {
         let delay = || {
             let adopters = self.adopters_of(known, owners)?;
             let near = self.inner.peers.owners_near(last_owner(&known.header));
-            let life = &self.inner.life;
-            Some(adoption_delay(&known.header, life, &adopters, &near))
+            let instance_id = &self.inner.instance_id;
+            Some(adoption_delay(&known.header, instance_id, &adopters, &near))
         };
-        let step = self.takeovers().step(known, standing, delay);
+        let step = self.takeovers().step(known, status, delay);
         match step {
             Step::Wait => {}
-            Step::Challenge => self.start_challenge(known.clone(), standing),
-            Step::Take => self.start_adoption(known.clone(), standing),
+            Step::Challenge => self.start_challenge(known.clone(), status),
+            Step::Take => self.start_adoption(known.clone(), status),
         }
     }
 
-    fn start_adoption(&self, known: KnownHeader, standing: OwnerStanding) {
+    fn start_adoption(&self, known: KnownHeader, status: OwnerStanding) {
         self.spawn_write(known, move |jobs, known| async move {
-            jobs.adopt_job(&known, standing).await;
+            jobs.adopt_job(&known, status).await;
         });
     }
 
@@ -94,11 +94,13 @@
             AllowedRegions::Any => Cow::Borrowed(owners),
             AllowedRegions::Only(_) => Cow::Owned(self.inner.peers.owners_in(&regions)?),
         };
-        adopters.contains(&self.inner.life).then_some(adopters)
+        adopters
+            .contains(&self.inner.instance_id)
+            .then_some(adopters)
     }
 
-    async fn adopt_job(&self, known: &KnownHeader, standing: OwnerStanding) {
-        let header = adopted(&known.header, &self.inner.life);
+    async fn adopt_job(&self, known: &KnownHeader, status: OwnerStanding) {
+        let header = adopted(&known.header, &self.inner.instance_id);
         let until = Instant::now() + ADOPT_HOLD;
         let written = self
             .inner
@@ -107,14 +109,14 @@
             .await;
         match written {
             WriteOutcome::Committed { revision } => {
-                self.log_ownership(&known.header, &header, "adopted", standing.name());
+                self.log_ownership(&known.header, &header, "adopted", status.name());
                 // The watch may have been faster and have begun the loading.
-                self.learn(KnownHeader { header, revision });
+                self.note_header(KnownHeader { header, revision });
             }
             WriteOutcome::Conflict {
                 current: Some(current),
             } => {
-                self.learn(*current);
+                self.note_header(*current);
             }
             // The next look decides anew.
             _ => {}
@@ -125,12 +127,12 @@
     pub(crate) async fn hand_over(
         &self,
         mut known: KnownHeader,
-        mut left: LeftWork,
+        mut left: HandoverState,
         reason: &str,
         until: Instant,
     ) {
         while known.is_open() && self.owns(&known.header) && Instant::now() < until {
-            let mut header = given_up(&known.header);
+            let mut header = released(&known.header);
             if !left.failures.is_empty() {
                 header.failures.clone_from(&left.failures);
             }
@@ -152,7 +154,7 @@
                     if !left.results.is_empty() {
                         self.log_listed(&header.job_id, position, left.results.len(), "committed");
                     }
-                    self.learn(KnownHeader { header, revision });
+                    self.note_header(KnownHeader { header, revision });
                     return;
                 }
                 WriteOutcome::Conflict {
@@ -170,11 +172,11 @@
             let Some(owners) = self.inner.peers.owners() else {
                 continue;
             };
-            let keep = self.inner.settings.keep + KEEP_LONGER;
-            let keep_ms = u64::try_from(keep.as_millis()).unwrap_or(u64::MAX);
+            let retention = self.inner.settings.retention + KEEP_LONGER;
+            let keep_ms = u64::try_from(retention.as_millis()).unwrap_or(u64::MAX);
             let before = self.inner.view.store_now_ms().saturating_sub(keep_ms);
             for known in self.inner.view.closed_before(before) {
-                if adoption_rank(&known.header.job_id, &self.inner.life, &owners) == 0 {
+                if adoption_rank(&known.header.job_id, &self.inner.instance_id, &owners) == 0 {
                     // What is not removed now is found again at the next round.
                     let _ = self.inner.store.remove(&known).await;
                 }
--- a/crates/inline-jobs/src/adoption_order.rs
+++ b/crates/inline-jobs/src/adoption_order.rs
@@ -18,7 +18,7 @@
 const RANK_DELAY: Duration = Duration::from_millis(400);
 
 /// The head of a job that its owner gives up.
-pub fn given_up(header: &JobHeaderRow) -> JobHeaderRow {
+pub fn released(header: &JobHeaderRow) -> JobHeaderRow {
     JobHeaderRow {
         owner: String::new(),
         last_owner: header.owner.clone(),
@@ -28,9 +28,9 @@
 }
 
 /// The head of a job that the daemon with this life adopts.
-pub fn adopted(header: &JobHeaderRow, life: &str) -> JobHeaderRow {
+pub fn adopted(header: &JobHeaderRow, instance_id: &str) -> JobHeaderRow {
     JobHeaderRow {
-        owner: life.to_owned(),
+        owner: instance_id.to_owned(),
         last_owner: String::new(),
         challenger: String::new(),
         takeovers: header.takeovers + u32::from(!header.challenger.is_empty()),
@@ -40,9 +40,9 @@
 }
 
 /// The head of a job whose owner the daemon with this life holds for gone.
-pub fn challenged(header: &JobHeaderRow, life: &str) -> JobHeaderRow {
+pub fn challenged(header: &JobHeaderRow, instance_id: &str) -> JobHeaderRow {
     JobHeaderRow {
-        challenger: life.to_owned(),
+        challenger: instance_id.to_owned(),
         ..header.clone()
     }
 }
@@ -64,29 +64,29 @@
     }
 }
 
-/// How long the daemon with this `life` waits before it adopts a job that was given up, or challenges an owner that is missing. Daemons adopt a job in an
+/// How long the daemon with this `instance_id` waits before it adopts a job that was given up, or challenges an owner that is missing. Daemons adopt a job in an
 /// order of its own, so that they do not all try at once: those `near` its last owner first, since its clients and the
 /// replicas that keep its prompts are there. `owners` are all that may adopt it.
 pub fn adoption_delay(
     header: &JobHeaderRow,
-    life: &str,
+    instance_id: &str,
     owners: &[String],
     near: &[String],
 ) -> Duration {
     let near: HashSet<&String> = near.iter().collect();
-    let is_near = near.iter().any(|owner| *owner == life);
+    let is_near = near.iter().any(|owner| *owner == instance_id);
     let rank = if near.is_empty() {
-        adoption_rank(&header.job_id, life, owners)
+        adoption_rank(&header.job_id, instance_id, owners)
     } else if is_near {
-        adoption_rank(&header.job_id, life, near)
+        adoption_rank(&header.job_id, instance_id, near)
     } else {
         let others = owners.iter().filter(|owner| !near.contains(owner));
-        1 + adoption_rank(&header.job_id, life, others)
+        1 + adoption_rank(&header.job_id, instance_id, others)
     };
     // One that was given up is known to be nobody's.
     let first = if !header.owner.is_empty() {
         MISSING_FOR
-    } else if header.last_owner == life {
+    } else if header.last_owner == instance_id {
         GAVE_UP_BEFORE
     } else {
         Duration::ZERO
@@ -94,14 +94,14 @@
     first + RANK_DELAY * rank
 }
 
-/// How many of the daemons come before the one with this `life` in a job's order.
+/// How many of the daemons come before the one with this `instance_id` in a job's order.
 pub fn adoption_rank<'a>(
     job: &str,
-    life: &str,
+    instance_id: &str,
     owners: impl IntoIterator<Item = &'a String>,
 ) -> u32 {
     let job = xxh3_64(job.as_bytes());
-    let own = preference_weight(job, life);
+    let own = preference_weight(job, instance_id);
     let before = owners.into_iter();
     let before = before.filter(|owner| preference_weight(job, owner) > own);
     u32::try_from(before.count()).unwrap_or(u32::MAX)
--- a/crates/inline-jobs/src/checkpoint.rs
+++ b/crates/inline-jobs/src/checkpoint.rs
@@ -34,8 +34,8 @@
         if !self.inner.forwarder.policy().has(Mechanism::SavedProgress) {
             return;
         }
-        let mut book = self.book();
-        for job in book.jobs.values_mut() {
+        let mut registry = self.registry();
+        for job in registry.jobs.values_mut() {
             if job.checkpoint_at.elapsed() < CHECKPOINT_EVERY {
                 continue;
             }
--- a/crates/inline-jobs/src/item.rs
+++ b/crates/inline-jobs/src/item.rs
@@ -36,7 +36,7 @@
     /// Runs at a replica, or is about to.
     Running {
         /// Where; `None` until a place is given.
-        at: Option<RunPlace>,
+        at: Option<RunSlot>,
         /// Ends the run.
         task: AbortHandle,
         /// When it began.
@@ -53,7 +53,7 @@
 
 /// Where an item runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RunPlace {
+pub struct RunSlot {
     /// Replica.
     pub replica: String,
     /// Number of the place that it holds there.
--- a/crates/inline-jobs/src/keys.rs
+++ b/crates/inline-jobs/src/keys.rs
@@ -77,10 +77,10 @@
 const LIFE_MARK: char = '@';
 
 /// Key of the row of a daemon's news of ends of replicas. One a daemon, whatever its life: a restart replaces it.
-pub fn crash_news(life: &str) -> String {
-    let member = life
+pub fn crash_updates_key(instance_id: &str) -> String {
+    let member = instance_id
         .rsplit_once(LIFE_MARK)
-        .map_or(life, |(member, _)| member);
+        .map_or(instance_id, |(member, _)| member);
     let hash = xxh3_64(member.as_bytes());
     let partition = partition_name(hash % PARTITIONS);
     format!("{JOB_HEADERS}/{partition}/{CRASH_MARK}{hash:016x}")
@@ -94,7 +94,7 @@
     /// Who keeps a route's quota.
     Fence,
     /// What a daemon knows of ends of replicas.
-    CrashNews,
+    CrashUpdates,
 }
 
 /// Tells what a row of the space of heads is, by its key.
@@ -103,7 +103,7 @@
     if name.starts_with(FENCE_MARK) {
         RowKind::Fence
     } else if name.starts_with(CRASH_MARK) {
-        RowKind::CrashNews
+        RowKind::CrashUpdates
     } else {
         RowKind::Header
     }
--- a/crates/inline-jobs/src/lib.rs
+++ b/crates/inline-jobs/src/lib.rs
@@ -7,7 +7,6 @@
 
 mod adoption;
 pub mod adoption_order;
-mod book;
 mod checkpoint;
 pub mod item;
 mod item_run;
@@ -15,12 +14,13 @@
 mod listing;
 mod lookup;
 mod model;
-mod no_room;
+mod no_capacity;
 pub mod owned_job;
 mod pacing;
 mod quota;
-mod quota_book;
+mod quota_ledger;
 mod ready;
+mod registry;
 mod runner;
 mod service;
 mod store;
@@ -28,13 +28,13 @@
 mod takeover;
 mod view;
 
-pub use keys::{JOB_HEADERS, RowKind, crash_news, partitions, row_kind};
+pub use keys::{JOB_HEADERS, RowKind, crash_updates_key, partitions, row_kind};
 pub use model::{
-    EndOutcome, JobCaller, JobResult, Lookup, ResultPage, SubmitOutcome, SubmittedItem,
+    CancelOutcome, JobCaller, JobResult, Lookup, ResultPage, SubmitOutcome, SubmittedItem,
     SubmittedJob,
 };
 pub use pacing::{RunLength, Urgency, slack, urgency};
-pub use quota_book::{QuotaBook, QuotaDecision, QuotaRequest, RouteCount};
+pub use quota_ledger::{QuotaDecision, QuotaLedger, QuotaRequest, RouteCount};
 pub use service::{InlineJobs, JobParts, JobSettings, Peers};
 pub use store::{FenceOutcome, JobStore, KnownFence, ListedResult, ReadResult, WriteOutcome};
 pub use view::{HeaderChange, JobView, KnownHeader};
--- a/crates/inline-jobs/src/listing.rs
+++ b/crates/inline-jobs/src/listing.rs
@@ -36,8 +36,8 @@
 impl InlineJobs {
     /// Starts a listing task for each job with finished items, or failures to be counted, and none.
     pub(crate) fn start_listings(&self) {
-        let mut book = self.book();
-        for (job_id, job) in &mut book.jobs {
+        let mut registry = self.registry();
+        for (job_id, job) in &mut registry.jobs {
             let finished = job
                 .items
                 .iter()
@@ -62,8 +62,8 @@
 
     /// What is to be listed; `None` ends the task.
     fn next_listing(&self, job_id: &str) -> Option<Listing> {
-        let mut book = self.book();
-        let job = book.jobs.get_mut(job_id)?;
+        let mut registry = self.registry();
+        let job = registry.jobs.get_mut(job_id)?;
         let results = job.results_to_list(MOST_RESULTS, MOST_BYTES);
         let has_nothing = results.is_empty() && !job.has_failures_to_keep();
         if has_nothing || self.is_stopping() {
@@ -115,8 +115,8 @@
                 ("job removed", true)
             }
             // Only new jobs are written under a fence.
-            WriteOutcome::NotDone | WriteOutcome::Fenced { .. } => ("not done", false),
-            WriteOutcome::InDoubt => ("in doubt", false),
+            WriteOutcome::NotCommitted | WriteOutcome::Fenced { .. } => ("not done", false),
+            WriteOutcome::Indeterminate => ("in doubt", false),
         };
         self.log_listed(&known.header.job_id, position, results.len(), outcome);
         settled
@@ -132,7 +132,7 @@
     }
 
     fn adopt(&self, known: KnownHeader) {
-        self.learn(known.clone());
+        self.note_header(known.clone());
         // The watch may have been faster; the book must hear of it in any case.
         self.header_changed(&known);
     }
--- a/crates/inline-jobs/src/lookup.rs
+++ b/crates/inline-jobs/src/lookup.rs
@@ -8,7 +8,7 @@
 use harrierward_tenants::ApiKey;
 use tokio::time::{Instant, timeout};
 
-use crate::model::{EndOutcome, JobCaller, JobResult, Lookup, ResultPage, kept_id};
+use crate::model::{CancelOutcome, JobCaller, JobResult, Lookup, ResultPage, scoped_id};
 use crate::service::InlineJobs;
 use crate::store::WriteOutcome;
 use crate::view::KnownHeader;
@@ -29,7 +29,7 @@
 const PAGE_BYTES: usize = 700_000;
 
 /// Longest time for which an end is tried.
-const END_HOLD: Duration = Duration::from_millis(3_000);
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// True if a head of any age tells what to answer from a position on: a result there, or that the list never grows again.
 fn says_all(known: &KnownHeader, after: u32) -> bool {
@@ -57,10 +57,10 @@
         let view = &self.inner.view;
         let newest = view.newest_revision();
         let Ok(reading) = self.inner.store.read_header(job_id).await else {
-            return Lookup::Unsure;
+            return Lookup::Unavailable;
         };
         if let Some(known) = reading.header {
-            self.learn(known);
+            self.note_header(known);
         }
         if reading.revision < newest {
             self.inner.log.record(&Record::ReadOutdated {
@@ -68,7 +68,7 @@
                 revision: reading.revision,
                 newest_revision: newest,
             });
-            return Lookup::Unsure;
+            return Lookup::Unavailable;
         }
         view.note_revision(reading.revision);
         view.get(job_id).map_or(Lookup::Missing, Lookup::Found)
@@ -91,7 +91,7 @@
     /// route that asks for no key, are for all.
     async fn find_for(&self, caller: &JobCaller, id: &str, bound: Duration) -> Lookup<KnownHeader> {
         if let JobCaller::Tenant(tenant) = caller {
-            let found = self.find(&kept_id(Some(tenant), id), bound).await;
+            let found = self.find(&scoped_id(Some(tenant), id), bound).await;
             if found != Lookup::Missing {
                 return found;
             }
@@ -133,7 +133,7 @@
             let known = match found {
                 Lookup::Found(known) => known,
                 Lookup::Missing => return Lookup::Missing,
-                Lookup::Unsure => return self.page_if_known(caller, id, after).await,
+                Lookup::Unavailable => return self.page_if_known(caller, id, after).await,
             };
             if says_all(&known, after) || left.is_zero() {
                 return self.page(&known, after).await;
@@ -146,7 +146,7 @@
     async fn page_if_known(&self, caller: &JobCaller, id: &str, after: u32) -> Lookup<ResultPage> {
         match self.known_to_say(caller, id, after) {
             Some(known) => self.page(&known, after).await,
-            None => Lookup::Unsure,
+            None => Lookup::Unavailable,
         }
     }
 
@@ -161,7 +161,7 @@
             Lookup::Found(known) if known.lists_beyond(position) => "more",
             Lookup::Found(_) => "nothing",
             Lookup::Missing => "missing",
-            Lookup::Unsure => "unsure",
+            Lookup::Unavailable => "unsure",
         };
         let milliseconds = |age: Duration| u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
         self.inner.log.record(&Record::ListingAsked {
@@ -176,7 +176,7 @@
     fn known_to_say(&self, caller: &JobCaller, id: &str, after: u32) -> Option<KnownHeader> {
         let view = &self.inner.view;
         let of_tenant = match caller {
-            JobCaller::Tenant(tenant) => view.get(&kept_id(Some(tenant), id)),
+            JobCaller::Tenant(tenant) => view.get(&scoped_id(Some(tenant), id)),
             JobCaller::Anyone | JobCaller::Refused(_) => None,
         };
         let of_nobody = || view.get(id).filter(|known| known.header.tenant.is_empty());
@@ -199,7 +199,7 @@
             .read_results(&header.job_id, after, PAGE_BYTES)
             .await;
         let Ok(read) = read else {
-            return Lookup::Unsure;
+            return Lookup::Unavailable;
         };
         // Rows may be newer than the head, or a stale read older; only what both tell is given out.
         let items = header.listed.iter().skip(after as usize);
@@ -215,7 +215,7 @@
             })
             .collect();
         if results.is_empty() {
-            return Lookup::Unsure;
+            return Lookup::Unavailable;
         }
         Lookup::Found(ResultPage {
             total: header.items.len(),
@@ -229,19 +229,19 @@
         let known = match self.find_for(caller, id, FRESH).await {
             Lookup::Found(known) => known,
             Lookup::Missing => return Lookup::Missing,
-            Lookup::Unsure => return Lookup::Unsure,
+            Lookup::Unavailable => return Lookup::Unavailable,
         };
         if known.header.ended {
             return Lookup::Missing;
         }
-        if let Some(job) = self.book().jobs.get(&known.header.job_id) {
+        if let Some(job) = self.registry().jobs.get(&known.header.job_id) {
             let item = job.items.iter().find(|item| item.request.id == item_id);
             if let Some(item) = item {
                 return Lookup::Found(item.request.body.clone());
             }
         }
         let Ok(items) = self.inner.store.read_items(&known.header).await else {
-            return Lookup::Unsure;
+            return Lookup::Unavailable;
         };
         let found = items.items.into_iter().find(|item| item.id == item_id);
         found.map_or(Lookup::Missing, |item| {
@@ -250,13 +250,13 @@
     }
 
     /// Ends a job: nothing of it starts any more.
-    pub async fn end(&self, caller: &JobCaller, id: &str) -> EndOutcome {
-        let outcome = self.try_end(caller, id).await;
+    pub async fn cancel(&self, caller: &JobCaller, id: &str) -> CancelOutcome {
+        let outcome = self.try_cancel(caller, id).await;
         let name = match outcome {
-            EndOutcome::Ended => "ended",
-            EndOutcome::Missing => "missing",
-            EndOutcome::NotDone => "not_done",
-            EndOutcome::InDoubt => "in_doubt",
+            CancelOutcome::Cancelled => "ended",
+            CancelOutcome::Missing => "missing",
+            CancelOutcome::NotCancelled => "not_done",
+            CancelOutcome::Indeterminate => "in_doubt",
         };
         self.inner.log.record(&Record::JobEnded {
             job: id,
@@ -265,16 +265,16 @@
         outcome
     }
 
-    async fn try_end(&self, caller: &JobCaller, id: &str) -> EndOutcome {
-        let until = Instant::now() + END_HOLD;
+    async fn try_cancel(&self, caller: &JobCaller, id: &str) -> CancelOutcome {
+        let until = Instant::now() + CANCEL_TIMEOUT;
         let mut known = match self.find_for(caller, id, FRESH).await {
             Lookup::Found(known) => known,
-            Lookup::Missing => return EndOutcome::Missing,
-            Lookup::Unsure => return EndOutcome::NotDone,
+            Lookup::Missing => return CancelOutcome::Missing,
+            Lookup::Unavailable => return CancelOutcome::NotCancelled,
         };
         loop {
             if known.header.ended {
-                return EndOutcome::Ended;
+                return CancelOutcome::Cancelled;
             }
             let mut header = known.header.clone();
             header.ended = true;
@@ -285,22 +285,24 @@
                 .await;
             match written {
                 WriteOutcome::Committed { revision } => {
-                    self.learn(KnownHeader { header, revision });
-                    return EndOutcome::Ended;
+                    self.note_header(KnownHeader { header, revision });
+                    return CancelOutcome::Cancelled;
                 }
                 WriteOutcome::Conflict {
                     current: Some(current),
                 } => {
-                    self.learn(KnownHeader::clone(&current));
+                    self.note_header(KnownHeader::clone(&current));
                     known = *current;
                 }
-                WriteOutcome::Conflict { current: None } => return EndOutcome::Missing,
+                WriteOutcome::Conflict { current: None } => return CancelOutcome::Missing,
                 // Only new jobs are written under a fence.
-                WriteOutcome::NotDone | WriteOutcome::Fenced { .. } => return EndOutcome::NotDone,
-                WriteOutcome::InDoubt => return EndOutcome::InDoubt,
+                WriteOutcome::NotCommitted | WriteOutcome::Fenced { .. } => {
+                    return CancelOutcome::NotCancelled;
+                }
+                WriteOutcome::Indeterminate => return CancelOutcome::Indeterminate,
             }
             if Instant::now() >= until {
-                return EndOutcome::NotDone;
+                return CancelOutcome::NotCancelled;
             }
         }
     }
--- a/crates/inline-jobs/src/model.rs
+++ b/crates/inline-jobs/src/model.rs
@@ -39,7 +39,7 @@
     /// The items.
     pub items: Vec<SubmittedItem>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The caller's key, if it sent one.
     pub key: Option<ApiKey>,
 }
@@ -57,7 +57,7 @@
 
 /// The id under which a job is kept. Tenants choose ids without knowing of each other, and must not learn of each
 /// other's jobs by them, so each tenant's ids are its own.
-pub fn kept_id(tenant: Option<&str>, id: &str) -> String {
+pub fn scoped_id(tenant: Option<&str>, id: &str) -> String {
     tenant.map_or_else(
         || id.to_owned(),
         |tenant| format!("{id}.{:016x}", xxh3_64(tenant.as_bytes())),
@@ -70,17 +70,17 @@
     /// Kept from now on.
     Accepted,
     /// The route's waiting tokens are used up; none of it runs.
-    DoesNotFit {
+    QuotaExceeded {
         /// When to come back.
         retry_after: Duration,
     },
     /// Not kept; none of it runs.
-    NotKept {
+    NotStored {
         /// When to come back.
         retry_after: Duration,
     },
     /// May have been kept.
-    InDoubt,
+    Indeterminate,
     /// Cannot be read as a job.
     Malformed(&'static str),
     /// No route takes it.
@@ -121,20 +121,20 @@
     /// There is no such job or item.
     Missing,
     /// The store cannot be asked now.
-    Unsure,
+    Unavailable,
 }
 
 /// What became of ending a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndOutcome {
+pub enum CancelOutcome {
     /// It has ended.
-    Ended,
+    Cancelled,
     /// There is no such job.
     Missing,
     /// Not done.
-    NotDone,
+    NotCancelled,
     /// May have been done.
-    InDoubt,
+    Indeterminate,
 }
 
 /// The row of an item.
--- a/crates/inline-jobs/src/no_room.rs
+++ b/crates/inline-jobs/src/no_capacity.rs
@@ -15,11 +15,11 @@
 
 /// Where there was no room, and when.
 #[derive(Debug, Default)]
-pub struct NoRoom {
+pub struct NoCapacity {
     found: Vec<(String, AllowedRegions, Instant)>,
 }
 
-impl NoRoom {
+impl NoCapacity {
     /// An item of the service that may run in these regions found no room.
     pub fn note(&mut self, service: &str, regions: &AllowedRegions, now: Instant) {
         let is_kept = |known: &(String, AllowedRegions, Instant)| {
--- a/crates/inline-jobs/src/owned_job.rs
+++ b/crates/inline-jobs/src/owned_job.rs
@@ -36,7 +36,7 @@
 
 /// What is handed over of a job, beside its head.
 #[derive(Debug, Default)]
-pub struct LeftWork {
+pub struct HandoverState {
     /// Results that are done and not listed yet.
     pub results: Vec<ListedResult>,
     /// Progress of the other items that are not listed.
@@ -148,10 +148,10 @@
     }
 
     /// Ends all runs; what another owner needs of the job.
-    pub fn left_work(&mut self) -> LeftWork {
+    pub fn stop_for_handover(&mut self) -> HandoverState {
         self.stop_runs();
         let results = self.results_to_list(MOST_HANDED_RESULTS, MOST_HANDED_BYTES);
-        LeftWork {
+        HandoverState {
             progress: self.progress_rows(&results),
             failures: self.failures(&results),
             results,
--- a/crates/inline-jobs/src/quota.rs
+++ b/crates/inline-jobs/src/quota.rs
@@ -14,7 +14,7 @@
 use rand::Rng;
 use tokio::time::{Instant, sleep};
 
-use crate::quota_book::{QuotaDecision, QuotaRequest, RouteCount};
+use crate::quota_ledger::{QuotaDecision, QuotaRequest, RouteCount};
 use crate::service::InlineJobs;
 use crate::store::{FenceOutcome, KnownFence};
 
@@ -60,8 +60,8 @@
             let fence = self.inner.view.fence(request.route);
             let outcome = match &fence {
                 None => QuotaOutcome::NotCoordinator,
-                Some(known) if known.coordinator == self.inner.life => {
-                    let answer = self.answer_quota(request);
+                Some(known) if known.coordinator == self.inner.instance_id => {
+                    let answer = self.decide_quota(request);
                     if let (QuotaOutcome::Granted, fence) = answer {
                         return Reservation::Granted { fence: Some(fence) };
                     }
@@ -70,7 +70,7 @@
                 Some(known) => match self
                     .inner
                     .peers
-                    .ask_quota(&known.coordinator, request)
+                    .request_quota(&known.coordinator, request)
                     .await
                 {
                     Some((QuotaOutcome::Granted, fence)) => {
@@ -95,28 +95,28 @@
     /// True if another daemon wrote the fence just now: daemons that do not hear of each other would else take the
     /// quota from each other before any of them has kept a job.
     fn is_new(&self, route: &str, fence: Option<&KnownFence>) -> bool {
-        let of_other = fence.is_some_and(|fence| fence.coordinator != self.inner.life);
+        let of_other = fence.is_some_and(|fence| fence.coordinator != self.inner.instance_id);
         let age = self.inner.view.fence_age(route);
         of_other && age.is_some_and(|age| age < LEAST_TENURE)
     }
 
     /// Decides a job's tokens as the coordinator, for this daemon or a peer. Returns the fence of a grant, else 0.
-    pub fn answer_quota(&self, request: QuotaRequest<'_>) -> (QuotaOutcome, u64) {
+    pub fn decide_quota(&self, request: QuotaRequest<'_>) -> (QuotaOutcome, u64) {
         let view = &self.inner.view;
         let routes = self.inner.forwarder.routes();
         let route = routes
             .as_ref()
             .and_then(|routes| routes.configuration.route(request.route));
         let own = view.fence(request.route);
-        let Some(own) = own.filter(|fence| fence.coordinator == self.inner.life) else {
+        let Some(own) = own.filter(|fence| fence.coordinator == self.inner.instance_id) else {
             return (QuotaOutcome::NotCoordinator, 0);
         };
         let fresh = view.proof_age().is_some_and(|age| age < PROOF_TOO_OLD);
         let Some(route) = route.filter(|_| fresh && !self.is_stopping()) else {
             return (QuotaOutcome::NotCoordinator, 0);
         };
-        let mut book = self.quotas();
-        if book.fence(request.route) != Some(own.revision) {
+        let mut ledger = self.quotas();
+        if ledger.fence(request.route) != Some(own.revision) {
             return (QuotaOutcome::Wait, 0);
         }
         let count = RouteCount {
@@ -124,25 +124,25 @@
             waiting: view.waiting_tokens(request.route, request.tenant),
             is_known: &|job| view.get(job).is_some(),
         };
-        match book.decide(request, count, harrierward_clock::now()) {
+        match ledger.decide(request, count, harrierward_clock::now()) {
             QuotaDecision::Granted { fence } => (QuotaOutcome::Granted, fence),
             QuotaDecision::Full => (QuotaOutcome::Full, 0),
-            QuotaDecision::NotKept => (QuotaOutcome::NotCoordinator, 0),
+            QuotaDecision::FenceRequired => (QuotaOutcome::NotCoordinator, 0),
         }
     }
 
     /// A job that was granted its tokens will certainly not be kept.
-    pub fn give_back_quota(&self, request: QuotaRequest<'_>) {
+    pub fn release_grant(&self, request: QuotaRequest<'_>) {
         self.quotas()
-            .give_back(request.route, request.job, request.submission);
+            .release(request.route, request.job, request.submission);
     }
 
-    pub(crate) fn return_quota(&self, request: QuotaRequest<'_>) {
+    pub(crate) fn release_quota(&self, request: QuotaRequest<'_>) {
         match self.inner.view.fence(request.route) {
-            Some(fence) if fence.coordinator != self.inner.life => {
-                self.inner.peers.return_quota(&fence.coordinator, request);
+            Some(fence) if fence.coordinator != self.inner.instance_id => {
+                self.inner.peers.release_quota(&fence.coordinator, request);
             }
-            _ => self.give_back_quota(request),
+            _ => self.release_grant(request),
         }
     }
 
@@ -156,7 +156,7 @@
         }
         let row = QuotaFenceRow {
             route: route.to_owned(),
-            coordinator: self.inner.life.clone(),
+            coordinator: self.inner.instance_id.clone(),
         };
         let written = self
             .inner
@@ -168,19 +168,19 @@
                 coordinator: row.coordinator,
                 revision,
             },
-            FenceOutcome::Other(other) => {
-                self.inner.view.take_fence(route, other);
+            FenceOutcome::Superseded(other) => {
+                self.inner.view.update_fence(route, other);
                 return;
             }
-            FenceOutcome::NotDone => return,
+            FenceOutcome::Unconfirmed => return,
         };
-        self.inner.view.take_fence(route, fence.clone());
+        self.inner.view.update_fence(route, fence.clone());
         // What was kept under earlier fences is in the store now; nothing more can be.
         let Some(headers) = self.inner.store.read_headers(fence.revision, until).await else {
             return;
         };
         for header in headers {
-            self.learn(header);
+            self.note_header(header);
         }
         self.quotas().begin(route, fence.revision);
         self.inner.log.record(&Record::QuotaKept {
--- a/crates/inline-jobs/src/quota_book.rs
+++ b/crates/inline-jobs/src/quota_ledger.rs
@@ -66,16 +66,16 @@
     /// The job does not fit.
     Full,
     /// The fence must be written, or written anew, before anything can be told.
-    NotKept,
+    FenceRequired,
 }
 
 /// All quotas that this daemon keeps.
 #[derive(Debug, Default)]
-pub struct QuotaBook {
+pub struct QuotaLedger {
     routes: HashMap<String, KeptQuota>,
 }
 
-impl QuotaBook {
+impl QuotaLedger {
     /// The fence was written at this revision, and all heads up to it are known: what was granted before can no
     /// longer be kept.
     pub fn begin(&mut self, route: &str, fence: u64) {
@@ -104,12 +104,12 @@
         now: Instant,
     ) -> QuotaDecision {
         let Some(kept) = self.routes.get_mut(request.route) else {
-            return QuotaDecision::NotKept;
+            return QuotaDecision::FenceRequired;
         };
         kept.grants.retain(|job, _| !(count.is_known)(job));
         let overdue = |grant: &Grant| now.saturating_duration_since(grant.at) >= GRANT_LIFETIME;
         if kept.grants.values().any(overdue) {
-            return QuotaDecision::NotKept;
+            return QuotaDecision::FenceRequired;
         }
         let fence = kept.fence;
         if (count.is_known)(request.job) {
@@ -140,7 +140,7 @@
     }
 
     /// A submission will certainly not keep its job. The tokens are free once no other submission of it is left.
-    pub fn give_back(&mut self, route: &str, job: &str, submission: u64) {
+    pub fn release(&mut self, route: &str, job: &str, submission: u64) {
         let Some(kept) = self.routes.get_mut(route) else {
             return;
         };
--- a/crates/inline-jobs/src/ready.rs
+++ b/crates/inline-jobs/src/ready.rs
@@ -5,7 +5,7 @@
 use harrierward_serving::{ItemRoom, ServingRequest};
 use harrierward_tenants::AllowedRegions;
 
-use crate::book::StartableItem;
+use crate::registry::StartableItem;
 
 /// An item that may be started now.
 #[derive(Clone)]
--- a/crates/inline-jobs/src/book.rs
+++ b/crates/inline-jobs/src/registry.rs
@@ -7,8 +7,8 @@
 use harrierward_serving::ServingRequest;
 use tokio::time::Instant;
 
-use crate::item::{Item, ItemPhase, RunPlace, SharedProgress, end_run, lock};
-use crate::no_room::NoRoom;
+use crate::item::{Item, ItemPhase, RunSlot, SharedProgress, end_run, lock};
+use crate::no_capacity::NoCapacity;
 use crate::owned_job::OwnedJob;
 use crate::pacing::RunLength;
 
@@ -37,24 +37,24 @@
 
 /// All jobs of this daemon.
 #[derive(Debug, Default)]
-pub struct JobBook {
+pub struct JobRegistry {
     /// When an item was last started.
     pub last_start: Option<Instant>,
     /// Items for which a place is being asked.
     pub placing: usize,
     /// Where there was no room a moment ago.
-    pub no_room: NoRoom,
+    pub no_capacity: NoCapacity,
     /// What items take.
     pub run_length: RunLength,
     /// Routes of jobs that the configuration does not hold, and since when this is known.
     pub routes_missing: BTreeMap<String, Instant>,
     /// When runs were last ended at a replica for online.
-    pub yielded_at: BTreeMap<String, Instant>,
+    pub preempted_at: BTreeMap<String, Instant>,
     /// The jobs by id.
     pub jobs: BTreeMap<String, OwnedJob>,
 }
 
-impl JobBook {
+impl JobRegistry {
     /// Items that wait and may be started now: those of the oldest jobs first.
     pub fn startable(&self) -> Vec<StartableItem> {
         let now = Instant::now();
@@ -126,7 +126,12 @@
     }
 
     /// Ends the `count` youngest runs at a replica; their items wait for `pause`. Returns the items.
-    pub fn yield_runs(&mut self, replica: &str, count: usize, pause: Duration) -> Vec<YieldedItem> {
+    pub fn preempt_runs(
+        &mut self,
+        replica: &str,
+        count: usize,
+        pause: Duration,
+    ) -> Vec<PreemptedItem> {
         let mut runs = self.runs_where(|at| at.replica == replica);
         runs.sort_by_key(|run| std::cmp::Reverse(run.since));
         let ended = runs.into_iter().take(count);
@@ -134,12 +139,12 @@
     }
 
     /// Ends the run that holds a place; its item waits for `pause`. Returns the item.
-    pub fn yield_lease(&mut self, place: u32, pause: Duration) -> Option<YieldedItem> {
+    pub fn preempt_lease(&mut self, place: u32, pause: Duration) -> Option<PreemptedItem> {
         let run = self.runs_where(|at| at.place == place).pop()?;
         Some(run.yield_for(pause))
     }
 
-    fn runs_where(&mut self, is_meant: impl Fn(&RunPlace) -> bool) -> Vec<RunInProgress<'_>> {
+    fn runs_where(&mut self, is_meant: impl Fn(&RunSlot) -> bool) -> Vec<RunInProgress<'_>> {
         let mut runs = Vec::new();
         for job in self.jobs.values_mut() {
             for item in &mut job.items {
@@ -156,7 +161,7 @@
                 }
                 runs.push(RunInProgress {
                     since: *since,
-                    yielded: YieldedItem {
+                    yielded: PreemptedItem {
                         job: job.known.header.job_id.clone(),
                         item: item.request.id.clone(),
                         replica: at.replica.clone(),
@@ -172,12 +177,12 @@
 
 struct RunInProgress<'a> {
     since: Instant,
-    yielded: YieldedItem,
+    yielded: PreemptedItem,
     phase: &'a mut ItemPhase,
 }
 
 impl RunInProgress<'_> {
-    fn yield_for(self, pause: Duration) -> YieldedItem {
+    fn yield_for(self, pause: Duration) -> PreemptedItem {
         end_run(self.phase);
         *self.phase = ItemPhase::Waiting {
             not_before: Instant::now() + pause,
@@ -188,7 +193,7 @@
 
 /// An item whose run was ended for online.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct YieldedItem {
+pub struct PreemptedItem {
     /// Job.
     pub job: String,
     /// Item id.
--- a/crates/inline-jobs/src/runner.rs
+++ b/crates/inline-jobs/src/runner.rs
@@ -6,11 +6,11 @@
 use harrierward_serving::{ItemRoom, Mechanism, Placement, Route, RouteTable, WorkClass};
 use tokio::time::{Instant, sleep};
 
-use crate::book::{StartableItem, YieldedItem};
-use crate::item::{ItemPhase, RunPlace};
+use crate::item::{ItemPhase, RunSlot};
 use crate::item_run::{self, RunOutcome};
 use crate::pacing::{RunLength, Urgency, slack, urgency};
 use crate::ready::{ReadyItem, within};
+use crate::registry::{PreemptedItem, StartableItem};
 use crate::service::InlineJobs;
 
 /// How often the runner looks for room when nothing wakes it.
@@ -57,7 +57,7 @@
         let Some(routes) = self.inner.forwarder.routes() else {
             return;
         };
-        self.book().fail_items_without_route(
+        self.registry().fail_items_without_route(
             |route| routes.configuration.route(route).is_some(),
             Instant::now(),
             ROUTE_PATIENCE,
@@ -105,7 +105,7 @@
         if longest.is_zero() || Duration::from_millis(age_ms) < longest {
             return;
         }
-        if let Some(entry) = self.book().item(&item.job, item.number) {
+        if let Some(entry) = self.registry().item(&item.job, item.number) {
             entry.phase = ItemPhase::Done { failed: true };
         }
         self.log_run(item, "", &RunOutcome::NotRun("held back".to_owned()));
@@ -120,10 +120,10 @@
         let regions = routes.configuration.allowed_regions(&item.route, tenant);
         let view = self.inner.forwarder.replicas().view();
         let now = Instant::now();
-        let book = self.book();
-        let is_held = book.no_room.holds(service, &regions, now);
-        let is_behind = book.no_room.is_behind(service, &regions, now);
-        drop(book);
+        let registry = self.registry();
+        let is_held = registry.no_capacity.holds(service, &regions, now);
+        let is_behind = registry.no_capacity.is_behind(service, &regions, now);
+        drop(registry);
         if is_held || !view.has_usable(service, &regions) {
             return None;
         }
@@ -139,8 +139,8 @@
     /// Items that may be started now, those that can no longer be in time last, else the oldest first.
     fn startable(&self, routes: &RouteTable) -> Vec<(StartableItem, Urgency, Duration)> {
         let (items, run_length) = {
-            let book = self.book();
-            (book.startable(), book.run_length)
+            let registry = self.registry();
+            (registry.startable(), registry.run_length)
         };
         let mut startable: Vec<(StartableItem, Urgency, Duration)> = items
             .into_iter()
@@ -177,28 +177,28 @@
         if !self.inner.forwarder.policy().has(Mechanism::Pacing) {
             return true;
         }
-        let last = self.book().last_start;
+        let last = self.registry().last_start;
         last.is_none_or(|last| last.elapsed() >= urgency.start_interval())
     }
 
     /// Asks for a place for an item and runs it there; false if no place is to be asked for now.
     fn start_item(&self, ready: &ReadyItem) -> bool {
         let item = &ready.item;
-        let mut book = self.book();
-        if book.placing >= MOST_PLACING {
+        let mut registry = self.registry();
+        if registry.placing >= MOST_PLACING {
             return false;
         }
-        if book.item(&item.job, item.number).is_none() {
+        if registry.item(&item.job, item.number).is_none() {
             return true;
         }
-        book.placing += 1;
-        book.last_start = Some(Instant::now());
+        registry.placing += 1;
+        registry.last_start = Some(Instant::now());
         let placing = PlacingGuard { jobs: self.clone() };
         let jobs = self.clone();
         let started = ready.clone();
         // The task cannot end before its phase is set: it takes the lock that is held here.
         let task = tokio::spawn(async move { jobs.place_item(started, placing).await });
-        if let Some(entry) = book.item(&item.job, item.number) {
+        if let Some(entry) = registry.item(&item.job, item.number) {
             entry.phase = ItemPhase::Running {
                 at: None,
                 task: task.abort_handle(),
@@ -229,11 +229,11 @@
             let policy = self.inner.forwarder.policy();
             placement.choice.copy_from_earlier(&view, earlier, policy);
         }
-        let at = RunPlace {
+        let at = RunSlot {
             replica: placement.choice.replica.record.id.clone(),
             place: placement.in_progress.place().unwrap_or_default(),
         };
-        if let Some(entry) = self.book().item(&item.job, item.number) {
+        if let Some(entry) = self.registry().item(&item.job, item.number) {
             entry.ran_at = Some(placement.choice.replica.hash);
             if let ItemPhase::Running {
                 at: known, since, ..
@@ -249,9 +249,11 @@
     /// No replica has room for an item: it waits, and none that may run nowhere else is tried for a moment.
     fn note_no_room(&self, item: &StartableItem, service: &str) {
         let now = Instant::now();
-        let mut book = self.book();
-        book.no_room.note(service, &item.request.regions, now);
-        if let Some(entry) = book.item(&item.job, item.number) {
+        let mut registry = self.registry();
+        registry
+            .no_capacity
+            .note(service, &item.request.regions, now);
+        if let Some(entry) = registry.item(&item.job, item.number) {
             entry.phase = ItemPhase::Waiting { not_before: now };
         }
     }
@@ -274,12 +276,12 @@
     fn finish(&self, item: &StartableItem, replica: &str, outcome: &RunOutcome, started: Instant) {
         self.log_run(item, replica, outcome);
         let attempts = self.attempts_of(&item.route);
-        let mut book = self.book();
+        let mut registry = self.registry();
         if *outcome == RunOutcome::Finished && item.began_anew {
             let events = crate::item::lock(&item.progress).texts.len();
-            book.run_length.observe(started.elapsed(), events);
+            registry.run_length.observe(started.elapsed(), events);
         }
-        let Some(job) = book.jobs.get_mut(&item.job) else {
+        let Some(job) = registry.jobs.get_mut(&item.job) else {
             return;
         };
         if matches!(outcome, RunOutcome::NotRun(_) | RunOutcome::Broken(_)) {
@@ -360,22 +362,22 @@
     }
 
     /// Online requests need slots at a replica: as many of this daemon's runs there end at once.
-    pub fn yield_slots(&self, replica: &str, slots: u32) {
+    pub fn preempt_slots(&self, replica: &str, slots: u32) {
         self.end_runs(replica, slots as usize);
     }
 
     /// The item that holds a place shall end at once.
-    pub fn yield_lease(&self, place: u32) {
-        let ended = self.book().yield_lease(place, YIELD_PAUSE);
+    pub fn preempt_lease(&self, place: u32) {
+        let ended = self.registry().preempt_lease(place, YIELD_PAUSE);
         self.log_yielded(ended);
     }
 
     fn end_runs(&self, replica: &str, count: usize) {
-        let ended = self.book().yield_runs(replica, count, YIELD_PAUSE);
+        let ended = self.registry().preempt_runs(replica, count, YIELD_PAUSE);
         self.log_yielded(ended);
     }
 
-    fn log_yielded(&self, ended: impl IntoIterator<Item = YieldedItem>) {
+    fn log_yielded(&self, ended: impl IntoIterator<Item = PreemptedItem>) {
         for yielded in ended {
             self.inner.log.record(&Record::ItemRun {
                 job: &yielded.job,
@@ -389,11 +391,13 @@
 
     /// True if the last yield at the replica has shown its effect; then this one counts.
     fn may_yield_at(&self, replica: &str) -> bool {
-        let mut book = self.book();
-        let last = book.yielded_at.get(replica);
+        let mut registry = self.registry();
+        let last = registry.preempted_at.get(replica);
         let due = last.is_none_or(|last| last.elapsed() >= YIELD_EVERY);
         if due {
-            book.yielded_at.insert(replica.to_owned(), Instant::now());
+            registry
+                .preempted_at
+                .insert(replica.to_owned(), Instant::now());
         }
         due
     }
@@ -413,6 +417,6 @@
 
 impl Drop for PlacingGuard {
     fn drop(&mut self) {
-        self.jobs.book().placing -= 1;
+        self.jobs.registry().placing -= 1;
     }
 }
--- a/crates/inline-jobs/src/service.rs
+++ b/crates/inline-jobs/src/service.rs
@@ -16,10 +16,10 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::adoption_order::last_owner;
-use crate::book::JobBook;
 use crate::keys::JOB_HEADERS;
 use crate::owned_job::OwnedJob;
-use crate::quota_book::{QuotaBook, QuotaRequest};
+use crate::quota_ledger::{QuotaLedger, QuotaRequest};
+use crate::registry::JobRegistry;
 use crate::store::JobStore;
 use crate::takeover::JobTakeovers;
 use crate::view::{JobView, KnownHeader};
@@ -40,28 +40,28 @@
     }
 
     /// How this daemon sees another one that owns a job.
-    fn standing(&self, owner: &str) -> OwnerStanding;
+    fn owner_status(&self, owner: &str) -> OwnerStanding;
 
     /// Of those, the ones in the region of a daemon that may have died; empty if its region is not known.
     fn owners_near(&self, owner: &str) -> Vec<String>;
 
     /// Asks another daemon, the coordinator of a route's quota, for a job's tokens: what became of it, and the fence of a
     /// grant. `None` if it does not answer.
-    async fn ask_quota(
+    async fn request_quota(
         &self,
         coordinator: &str,
         request: QuotaRequest<'_>,
     ) -> Option<(QuotaOutcome, u64)>;
 
     /// Tells the coordinator that a job will certainly not be kept. Does not wait.
-    fn return_quota(&self, coordinator: &str, request: QuotaRequest<'_>);
+    fn release_quota(&self, coordinator: &str, request: QuotaRequest<'_>);
 }
 
 /// Bounds of the jobs.
 #[derive(Debug, Clone, Copy)]
 pub struct JobSettings {
     /// How long a job stays readable after it was accepted.
-    pub keep: Duration,
+    pub retention: Duration,
     /// Time after an acknowledged end within which nothing of the job may start any more.
     pub cancel_within: Duration,
 }
@@ -69,7 +69,7 @@
 /// What the jobs work with.
 pub struct JobParts {
     /// This life of the daemon.
-    pub life: String,
+    pub instance_id: String,
     /// The store's rows.
     pub table: Arc<dyn Table>,
     /// The store's objects.
@@ -87,10 +87,10 @@
 }
 
 pub(crate) struct Inner {
-    pub life: String,
+    pub instance_id: String,
     pub store: JobStore,
     pub view: JobView,
-    pub book: Mutex<JobBook>,
+    pub registry: Mutex<JobRegistry>,
     pub forwarder: Forwarder,
     pub peers: Arc<dyn Peers>,
     pub log: DecisionLog,
@@ -98,7 +98,7 @@
     pub takeovers: Mutex<JobTakeovers>,
     pub wake: Notify,
     pub stopping: AtomicBool,
-    pub quotas: Mutex<QuotaBook>,
+    pub quotas: Mutex<QuotaLedger>,
     /// Held while a fence is written.
     pub fencing: tokio::sync::Mutex<()>,
 }
@@ -116,10 +116,10 @@
     /// Jobs over these parts. Nothing runs until [`InlineJobs::run`] is driven.
     pub fn new(parts: JobParts) -> Self {
         let inner = Inner {
-            life: parts.life,
+            instance_id: parts.instance_id,
             store: JobStore::new(parts.table, parts.objects, parts.watched),
             view: JobView::default(),
-            book: Mutex::default(),
+            registry: Mutex::default(),
             forwarder: parts.forwarder,
             peers: parts.peers,
             log: parts.log,
@@ -140,16 +140,16 @@
         &self.inner.view
     }
 
-    pub(crate) fn quotas(&self) -> MutexGuard<'_, QuotaBook> {
+    pub(crate) fn quotas(&self) -> MutexGuard<'_, QuotaLedger> {
         self.inner
             .quotas
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn book(&self) -> MutexGuard<'_, JobBook> {
+    pub(crate) fn registry(&self) -> MutexGuard<'_, JobRegistry> {
         self.inner
-            .book
+            .registry
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
@@ -174,30 +174,30 @@
     }
 
     pub(crate) fn owns(&self, header: &JobHeaderRow) -> bool {
-        header.owner == self.inner.life
+        header.owner == self.inner.instance_id
     }
 
     /// Takes a head that was read or written; nothing happens if a newer one is known.
-    pub fn learn(&self, known: KnownHeader) {
-        if let Some(change) = self.inner.view.take(known) {
+    pub fn note_header(&self, known: KnownHeader) {
+        if let Some(change) = self.inner.view.update(known) {
             self.note_owners(&change);
             self.header_changed(&change.known);
         }
     }
 
     /// Takes the row of a head; one that cannot be read names no job.
-    pub fn learn_row(&self, value: &Bytes, revision: u64) {
+    pub fn note_header_row(&self, value: &Bytes, revision: u64) {
         if let Some(header) = decode_job_header(value) {
-            self.learn(KnownHeader { header, revision });
+            self.note_header(KnownHeader { header, revision });
         }
     }
 
     /// A head changed in the store.
     pub fn header_changed(&self, known: &KnownHeader) {
         let job_id = &known.header.job_id;
-        let mut book = self.book();
-        let Some(job) = book.jobs.get_mut(job_id) else {
-            drop(book);
+        let mut registry = self.registry();
+        let Some(job) = registry.jobs.get_mut(job_id) else {
+            drop(registry);
             if self.owns(&known.header) && known.is_open() && !self.is_stopping() {
                 self.load(known.clone());
             }
@@ -213,8 +213,8 @@
             return;
         }
         job.stop_runs();
-        book.jobs.remove(job_id);
-        drop(book);
+        registry.jobs.remove(job_id);
+        drop(registry);
         let (outcome, reason) = match known.header.owner.as_str() {
             _ if !lost => ("closed", ""),
             "" => ("released", ""),
@@ -225,8 +225,8 @@
 
     /// A job's row is gone.
     pub fn header_removed(&self, job_id: &str) {
-        self.inner.view.forget(job_id);
-        if let Some(mut job) = self.book().jobs.remove(job_id) {
+        self.inner.view.remove(job_id);
+        if let Some(mut job) = self.registry().jobs.remove(job_id) {
             job.stop_runs();
         }
     }
@@ -252,9 +252,9 @@
     /// Enters a job whose items are known.
     pub(crate) fn enter(&self, job: OwnedJob) {
         let job_id = job.known.header.job_id.clone();
-        let mut book = self.book();
-        book.jobs.entry(job_id.clone()).or_insert(job);
-        drop(book);
+        let mut registry = self.registry();
+        registry.jobs.entry(job_id.clone()).or_insert(job);
+        drop(registry);
         // The head may have changed while the items were read; a change from now on finds the job here.
         if let Some(newest) = self.inner.view.get(&job_id) {
             self.header_changed(&newest);
@@ -319,9 +319,9 @@
         self.inner.stopping.store(true, Ordering::Relaxed);
         let mut given = Vec::new();
         {
-            let mut book = self.book();
-            for job in book.jobs.values_mut() {
-                given.push((job.known.clone(), job.left_work()));
+            let mut registry = self.registry();
+            for job in registry.jobs.values_mut() {
+                given.push((job.known.clone(), job.stop_for_handover()));
             }
         }
         let handing = given
--- a/crates/inline-jobs/src/store.rs
+++ b/crates/inline-jobs/src/store.rs
@@ -40,9 +40,9 @@
         current: Option<KnownFence>,
     },
     /// Nothing was done, and nothing will be.
-    NotDone,
+    NotCommitted,
     /// It may have been done, or may yet be.
-    InDoubt,
+    Indeterminate,
 }
 
 /// The fence of a route's quota, and the revision of its row.
@@ -63,9 +63,9 @@
         revision: u64,
     },
     /// Another daemon's stands there.
-    Other(KnownFence),
+    Superseded(KnownFence),
     /// It is not known whether it was written.
-    NotDone,
+    Unconfirmed,
 }
 
 /// The rows of jobs.
@@ -159,7 +159,7 @@
                 .objects
                 .put(RequestClass::Commit, &header.item_object, content);
             if put.await.is_err() {
-                return WriteOutcome::NotDone;
+                return WriteOutcome::NotCommitted;
             }
         } else {
             let mut number = 0;
@@ -203,8 +203,8 @@
             },
             WriteOutcome::Fenced {
                 current: Some(current),
-            } => FenceOutcome::Other(current),
-            _ => FenceOutcome::NotDone,
+            } => FenceOutcome::Superseded(current),
+            _ => FenceOutcome::Unconfirmed,
         }
     }
 
--- a/crates/inline-jobs/src/store/settling.rs
+++ b/crates/inline-jobs/src/store/settling.rs
@@ -31,15 +31,15 @@
     ) -> WriteOutcome {
         let mut random = SmallRng::from_os_rng();
         let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
-        let mut in_doubt = false;
+        let mut is_indeterminate = false;
         loop {
             match self.table.transact(class, transaction.clone()).await {
                 Ok(outcome) => return write_outcome(outcome),
-                Err(error) => in_doubt |= error.may_have_happened(),
+                Err(error) => is_indeterminate |= error.may_have_happened(),
             }
             let pause = FIRST_PAUSE + backoff.wait(&mut random);
             if Instant::now() + pause >= until {
-                return unsettled(in_doubt);
+                return unsettled(is_indeterminate);
             }
             sleep(pause).await;
         }
@@ -56,7 +56,7 @@
         let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
         let mut tries = FuturesUnordered::new();
         let mut next = Instant::now();
-        let mut in_doubt = false;
+        let mut is_indeterminate = false;
         loop {
             tokio::select! {
                 () = sleep_until(next), if tries.len() < MOST_TRIES => {
@@ -66,11 +66,11 @@
                 Some(answer) = tries.next() => match answer {
                     Ok(outcome) => return write_outcome(outcome),
                     Err(error) => {
-                        in_doubt |= error.may_have_happened();
+                        is_indeterminate |= error.may_have_happened();
                         next = Instant::now() + FIRST_PAUSE + backoff.wait(&mut random);
                     }
                 },
-                () = sleep_until(until) => return unsettled(in_doubt || !tries.is_empty()),
+                () = sleep_until(until) => return unsettled(is_indeterminate || !tries.is_empty()),
             }
         }
     }
@@ -92,10 +92,10 @@
 }
 
 /// A write whose end is not known in time.
-fn unsettled(in_doubt: bool) -> WriteOutcome {
-    if in_doubt {
-        WriteOutcome::InDoubt
+fn unsettled(is_indeterminate: bool) -> WriteOutcome {
+    if is_indeterminate {
+        WriteOutcome::Indeterminate
     } else {
-        WriteOutcome::NotDone
+        WriteOutcome::NotCommitted
     }
 }
--- a/crates/inline-jobs/src/submit.rs
+++ b/crates/inline-jobs/src/submit.rs
@@ -7,12 +7,12 @@
 use harrierward_wire::{ItemHeadRow, JobHeaderRow, JobItemsRow};
 use tokio::time::{Instant, sleep};
 
-use crate::adoption_order::given_up;
+use crate::adoption_order::released;
 use crate::keys;
-use crate::model::{Lookup, SubmitOutcome, SubmittedJob, item_request, item_row, kept_id};
+use crate::model::{Lookup, SubmitOutcome, SubmittedJob, item_request, item_row, scoped_id};
 use crate::owned_job::OwnedJob;
 use crate::quota::Reservation;
-use crate::quota_book::QuotaRequest;
+use crate::quota_ledger::QuotaRequest;
 use crate::service::InlineJobs;
 use crate::store::WriteOutcome;
 use crate::view::KnownHeader;
@@ -24,7 +24,7 @@
 const LONGEST_HOLD: Duration = Duration::from_millis(2_500);
 
 /// Part of the caller's patience for which a submission may be held, in percent.
-const PATIENCE_PERCENT: u32 = 70;
+const TIMEOUT_PERCENT: u32 = 70;
 
 /// Age of the last proof of contact from which on the store counts as out of reach.
 const STORE_AWAY_AFTER: Duration = Duration::from_millis(2_800);
@@ -62,7 +62,7 @@
         if let Err(cause) = check(&job) {
             return SubmitOutcome::Malformed(cause);
         }
-        job.id = kept_id(tenant.as_deref(), &job.id);
+        job.id = scoped_id(tenant.as_deref(), &job.id);
         let tenant = tenant.as_deref().unwrap_or_default();
         let outcome = self.keep(&job, &route, tenant, arrived).await;
         self.log_submission(&job, &route, tenant, outcome);
@@ -82,7 +82,7 @@
         }
         if !self.knows_headers(arrived).await {
             // Nothing was sent: another daemon may still reach the store.
-            return SubmitOutcome::NotKept {
+            return SubmitOutcome::NotStored {
                 retry_after: STORE_RETRY,
             };
         }
@@ -102,7 +102,7 @@
                 Reservation::Granted { fence } => fence,
                 Reservation::Full => return self.refuse_unless_kept(&job.id).await,
                 Reservation::Unreachable => {
-                    return SubmitOutcome::NotKept {
+                    return SubmitOutcome::NotStored {
                         retry_after: STORE_RETRY,
                     };
                 }
@@ -117,21 +117,21 @@
                 WriteOutcome::Conflict {
                     current: Some(current),
                 } => {
-                    self.learn(*current);
+                    self.note_header(*current);
                     return SubmitOutcome::Accepted;
                 }
                 // What was granted comes to nothing; a new coordinator is asked.
                 WriteOutcome::Fenced { current } => {
                     if let Some(current) = current {
-                        self.inner.view.take_fence(&route.name, current);
+                        self.inner.view.update_fence(&route.name, current);
                     }
                 }
-                WriteOutcome::Conflict { current: None } | WriteOutcome::InDoubt => {
-                    return SubmitOutcome::InDoubt;
+                WriteOutcome::Conflict { current: None } | WriteOutcome::Indeterminate => {
+                    return SubmitOutcome::Indeterminate;
                 }
-                WriteOutcome::NotDone => {
-                    self.return_quota(request);
-                    return SubmitOutcome::NotKept {
+                WriteOutcome::NotCommitted => {
+                    self.release_quota(request);
+                    return SubmitOutcome::NotStored {
                         retry_after: STORE_RETRY,
                     };
                 }
@@ -164,7 +164,7 @@
             host: route.host.clone(),
             items,
             listed: Vec::new(),
-            owner: self.inner.life.clone(),
+            owner: self.inner.instance_id.clone(),
             last_owner: String::new(),
             epoch: 1,
             ended: false,
@@ -178,7 +178,7 @@
             later_fields: Vec::new(),
         };
         if self.is_stopping() {
-            given_up(&header)
+            released(&header)
         } else {
             header
         }
@@ -189,8 +189,8 @@
         let owned = self.owns(&header);
         let known = KnownHeader { header, revision };
         // The watch may have brought the head already, and with it the loading of the items.
-        let entered = self.book().jobs.contains_key(&known.header.job_id);
-        self.inner.view.take(known.clone());
+        let entered = self.registry().jobs.contains_key(&known.header.job_id);
+        self.inner.view.update(known.clone());
         if !owned || entered {
             return;
         }
@@ -206,10 +206,10 @@
     async fn refuse_unless_kept(&self, job_id: &str) -> SubmitOutcome {
         match self.read_header(job_id).await {
             Lookup::Found(_) => SubmitOutcome::Accepted,
-            Lookup::Missing => SubmitOutcome::DoesNotFit {
+            Lookup::Missing => SubmitOutcome::QuotaExceeded {
                 retry_after: FULL_RETRY,
             },
-            Lookup::Unsure => SubmitOutcome::NotKept {
+            Lookup::Unavailable => SubmitOutcome::NotStored {
                 retry_after: STORE_RETRY,
             },
         }
@@ -224,9 +224,9 @@
     ) {
         let name = match outcome {
             SubmitOutcome::Accepted => "accepted",
-            SubmitOutcome::DoesNotFit { .. } => "does_not_fit",
-            SubmitOutcome::NotKept { .. } => "not_kept",
-            SubmitOutcome::InDoubt => "in_doubt",
+            SubmitOutcome::QuotaExceeded { .. } => "does_not_fit",
+            SubmitOutcome::NotStored { .. } => "not_kept",
+            SubmitOutcome::Indeterminate => "in_doubt",
             SubmitOutcome::Malformed(cause) => cause,
             SubmitOutcome::NoRoute => "no_route",
             SubmitOutcome::NoConfiguration => "no_configuration",
@@ -246,8 +246,8 @@
 
 /// How long a submission may be held.
 fn hold_of(job: &SubmittedJob) -> Duration {
-    job.patience.map_or(LONGEST_HOLD, |patience| {
-        (patience * PATIENCE_PERCENT / 100).min(LONGEST_HOLD)
+    job.timeout.map_or(LONGEST_HOLD, |timeout| {
+        (timeout * TIMEOUT_PERCENT / 100).min(LONGEST_HOLD)
     })
 }
 
--- a/crates/inline-jobs/src/takeover.rs
+++ b/crates/inline-jobs/src/takeover.rs
@@ -10,7 +10,7 @@
 
 use crate::adoption::ADOPT_HOLD;
 use crate::adoption_order::{challenged, refuted};
-use crate::owned_job::LeftWork;
+use crate::owned_job::HandoverState;
 use crate::service::InlineJobs;
 use crate::store::WriteOutcome;
 use crate::view::{HeaderChange, KnownHeader};
@@ -54,7 +54,7 @@
     pub fn step(
         &mut self,
         known: &KnownHeader,
-        standing: OwnerStanding,
+        status: OwnerStanding,
         delay: impl FnOnce() -> Option<Duration>,
     ) -> Step {
         let job_id = &known.header.job_id;
@@ -63,7 +63,7 @@
         }
         let now = self.now();
         let delay = || delay().unwrap_or(NOT_FOR_THIS_DAEMON);
-        let step = self.core.step(claim(known), standing, delay, now);
+        let step = self.core.step(claim(known), status, delay, now);
         if step != Step::Wait {
             self.writing.insert(job_id.clone());
         }
@@ -143,13 +143,13 @@
     }
 
     /// How this daemon sees the owner of a job.
-    pub(crate) fn owner_standing(&self, header: &JobHeaderRow) -> OwnerStanding {
+    pub(crate) fn owner_status(&self, header: &JobHeaderRow) -> OwnerStanding {
         if header.owner.is_empty() {
             OwnerStanding::GivenUp
         } else if self.owns(header) {
             OwnerStanding::Present
         } else {
-            self.inner.peers.standing(&header.owner)
+            self.inner.peers.owner_status(&header.owner)
         }
     }
 
@@ -157,7 +157,7 @@
     pub(crate) fn note_owners(&self, change: &HeaderChange) {
         let HeaderChange { before, known } = change;
         if let Some(before) = before {
-            let is_present = self.owner_standing(&before.header) == OwnerStanding::Present;
+            let is_present = self.owner_status(&before.header) == OwnerStanding::Present;
             let mut takeovers = self.takeovers();
             let now = takeovers.now();
             takeovers
@@ -199,14 +199,14 @@
         });
     }
 
-    pub(crate) fn start_challenge(&self, known: KnownHeader, standing: OwnerStanding) {
+    pub(crate) fn start_challenge(&self, known: KnownHeader, status: OwnerStanding) {
         self.spawn_write(known, move |jobs, known| async move {
-            jobs.challenge(&known, standing).await;
+            jobs.challenge(&known, status).await;
         });
     }
 
-    async fn challenge(&self, known: &KnownHeader, standing: OwnerStanding) {
-        let header = challenged(&known.header, &self.inner.life);
+    async fn challenge(&self, known: &KnownHeader, status: OwnerStanding) {
+        let header = challenged(&known.header, &self.inner.instance_id);
         let began = harrierward_clock::now();
         let until = Instant::now() + ADOPT_HOLD;
         let store = &self.inner.store;
@@ -219,19 +219,14 @@
             _ => return,
         };
         // A write whose answer was lost is met here too.
-        if current.header.challenger == self.inner.life {
-            self.log_ownership(
-                &known.header,
-                &current.header,
-                "challenged",
-                standing.name(),
-            );
+        if current.header.challenger == self.inner.instance_id {
+            self.log_ownership(&known.header, &current.header, "challenged", status.name());
             let mut takeovers = self.takeovers();
             let now = takeovers.now();
             let took = harrierward_clock::age(began);
             takeovers.core.challenged(claim(&current), took, now);
         }
-        self.learn(current);
+        self.note_header(current);
     }
 
     /// Another daemon holds this one for gone.
@@ -247,24 +242,24 @@
         match store.replace_header(known.revision, &header, until).await {
             WriteOutcome::Committed { revision } => {
                 self.log_ownership(&known.header, &header, "refuted", &known.header.challenger);
-                self.learn(KnownHeader { header, revision });
+                self.note_header(KnownHeader { header, revision });
             }
             // Listed results refute it as well, and so does what else this daemon has written meanwhile.
             WriteOutcome::Conflict {
                 current: Some(current),
-            } => self.learn(*current),
+            } => self.note_header(*current),
             // It is taken over if the store keeps this daemon away for longer.
             _ => {}
         }
     }
 
     /// What is left of a job of this daemon that gets nowhere here; `None` for one that moves or waits for slots.
-    fn take_stuck(&self, job_id: &str) -> Option<LeftWork> {
+    fn take_stuck(&self, job_id: &str) -> Option<HandoverState> {
         if self.takeovers().has_loaded_for(job_id, STUCK_AFTER) {
-            return Some(LeftWork::default());
+            return Some(HandoverState::default());
         }
-        let mut book = self.book();
-        let job = book.jobs.get_mut(job_id)?;
-        job.is_stuck(STUCK_AFTER).then(|| job.left_work())
+        let mut registry = self.registry();
+        let job = registry.jobs.get_mut(job_id)?;
+        job.is_stuck(STUCK_AFTER).then(|| job.stop_for_handover())
     }
 }
--- a/crates/inline-jobs/src/view.rs
+++ b/crates/inline-jobs/src/view.rs
@@ -118,7 +118,7 @@
     }
 
     /// The copy was true at `moment`.
-    pub fn prove(&self, moment: Instant, store_time_ms: u64) {
+    pub fn note_proof(&self, moment: Instant, store_time_ms: u64) {
         let mut state = self.lock();
         let newer = state.proven_at.is_none_or(|known| known < moment);
         if newer {
@@ -147,18 +147,18 @@
     }
 
     /// Takes a row of a fence.
-    pub fn take_fence_row(&self, value: &Bytes, revision: u64) {
+    pub fn update_fence_row(&self, value: &Bytes, revision: u64) {
         if let Some(row) = decode::<QuotaFenceRow>(value) {
             let fence = KnownFence {
                 coordinator: row.coordinator,
                 revision,
             };
-            self.take_fence(&row.route, fence);
+            self.update_fence(&row.route, fence);
         }
     }
 
     /// Takes a route's fence, unless a newer one is known.
-    pub fn take_fence(&self, route: &str, fence: KnownFence) {
+    pub fn update_fence(&self, route: &str, fence: KnownFence) {
         let mut state = self.lock();
         let known = state.fences.get(route);
         if known.is_none_or(|known| known.fence.revision < fence.revision) {
@@ -182,7 +182,7 @@
     }
 
     /// Takes a head; `None` if it is not newer than what was known.
-    pub fn take(&self, known: KnownHeader) -> Option<HeaderChange> {
+    pub fn update(&self, known: KnownHeader) -> Option<HeaderChange> {
         let mut state = self.lock();
         state.newest_revision = state.newest_revision.max(known.revision);
         let old = state.headers.get(&known.header.job_id);
@@ -197,7 +197,7 @@
     }
 
     /// Forgets a job whose row is gone.
-    pub fn forget(&self, job_id: &str) {
+    pub fn remove(&self, job_id: &str) {
         self.lock().headers.remove(job_id);
         self.wake();
     }
--- a/crates/inline-jobs/tests/adoption_order.rs
+++ b/crates/inline-jobs/tests/adoption_order.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use harrierward_inline_jobs::adoption_order::{adopted, adoption_delay, given_up, last_owner};
+use harrierward_inline_jobs::adoption_order::{adopted, adoption_delay, last_owner, released};
 use harrierward_wire::JobHeaderRow;
 
 fn owners() -> Vec<String> {
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_job_that_was_given_up_is_adopted_near_its_last_owner_and_at_once() {
-    let handed_over = given_up(&header());
+    let handed_over = released(&header());
     assert_eq!(handed_over.owner, "");
     assert_eq!(last_owner(&handed_over), "gone");
     let owners = owners();
@@ -46,7 +46,7 @@
 
 #[test]
 fn an_adopted_job_has_one_owner_and_a_new_epoch() {
-    let taken = adopted(&given_up(&header()), "daemon-1");
+    let taken = adopted(&released(&header()), "daemon-1");
     assert_eq!((last_owner(&taken), taken.epoch), ("daemon-1", 5));
     assert_eq!(taken.last_owner, "");
 }
--- a/crates/inline-jobs/tests/quota_book.rs
+++ b/crates/inline-jobs/tests/quota_ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
-use harrierward_inline_jobs::{QuotaBook, QuotaDecision, QuotaRequest, RouteCount};
+use harrierward_inline_jobs::{QuotaDecision, QuotaLedger, QuotaRequest, RouteCount};
 use proptest::prelude::*;
 use tokio::time::Instant;
 
@@ -71,17 +71,17 @@
 }
 
 fn decide(
-    book: &mut QuotaBook,
+    ledger: &mut QuotaLedger,
     headers: &Headers,
     job: u8,
     tokens: u64,
     now: Instant,
 ) -> QuotaDecision {
-    decide_for(book, headers, job, tokens, now, 1)
+    decide_for(ledger, headers, job, tokens, now, 1)
 }
 
 fn decide_for(
-    book: &mut QuotaBook,
+    ledger: &mut QuotaLedger,
     headers: &Headers,
     job: u8,
     tokens: u64,
@@ -101,7 +101,7 @@
         tokens,
         submission,
     };
-    book.decide(request, count, now)
+    ledger.decide(request, count, now)
 }
 
 proptest! {
@@ -118,19 +118,19 @@
         let mut under_way: Vec<Write> = Vec::new();
         let mut given_back: Vec<Write> = Vec::new();
         let mut submissions = 0;
-        let mut books: Vec<QuotaBook> = (0..DAEMONS).map(|_| QuotaBook::default()).collect();
+        let mut ledgers: Vec<QuotaLedger> = (0..DAEMONS).map(|_| QuotaLedger::default()).collect();
         let mut heard: Vec<Headers> = vec![Headers::new(); DAEMONS];
         for event in events {
             match event {
                 Event::Fence { daemon } => {
                     fence += 1;
                     heard[daemon].clone_from(&store);
-                    books[daemon].begin(ROUTE, fence);
+                    ledgers[daemon].begin(ROUTE, fence);
                 }
                 Event::Ask { daemon, job, tokens } => {
                     submissions += 1;
-                    let (book, headers) = (&mut books[daemon], &heard[daemon]);
-                    let decision = decide_for(book, headers, job, tokens, now, submissions);
+                    let (ledger, headers) = (&mut ledgers[daemon], &heard[daemon]);
+                    let decision = decide_for(ledger, headers, job, tokens, now, submissions);
                     if let QuotaDecision::Granted { fence } = decision {
                         under_way.push(Write {
                             job,
@@ -150,8 +150,8 @@
                 Event::GiveUp { newest } => given_back.extend(take_one(&mut under_way, newest)),
                 Event::Return { newest } => {
                     if let Some(write) = take_one(&mut given_back, newest) {
-                        let book = &mut books[write.coordinator];
-                        book.give_back(ROUTE, &name(write.job), write.submission);
+                        let ledger = &mut ledgers[write.coordinator];
+                        ledger.release(ROUTE, &name(write.job), write.submission);
                     }
                 }
                 Event::Finish { job } => {
@@ -171,31 +171,34 @@
 #[test]
 fn a_grant_that_stays_unseen_asks_for_a_new_fence_and_a_returned_one_is_free_at_once() {
     let start = Instant::now();
-    let mut book = QuotaBook::default();
+    let mut ledger = QuotaLedger::default();
     let none = Headers::new();
     assert_eq!(
-        decide(&mut book, &none, 1, 60, start),
-        QuotaDecision::NotKept
+        decide(&mut ledger, &none, 1, 60, start),
+        QuotaDecision::FenceRequired
     );
-    book.begin(ROUTE, 5);
+    ledger.begin(ROUTE, 5);
     let granted = QuotaDecision::Granted { fence: 5 };
-    assert_eq!(decide(&mut book, &none, 1, 60, start), granted);
+    assert_eq!(decide(&mut ledger, &none, 1, 60, start), granted);
     assert_eq!(
-        decide(&mut book, &none, 1, 60, start),
+        decide(&mut ledger, &none, 1, 60, start),
         granted,
         "asked again"
     );
-    assert_eq!(decide(&mut book, &none, 2, 60, start), QuotaDecision::Full);
-    book.give_back(ROUTE, &name(1), 1);
-    assert_eq!(decide(&mut book, &none, 2, 60, start), granted);
+    assert_eq!(
+        decide(&mut ledger, &none, 2, 60, start),
+        QuotaDecision::Full
+    );
+    ledger.release(ROUTE, &name(1), 1);
+    assert_eq!(decide(&mut ledger, &none, 2, 60, start), granted);
     let later = start + Duration::from_secs(8);
     assert_eq!(
-        decide(&mut book, &none, 3, 10, later),
-        QuotaDecision::NotKept
+        decide(&mut ledger, &none, 3, 10, later),
+        QuotaDecision::FenceRequired
     );
-    book.begin(ROUTE, 6);
+    ledger.begin(ROUTE, 6);
     assert_eq!(
-        decide(&mut book, &none, 3, 60, later),
+        decide(&mut ledger, &none, 3, 60, later),
         QuotaDecision::Granted { fence: 6 }
     );
 }
@@ -204,39 +207,39 @@
 #[test]
 fn what_one_daemon_gives_back_stays_granted_to_another_that_submits_the_same_job() {
     let now = Instant::now();
-    let mut book = QuotaBook::default();
+    let mut ledger = QuotaLedger::default();
     let none = Headers::new();
-    book.begin(ROUTE, 5);
+    ledger.begin(ROUTE, 5);
     let granted = QuotaDecision::Granted { fence: 5 };
-    assert_eq!(decide_for(&mut book, &none, 1, 60, now, 1), granted);
-    assert_eq!(decide_for(&mut book, &none, 1, 60, now, 2), granted);
-    book.give_back(ROUTE, &name(1), 1);
-    book.give_back(ROUTE, &name(1), 1);
+    assert_eq!(decide_for(&mut ledger, &none, 1, 60, now, 1), granted);
+    assert_eq!(decide_for(&mut ledger, &none, 1, 60, now, 2), granted);
+    ledger.release(ROUTE, &name(1), 1);
+    ledger.release(ROUTE, &name(1), 1);
     assert_eq!(
-        decide_for(&mut book, &none, 2, 60, now, 3),
+        decide_for(&mut ledger, &none, 2, 60, now, 3),
         QuotaDecision::Full
     );
-    book.give_back(ROUTE, &name(1), 2);
-    assert_eq!(decide_for(&mut book, &none, 2, 60, now, 3), granted);
+    ledger.release(ROUTE, &name(1), 2);
+    assert_eq!(decide_for(&mut ledger, &none, 2, 60, now, 3), granted);
 }
 
 /// A client that hears nothing may send other items under the same key to another daemon.
 #[test]
 fn a_grant_never_covers_more_tokens_than_were_asked_for() {
     let now = Instant::now();
-    let mut book = QuotaBook::default();
+    let mut ledger = QuotaLedger::default();
     let none = Headers::new();
-    book.begin(ROUTE, 5);
+    ledger.begin(ROUTE, 5);
     let granted = QuotaDecision::Granted { fence: 5 };
-    assert_eq!(decide_for(&mut book, &none, 1, 10, now, 1), granted);
-    assert_eq!(decide_for(&mut book, &none, 2, 60, now, 2), granted);
+    assert_eq!(decide_for(&mut ledger, &none, 1, 10, now, 1), granted);
+    assert_eq!(decide_for(&mut ledger, &none, 2, 60, now, 2), granted);
     assert_eq!(
-        decide_for(&mut book, &none, 1, 60, now, 3),
+        decide_for(&mut ledger, &none, 1, 60, now, 3),
         QuotaDecision::Full
     );
-    assert_eq!(decide_for(&mut book, &none, 1, 40, now, 4), granted);
+    assert_eq!(decide_for(&mut ledger, &none, 1, 40, now, 4), granted);
     assert_eq!(
-        decide_for(&mut book, &none, 3, 1, now, 5),
+        decide_for(&mut ledger, &none, 3, 1, now, 5),
         QuotaDecision::Full
     );
 }
--- a/crates/inline-jobs/tests/rows_of_headers.rs
+++ b/crates/inline-jobs/tests/rows_of_headers.rs
@@ -9,7 +9,7 @@
 use harrierward_external::{
     ChangePage, PageStart, PlatformError, Row, RowReading, SpacePage, WatchedTable,
 };
-use harrierward_inline_jobs::{JobStore, RowKind, crash_news, partitions, row_kind};
+use harrierward_inline_jobs::{JobStore, RowKind, crash_updates_key, partitions, row_kind};
 use harrierward_wire::{CrashNewsRow, JobHeaderRow, QuotaFenceRow, encode};
 use support::{AwayStore, away};
 use tokio::time::Instant;
@@ -23,15 +23,15 @@
 fn a_key_tells_what_the_row_is() {
     assert_eq!(row_kind(HEADER_KEY), RowKind::Header);
     assert_eq!(row_kind(FENCE_KEY), RowKind::Fence);
-    assert_eq!(row_kind(&crash_news(LIFE)), RowKind::CrashNews);
+    assert_eq!(row_kind(&crash_updates_key(LIFE)), RowKind::CrashUpdates);
 }
 
 /// As many rows as daemons, however often these start.
 #[test]
 fn a_daemon_that_starts_again_has_the_row_of_its_last_life() {
-    assert_eq!(crash_news("node@1"), crash_news("node@2-ab"));
-    assert_ne!(crash_news("node-1@1"), crash_news("node-2@1"));
-    let key = crash_news(LIFE);
+    assert_eq!(crash_updates_key("node@1"), crash_updates_key("node@2-ab"));
+    assert_ne!(crash_updates_key("node-1@1"), crash_updates_key("node-2@1"));
+    let key = crash_updates_key(LIFE);
     let partition = key.split('/').nth(1).expect("a partition");
     assert!(partitions().iter().any(|one| one == partition), "{key}");
 }
@@ -57,7 +57,7 @@
         let rows = [
             (HEADER_KEY.to_owned(), encode(&header)),
             (FENCE_KEY.to_owned(), encode(&fence)),
-            (crash_news(LIFE), encode(&news)),
+            (crash_updates_key(LIFE), encode(&news)),
         ];
         let is_here = |key: &str| key.split('/').nth(1) == Some(start.partition);
         let rows = rows.into_iter().filter(|(key, _)| is_here(key));
--- a/crates/inline-jobs/tests/stale_listing.rs
+++ b/crates/inline-jobs/tests/stale_listing.rs
@@ -144,7 +144,7 @@
 
 #[async_trait]
 impl Peers for Nothing {
-    fn standing(&self, _owner: &str) -> OwnerStanding {
+    fn owner_status(&self, _owner: &str) -> OwnerStanding {
         OwnerStanding::Gone
     }
 
@@ -156,11 +156,11 @@
         None
     }
 
-    async fn ask_quota(&self, _: &str, _: QuotaRequest<'_>) -> Option<(QuotaOutcome, u64)> {
+    async fn request_quota(&self, _: &str, _: QuotaRequest<'_>) -> Option<(QuotaOutcome, u64)> {
         None
     }
 
-    fn return_quota(&self, _: &str, _: QuotaRequest<'_>) {}
+    fn release_quota(&self, _: &str, _: QuotaRequest<'_>) {}
 }
 
 #[async_trait]
@@ -218,7 +218,7 @@
         },
     });
     InlineJobs::new(JobParts {
-        life: "this-daemon".to_owned(),
+        instance_id: "this-daemon".to_owned(),
         table: store.clone(),
         objects: Arc::new(AwayStore),
         watched: store,
@@ -226,7 +226,7 @@
         peers: Arc::new(Nothing),
         log,
         settings: JobSettings {
-            keep: Duration::from_secs(120),
+            retention: Duration::from_secs(120),
             cancel_within: Duration::from_secs(3),
         },
     })
@@ -246,11 +246,11 @@
     });
     let log = DecisionLog::new(LogBounds::default());
     let jobs = jobs_over(store.clone(), log);
-    jobs.view().take(KnownHeader {
+    jobs.view().update(KnownHeader {
         header: header(known),
         revision: 10 + u64::from(known),
     });
-    jobs.view().prove(Instant::now(), 1);
+    jobs.view().note_proof(Instant::now(), 1);
     advance(age).await;
     (jobs, store)
 }
@@ -262,7 +262,7 @@
 fn count(found: &Lookup<ResultPage>) -> Option<usize> {
     match found {
         Lookup::Found(page) => Some(page.results.len()),
-        Lookup::Missing | Lookup::Unsure => None,
+        Lookup::Missing | Lookup::Unavailable => None,
     }
 }
 
@@ -297,7 +297,7 @@
 async fn what_cannot_be_proven_is_not_denied() {
     let (jobs, _) = daemon(MUST_SHOW_AFTER, 0, 1, true).await;
     let found = read(&jobs, 0, Duration::ZERO).await;
-    assert_eq!(found, Lookup::Unsure);
+    assert_eq!(found, Lookup::Unavailable);
 }
 
 #[tokio::test(start_paused = true)]
@@ -333,7 +333,7 @@
     let (jobs, _) = daemon(Duration::ZERO, 0, 0, false).await;
     jobs.view().note_revision(11);
     let found = read(&jobs, 0, Duration::ZERO).await;
-    assert_eq!(found, Lookup::Unsure);
+    assert_eq!(found, Lookup::Unavailable);
 }
 
 #[tokio::test(start_paused = true)]
@@ -345,7 +345,7 @@
     let jobs = jobs_over(store, DecisionLog::new(LogBounds::default()));
     jobs.view().note_revision(11);
     let found = read(&jobs, 0, Duration::ZERO).await;
-    assert_eq!(found, Lookup::Unsure);
+    assert_eq!(found, Lookup::Unavailable);
 }
 
 #[tokio::test(start_paused = true)]
@@ -356,11 +356,11 @@
         ..OneJob::default()
     });
     let jobs = jobs_over(store, log.clone());
-    jobs.view().take(KnownHeader {
+    jobs.view().update(KnownHeader {
         header: header(0),
         revision: 10,
     });
-    jobs.view().prove(Instant::now(), 1);
+    jobs.view().note_proof(Instant::now(), 1);
     assert_eq!(count(&read(&jobs, 0, Duration::ZERO).await), Some(1));
     advance(MUST_SHOW_AFTER).await;
     assert_eq!(count(&read(&jobs, 0, Duration::ZERO).await), Some(1));
