--- a/crates/inline-jobs/src/adoption.rs
+++ b/crates/inline-jobs/src/adoption.rs
@@ -15,32 +15,32 @@
 use crate::view::KnownHeader;
 
 /// How often jobs without owner are looked for.
-const CHECK_EVERY: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a head's change by this daemon is tried.
-pub(crate) const ADOPT_HOLD: Duration = Duration::from_millis(1_500);
+pub(crate) const HEADER_WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// How often old jobs are looked for.
-const REMOVE_EVERY: Duration = Duration::from_secs(20);
+const REMOVAL_INTERVAL: Duration = Duration::from_secs(20);
 
 /// How much longer than promised a job is kept.
-const KEEP_LONGER: Duration = Duration::from_secs(60);
+const RETENTION_MARGIN: Duration = Duration::from_secs(60);
 
 impl InlineJobs {
     pub(crate) async fn run_adoption(self) {
         loop {
-            sleep(CHECK_EVERY).await;
+            sleep(CHECK_INTERVAL).await;
             let Some(owners) = self.inner.peers.owners() else {
                 continue;
             };
             if self.may_start_runs() {
-                self.look_for_orphans(&owners);
+                self.check_orphans(&owners);
             }
         }
     }
 
     /// Does what is due for jobs whose owners are missing. `owners` are the daemons that may own jobs.
-    fn look_for_orphans(&self, owners: &[String]) {
+    fn check_orphans(&self, owners: &[String]) {
         let open = self.inner.view.open_jobs();
         let mut statuses: HashMap<&str, OwnerStanding> = HashMap::new();
         for known in &open {
@@ -51,7 +51,7 @@
             let owner = known.header.owner.as_str();
             let status = statuses.entry(owner);
             let status = *status.or_insert_with(|| self.owner_status(&known.header));
-            self.consider(known, status, owners);
+            self.step_takeover(known, status, owners);
         }
         let open: HashSet<&str> = open
             .iter()
@@ -61,7 +61,7 @@
     }
 
     /// Does what is due for a job of another daemon, or of none.
-    fn consider(&self, known: &KnownHeader, status: OwnerStanding, owners: &[String]) {
+    fn step_takeover(&self, known: &KnownHeader, status: OwnerStanding, owners: &[String]) {
         let delay = || {
             let adopters = self.adopters_of(known, owners)?;
             let near = self.inner.peers.owners_near(last_owner(&known.header));
@@ -101,7 +101,7 @@
 
     async fn adopt_job(&self, known: &KnownHeader, status: OwnerStanding) {
         let header = adopted(&known.header, &self.inner.instance_id);
-        let until = Instant::now() + ADOPT_HOLD;
+        let until = Instant::now() + HEADER_WRITE_TIMEOUT;
         let written = self
             .inner
             .store
@@ -127,32 +127,33 @@
     pub(crate) async fn hand_over(
         &self,
         mut known: KnownHeader,
-        mut left: HandoverState,
+        mut state: HandoverState,
         reason: &str,
         until: Instant,
     ) {
         while known.is_open() && self.owns(&known.header) && Instant::now() < until {
             let mut header = released(&known.header);
-            if !left.failures.is_empty() {
-                header.failures.clone_from(&left.failures);
+            if !state.failures.is_empty() {
+                header.failures.clone_from(&state.failures);
             }
             // A listing that was under way may have come first.
-            left.results
+            state
+                .results
                 .retain(|result| !header.listed.contains(&result.item));
             let position = u32::try_from(header.listed.len()).unwrap_or(u32::MAX);
-            let listed = left.results.iter().map(|result| result.item);
+            let listed = state.results.iter().map(|result| result.item);
             header.listed.extend(listed);
-            let results = (position, left.results.as_slice());
+            let results = (position, state.results.as_slice());
             let written = self
                 .inner
                 .store
-                .hand_over(known.revision, &header, results, &left.progress, until)
+                .hand_over(known.revision, &header, results, &state.progress, until)
                 .await;
             match written {
                 WriteOutcome::Committed { revision } => {
                     self.log_ownership(&known.header, &header, "handed over", reason);
-                    if !left.results.is_empty() {
-                        self.log_listed(&header.job_id, position, left.results.len(), "committed");
+                    if !state.results.is_empty() {
+                        self.log_listed(&header.job_id, position, state.results.len(), "committed");
                     }
                     self.note_header(KnownHeader { header, revision });
                     return;
@@ -168,11 +169,11 @@
     /// Removes jobs whose time is over; each daemon those that are its own by their order.
     pub(crate) async fn run_removal(self) {
         loop {
-            sleep(REMOVE_EVERY).await;
+            sleep(REMOVAL_INTERVAL).await;
             let Some(owners) = self.inner.peers.owners() else {
                 continue;
             };
-            let retention = self.inner.settings.retention + KEEP_LONGER;
+            let retention = self.inner.settings.retention + RETENTION_MARGIN;
             let keep_ms = u64::try_from(retention.as_millis()).unwrap_or(u64::MAX);
             let before = self.inner.view.store_now_ms().saturating_sub(keep_ms);
             for known in self.inner.view.closed_before(before) {
--- a/crates/inline-jobs/src/adoption_order.rs
+++ b/crates/inline-jobs/src/adoption_order.rs
@@ -9,10 +9,10 @@
 
 /// How long an owner must be missing before it is challenged: a member that is held for dead and lives refutes that within
 /// about as long. With the time for which a challenge stands, a job follows its dead owner at most 1 s later than by a view alone.
-const MISSING_FOR: Duration = Duration::from_millis(100);
+const CHALLENGE_DELAY: Duration = Duration::from_millis(100);
 
 /// How much later than the others a daemon takes a job back that it gave up without stopping: it got nowhere with it.
-const GAVE_UP_BEFORE: Duration = Duration::from_secs(2);
+const LAST_OWNER_DELAY: Duration = Duration::from_secs(2);
 
 /// How much longer each further daemon in the job's order waits.
 const RANK_DELAY: Duration = Duration::from_millis(400);
@@ -84,14 +84,14 @@
         1 + adoption_rank(&header.job_id, instance_id, others)
     };
     // One that was given up is known to be nobody's.
-    let first = if !header.owner.is_empty() {
-        MISSING_FOR
+    let base_delay = if !header.owner.is_empty() {
+        CHALLENGE_DELAY
     } else if header.last_owner == instance_id {
-        GAVE_UP_BEFORE
+        LAST_OWNER_DELAY
     } else {
         Duration::ZERO
     };
-    first + RANK_DELAY * rank
+    base_delay + RANK_DELAY * rank
 }
 
 /// How many of the daemons come before the one with this `instance_id` in a job's order.
--- a/crates/inline-jobs/src/checkpoint.rs
+++ b/crates/inline-jobs/src/checkpoint.rs
@@ -13,22 +13,22 @@
 use crate::service::InlineJobs;
 
 /// Least time between two checkpoints of a job.
-const CHECKPOINT_EVERY: Duration = Duration::from_millis(1_500);
+const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// Events that an item must have gained since its last checkpoint.
-const LEAST_EVENTS: usize = 30;
+const MIN_NEW_EVENTS: usize = 30;
 
 /// Most items in one checkpoint.
-const MOST_ITEMS: usize = 40;
+const MAX_ITEMS: usize = 40;
 
 /// Age of the last proof of contact from which on no checkpoints are tried.
-const STORE_AWAY_AFTER: Duration = Duration::from_millis(1_500);
+const MAX_PROOF_AGE: Duration = Duration::from_millis(1_500);
 
 impl InlineJobs {
     /// Starts a write for each job whose items have gained enough.
     pub(crate) fn start_checkpoints(&self) {
         let age = self.inner.view.proof_age();
-        if age.is_none_or(|age| age > STORE_AWAY_AFTER) || self.is_stopping() {
+        if age.is_none_or(|age| age > MAX_PROOF_AGE) || self.is_stopping() {
             return;
         }
         if !self.inner.forwarder.policy().has(Mechanism::SavedProgress) {
@@ -36,7 +36,7 @@
         }
         let mut registry = self.registry();
         for job in registry.jobs.values_mut() {
-            if job.checkpoint_at.elapsed() < CHECKPOINT_EVERY {
+            if job.checkpoint_at.elapsed() < CHECKPOINT_INTERVAL {
                 continue;
             }
             let rows = rows_to_save(job);
@@ -57,12 +57,12 @@
 fn rows_to_save(job: &mut OwnedJob) -> Vec<(u32, ItemProgressRow)> {
     let mut rows = Vec::new();
     for (number, item) in (0..).zip(&mut job.items) {
-        if !matches!(item.phase, ItemPhase::Running { .. }) || rows.len() >= MOST_ITEMS {
+        if !matches!(item.phase, ItemPhase::Running { .. }) || rows.len() >= MAX_ITEMS {
             continue;
         }
         let progress = lock(&item.progress);
         let (events, last) = (progress.texts.len(), progress.last_event);
-        let Some(last_event) = last.filter(|_| events >= item.saved_events + LEAST_EVENTS) else {
+        let Some(last_event) = last.filter(|_| events >= item.saved_events + MIN_NEW_EVENTS) else {
             continue;
         };
         item.saved_events = events;
--- a/crates/inline-jobs/src/item.rs
+++ b/crates/inline-jobs/src/item.rs
@@ -14,7 +14,7 @@
     /// Data of the events so far.
     pub texts: Vec<String>,
     /// When the last of them came to this daemon.
-    pub moved_at: Option<Instant>,
+    pub last_event_at: Option<Instant>,
 }
 
 /// Progress shared between book and task.
@@ -57,7 +57,7 @@
     /// Replica.
     pub replica: String,
     /// Number of the place that it holds there.
-    pub place: u32,
+    pub slot: u32,
 }
 
 /// One item.
@@ -71,34 +71,34 @@
     pub failures: u32,
     /// Those of them that the job's head counts. The item does not run again before it counts all, so that a later owner
     /// allows no more attempts than this one.
-    pub failures_kept: u32,
+    pub recorded_failures: u32,
     /// Events of it that are saved.
     pub saved_events: usize,
     /// Hash of the replica's start at which it last ran: that one may still keep its prompt.
-    pub ran_at: Option<u32>,
+    pub last_replica_instance: Option<u32>,
     /// Where it stands.
     pub phase: ItemPhase,
 }
 
 impl Item {
-    pub(crate) fn may_run_again(&self) -> bool {
+    pub(crate) fn is_unfinished(&self) -> bool {
         matches!(
             self.phase,
             ItemPhase::Waiting { .. } | ItemPhase::Running { .. }
         )
     }
 
-    pub(crate) fn has_failures_to_keep(&self) -> bool {
-        self.failures > self.failures_kept && self.may_run_again()
+    pub(crate) fn has_unrecorded_failures(&self) -> bool {
+        self.failures > self.recorded_failures && self.is_unfinished()
     }
 
     pub(crate) fn is_startable(&self, now: Instant) -> bool {
         let is_due = matches!(self.phase, ItemPhase::Waiting { not_before } if not_before <= now);
-        is_due && !self.has_failures_to_keep()
+        is_due && !self.has_unrecorded_failures()
     }
 }
 
-pub(crate) fn end_run(phase: &ItemPhase) {
+pub(crate) fn abort_run(phase: &ItemPhase) {
     if let ItemPhase::Running { task, .. } = phase {
         task.abort();
     }
--- a/crates/inline-jobs/src/item_run.rs
+++ b/crates/inline-jobs/src/item_run.rs
@@ -12,10 +12,10 @@
 use crate::item::{SharedProgress, lock};
 
 /// Silence after which a replica that is silent to everybody is given up.
-const DARK: Duration = Duration::from_millis(500);
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Silence after which any replica is given up.
-const LONGEST_SILENCE: Duration = Duration::from_millis(3_000);
+const MAX_STALL: Duration = Duration::from_millis(3_000);
 
 /// How a run ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -47,8 +47,8 @@
     let resume_after = lock(progress).last_event;
     let times = AttemptTimes {
         time_left: None,
-        dark: DARK,
-        longest: LONGEST_SILENCE,
+        dark: UNRESPONSIVE_TIMEOUT,
+        longest: MAX_STALL,
     };
     let sending = Sending {
         resume_after,
@@ -80,7 +80,7 @@
     let mut body = attempt.answer.body;
     let mut splitter = EventSplitter::default();
     loop {
-        let next = wait_for_progress(body.next(), &replica, DARK, LONGEST_SILENCE).await;
+        let next = wait_for_progress(body.next(), &replica, UNRESPONSIVE_TIMEOUT, MAX_STALL).await;
         let bytes = match next {
             None => {
                 replica.suspect();
@@ -105,7 +105,7 @@
         in_progress.note_event();
         splitter.push(&bytes);
         while let Some(event) = splitter.next_event() {
-            if let Err(cause) = take_event(progress, &event) {
+            if let Err(cause) = append_event(progress, &event) {
                 in_progress.conclude(Verdict::Spoilt);
                 return RunOutcome::Broken(cause.to_owned());
             }
@@ -114,7 +114,7 @@
 }
 
 /// Adds an event to the item's output; events must follow each other without gaps.
-fn take_event(progress: &SharedProgress, event: &StreamEvent) -> Result<(), &'static str> {
+fn append_event(progress: &SharedProgress, event: &StreamEvent) -> Result<(), &'static str> {
     let Some(id) = event.id else {
         return Ok(());
     };
@@ -127,6 +127,6 @@
     }
     progress.last_event = Some(id);
     progress.texts.push(event.data());
-    progress.moved_at = Some(Instant::now());
+    progress.last_event_at = Some(Instant::now());
     Ok(())
 }
--- a/crates/inline-jobs/src/keys.rs
+++ b/crates/inline-jobs/src/keys.rs
@@ -18,12 +18,12 @@
 const PARTITIONS: u64 = 8;
 
 /// Longest job id, bytes; keys hold at most 200.
-const LONGEST_ID: usize = 120;
+const MAX_ID_BYTES: usize = 120;
 
 /// True if the id can be part of a key.
 pub fn is_usable_id(id: &str) -> bool {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    !id.is_empty() && id.len() <= LONGEST_ID && id.bytes().all(plain)
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+    !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(is_allowed)
 }
 
 fn partition(job_id: &str) -> u64 {
@@ -50,11 +50,11 @@
 }
 
 /// Beginning of the names of the quotas' fences among the heads; no job's id can begin so.
-const FENCE_MARK: &str = "~quota.";
+const FENCE_PREFIX: &str = "~quota.";
 
 /// Name of a route's fence.
 fn fence_name(route: &str) -> String {
-    format!("{FENCE_MARK}{:016x}", xxh3_64(route.as_bytes()))
+    format!("{FENCE_PREFIX}{:016x}", xxh3_64(route.as_bytes()))
 }
 
 /// Key of a route's fence in the partition of a job.
@@ -71,19 +71,19 @@
 }
 
 /// Beginning of the names of the rows in which daemons keep what they know of ends of replicas; no job's id can begin so.
-const CRASH_MARK: &str = "~crash.";
+const CRASH_PREFIX: &str = "~crash.";
 
 /// What separates a daemon's name, which stays over restarts, from the rest of its life's.
-const LIFE_MARK: char = '@';
+const INSTANCE_SEPARATOR: char = '@';
 
 /// Key of the row of a daemon's news of ends of replicas. One a daemon, whatever its life: a restart replaces it.
 pub fn crash_updates_key(instance_id: &str) -> String {
     let member = instance_id
-        .rsplit_once(LIFE_MARK)
+        .rsplit_once(INSTANCE_SEPARATOR)
         .map_or(instance_id, |(member, _)| member);
     let hash = xxh3_64(member.as_bytes());
     let partition = partition_name(hash % PARTITIONS);
-    format!("{JOB_HEADERS}/{partition}/{CRASH_MARK}{hash:016x}")
+    format!("{JOB_HEADERS}/{partition}/{CRASH_PREFIX}{hash:016x}")
 }
 
 /// What a row of the space of heads is.
@@ -100,9 +100,9 @@
 /// Tells what a row of the space of heads is, by its key.
 pub fn row_kind(key: &str) -> RowKind {
     let name = key.rsplit('/').next().unwrap_or_default();
-    if name.starts_with(FENCE_MARK) {
+    if name.starts_with(FENCE_PREFIX) {
         RowKind::Fence
-    } else if name.starts_with(CRASH_MARK) {
+    } else if name.starts_with(CRASH_PREFIX) {
         RowKind::CrashUpdates
     } else {
         RowKind::Header
--- a/crates/inline-jobs/src/listing.rs
+++ b/crates/inline-jobs/src/listing.rs
@@ -14,14 +14,14 @@
 use crate::view::KnownHeader;
 
 /// Most results listed at once, and their text in bytes; within one transaction's bounds.
-const MOST_RESULTS: usize = 40;
-const MOST_BYTES: usize = 400_000;
+const MAX_RESULTS: usize = 40;
+const MAX_BYTES: usize = 400_000;
 
 /// Time after which a write that gets no answer is looked at anew.
-const WRITE_HOLD: Duration = Duration::from_millis(3_000);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Pause after a failed write.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// A change of a job's head by its owner.
 struct Listing {
@@ -30,7 +30,7 @@
     /// Failures of items that are to run again.
     failures: Vec<ItemFailuresRow>,
     /// The items' own rows of the failures that are new.
-    failed: Vec<(u32, ItemProgressRow)>,
+    failed_progress: Vec<(u32, ItemProgressRow)>,
 }
 
 impl InlineJobs {
@@ -42,10 +42,10 @@
                 .items
                 .iter()
                 .any(|item| matches!(item.phase, ItemPhase::Done { .. }));
-            if job.listing || !(finished || job.has_failures_to_keep()) {
+            if job.is_listing || !(finished || job.has_unrecorded_failures()) {
                 continue;
             }
-            job.listing = true;
+            job.is_listing = true;
             let jobs = self.clone();
             let job_id = job_id.clone();
             tokio::spawn(async move { jobs.list_finished(&job_id).await });
@@ -55,7 +55,7 @@
     async fn list_finished(&self, job_id: &str) {
         while let Some(listing) = self.next_listing(job_id) {
             if !self.list(&listing).await {
-                sleep(PAUSE).await;
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
@@ -64,16 +64,16 @@
     fn next_listing(&self, job_id: &str) -> Option<Listing> {
         let mut registry = self.registry();
         let job = registry.jobs.get_mut(job_id)?;
-        let results = job.results_to_list(MOST_RESULTS, MOST_BYTES);
-        let has_nothing = results.is_empty() && !job.has_failures_to_keep();
-        if has_nothing || self.is_stopping() {
-            job.listing = false;
+        let results = job.results_to_list(MAX_RESULTS, MAX_BYTES);
+        let is_done = results.is_empty() && !job.has_unrecorded_failures();
+        if is_done || self.is_stopping() {
+            job.is_listing = false;
             return None;
         }
         Some(Listing {
             known: job.known.clone(),
             failures: job.failures(&results),
-            failed: job.failed_progress_rows(&results),
+            failed_progress: job.failed_progress_rows(&results),
             results,
         })
     }
@@ -84,7 +84,7 @@
             known,
             results,
             failures,
-            failed,
+            failed_progress,
         } = listing;
         let mut header = refuted(&known.header);
         let position = u32::try_from(header.listed.len()).unwrap_or(u32::MAX);
@@ -92,22 +92,28 @@
             .listed
             .extend(results.iter().map(|result| result.item));
         header.failures.clone_from(failures);
-        let until = Instant::now() + WRITE_HOLD;
+        let until = Instant::now() + WRITE_TIMEOUT;
         let written = self
             .inner
             .store
-            .list(known.revision, &header, (position, results), failed, until)
+            .list(
+                known.revision,
+                &header,
+                (position, results),
+                failed_progress,
+                until,
+            )
             .await;
         let (outcome, settled) = match written {
             WriteOutcome::Committed { revision } => {
-                self.adopt(KnownHeader { header, revision });
+                self.apply_header(KnownHeader { header, revision });
                 ("committed", true)
             }
             WriteOutcome::Conflict {
                 current: Some(current),
             } => {
                 let outcome = conflict_name(&current.header, &header);
-                self.adopt(*current);
+                self.apply_header(*current);
                 (outcome, true)
             }
             WriteOutcome::Conflict { current: None } => {
@@ -131,7 +137,7 @@
         });
     }
 
-    fn adopt(&self, known: KnownHeader) {
+    fn apply_header(&self, known: KnownHeader) {
         self.note_header(known.clone());
         // The watch may have been faster; the book must hear of it in any case.
         self.header_changed(&known);
--- a/crates/inline-jobs/src/lookup.rs
+++ b/crates/inline-jobs/src/lookup.rs
@@ -15,15 +15,15 @@
 
 /// Age up to which this daemon's copy of a head is as good as the store's for what no caller can have seen change: an
 /// item's body, the head that an end replaces under its revision.
-const FRESH: Duration = Duration::from_millis(1_300);
+const MAX_COPY_AGE: Duration = Duration::from_millis(1_300);
 
 /// No copy is young enough: the store's row itself is read. A feed proves that the store answers, not that it told of all
 /// changes, and only the row says that nothing is listed (one read a look that ends empty).
-const FROM_THE_ROW: Duration = Duration::ZERO;
+const READ_STORE: Duration = Duration::ZERO;
 
 /// Age up to which the feed of the heads counts as alive, so that a held read waits for it. Beyond that, the store is
 /// asked at once.
-const FEED_ALIVE: Duration = FRESH;
+const MAX_FEED_AGE: Duration = MAX_COPY_AGE;
 
 /// Text of one page of results, bytes; a page has 1 MB at most.
 const PAGE_BYTES: usize = 700_000;
@@ -32,20 +32,20 @@
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// True if a head of any age tells what to answer from a position on: a result there, or that the list never grows again.
-fn says_all(known: &KnownHeader, after: u32) -> bool {
+fn is_conclusive(known: &KnownHeader, after: u32) -> bool {
     known.lists_beyond(after) || !known.is_open()
 }
 
 impl InlineJobs {
-    /// True if this daemon's copy of the heads was proven less than `bound` ago.
-    fn is_proven_within(&self, bound: Duration) -> bool {
-        self.inner.view.proof_age().is_some_and(|age| age < bound)
+    /// True if this daemon's copy of the heads was proven less than `max_age` ago.
+    fn is_proven_within(&self, max_age: Duration) -> bool {
+        self.inner.view.proof_age().is_some_and(|age| age < max_age)
     }
 
-    /// The head, from this daemon's copy if that is younger than `bound`, else from the store.
-    async fn find(&self, job_id: &str, bound: Duration) -> Lookup<KnownHeader> {
-        let fresh = self.is_proven_within(bound);
-        match self.inner.view.get(job_id).filter(|_| fresh) {
+    /// The head, from this daemon's copy if that is younger than `max_age`, else from the store.
+    async fn find(&self, job_id: &str, max_age: Duration) -> Lookup<KnownHeader> {
+        let is_fresh = self.is_proven_within(max_age);
+        match self.inner.view.get(job_id).filter(|_| is_fresh) {
             Some(known) => Lookup::Found(known),
             None => self.read_header(job_id).await,
         }
@@ -89,14 +89,19 @@
 
     /// The head of a job that the caller may know of. Jobs of nobody, accepted while there were no tenants or on a
     /// route that asks for no key, are for all.
-    async fn find_for(&self, caller: &JobCaller, id: &str, bound: Duration) -> Lookup<KnownHeader> {
+    async fn find_for(
+        &self,
+        caller: &JobCaller,
+        id: &str,
+        max_age: Duration,
+    ) -> Lookup<KnownHeader> {
         if let JobCaller::Tenant(tenant) = caller {
-            let found = self.find(&scoped_id(Some(tenant), id), bound).await;
+            let found = self.find(&scoped_id(Some(tenant), id), max_age).await;
             if found != Lookup::Missing {
                 return found;
             }
         }
-        match self.find(id, bound).await {
+        match self.find(id, max_age).await {
             Lookup::Found(known) if !known.header.tenant.is_empty() => Lookup::Missing,
             found => found,
         }
@@ -117,25 +122,25 @@
         loop {
             let changed = self.inner.view.changed();
             let left = until.saturating_duration_since(Instant::now());
-            if let Some(known) = self.known_to_say(caller, id, after) {
+            if let Some(known) = self.conclusive_header(caller, id, after) {
                 return self.page(&known, after).await;
             }
-            let bound = if left.is_zero() {
-                FROM_THE_ROW
+            let max_age = if left.is_zero() {
+                READ_STORE
             } else {
-                FEED_ALIVE
+                MAX_FEED_AGE
             };
             let proof_age = self.inner.view.proof_age();
-            let found = self.find_for(caller, id, bound).await;
-            if proof_age.is_none_or(|age| age >= bound) {
-                self.log_asked(id, after, proof_age, &found);
+            let found = self.find_for(caller, id, max_age).await;
+            if proof_age.is_none_or(|age| age >= max_age) {
+                self.log_listing_read(id, after, proof_age, &found);
             }
             let known = match found {
                 Lookup::Found(known) => known,
                 Lookup::Missing => return Lookup::Missing,
-                Lookup::Unavailable => return self.page_if_known(caller, id, after).await,
+                Lookup::Unavailable => return self.page_from_copy(caller, id, after).await,
             };
-            if says_all(&known, after) || left.is_zero() {
+            if is_conclusive(&known, after) || left.is_zero() {
                 return self.page(&known, after).await;
             }
             let _ = timeout(left, changed).await;
@@ -143,14 +148,14 @@
     }
 
     /// What could not be asked anew may still be known: the copy may have learnt of a result meanwhile.
-    async fn page_if_known(&self, caller: &JobCaller, id: &str, after: u32) -> Lookup<ResultPage> {
-        match self.known_to_say(caller, id, after) {
+    async fn page_from_copy(&self, caller: &JobCaller, id: &str, after: u32) -> Lookup<ResultPage> {
+        match self.conclusive_header(caller, id, after) {
             Some(known) => self.page(&known, after).await,
             None => Lookup::Unavailable,
         }
     }
 
-    fn log_asked(
+    fn log_listing_read(
         &self,
         job: &str,
         position: u32,
@@ -173,15 +178,15 @@
     }
 
     /// The caller's job, if this daemon's copy says all there is to say now from `after` on.
-    fn known_to_say(&self, caller: &JobCaller, id: &str, after: u32) -> Option<KnownHeader> {
+    fn conclusive_header(&self, caller: &JobCaller, id: &str, after: u32) -> Option<KnownHeader> {
         let view = &self.inner.view;
         let of_tenant = match caller {
             JobCaller::Tenant(tenant) => view.get(&scoped_id(Some(tenant), id)),
             JobCaller::Anyone | JobCaller::Refused(_) => None,
         };
-        let of_nobody = || view.get(id).filter(|known| known.header.tenant.is_empty());
-        let known = of_tenant.or_else(of_nobody)?;
-        says_all(&known, after).then_some(known)
+        let without_tenant = || view.get(id).filter(|known| known.header.tenant.is_empty());
+        let known = of_tenant.or_else(without_tenant)?;
+        is_conclusive(&known, after).then_some(known)
     }
 
     async fn page(&self, known: &KnownHeader, after: u32) -> Lookup<ResultPage> {
@@ -226,7 +231,7 @@
 
     /// The body of an item of a job that has not ended.
     pub async fn item_body(&self, caller: &JobCaller, id: &str, item_id: &str) -> Lookup<Bytes> {
-        let known = match self.find_for(caller, id, FRESH).await {
+        let known = match self.find_for(caller, id, MAX_COPY_AGE).await {
             Lookup::Found(known) => known,
             Lookup::Missing => return Lookup::Missing,
             Lookup::Unavailable => return Lookup::Unavailable,
@@ -267,7 +272,7 @@
 
     async fn try_cancel(&self, caller: &JobCaller, id: &str) -> CancelOutcome {
         let until = Instant::now() + CANCEL_TIMEOUT;
-        let mut known = match self.find_for(caller, id, FRESH).await {
+        let mut known = match self.find_for(caller, id, MAX_COPY_AGE).await {
             Lookup::Found(known) => known,
             Lookup::Missing => return CancelOutcome::Missing,
             Lookup::Unavailable => return CancelOutcome::NotCancelled,
--- a/crates/inline-jobs/src/no_capacity.rs
+++ b/crates/inline-jobs/src/no_capacity.rs
@@ -11,45 +11,48 @@
 
 /// How long items that found no room come after all others. Above two of the longest intervals between starts: older
 /// items that are tried in vain would else take every turn.
-const BEHIND_FOR: Duration = Duration::from_millis(250);
+const DEFERRAL_DURATION: Duration = Duration::from_millis(250);
 
 /// Where there was no room, and when.
 #[derive(Debug, Default)]
 pub struct NoCapacity {
-    found: Vec<(String, AllowedRegions, Instant)>,
+    entries: Vec<(String, AllowedRegions, Instant)>,
 }
 
 impl NoCapacity {
     /// An item of the service that may run in these regions found no room.
     pub fn note(&mut self, service: &str, regions: &AllowedRegions, now: Instant) {
-        let is_kept = |known: &(String, AllowedRegions, Instant)| {
-            let is_same = known.0 == service && known.1 == *regions;
-            !is_same && now.saturating_duration_since(known.2) < BEHIND_FOR
+        let is_kept = |entry: &(String, AllowedRegions, Instant)| {
+            let is_same = entry.0 == service && entry.1 == *regions;
+            !is_same && now.saturating_duration_since(entry.2) < DEFERRAL_DURATION
         };
-        self.found.retain(is_kept);
-        self.found.push((service.to_owned(), regions.clone(), now));
+        self.entries.retain(is_kept);
+        self.entries
+            .push((service.to_owned(), regions.clone(), now));
     }
 
     /// True if no place is to be asked for now.
-    pub fn holds(&self, service: &str, regions: &AllowedRegions, now: Instant) -> bool {
-        self.was_within(PAUSE, service, regions, now)
+    pub fn is_paused(&self, service: &str, regions: &AllowedRegions, now: Instant) -> bool {
+        self.was_noted_within(PAUSE, service, regions, now)
     }
 
     /// True if other items are to be tried first.
-    pub fn is_behind(&self, service: &str, regions: &AllowedRegions, now: Instant) -> bool {
-        self.was_within(BEHIND_FOR, service, regions, now)
+    pub fn is_deferred(&self, service: &str, regions: &AllowedRegions, now: Instant) -> bool {
+        self.was_noted_within(DEFERRAL_DURATION, service, regions, now)
     }
 
-    fn was_within(
+    fn was_noted_within(
         &self,
-        time: Duration,
+        duration: Duration,
         service: &str,
         regions: &AllowedRegions,
         now: Instant,
     ) -> bool {
-        let mut found = self.found.iter();
-        found.any(|(of, known, at)| {
-            of == service && known == regions && now.saturating_duration_since(*at) < time
+        let mut entries = self.entries.iter();
+        entries.any(|(noted_service, noted_regions, noted_at)| {
+            noted_service == service
+                && noted_regions == regions
+                && now.saturating_duration_since(*noted_at) < duration
         })
     }
 }
--- a/crates/inline-jobs/src/pacing.rs
+++ b/crates/inline-jobs/src/pacing.rs
@@ -30,14 +30,14 @@
 const RUN_WEIGHT: f64 = 0.1;
 
 /// Means before any run has ended.
-const FIRST_SECONDS: f64 = 5.0;
-const FIRST_EVENTS: f64 = 200.0;
+const INITIAL_SECONDS: f64 = 5.0;
+const INITIAL_EVENTS: f64 = 200.0;
 
 impl Default for RunLength {
     fn default() -> Self {
         Self {
-            seconds: FIRST_SECONDS,
-            events: FIRST_EVENTS,
+            seconds: INITIAL_SECONDS,
+            events: INITIAL_EVENTS,
         }
     }
 }
@@ -54,13 +54,13 @@
     /// Expected time that an item with so many events still takes.
     pub fn remaining(&self, events: usize) -> Duration {
         #[allow(clippy::cast_precision_loss)]
-        let left = 1.0 - events as f64 / self.events.max(1.0);
-        Duration::from_secs_f64(self.seconds * left.clamp(LEAST_LEFT, 1.0))
+        let remaining_share = 1.0 - events as f64 / self.events.max(1.0);
+        Duration::from_secs_f64(self.seconds * remaining_share.clamp(MIN_REMAINING_SHARE, 1.0))
     }
 }
 
 /// Least part of a run that is expected to be left.
-const LEAST_LEFT: f64 = 0.1;
+const MIN_REMAINING_SHARE: f64 = 0.1;
 
 /// Shares of the target after which a job presses and is late, in percent.
 const PRESSING_PERCENT: u128 = 40;
--- a/crates/inline-jobs/src/quota.rs
+++ b/crates/inline-jobs/src/quota.rs
@@ -19,13 +19,13 @@
 use crate::store::{FenceOutcome, KnownFence};
 
 /// Age of the last proof of contact from which on a coordinator cannot tell what waits.
-const PROOF_TOO_OLD: Duration = Duration::from_millis(2_000);
+const MAX_PROOF_AGE: Duration = Duration::from_millis(2_000);
 
 /// How long a coordinator that reads what waits is waited for.
-const READING_PATIENCE: Duration = Duration::from_millis(800);
+const LEDGER_LOAD_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// How long a new coordinator that cannot be asked is left to keep jobs of its own.
-const LEAST_TENURE: Duration = Duration::from_millis(600);
+const MIN_TENURE: Duration = Duration::from_millis(600);
 
 /// Pauses before the coordinator is asked again, milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 10..35;
@@ -61,11 +61,11 @@
             let outcome = match &fence {
                 None => QuotaOutcome::NotCoordinator,
                 Some(known) if known.coordinator == self.inner.instance_id => {
-                    let answer = self.decide_quota(request);
-                    if let (QuotaOutcome::Granted, fence) = answer {
+                    let reply = self.decide_quota(request);
+                    if let (QuotaOutcome::Granted, fence) = reply {
                         return Reservation::Granted { fence: Some(fence) };
                     }
-                    answer.0
+                    reply.0
                 }
                 Some(known) => match self
                     .inner
@@ -82,9 +82,9 @@
             };
             match outcome {
                 QuotaOutcome::Full => return Reservation::Full,
-                QuotaOutcome::Wait if began.elapsed() < READING_PATIENCE => {}
-                _ if self.is_new(request.route, fence.as_ref()) => {}
-                _ => self.coordinate_quota(request.route, fence, until).await,
+                QuotaOutcome::Wait if began.elapsed() < LEDGER_LOAD_TIMEOUT => {}
+                _ if self.is_within_min_tenure(request.route, fence.as_ref()) => {}
+                _ => self.become_coordinator(request.route, fence, until).await,
             }
             let pause = rand::rng().random_range(PAUSE_MS);
             sleep(Duration::from_millis(pause)).await;
@@ -94,10 +94,10 @@
 
     /// True if another daemon wrote the fence just now: daemons that do not hear of each other would else take the
     /// quota from each other before any of them has kept a job.
-    fn is_new(&self, route: &str, fence: Option<&KnownFence>) -> bool {
-        let of_other = fence.is_some_and(|fence| fence.coordinator != self.inner.instance_id);
+    fn is_within_min_tenure(&self, route: &str, fence: Option<&KnownFence>) -> bool {
+        let is_of_other = fence.is_some_and(|fence| fence.coordinator != self.inner.instance_id);
         let age = self.inner.view.fence_age(route);
-        of_other && age.is_some_and(|age| age < LEAST_TENURE)
+        is_of_other && age.is_some_and(|age| age < MIN_TENURE)
     }
 
     /// Decides a job's tokens as the coordinator, for this daemon or a peer. Returns the fence of a grant, else 0.
@@ -111,8 +111,8 @@
         let Some(own) = own.filter(|fence| fence.coordinator == self.inner.instance_id) else {
             return (QuotaOutcome::NotCoordinator, 0);
         };
-        let fresh = view.proof_age().is_some_and(|age| age < PROOF_TOO_OLD);
-        let Some(route) = route.filter(|_| fresh && !self.is_stopping()) else {
+        let is_fresh = view.proof_age().is_some_and(|age| age < MAX_PROOF_AGE);
+        let Some(route) = route.filter(|_| is_fresh && !self.is_stopping()) else {
             return (QuotaOutcome::NotCoordinator, 0);
         };
         let mut ledger = self.quotas();
@@ -147,7 +147,7 @@
     }
 
     /// Makes this daemon the coordinator of a route's quota, unless another one is faster.
-    async fn coordinate_quota(&self, route: &str, known: Option<KnownFence>, until: Instant) {
+    async fn become_coordinator(&self, route: &str, known: Option<KnownFence>, until: Instant) {
         let _one_at_a_time = self.inner.fencing.lock().await;
         let newest = self.inner.view.fence(route);
         if newest.as_ref().map(|fence| fence.revision) != known.as_ref().map(|fence| fence.revision)
--- a/crates/inline-jobs/src/quota_ledger.rs
+++ b/crates/inline-jobs/src/quota_ledger.rs
@@ -11,19 +11,19 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// How long a grant may stay unseen. Then the fence is written anew, so that it can come to nothing for certain.
-const GRANT_LIFETIME: Duration = Duration::from_secs(8);
+const GRANT_TTL: Duration = Duration::from_secs(8);
 
 #[derive(Debug, Clone)]
 struct Grant {
     tokens: u64,
-    at: Instant,
+    granted_at: Instant,
     tenant: u64,
     /// Submissions that may yet keep the job. One that gives the tokens back says nothing of the others.
     submissions: HashSet<u64>,
 }
 
 #[derive(Debug)]
-struct KeptQuota {
+struct RouteQuota {
     fence: u64,
     grants: HashMap<String, Grant>,
 }
@@ -72,18 +72,18 @@
 /// All quotas that this daemon keeps.
 #[derive(Debug, Default)]
 pub struct QuotaLedger {
-    routes: HashMap<String, KeptQuota>,
+    routes: HashMap<String, RouteQuota>,
 }
 
 impl QuotaLedger {
     /// The fence was written at this revision, and all heads up to it are known: what was granted before can no
     /// longer be kept.
     pub fn begin(&mut self, route: &str, fence: u64) {
-        let kept = KeptQuota {
+        let quota = RouteQuota {
             fence,
             grants: HashMap::new(),
         };
-        self.routes.insert(route.to_owned(), kept);
+        self.routes.insert(route.to_owned(), quota);
     }
 
     /// Another daemon wrote the fence.
@@ -93,7 +93,7 @@
 
     /// Revision of the fence that is kept.
     pub fn fence(&self, route: &str) -> Option<u64> {
-        self.routes.get(route).map(|kept| kept.fence)
+        self.routes.get(route).map(|quota| quota.fence)
     }
 
     /// Decides a request; a granted one counts until its head is known.
@@ -103,53 +103,57 @@
         count: RouteCount<'_>,
         now: Instant,
     ) -> QuotaDecision {
-        let Some(kept) = self.routes.get_mut(request.route) else {
+        let Some(quota) = self.routes.get_mut(request.route) else {
             return QuotaDecision::FenceRequired;
         };
-        kept.grants.retain(|job, _| !(count.is_known)(job));
-        let overdue = |grant: &Grant| now.saturating_duration_since(grant.at) >= GRANT_LIFETIME;
-        if kept.grants.values().any(overdue) {
+        quota.grants.retain(|job, _| !(count.is_known)(job));
+        let is_overdue =
+            |grant: &Grant| now.saturating_duration_since(grant.granted_at) >= GRANT_TTL;
+        if quota.grants.values().any(is_overdue) {
             return QuotaDecision::FenceRequired;
         }
-        let fence = kept.fence;
+        let fence = quota.fence;
         if (count.is_known)(request.job) {
             return QuotaDecision::Granted { fence };
         }
         // A submission may bring other items under the same name, and any of them may be the one that is kept.
-        let before = kept.grants.get(request.job).map_or(0, |grant| grant.tokens);
-        let more = request.tokens.saturating_sub(before);
+        let granted_before = quota
+            .grants
+            .get(request.job)
+            .map_or(0, |grant| grant.tokens);
+        let additional = request.tokens.saturating_sub(granted_before);
         let tenant = xxh3_64(request.tenant.as_bytes());
-        let of_tenant = kept.grants.values().filter(|grant| grant.tenant == tenant);
-        let granted: u64 = of_tenant.map(|grant| grant.tokens).sum();
-        if more > 0 && count.waiting + granted + more > count.limit {
+        let tenant_grants = quota.grants.values().filter(|grant| grant.tenant == tenant);
+        let granted: u64 = tenant_grants.map(|grant| grant.tokens).sum();
+        if additional > 0 && count.waiting + granted + additional > count.limit {
             return QuotaDecision::Full;
         }
-        if let Some(grant) = kept.grants.get_mut(request.job) {
-            grant.tokens += more;
+        if let Some(grant) = quota.grants.get_mut(request.job) {
+            grant.tokens += additional;
             grant.submissions.insert(request.submission);
             return QuotaDecision::Granted { fence };
         }
         let grant = Grant {
             tokens: request.tokens,
-            at: now,
+            granted_at: now,
             tenant,
             submissions: HashSet::from([request.submission]),
         };
-        kept.grants.insert(request.job.to_owned(), grant);
+        quota.grants.insert(request.job.to_owned(), grant);
         QuotaDecision::Granted { fence }
     }
 
     /// A submission will certainly not keep its job. The tokens are free once no other submission of it is left.
     pub fn release(&mut self, route: &str, job: &str, submission: u64) {
-        let Some(kept) = self.routes.get_mut(route) else {
+        let Some(quota) = self.routes.get_mut(route) else {
             return;
         };
-        let Some(grant) = kept.grants.get_mut(job) else {
+        let Some(grant) = quota.grants.get_mut(job) else {
             return;
         };
-        let held = grant.submissions.remove(&submission);
-        if held && grant.submissions.is_empty() {
-            kept.grants.remove(job);
+        let was_pending = grant.submissions.remove(&submission);
+        if was_pending && grant.submissions.is_empty() {
+            quota.grants.remove(job);
         }
     }
 }
--- a/crates/inline-jobs/src/ready.rs
+++ b/crates/inline-jobs/src/ready.rs
@@ -15,13 +15,13 @@
     /// Service that runs it.
     pub service: String,
     /// How long it could rest.
-    pub room: ItemRoom,
+    pub item_slack: ItemRoom,
     /// Items like it found no room lately: all others come first.
-    pub is_behind: bool,
+    pub is_deferred: bool,
 }
 
 /// The item with the regions in which it may run by the configuration in force now.
-pub fn within(mut item: StartableItem, regions: AllowedRegions) -> StartableItem {
+pub fn restrict_to_regions(mut item: StartableItem, regions: AllowedRegions) -> StartableItem {
     if item.request.regions != regions {
         let mut request = ServingRequest::clone(&item.request);
         request.regions = regions;
--- a/crates/inline-jobs/src/registry.rs
+++ b/crates/inline-jobs/src/registry.rs
@@ -7,7 +7,7 @@
 use harrierward_serving::ServingRequest;
 use tokio::time::Instant;
 
-use crate::item::{Item, ItemPhase, RunSlot, SharedProgress, end_run, lock};
+use crate::item::{Item, ItemPhase, RunSlot, SharedProgress, abort_run, lock};
 use crate::no_capacity::NoCapacity;
 use crate::owned_job::OwnedJob;
 use crate::pacing::RunLength;
@@ -24,9 +24,9 @@
     /// When its job was accepted, on the store's clock, milliseconds.
     pub accepted_ms: u64,
     /// Nothing has come of it yet.
-    pub began_anew: bool,
+    pub started_fresh: bool,
     /// Hash of the replica's start at which it last ran.
-    pub ran_at: Option<u32>,
+    pub last_replica_instance: Option<u32>,
     /// Runs that a replica failed.
     pub failures: u32,
     /// The request that runs it.
@@ -47,7 +47,7 @@
     /// What items take.
     pub run_length: RunLength,
     /// Routes of jobs that the configuration does not hold, and since when this is known.
-    pub routes_missing: BTreeMap<String, Instant>,
+    pub missing_routes: BTreeMap<String, Instant>,
     /// When runs were last ended at a replica for online.
     pub preempted_at: BTreeMap<String, Instant>,
     /// The jobs by id.
@@ -69,8 +69,8 @@
                         number,
                         route: job.known.header.route.clone(),
                         accepted_ms: job.known.header.accepted_ms,
-                        began_anew: lock(&item.progress).last_event.is_none(),
-                        ran_at: item.ran_at,
+                        started_fresh: lock(&item.progress).last_event.is_none(),
+                        last_replica_instance: item.last_replica_instance,
                         failures: item.failures,
                         request: item.request.clone(),
                         progress: item.progress.clone(),
@@ -81,13 +81,13 @@
         startable
     }
 
-    /// Notes which jobs' routes the configuration does not hold; items of one that has been missing for `patience`
+    /// Notes which jobs' routes the configuration does not hold; items of one that has been missing for `grace_period`
     /// fail for good, since nothing may run them any more.
     pub fn fail_items_without_route(
         &mut self,
         is_known: impl Fn(&str) -> bool,
         now: Instant,
-        patience: Duration,
+        grace_period: Duration,
     ) {
         let routes = self
             .jobs
@@ -97,15 +97,15 @@
             .filter(|route| !is_known(route))
             .map(str::to_owned)
             .collect();
-        self.routes_missing
+        self.missing_routes
             .retain(|route, _| missing.contains(route));
         for route in missing {
-            self.routes_missing.entry(route).or_insert(now);
+            self.missing_routes.entry(route).or_insert(now);
         }
-        let routes_missing = &self.routes_missing;
+        let missing_routes = &self.missing_routes;
         for job in self.jobs.values_mut() {
-            let since = routes_missing.get(&job.known.header.route);
-            if since.is_none_or(|since| now.saturating_duration_since(*since) < patience) {
+            let since = missing_routes.get(&job.known.header.route);
+            if since.is_none_or(|since| now.saturating_duration_since(*since) < grace_period) {
                 continue;
             }
             for item in &mut job.items {
@@ -113,7 +113,7 @@
                     item.phase,
                     ItemPhase::Waiting { .. } | ItemPhase::Running { .. }
                 ) {
-                    end_run(&item.phase);
+                    abort_run(&item.phase);
                     item.phase = ItemPhase::Done { failed: true };
                 }
             }
@@ -134,17 +134,17 @@
     ) -> Vec<PreemptedItem> {
         let mut runs = self.runs_where(|at| at.replica == replica);
         runs.sort_by_key(|run| std::cmp::Reverse(run.since));
-        let ended = runs.into_iter().take(count);
-        ended.map(|run| run.yield_for(pause)).collect()
+        let selected = runs.into_iter().take(count);
+        selected.map(|run| run.preempt(pause)).collect()
     }
 
     /// Ends the run that holds a place; its item waits for `pause`. Returns the item.
-    pub fn preempt_lease(&mut self, place: u32, pause: Duration) -> Option<PreemptedItem> {
-        let run = self.runs_where(|at| at.place == place).pop()?;
-        Some(run.yield_for(pause))
+    pub fn preempt_lease(&mut self, slot: u32, pause: Duration) -> Option<PreemptedItem> {
+        let run = self.runs_where(|at| at.slot == slot).pop()?;
+        Some(run.preempt(pause))
     }
 
-    fn runs_where(&mut self, is_meant: impl Fn(&RunSlot) -> bool) -> Vec<RunInProgress<'_>> {
+    fn runs_where(&mut self, is_selected: impl Fn(&RunSlot) -> bool) -> Vec<RunInProgress<'_>> {
         let mut runs = Vec::new();
         for job in self.jobs.values_mut() {
             for item in &mut job.items {
@@ -156,12 +156,12 @@
                 else {
                     continue;
                 };
-                if !is_meant(at) {
+                if !is_selected(at) {
                     continue;
                 }
                 runs.push(RunInProgress {
                     since: *since,
-                    yielded: PreemptedItem {
+                    preempted: PreemptedItem {
                         job: job.known.header.job_id.clone(),
                         item: item.request.id.clone(),
                         replica: at.replica.clone(),
@@ -177,17 +177,17 @@
 
 struct RunInProgress<'a> {
     since: Instant,
-    yielded: PreemptedItem,
+    preempted: PreemptedItem,
     phase: &'a mut ItemPhase,
 }
 
 impl RunInProgress<'_> {
-    fn yield_for(self, pause: Duration) -> PreemptedItem {
-        end_run(self.phase);
+    fn preempt(self, pause: Duration) -> PreemptedItem {
+        abort_run(self.phase);
         *self.phase = ItemPhase::Waiting {
             not_before: Instant::now() + pause,
         };
-        self.yielded
+        self.preempted
     }
 }
 
--- a/crates/inline-jobs/src/runner.rs
+++ b/crates/inline-jobs/src/runner.rs
@@ -9,7 +9,7 @@
 use crate::item::{ItemPhase, RunSlot};
 use crate::item_run::{self, RunOutcome};
 use crate::pacing::{RunLength, Urgency, slack, urgency};
-use crate::ready::{ReadyItem, within};
+use crate::ready::{ReadyItem, restrict_to_regions};
 use crate::registry::{PreemptedItem, StartableItem};
 use crate::service::InlineJobs;
 
@@ -20,27 +20,27 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(40);
 
 /// How long a route must be missing before its items fail: it may be a moment between two configurations.
-const ROUTE_PATIENCE: Duration = Duration::from_millis(3_000);
+const ROUTE_GRACE_PERIOD: Duration = Duration::from_millis(3_000);
 
 /// Pause before an item that a replica failed is started again.
 const FAILURE_PAUSE: Duration = Duration::from_millis(150);
 
 /// Pause before an item that yielded is started again.
-const YIELD_PAUSE: Duration = Duration::from_millis(800);
+const PREEMPTION_PAUSE: Duration = Duration::from_millis(800);
 
 /// Items for which a daemon asks for places at the same time.
-const MOST_PLACING: usize = 3;
+const MAX_PLACING: usize = 3;
 
 /// Objective of an item's question for a place: no caller waits for it.
-const PLACE_PATIENCE: Duration = Duration::from_secs(1);
+const PLACEMENT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Least time between two yields at one replica: the other daemons' counts must have come.
-const YIELD_EVERY: Duration = Duration::from_millis(250);
+const PREEMPTION_INTERVAL: Duration = Duration::from_millis(250);
 
 impl InlineJobs {
     pub(crate) async fn run_items(self) {
         loop {
-            self.yield_to_online();
+            self.preempt_for_online();
             if self.may_start_runs() {
                 self.start_items();
             }
@@ -60,29 +60,29 @@
         self.registry().fail_items_without_route(
             |route| routes.configuration.route(route).is_some(),
             Instant::now(),
-            ROUTE_PATIENCE,
+            ROUTE_GRACE_PERIOD,
         );
-        let mut behind = Vec::new();
+        let mut deferred = Vec::new();
         for (item, urgency, slack) in self.startable(&routes) {
             if !self.is_due(urgency) {
                 return;
             }
             if self.inner.forwarder.bars_item(&item.request) {
-                self.give_up_held(&routes, &item);
+                self.fail_expired_quarantined(&routes, &item);
                 continue;
             }
-            let room = ItemRoom { slack };
-            let Some(ready) = self.ready(&routes, item, room) else {
+            let item_slack = ItemRoom { slack };
+            let Some(ready) = self.ready(&routes, item, item_slack) else {
                 // It waits, and must not hold up those that can run.
                 continue;
             };
-            if ready.is_behind {
-                behind.push((ready, urgency));
+            if ready.is_deferred {
+                deferred.push((ready, urgency));
             } else if !self.start_item(&ready) {
                 return;
             }
         }
-        for (ready, urgency) in behind {
+        for (ready, urgency) in deferred {
             if !self.is_due(urgency) || !self.start_item(&ready) {
                 return;
             }
@@ -91,10 +91,10 @@
 
     /// An item that must not run since replicas have ended under its content waits, and is given up when its route allows
     /// that: its job's caller learns of it then, and not earlier.
-    fn give_up_held(&self, routes: &RouteTable, item: &StartableItem) {
+    fn fail_expired_quarantined(&self, routes: &RouteTable, item: &StartableItem) {
         let route = routes.configuration.route(&item.route);
         let bounds = route.and_then(|route| route.batch());
-        let Some(longest) = bounds.map(|bounds| bounds.give_up_after) else {
+        let Some(limit) = bounds.map(|bounds| bounds.give_up_after) else {
             return;
         };
         let age_ms = self
@@ -102,7 +102,7 @@
             .view
             .store_now_ms()
             .saturating_sub(item.accepted_ms);
-        if longest.is_zero() || Duration::from_millis(age_ms) < longest {
+        if limit.is_zero() || Duration::from_millis(age_ms) < limit {
             return;
         }
         if let Some(entry) = self.registry().item(&item.job, item.number) {
@@ -112,7 +112,12 @@
     }
 
     /// The item as it may run by the configuration in force; `None` if nothing takes it now.
-    fn ready(&self, routes: &RouteTable, item: StartableItem, room: ItemRoom) -> Option<ReadyItem> {
+    fn ready(
+        &self,
+        routes: &RouteTable,
+        item: StartableItem,
+        item_slack: ItemRoom,
+    ) -> Option<ReadyItem> {
         let route = routes.configuration.route(&item.route)?;
         let entry = routes.find(&route.host, &route.prefix);
         let service = entry.and_then(|entry| entry.next_service())?;
@@ -121,18 +126,18 @@
         let view = self.inner.forwarder.replicas().view();
         let now = Instant::now();
         let registry = self.registry();
-        let is_held = registry.no_capacity.holds(service, &regions, now);
-        let is_behind = registry.no_capacity.is_behind(service, &regions, now);
+        let is_paused = registry.no_capacity.is_paused(service, &regions, now);
+        let is_deferred = registry.no_capacity.is_deferred(service, &regions, now);
         drop(registry);
-        if is_held || !view.has_usable(service, &regions) {
+        if is_paused || !view.has_usable(service, &regions) {
             return None;
         }
 
         Some(ReadyItem {
-            item: within(item, regions),
+            item: restrict_to_regions(item, regions),
             service: service.to_owned(),
-            room,
-            is_behind,
+            item_slack,
+            is_deferred,
         })
     }
 
@@ -185,7 +190,7 @@
     fn start_item(&self, ready: &ReadyItem) -> bool {
         let item = &ready.item;
         let mut registry = self.registry();
-        if registry.placing >= MOST_PLACING {
+        if registry.placing >= MAX_PLACING {
             return false;
         }
         if registry.item(&item.job, item.number).is_none() {
@@ -212,29 +217,35 @@
         let ReadyItem {
             item,
             service,
-            room,
+            item_slack,
             ..
         } = ready;
         let forwarder = &self.inner.forwarder;
         let placement = forwarder
-            .place(&item.request, &service, &[], PLACE_PATIENCE, Some(room))
+            .place(
+                &item.request,
+                &service,
+                &[],
+                PLACEMENT_TIMEOUT,
+                Some(item_slack),
+            )
             .await;
         drop(placing);
         let Some(mut placement) = placement else {
-            self.note_no_room(&item, &service);
+            self.note_no_capacity(&item, &service);
             return;
         };
-        if let Some(earlier) = item.ran_at {
+        if let Some(earlier) = item.last_replica_instance {
             let view = forwarder.replicas().view();
             let policy = self.inner.forwarder.policy();
             placement.choice.copy_from_earlier(&view, earlier, policy);
         }
         let at = RunSlot {
             replica: placement.choice.replica.record.id.clone(),
-            place: placement.in_progress.place().unwrap_or_default(),
+            slot: placement.in_progress.place().unwrap_or_default(),
         };
         if let Some(entry) = self.registry().item(&item.job, item.number) {
-            entry.ran_at = Some(placement.choice.replica.hash);
+            entry.last_replica_instance = Some(placement.choice.replica.hash);
             if let ItemPhase::Running {
                 at: known, since, ..
             } = &mut entry.phase
@@ -247,7 +258,7 @@
     }
 
     /// No replica has room for an item: it waits, and none that may run nowhere else is tried for a moment.
-    fn note_no_room(&self, item: &StartableItem, service: &str) {
+    fn note_no_capacity(&self, item: &StartableItem, service: &str) {
         let now = Instant::now();
         let mut registry = self.registry();
         registry
@@ -277,7 +288,7 @@
         self.log_run(item, replica, outcome);
         let attempts = self.attempts_of(&item.route);
         let mut registry = self.registry();
-        if *outcome == RunOutcome::Finished && item.began_anew {
+        if *outcome == RunOutcome::Finished && item.started_fresh {
             let events = crate::item::lock(&item.progress).texts.len();
             registry.run_length.observe(started.elapsed(), events);
         }
@@ -338,7 +349,7 @@
     }
 
     /// Ends runs at replicas where requests wait for slots that batch work holds, as far as no coordinator does.
-    fn yield_to_online(&self) {
+    fn preempt_for_online(&self) {
         let view = self.inner.forwarder.replicas().view();
         let places = self.inner.forwarder.places();
         for replica in view.all() {
@@ -346,68 +357,70 @@
             if own == 0 {
                 continue;
             }
-            let counted = replica.online() + replica.batch();
+            let in_use = replica.online() + replica.batch();
             let slots = replica.slots();
-            if counted <= slots + slots / 2 || places.is_coordinated(replica) {
+            if in_use <= slots + slots / 2 || places.is_coordinated(replica) {
                 continue;
             }
-            if !self.may_yield_at(&replica.record.id) {
+            if !self.may_preempt_at(&replica.record.id) {
                 continue;
             }
             // Each daemon gives back its share; the rest follows if it is still needed.
-            let excess = counted - slots;
+            let excess = in_use - slots;
             let share = f64::from(excess * own) / f64::from(replica.batch().max(1));
-            self.end_runs(&replica.record.id, round_by_chance(share));
+            self.preempt_runs_at(&replica.record.id, round_stochastically(share));
         }
     }
 
     /// Online requests need slots at a replica: as many of this daemon's runs there end at once.
     pub fn preempt_slots(&self, replica: &str, slots: u32) {
-        self.end_runs(replica, slots as usize);
+        self.preempt_runs_at(replica, slots as usize);
     }
 
     /// The item that holds a place shall end at once.
-    pub fn preempt_lease(&self, place: u32) {
-        let ended = self.registry().preempt_lease(place, YIELD_PAUSE);
-        self.log_yielded(ended);
+    pub fn preempt_lease(&self, slot: u32) {
+        let preempted_items = self.registry().preempt_lease(slot, PREEMPTION_PAUSE);
+        self.log_preempted(preempted_items);
     }
 
-    fn end_runs(&self, replica: &str, count: usize) {
-        let ended = self.registry().preempt_runs(replica, count, YIELD_PAUSE);
-        self.log_yielded(ended);
+    fn preempt_runs_at(&self, replica: &str, count: usize) {
+        let preempted_items = self
+            .registry()
+            .preempt_runs(replica, count, PREEMPTION_PAUSE);
+        self.log_preempted(preempted_items);
     }
 
-    fn log_yielded(&self, ended: impl IntoIterator<Item = PreemptedItem>) {
-        for yielded in ended {
+    fn log_preempted(&self, preempted_items: impl IntoIterator<Item = PreemptedItem>) {
+        for preempted in preempted_items {
             self.inner.log.record(&Record::ItemRun {
-                job: &yielded.job,
-                item: &yielded.item,
-                replica: &yielded.replica,
+                job: &preempted.job,
+                item: &preempted.item,
+                replica: &preempted.replica,
                 outcome: "yielded to online",
-                events: yielded.events,
+                events: preempted.events,
             });
         }
     }
 
     /// True if the last yield at the replica has shown its effect; then this one counts.
-    fn may_yield_at(&self, replica: &str) -> bool {
+    fn may_preempt_at(&self, replica: &str) -> bool {
         let mut registry = self.registry();
         let last = registry.preempted_at.get(replica);
-        let due = last.is_none_or(|last| last.elapsed() >= YIELD_EVERY);
-        if due {
+        let is_due = last.is_none_or(|last| last.elapsed() >= PREEMPTION_INTERVAL);
+        if is_due {
             registry
                 .preempted_at
                 .insert(replica.to_owned(), Instant::now());
         }
-        due
+        is_due
     }
 }
 
 /// Rounds so that the daemons' shares add up on the mean.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn round_by_chance(share: f64) -> usize {
-    let up = rand::random::<f64>() < share.fract();
-    share.floor() as usize + usize::from(up)
+fn round_stochastically(share: f64) -> usize {
+    let rounds_up = rand::random::<f64>() < share.fract();
+    share.floor() as usize + usize::from(rounds_up)
 }
 
 /// Counts an item for which a place is asked.
--- a/crates/inline-jobs/src/service.rs
+++ b/crates/inline-jobs/src/service.rs
@@ -110,7 +110,7 @@
 }
 
 /// Part of the cancel bound that is kept for what is under way.
-const CANCEL_RESERVE: Duration = Duration::from_millis(700);
+const CANCEL_MARGIN: Duration = Duration::from_millis(700);
 
 impl InlineJobs {
     /// Jobs over these parts. Nothing runs until [`InlineJobs::run`] is driven.
@@ -161,7 +161,7 @@
     /// True if no end of a job can have been acknowledged so long ago that its items must not start any more.
     pub(crate) fn may_start_runs(&self) -> bool {
         let bound = self.inner.settings.cancel_within;
-        let bound = bound.saturating_sub(CANCEL_RESERVE);
+        let bound = bound.saturating_sub(CANCEL_MARGIN);
         let age = self.inner.view.proof_age();
         !self.is_stopping() && age.is_some_and(|age| age < bound)
     }
@@ -207,8 +207,8 @@
             return;
         }
         let before = job.known.header.clone();
-        let lost = !self.owns(&known.header) || known.header.epoch != before.epoch;
-        if known.is_open() && !lost {
+        let is_lost = !self.owns(&known.header) || known.header.epoch != before.epoch;
+        if known.is_open() && !is_lost {
             job.update_header(known.clone());
             return;
         }
@@ -216,7 +216,7 @@
         registry.jobs.remove(job_id);
         drop(registry);
         let (outcome, reason) = match known.header.owner.as_str() {
-            _ if !lost => ("closed", ""),
+            _ if !is_lost => ("closed", ""),
             "" => ("released", ""),
             other => ("lost", other),
         };
@@ -250,7 +250,7 @@
     }
 
     /// Enters a job whose items are known.
-    pub(crate) fn enter(&self, job: OwnedJob) {
+    pub(crate) fn register(&self, job: OwnedJob) {
         let job_id = job.known.header.job_id.clone();
         let mut registry = self.registry();
         registry.jobs.entry(job_id.clone()).or_insert(job);
@@ -270,8 +270,8 @@
         let jobs = self.clone();
         tokio::spawn(async move {
             let job_id = known.header.job_id.clone();
-            jobs.read_and_enter(known).await;
-            jobs.takeovers().loaded(&job_id);
+            jobs.read_and_register(known).await;
+            jobs.takeovers().end_load(&job_id);
             // Lost and won again meanwhile: the task may have ended on the loss.
             if let Some(newest) = jobs.inner.view.get(&job_id) {
                 jobs.header_changed(&newest);
@@ -279,7 +279,7 @@
         });
     }
 
-    async fn read_and_enter(&self, known: KnownHeader) {
+    async fn read_and_register(&self, known: KnownHeader) {
         let store = &self.inner.store;
         loop {
             let current = self.inner.view.get(&known.header.job_id);
@@ -297,11 +297,11 @@
                     .collect();
                 let attempts = self.attempts_of(&current.header.route);
                 let mut job = OwnedJob::new(current, requests, progress);
-                job.fail_spent_items(attempts);
-                self.enter(job);
+                job.fail_exhausted_items(attempts);
+                self.register(job);
                 return;
             }
-            tokio::time::sleep(LOAD_PAUSE).await;
+            tokio::time::sleep(LOAD_RETRY_PAUSE).await;
         }
     }
 
@@ -317,20 +317,20 @@
     /// Gives all jobs up for others; ends at `until` at the latest.
     pub async fn hand_over_all(&self, until: Instant) {
         self.inner.stopping.store(true, Ordering::Relaxed);
-        let mut given = Vec::new();
+        let mut released_jobs = Vec::new();
         {
             let mut registry = self.registry();
             for job in registry.jobs.values_mut() {
-                given.push((job.known.clone(), job.stop_for_handover()));
+                released_jobs.push((job.known.clone(), job.stop_for_handover()));
             }
         }
-        let handing = given
+        let handovers = released_jobs
             .into_iter()
             .map(|(known, left)| self.hand_over(known, left, "stopping", until));
         // A write that the store does not answer lasts longer than `until`; what it was to hand over is adopted once
         // this daemon is gone.
-        let handed = timeout_at(until, futures::future::join_all(handing)).await;
-        if handed.is_err() {
+        let finished = timeout_at(until, futures::future::join_all(handovers)).await;
+        if finished.is_err() {
             self.inner.log.record(&Record::DependencyLost {
                 dependency: JOB_HEADERS,
                 cause: "no answer while jobs were handed over",
@@ -340,4 +340,4 @@
 }
 
 /// Pause before a job's items are read again.
-const LOAD_PAUSE: Duration = Duration::from_millis(150);
+const LOAD_RETRY_PAUSE: Duration = Duration::from_millis(150);
--- a/crates/inline-jobs/src/store.rs
+++ b/crates/inline-jobs/src/store.rs
@@ -19,7 +19,7 @@
 use crate::keys;
 use crate::view::KnownHeader;
 
-use transactions::{ROW_BYTES, TRANSACTION_BYTES, add_progress, header_change, listing};
+use transactions::{MAX_ROW_BYTES, MAX_TRANSACTION_BYTES, add_progress, header_change, listing};
 
 /// How a conditional write of a head ended.
 #[derive(Debug, Clone, PartialEq)]
@@ -153,7 +153,7 @@
             let key = keys::fence(&header.route, &header.job_id);
             transaction = transaction.require(Condition::AtRevision { key, revision });
         }
-        if content.len() > TRANSACTION_BYTES {
+        if content.len() > MAX_TRANSACTION_BYTES {
             header.item_object = format!("jobitems-{}-{}", header.job_id, header.owner);
             let put = self
                 .objects
@@ -165,7 +165,7 @@
             let mut number = 0;
             let mut rest = content;
             while !rest.is_empty() {
-                let piece = rest.split_to(rest.len().min(ROW_BYTES));
+                let piece = rest.split_to(rest.len().min(MAX_ROW_BYTES));
                 transaction = transaction.put(keys::items(&header.job_id, number), piece);
                 number += 1;
             }
@@ -244,7 +244,7 @@
     ) -> WriteOutcome {
         let transaction = listing(revision, header, position, results);
         let transaction = add_progress(transaction, &header.job_id, progress);
-        self.settle_side_by_side(transaction, until).await
+        self.settle_concurrently(transaction, until).await
     }
 
     /// Saves the progress of items, once and under no condition.
--- a/crates/inline-jobs/src/store/reads.rs
+++ b/crates/inline-jobs/src/store/reads.rs
@@ -6,19 +6,19 @@
 use harrierward_wire::{ItemProgressRow, JobHeaderRow, JobItemsRow, ResultPieceRow, decode};
 use tokio::time::{Instant, sleep};
 
-use super::settling::LONGEST_PAUSE;
+use super::settling::MAX_PAUSE;
 use super::{HeaderReading, JobStore, ReadResult, known};
 use crate::keys::{self, RowKind};
 use crate::view::KnownHeader;
 
 /// Most rows read at once.
-const READ_ROWS: usize = 500;
+const MAX_READ_ROWS: usize = 500;
 
 /// Most rows of results read at once; most results are a row of about 15 kB.
-const RESULT_ROWS: usize = 40;
+const MAX_RESULT_ROWS: usize = 40;
 
 /// Most rows removed at once.
-const DELETE_ROWS: usize = 80;
+const MAX_DELETE_ROWS: usize = 80;
 
 impl JobStore {
     /// All heads, as of `revision` at least; `None` if they could not be read before `until`.
@@ -37,7 +37,7 @@
                 let headers = snapshot.rows.iter().filter(is_header);
                 return Some(headers.filter_map(known).collect());
             }
-            sleep(LONGEST_PAUSE / 2).await;
+            sleep(MAX_PAUSE / 2).await;
         }
         None
     }
@@ -58,9 +58,9 @@
             let after = rows.last().map_or(String::new(), |row| row.key.clone());
             let page = self
                 .table
-                .scan(RequestClass::Commit, prefix, &after, READ_ROWS)
+                .scan(RequestClass::Commit, prefix, &after, MAX_READ_ROWS)
                 .await?;
-            let last = page.len() < READ_ROWS;
+            let last = page.len() < MAX_READ_ROWS;
             rows.extend(page);
             if last {
                 return Ok(rows);
@@ -116,9 +116,9 @@
         loop {
             let page = self
                 .table
-                .scan(RequestClass::Commit, &prefix, &after, RESULT_ROWS)
+                .scan(RequestClass::Commit, &prefix, &after, MAX_RESULT_ROWS)
                 .await?;
-            let last_page = page.len() < RESULT_ROWS;
+            let last_page = page.len() < MAX_RESULT_ROWS;
             for row in page {
                 let wanted = position + u32::try_from(results.len()).unwrap_or_default();
                 let piece: Option<ResultPieceRow> = decode(&row.value);
@@ -156,7 +156,7 @@
             keys::results_prefix(job_id),
             keys::progress_prefix(job_id),
         ] {
-            for rows in self.read_all(&prefix).await?.chunks(DELETE_ROWS) {
+            for rows in self.read_all(&prefix).await?.chunks(MAX_DELETE_ROWS) {
                 let transaction = rows
                     .iter()
                     .fold(Transaction::default(), |transaction, row| {
--- a/crates/inline-jobs/src/store/settling.rs
+++ b/crates/inline-jobs/src/store/settling.rs
@@ -13,12 +13,12 @@
 use crate::keys::{self, RowKind};
 
 /// Pause after which a last write is sent again beside the one that is not answered, whose answer may be lost; and tries at a time.
-const RESEND_AFTER: Duration = Duration::from_millis(1_500);
-const MOST_TRIES: usize = 4;
+const RESEND_DELAY: Duration = Duration::from_millis(1_500);
+const MAX_ATTEMPTS: usize = 4;
 
 /// Pauses between tries of one transaction.
 pub(super) const FIRST_PAUSE: Duration = Duration::from_millis(15);
-pub(super) const LONGEST_PAUSE: Duration = Duration::from_millis(250);
+pub(super) const MAX_PAUSE: Duration = Duration::from_millis(250);
 
 impl JobStore {
     /// Sends a transaction until its outcome is known or `until` has come. Repeating is harmless: the condition on
@@ -30,7 +30,7 @@
         until: Instant,
     ) -> WriteOutcome {
         let mut random = SmallRng::from_os_rng();
-        let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+        let mut backoff = Backoff::new(FIRST_PAUSE, MAX_PAUSE);
         let mut is_indeterminate = false;
         loop {
             match self.table.transact(class, transaction.clone()).await {
@@ -47,30 +47,30 @@
 
     /// The same for a daemon that stops, which has no time for a second patience: a try that is not answered yet goes on while
     /// others are sent beside it. A slow store does the first one, a lost answer is made up for by the second.
-    pub(super) async fn settle_side_by_side(
+    pub(super) async fn settle_concurrently(
         &self,
         transaction: Transaction,
         until: Instant,
     ) -> WriteOutcome {
         let mut random = SmallRng::from_os_rng();
-        let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
-        let mut tries = FuturesUnordered::new();
+        let mut backoff = Backoff::new(FIRST_PAUSE, MAX_PAUSE);
+        let mut attempts = FuturesUnordered::new();
         let mut next = Instant::now();
         let mut is_indeterminate = false;
         loop {
             tokio::select! {
-                () = sleep_until(next), if tries.len() < MOST_TRIES => {
-                    tries.push(self.table.transact(RequestClass::Handover, transaction.clone()));
-                    next = Instant::now() + RESEND_AFTER;
+                () = sleep_until(next), if attempts.len() < MAX_ATTEMPTS => {
+                    attempts.push(self.table.transact(RequestClass::Handover, transaction.clone()));
+                    next = Instant::now() + RESEND_DELAY;
                 }
-                Some(answer) = tries.next() => match answer {
+                Some(answer) = attempts.next() => match answer {
                     Ok(outcome) => return write_outcome(outcome),
                     Err(error) => {
                         is_indeterminate |= error.may_have_happened();
                         next = Instant::now() + FIRST_PAUSE + backoff.wait(&mut random);
                     }
                 },
-                () = sleep_until(until) => return unsettled(is_indeterminate || !tries.is_empty()),
+                () = sleep_until(until) => return unsettled(is_indeterminate || !attempts.is_empty()),
             }
         }
     }
--- a/crates/inline-jobs/src/store/transactions.rs
+++ b/crates/inline-jobs/src/store/transactions.rs
@@ -7,20 +7,20 @@
 use crate::keys;
 
 /// Largest content of a row, bytes; base64 makes it a third longer.
-pub(super) const ROW_BYTES: usize = 45_000;
+pub(super) const MAX_ROW_BYTES: usize = 45_000;
 
 /// Largest content of a transaction that is kept in rows, bytes.
-pub(super) const TRANSACTION_BYTES: usize = 600_000;
+pub(super) const MAX_TRANSACTION_BYTES: usize = 600_000;
 
 /// Most entries of a transaction, conditions included: what the users' store takes.
-const TRANSACTION_ENTRIES: usize = 100;
+const MAX_TRANSACTION_ENTRIES: usize = 100;
 
 /// Splits a text at character boundaries.
 fn pieces_of(text: &str) -> Vec<&str> {
     let mut rest = text;
     let mut pieces = Vec::new();
-    while rest.len() > ROW_BYTES {
-        let mut end = ROW_BYTES;
+    while rest.len() > MAX_ROW_BYTES {
+        let mut end = MAX_ROW_BYTES;
         while !rest.is_char_boundary(end) {
             end -= 1;
         }
@@ -68,14 +68,14 @@
     });
     let mut bytes: usize = puts.sum();
     let entries = transaction.conditions.len() + transaction.writes.len();
-    let mut room = TRANSACTION_ENTRIES.saturating_sub(entries);
+    let mut free_entries = MAX_TRANSACTION_ENTRIES.saturating_sub(entries);
     for (item, row) in progress {
         let content = encode(row);
-        let fits = content.len() <= ROW_BYTES && bytes + content.len() <= TRANSACTION_BYTES;
-        if room == 0 || !fits {
+        let fits = content.len() <= MAX_ROW_BYTES && bytes + content.len() <= MAX_TRANSACTION_BYTES;
+        if free_entries == 0 || !fits {
             continue;
         }
-        room -= 1;
+        free_entries -= 1;
         bytes += content.len();
         transaction = transaction.put(keys::progress(job_id, *item), content);
     }
--- a/crates/inline-jobs/src/submit.rs
+++ b/crates/inline-jobs/src/submit.rs
@@ -18,23 +18,23 @@
 use crate::view::KnownHeader;
 
 /// Most items of a job.
-const MOST_ITEMS: usize = 200;
+const MAX_ITEMS: usize = 200;
 
 /// Longest time for which a submission is held.
-const LONGEST_HOLD: Duration = Duration::from_millis(2_500);
+const MAX_WAIT: Duration = Duration::from_millis(2_500);
 
 /// Part of the caller's patience for which a submission may be held, in percent.
 const TIMEOUT_PERCENT: u32 = 70;
 
 /// Age of the last proof of contact from which on the store counts as out of reach.
-const STORE_AWAY_AFTER: Duration = Duration::from_millis(2_800);
+const MAX_PROOF_AGE: Duration = Duration::from_millis(2_800);
 
 /// Longest wait for the first read of the heads, and the pause between looks.
 const FIRST_READ_WAIT: Duration = Duration::from_millis(800);
-const FIRST_READ_LOOK: Duration = Duration::from_millis(10);
+const FIRST_READ_POLL: Duration = Duration::from_millis(10);
 
 /// When a job that does not fit may come back.
-const FULL_RETRY: Duration = Duration::from_millis(1_000);
+const QUOTA_RETRY: Duration = Duration::from_millis(1_000);
 
 /// When a job that could not be kept may come back.
 const STORE_RETRY: Duration = Duration::from_millis(300);
@@ -42,7 +42,7 @@
 impl InlineJobs {
     /// Takes a job, once.
     pub async fn submit(&self, mut job: SubmittedJob) -> SubmitOutcome {
-        let arrived = Instant::now();
+        let arrived_at = Instant::now();
         let Some(routes) = self.inner.forwarder.routes() else {
             return SubmitOutcome::NoConfiguration;
         };
@@ -59,34 +59,34 @@
                 return SubmitOutcome::Denied(cause);
             }
         };
-        if let Err(cause) = check(&job) {
+        if let Err(cause) = validate(&job) {
             return SubmitOutcome::Malformed(cause);
         }
         job.id = scoped_id(tenant.as_deref(), &job.id);
         let tenant = tenant.as_deref().unwrap_or_default();
-        let outcome = self.keep(&job, &route, tenant, arrived).await;
+        let outcome = self.store_job(&job, &route, tenant, arrived_at).await;
         self.log_submission(&job, &route, tenant, outcome);
         outcome
     }
 
-    async fn keep(
+    async fn store_job(
         &self,
         job: &SubmittedJob,
         route: &Route,
         tenant: &str,
-        arrived: Instant,
+        arrived_at: Instant,
     ) -> SubmitOutcome {
         let view = &self.inner.view;
         if view.get(&job.id).is_some() {
             return SubmitOutcome::Accepted;
         }
-        if !self.knows_headers(arrived).await {
+        if !self.is_view_fresh(arrived_at).await {
             // Nothing was sent: another daemon may still reach the store.
             return SubmitOutcome::NotStored {
                 retry_after: STORE_RETRY,
             };
         }
-        let until = arrived + hold_of(job);
+        let until = arrived_at + max_wait_of(job);
         let request = QuotaRequest {
             route: &route.name,
             tenant,
@@ -100,18 +100,18 @@
         loop {
             let fence = match self.reserve(request, route, until).await {
                 Reservation::Granted { fence } => fence,
-                Reservation::Full => return self.refuse_unless_kept(&job.id).await,
+                Reservation::Full => return self.refuse_unless_stored(&job.id).await,
                 Reservation::Unreachable => {
                     return SubmitOutcome::NotStored {
                         retry_after: STORE_RETRY,
                     };
                 }
             };
-            let header = self.header_of(job, route, tenant);
+            let header = self.new_header(job, route, tenant);
             let store = &self.inner.store;
             match store.create(header.clone(), &rows, fence, until).await {
                 WriteOutcome::Committed { revision } => {
-                    self.begin(header, rows, revision);
+                    self.register_stored(header, rows, revision);
                     return SubmitOutcome::Accepted;
                 }
                 WriteOutcome::Conflict {
@@ -141,15 +141,15 @@
 
     /// True if the copy of the heads is true enough to tell what waits. A daemon that has just started waits a
     /// moment for its first read.
-    async fn knows_headers(&self, arrived: Instant) -> bool {
+    async fn is_view_fresh(&self, arrived_at: Instant) -> bool {
         let view = &self.inner.view;
-        while view.proof_age().is_none() && arrived.elapsed() < FIRST_READ_WAIT {
-            sleep(FIRST_READ_LOOK).await;
+        while view.proof_age().is_none() && arrived_at.elapsed() < FIRST_READ_WAIT {
+            sleep(FIRST_READ_POLL).await;
         }
-        view.proof_age().is_some_and(|age| age <= STORE_AWAY_AFTER)
+        view.proof_age().is_some_and(|age| age <= MAX_PROOF_AGE)
     }
 
-    fn header_of(&self, job: &SubmittedJob, route: &Route, tenant: &str) -> JobHeaderRow {
+    fn new_header(&self, job: &SubmittedJob, route: &Route, tenant: &str) -> JobHeaderRow {
         let items = job
             .items
             .iter()
@@ -185,13 +185,13 @@
     }
 
     /// The job is kept: enter it, unless it is for others.
-    fn begin(&self, header: JobHeaderRow, rows: JobItemsRow, revision: u64) {
-        let owned = self.owns(&header);
+    fn register_stored(&self, header: JobHeaderRow, rows: JobItemsRow, revision: u64) {
+        let is_owned = self.owns(&header);
         let known = KnownHeader { header, revision };
         // The watch may have brought the head already, and with it the loading of the items.
-        let entered = self.registry().jobs.contains_key(&known.header.job_id);
+        let is_registered = self.registry().jobs.contains_key(&known.header.job_id);
         self.inner.view.update(known.clone());
-        if !owned || entered {
+        if !is_owned || is_registered {
             return;
         }
         let requests = rows
@@ -199,15 +199,15 @@
             .into_iter()
             .map(|row| item_request(row, &known.header))
             .collect();
-        self.enter(OwnedJob::new(known, requests, Vec::new()));
+        self.register(OwnedJob::new(known, requests, Vec::new()));
     }
 
     /// A job that does not fit may have been taken already by another daemon.
-    async fn refuse_unless_kept(&self, job_id: &str) -> SubmitOutcome {
+    async fn refuse_unless_stored(&self, job_id: &str) -> SubmitOutcome {
         match self.read_header(job_id).await {
             Lookup::Found(_) => SubmitOutcome::Accepted,
             Lookup::Missing => SubmitOutcome::QuotaExceeded {
-                retry_after: FULL_RETRY,
+                retry_after: QUOTA_RETRY,
             },
             Lookup::Unavailable => SubmitOutcome::NotStored {
                 retry_after: STORE_RETRY,
@@ -245,9 +245,9 @@
 }
 
 /// How long a submission may be held.
-fn hold_of(job: &SubmittedJob) -> Duration {
-    job.timeout.map_or(LONGEST_HOLD, |timeout| {
-        (timeout * TIMEOUT_PERCENT / 100).min(LONGEST_HOLD)
+fn max_wait_of(job: &SubmittedJob) -> Duration {
+    job.timeout.map_or(MAX_WAIT, |timeout| {
+        (timeout * TIMEOUT_PERCENT / 100).min(MAX_WAIT)
     })
 }
 
@@ -255,14 +255,14 @@
     job.items.iter().map(|item| item.tokens).sum()
 }
 
-fn check(job: &SubmittedJob) -> Result<(), &'static str> {
+fn validate(job: &SubmittedJob) -> Result<(), &'static str> {
     if !keys::is_usable_id(&job.id) {
         return Err("the job's id must be 1 to 120 letters, digits, '-', '_' or '.'");
     }
     if job.items.is_empty() {
         return Err("a job needs an item");
     }
-    if job.items.len() > MOST_ITEMS {
+    if job.items.len() > MAX_ITEMS {
         return Err("a job has 200 items at most");
     }
     let mut ids: Vec<&str> = job.items.iter().map(|item| item.id.as_str()).collect();
--- a/crates/inline-jobs/src/takeover.rs
+++ b/crates/inline-jobs/src/takeover.rs
@@ -8,7 +8,7 @@
 use harrierward_wire::JobHeaderRow;
 use tokio::time::Instant;
 
-use crate::adoption::ADOPT_HOLD;
+use crate::adoption::HEADER_WRITE_TIMEOUT;
 use crate::adoption_order::{challenged, refuted};
 use crate::owned_job::HandoverState;
 use crate::service::InlineJobs;
@@ -17,16 +17,16 @@
 
 /// An owner that is challenged and whose job came to nothing for so long gives it up instead of refuting: it reaches the
 /// store, and perhaps no replica.
-const STUCK_AFTER: Duration = Duration::from_secs(5);
+const STUCK_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Most heads that this daemon writes at once for takeovers: a cut that makes all other owners missing shall not fill the
 /// queues of the store, through which their refutations go.
-const MOST_WRITES: usize = 8;
+const MAX_CONCURRENT_WRITES: usize = 8;
 
 /// The takeovers of this daemon, on a clock that counts suspensions.
 pub(crate) struct JobTakeovers {
     core: Takeovers,
-    began: Instant,
+    origin: Instant,
     /// Jobs whose head this daemon is writing.
     writing: HashSet<String>,
     /// Jobs whose items this daemon is reading, and since when.
@@ -37,7 +37,7 @@
     fn default() -> Self {
         Self {
             core: Takeovers::new(TakeoverBounds::default(), rand::random()),
-            began: harrierward_clock::now(),
+            origin: harrierward_clock::now(),
             writing: HashSet::new(),
             loading: HashMap::new(),
         }
@@ -46,10 +46,10 @@
 
 impl JobTakeovers {
     fn now(&self) -> Duration {
-        harrierward_clock::age(self.began)
+        harrierward_clock::age(self.origin)
     }
 
-    /// What to do about a job now; what is not to wait is under way until [`Self::written`]. `delay` is how long this daemon lets
+    /// What to do about a job now; what is not to wait is under way until [`Self::end_write`]. `delay` is how long this daemon lets
     /// others go first, `None` if the job is not for it.
     pub fn step(
         &mut self,
@@ -58,11 +58,11 @@
         delay: impl FnOnce() -> Option<Duration>,
     ) -> Step {
         let job_id = &known.header.job_id;
-        if self.writing.len() >= MOST_WRITES || self.writing.contains(job_id) {
+        if self.writing.len() >= MAX_CONCURRENT_WRITES || self.writing.contains(job_id) {
             return Step::Wait;
         }
         let now = self.now();
-        let delay = || delay().unwrap_or(NOT_FOR_THIS_DAEMON);
+        let delay = || delay().unwrap_or(INELIGIBLE_DELAY);
         let step = self.core.step(claim(known), status, delay, now);
         if step != Step::Wait {
             self.writing.insert(job_id.clone());
@@ -76,7 +76,7 @@
     }
 
     /// The write of a job's head has ended.
-    pub fn written(&mut self, job_id: &str) {
+    pub fn end_write(&mut self, job_id: &str) {
         self.writing.remove(job_id);
     }
 
@@ -90,14 +90,14 @@
     }
 
     /// A job's items were read, or need not be.
-    pub fn loaded(&mut self, job_id: &str) {
+    pub fn end_load(&mut self, job_id: &str) {
         self.loading.remove(job_id);
     }
 
     /// True if a job's items could not be read for so long.
-    fn has_loaded_for(&self, job_id: &str, patience: Duration) -> bool {
+    fn has_been_loading_for(&self, job_id: &str, timeout: Duration) -> bool {
         let since = self.loading.get(job_id);
-        since.is_some_and(|since| since.elapsed() >= patience)
+        since.is_some_and(|since| since.elapsed() >= timeout)
     }
 
     /// Forgets jobs that are not open any more.
@@ -108,7 +108,7 @@
 }
 
 /// Delay of a daemon that must not adopt a job, since it may not read its bodies: longer than any job is open.
-const NOT_FOR_THIS_DAEMON: Duration = Duration::from_secs(1_000_000);
+const INELIGIBLE_DELAY: Duration = Duration::from_secs(1_000_000);
 
 fn claim(known: &KnownHeader) -> Claim<'_> {
     let header = &known.header;
@@ -123,14 +123,14 @@
 }
 
 /// A write of a job's head that is under way.
-struct EnteredWrite {
+struct WriteGuard {
     jobs: InlineJobs,
     job_id: String,
 }
 
-impl Drop for EnteredWrite {
+impl Drop for WriteGuard {
     fn drop(&mut self) {
-        self.jobs.takeovers().written(&self.job_id);
+        self.jobs.takeovers().end_write(&self.job_id);
     }
 }
 
@@ -188,13 +188,13 @@
         known: KnownHeader,
         write: impl FnOnce(Self, KnownHeader) -> F + Send + 'static,
     ) {
-        let entered = EnteredWrite {
+        let guard = WriteGuard {
             jobs: self.clone(),
             job_id: known.header.job_id.clone(),
         };
         let jobs = self.clone();
         tokio::spawn(async move {
-            let _entered = entered;
+            let _guard = guard;
             write(jobs, known).await;
         });
     }
@@ -207,8 +207,8 @@
 
     async fn challenge(&self, known: &KnownHeader, status: OwnerStanding) {
         let header = challenged(&known.header, &self.inner.instance_id);
-        let began = harrierward_clock::now();
-        let until = Instant::now() + ADOPT_HOLD;
+        let origin = harrierward_clock::now();
+        let until = Instant::now() + HEADER_WRITE_TIMEOUT;
         let store = &self.inner.store;
         let current = match store.replace_header(known.revision, &header, until).await {
             WriteOutcome::Committed { revision } => KnownHeader { header, revision },
@@ -223,18 +223,18 @@
             self.log_ownership(&known.header, &current.header, "challenged", status.name());
             let mut takeovers = self.takeovers();
             let now = takeovers.now();
-            let took = harrierward_clock::age(began);
-            takeovers.core.challenged(claim(&current), took, now);
+            let elapsed = harrierward_clock::age(origin);
+            takeovers.core.challenged(claim(&current), elapsed, now);
         }
         self.note_header(current);
     }
 
     /// Another daemon holds this one for gone.
     async fn answer_challenge(&self, known: &KnownHeader) {
-        let until = Instant::now() + ADOPT_HOLD;
-        if let Some(left) = self.take_stuck(&known.header.job_id) {
+        let until = Instant::now() + HEADER_WRITE_TIMEOUT;
+        if let Some(state) = self.stop_if_stuck(&known.header.job_id) {
             let reason = "challenged while it got nowhere";
-            self.hand_over(known.clone(), left, reason, until).await;
+            self.hand_over(known.clone(), state, reason, until).await;
             return;
         }
         let header = refuted(&known.header);
@@ -254,12 +254,12 @@
     }
 
     /// What is left of a job of this daemon that gets nowhere here; `None` for one that moves or waits for slots.
-    fn take_stuck(&self, job_id: &str) -> Option<HandoverState> {
-        if self.takeovers().has_loaded_for(job_id, STUCK_AFTER) {
+    fn stop_if_stuck(&self, job_id: &str) -> Option<HandoverState> {
+        if self.takeovers().has_been_loading_for(job_id, STUCK_TIMEOUT) {
             return Some(HandoverState::default());
         }
         let mut registry = self.registry();
         let job = registry.jobs.get_mut(job_id)?;
-        job.is_stuck(STUCK_AFTER).then(|| job.stop_for_handover())
+        job.is_stuck(STUCK_TIMEOUT).then(|| job.stop_for_handover())
     }
 }
--- a/crates/inline-jobs/src/view.rs
+++ b/crates/inline-jobs/src/view.rs
@@ -74,7 +74,7 @@
 struct SeenFence {
     fence: KnownFence,
     /// When it was first seen; `None` for one that was there before this daemon was.
-    seen_at: Option<Instant>,
+    first_seen_at: Option<Instant>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -120,8 +120,8 @@
     /// The copy was true at `moment`.
     pub fn note_proof(&self, moment: Instant, store_time_ms: u64) {
         let mut state = self.lock();
-        let newer = state.proven_at.is_none_or(|known| known < moment);
-        if newer {
+        let is_newer = state.proven_at.is_none_or(|known| known < moment);
+        if is_newer {
             state.proven_at = Some(moment);
         }
         if store_time_ms > 0 {
@@ -162,8 +162,11 @@
         let mut state = self.lock();
         let known = state.fences.get(route);
         if known.is_none_or(|known| known.fence.revision < fence.revision) {
-            let seen_at = state.proven_at.map(|_| harrierward_clock::now());
-            let seen = SeenFence { fence, seen_at };
+            let first_seen_at = state.proven_at.map(|_| harrierward_clock::now());
+            let seen = SeenFence {
+                fence,
+                first_seen_at,
+            };
             state.fences.insert(route.to_owned(), seen);
         }
     }
@@ -177,8 +180,8 @@
     /// Time since a route's fence was first seen; `None` if it was there before this daemon was.
     pub fn fence_age(&self, route: &str) -> Option<Duration> {
         let state = self.lock();
-        let seen_at = state.fences.get(route)?.seen_at?;
-        Some(harrierward_clock::age(seen_at))
+        let first_seen_at = state.fences.get(route)?.first_seen_at?;
+        Some(harrierward_clock::age(first_seen_at))
     }
 
     /// Takes a head; `None` if it is not newer than what was known.
--- a/crates/inline-jobs/tests/adoption_order.rs
+++ b/crates/inline-jobs/tests/adoption_order.rs
@@ -20,22 +20,22 @@
 }
 
 #[test]
-fn a_job_that_was_given_up_is_adopted_near_its_last_owner_and_at_once() {
-    let handed_over = released(&header());
-    assert_eq!(handed_over.owner, "");
-    assert_eq!(last_owner(&handed_over), "gone");
+fn a_released_job_is_adopted_near_its_last_owner_without_delay() {
+    let released_header = released(&header());
+    assert_eq!(released_header.owner, "");
+    assert_eq!(last_owner(&released_header), "gone");
     let owners = owners();
     let near = &owners[3..6];
-    let delay = |owner: &String| adoption_delay(&handed_over, owner, &owners, near);
+    let delay = |owner: &String| adoption_delay(&released_header, owner, &owners, near);
     let first = owners.iter().min_by_key(|owner| delay(owner)).unwrap();
     assert!(near.contains(first), "{first}");
     assert_eq!(delay(first), Duration::ZERO);
-    let away = owners.iter().filter(|owner| !near.contains(owner));
-    assert!(away.into_iter().all(|owner| delay(owner) > Duration::ZERO));
+    let far = owners.iter().filter(|owner| !near.contains(owner));
+    assert!(far.into_iter().all(|owner| delay(owner) > Duration::ZERO));
 }
 
 #[test]
-fn a_dead_owner_is_waited_for_and_then_followed_one_by_one() {
+fn adoption_from_a_dead_owner_is_delayed_and_staggered() {
     let owners = owners();
     let delays = owners.iter();
     let delays = delays.map(|owner| adoption_delay(&header(), owner, &owners, &[]));
@@ -46,7 +46,10 @@
 
 #[test]
 fn an_adopted_job_has_one_owner_and_a_new_epoch() {
-    let taken = adopted(&released(&header()), "daemon-1");
-    assert_eq!((last_owner(&taken), taken.epoch), ("daemon-1", 5));
-    assert_eq!(taken.last_owner, "");
+    let adopted_header = adopted(&released(&header()), "daemon-1");
+    assert_eq!(
+        (last_owner(&adopted_header), adopted_header.epoch),
+        ("daemon-1", 5)
+    );
+    assert_eq!(adopted_header.last_owner, "");
 }
--- a/crates/inline-jobs/tests/pacing.rs
+++ b/crates/inline-jobs/tests/pacing.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn an_item_that_cannot_be_in_time_goes_after_all_others() {
+fn urgency_rises_with_age_until_the_target_is_missed() {
     let remaining = seconds(5);
     let order = [
         urgency(seconds(1), remaining, TARGET),
@@ -29,13 +29,13 @@
 }
 
 #[test]
-fn an_item_whose_output_is_nearly_whole_can_still_be_in_time() {
+fn an_item_whose_output_is_nearly_complete_can_still_be_in_time() {
     let mut run_length = RunLength::default();
     for _ in 0..100 {
         run_length.observe(seconds(6), 240);
     }
-    let nearly_whole = run_length.remaining(230);
+    let nearly_complete = run_length.remaining(230);
     let untouched = run_length.remaining(0);
-    assert_eq!(urgency(seconds(18), nearly_whole, TARGET), Urgency::Late);
+    assert_eq!(urgency(seconds(18), nearly_complete, TARGET), Urgency::Late);
     assert_eq!(urgency(seconds(18), untouched, TARGET), Urgency::Missed);
 }
--- a/crates/inline-jobs/tests/quota_ledger.rs
+++ b/crates/inline-jobs/tests/quota_ledger.rs
@@ -16,19 +16,19 @@
     /// A daemon makes itself the coordinator and reads all heads.
     Fence { daemon: usize },
     /// A job asks a daemon that may or may not know that it keeps the quota no longer.
-    Ask { daemon: usize, job: u8, tokens: u64 },
+    Request { daemon: usize, job: u8, tokens: u64 },
     /// The store does the oldest or newest write that is under way, if its condition still holds.
     Write { newest: bool },
     /// A daemon learns that a write of its own will certainly not be done, and gives the tokens back.
-    GiveUp { newest: bool },
+    Abandon { newest: bool },
     /// The coordinator hears that tokens are given back.
-    Return { newest: bool },
+    Release { newest: bool },
     /// A job is over: its tokens wait no longer.
     Finish { job: u8 },
     /// A daemon hears what the store has.
-    Hear { daemon: usize },
+    Sync { daemon: usize },
     /// Time passes.
-    Pass { millis: u64 },
+    Advance { millis: u64 },
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -37,13 +37,13 @@
     prop_oneof![
         1 => daemon.clone().prop_map(|daemon| Event::Fence { daemon }),
         6 => (daemon.clone(), job.clone(), 10..60_u64)
-            .prop_map(|(daemon, job, tokens)| Event::Ask { daemon, job, tokens }),
+            .prop_map(|(daemon, job, tokens)| Event::Request { daemon, job, tokens }),
         4 => any::<bool>().prop_map(|newest| Event::Write { newest }),
-        2 => any::<bool>().prop_map(|newest| Event::GiveUp { newest }),
-        2 => any::<bool>().prop_map(|newest| Event::Return { newest }),
+        2 => any::<bool>().prop_map(|newest| Event::Abandon { newest }),
+        2 => any::<bool>().prop_map(|newest| Event::Release { newest }),
         2 => job.prop_map(|job| Event::Finish { job }),
-        3 => daemon.prop_map(|daemon| Event::Hear { daemon }),
-        1 => (0..9_000_u64).prop_map(|millis| Event::Pass { millis }),
+        3 => daemon.prop_map(|daemon| Event::Sync { daemon }),
+        1 => (0..9_000_u64).prop_map(|millis| Event::Advance { millis }),
     ]
 }
 
@@ -109,30 +109,30 @@
     #![proptest_config(ProptestConfig::with_cases(4_000))]
 
     #[test]
-    fn the_quota_holds_whoever_grants_and_whenever_writes_are_done(
+    fn the_quota_holds_across_coordinator_changes_and_late_writes(
         events in proptest::collection::vec(event(), 0..120)
     ) {
         let mut now = Instant::now();
         let mut fence = 0;
         let mut store = Headers::new();
-        let mut under_way: Vec<Write> = Vec::new();
-        let mut given_back: Vec<Write> = Vec::new();
+        let mut pending: Vec<Write> = Vec::new();
+        let mut abandoned: Vec<Write> = Vec::new();
         let mut submissions = 0;
         let mut ledgers: Vec<QuotaLedger> = (0..DAEMONS).map(|_| QuotaLedger::default()).collect();
-        let mut heard: Vec<Headers> = vec![Headers::new(); DAEMONS];
+        let mut views: Vec<Headers> = vec![Headers::new(); DAEMONS];
         for event in events {
             match event {
                 Event::Fence { daemon } => {
                     fence += 1;
-                    heard[daemon].clone_from(&store);
+                    views[daemon].clone_from(&store);
                     ledgers[daemon].begin(ROUTE, fence);
                 }
-                Event::Ask { daemon, job, tokens } => {
+                Event::Request { daemon, job, tokens } => {
                     submissions += 1;
-                    let (ledger, headers) = (&mut ledgers[daemon], &heard[daemon]);
+                    let (ledger, headers) = (&mut ledgers[daemon], &views[daemon]);
                     let decision = decide_for(ledger, headers, job, tokens, now, submissions);
                     if let QuotaDecision::Granted { fence } = decision {
-                        under_way.push(Write {
+                        pending.push(Write {
                             job,
                             tokens,
                             fence,
@@ -142,14 +142,14 @@
                     }
                 }
                 Event::Write { newest } => {
-                    let write = take_one(&mut under_way, newest);
+                    let write = take_one(&mut pending, newest);
                     if let Some(write) = write.filter(|write| write.fence == fence) {
                         store.entry(write.job).or_insert(write.tokens);
                     }
                 }
-                Event::GiveUp { newest } => given_back.extend(take_one(&mut under_way, newest)),
-                Event::Return { newest } => {
-                    if let Some(write) = take_one(&mut given_back, newest) {
+                Event::Abandon { newest } => abandoned.extend(take_one(&mut pending, newest)),
+                Event::Release { newest } => {
+                    if let Some(write) = take_one(&mut abandoned, newest) {
                         let ledger = &mut ledgers[write.coordinator];
                         ledger.release(ROUTE, &name(write.job), write.submission);
                     }
@@ -159,8 +159,8 @@
                         *tokens = 0;
                     }
                 }
-                Event::Hear { daemon } => heard[daemon].clone_from(&store),
-                Event::Pass { millis } => now += Duration::from_millis(millis),
+                Event::Sync { daemon } => views[daemon].clone_from(&store),
+                Event::Advance { millis } => now += Duration::from_millis(millis),
             }
             let waiting: u64 = store.values().sum();
             prop_assert!(waiting <= LIMIT, "{waiting} wait");
@@ -169,77 +169,77 @@
 }
 
 #[test]
-fn a_grant_that_stays_unseen_asks_for_a_new_fence_and_a_returned_one_is_free_at_once() {
+fn an_expired_grant_requires_a_new_fence_and_a_released_one_frees_its_tokens() {
     let start = Instant::now();
     let mut ledger = QuotaLedger::default();
-    let none = Headers::new();
+    let no_headers = Headers::new();
     assert_eq!(
-        decide(&mut ledger, &none, 1, 60, start),
+        decide(&mut ledger, &no_headers, 1, 60, start),
         QuotaDecision::FenceRequired
     );
     ledger.begin(ROUTE, 5);
     let granted = QuotaDecision::Granted { fence: 5 };
-    assert_eq!(decide(&mut ledger, &none, 1, 60, start), granted);
+    assert_eq!(decide(&mut ledger, &no_headers, 1, 60, start), granted);
     assert_eq!(
-        decide(&mut ledger, &none, 1, 60, start),
+        decide(&mut ledger, &no_headers, 1, 60, start),
         granted,
         "asked again"
     );
     assert_eq!(
-        decide(&mut ledger, &none, 2, 60, start),
+        decide(&mut ledger, &no_headers, 2, 60, start),
         QuotaDecision::Full
     );
     ledger.release(ROUTE, &name(1), 1);
-    assert_eq!(decide(&mut ledger, &none, 2, 60, start), granted);
+    assert_eq!(decide(&mut ledger, &no_headers, 2, 60, start), granted);
     let later = start + Duration::from_secs(8);
     assert_eq!(
-        decide(&mut ledger, &none, 3, 10, later),
+        decide(&mut ledger, &no_headers, 3, 10, later),
         QuotaDecision::FenceRequired
     );
     ledger.begin(ROUTE, 6);
     assert_eq!(
-        decide(&mut ledger, &none, 3, 60, later),
+        decide(&mut ledger, &no_headers, 3, 60, later),
         QuotaDecision::Granted { fence: 6 }
     );
 }
 
 /// A client that hears nothing sends its job to another daemon while the first still tries.
 #[test]
-fn what_one_daemon_gives_back_stays_granted_to_another_that_submits_the_same_job() {
+fn a_grant_lasts_while_another_submission_of_its_job_is_pending() {
     let now = Instant::now();
     let mut ledger = QuotaLedger::default();
-    let none = Headers::new();
+    let no_headers = Headers::new();
     ledger.begin(ROUTE, 5);
     let granted = QuotaDecision::Granted { fence: 5 };
-    assert_eq!(decide_for(&mut ledger, &none, 1, 60, now, 1), granted);
-    assert_eq!(decide_for(&mut ledger, &none, 1, 60, now, 2), granted);
+    assert_eq!(decide_for(&mut ledger, &no_headers, 1, 60, now, 1), granted);
+    assert_eq!(decide_for(&mut ledger, &no_headers, 1, 60, now, 2), granted);
     ledger.release(ROUTE, &name(1), 1);
     ledger.release(ROUTE, &name(1), 1);
     assert_eq!(
-        decide_for(&mut ledger, &none, 2, 60, now, 3),
+        decide_for(&mut ledger, &no_headers, 2, 60, now, 3),
         QuotaDecision::Full
     );
     ledger.release(ROUTE, &name(1), 2);
-    assert_eq!(decide_for(&mut ledger, &none, 2, 60, now, 3), granted);
+    assert_eq!(decide_for(&mut ledger, &no_headers, 2, 60, now, 3), granted);
 }
 
 /// A client that hears nothing may send other items under the same key to another daemon.
 #[test]
-fn a_grant_never_covers_more_tokens_than_were_asked_for() {
+fn a_grant_never_covers_more_tokens_than_were_requested() {
     let now = Instant::now();
     let mut ledger = QuotaLedger::default();
-    let none = Headers::new();
+    let no_headers = Headers::new();
     ledger.begin(ROUTE, 5);
     let granted = QuotaDecision::Granted { fence: 5 };
-    assert_eq!(decide_for(&mut ledger, &none, 1, 10, now, 1), granted);
-    assert_eq!(decide_for(&mut ledger, &none, 2, 60, now, 2), granted);
+    assert_eq!(decide_for(&mut ledger, &no_headers, 1, 10, now, 1), granted);
+    assert_eq!(decide_for(&mut ledger, &no_headers, 2, 60, now, 2), granted);
     assert_eq!(
-        decide_for(&mut ledger, &none, 1, 60, now, 3),
+        decide_for(&mut ledger, &no_headers, 1, 60, now, 3),
         QuotaDecision::Full
     );
-    assert_eq!(decide_for(&mut ledger, &none, 1, 40, now, 4), granted);
+    assert_eq!(decide_for(&mut ledger, &no_headers, 1, 40, now, 4), granted);
     assert_eq!(
-        decide_for(&mut ledger, &none, 3, 1, now, 5),
+        decide_for(&mut ledger, &no_headers, 3, 1, now, 5),
         QuotaDecision::Full
     );
 }
--- a/crates/inline-jobs/tests/rows_of_headers.rs
+++ b/crates/inline-jobs/tests/rows_of_headers.rs
@@ -11,7 +11,7 @@
 };
 use harrierward_inline_jobs::{JobStore, RowKind, crash_updates_key, partitions, row_kind};
 use harrierward_wire::{CrashNewsRow, JobHeaderRow, QuotaFenceRow, encode};
-use support::{AwayStore, away};
+use support::{UnavailableStore, unavailable};
 use tokio::time::Instant;
 
 const JOB: &str = "job-1";
@@ -20,7 +20,7 @@
 const FENCE_KEY: &str = "jobheads/p0/~quota.0000000000000001";
 
 #[test]
-fn a_key_tells_what_the_row_is() {
+fn a_row_kind_follows_from_its_key() {
     assert_eq!(row_kind(HEADER_KEY), RowKind::Header);
     assert_eq!(row_kind(FENCE_KEY), RowKind::Fence);
     assert_eq!(row_kind(&crash_updates_key(LIFE)), RowKind::CrashUpdates);
@@ -28,7 +28,7 @@
 
 /// As many rows as daemons, however often these start.
 #[test]
-fn a_daemon_that_starts_again_has_the_row_of_its_last_life() {
+fn a_restarted_daemon_reuses_its_crash_updates_row() {
     assert_eq!(crash_updates_key("node@1"), crash_updates_key("node@2-ab"));
     assert_ne!(crash_updates_key("node-1@1"), crash_updates_key("node-2@1"));
     let key = crash_updates_key(LIFE);
@@ -37,10 +37,10 @@
 }
 
 /// A store with a row of each kind; any of them can be decoded as a head.
-struct EachKind;
+struct AllKindsStore;
 
 #[async_trait]
-impl WatchedTable for EachKind {
+impl WatchedTable for AllKindsStore {
     async fn read_page(&self, _: &str, start: PageStart<'_>) -> Result<SpacePage, PlatformError> {
         let header = JobHeaderRow {
             job_id: JOB.to_owned(),
@@ -74,7 +74,7 @@
     }
 
     async fn read_row(&self, _: &str) -> Result<RowReading, PlatformError> {
-        Err(away("read row"))
+        Err(unavailable("read row"))
     }
 
     async fn wait_changes(
@@ -83,15 +83,15 @@
         _: u64,
         _: Duration,
     ) -> Result<ChangePage, PlatformError> {
-        Err(away("wait changes"))
+        Err(unavailable("wait changes"))
     }
 }
 
 #[tokio::test]
 async fn only_headers_are_read_as_headers() {
-    let rows = Arc::new(EachKind);
-    let away = Arc::new(AwayStore);
-    let store = JobStore::new(away.clone(), away, rows);
+    let rows = Arc::new(AllKindsStore);
+    let unavailable = Arc::new(UnavailableStore);
+    let store = JobStore::new(unavailable.clone(), unavailable, rows);
     let until = Instant::now() + Duration::from_secs(2);
     let headers = store.read_headers(1, until).await.expect("read");
     let ids: Vec<&str> = headers
--- a/crates/inline-jobs/tests/stale_listing.rs
+++ b/crates/inline-jobs/tests/stale_listing.rs
@@ -31,22 +31,22 @@
 };
 use harrierward_tenants::Tenant;
 use harrierward_wire::{ItemHeadRow, JobHeaderRow, QuotaOutcome, ResultPieceRow, encode};
-use support::{AwayStore, away};
+use support::{UnavailableStore, unavailable};
 use tokio::time::{Instant, advance};
 
 const JOB: &str = "job-1";
 
 /// Age of what this daemon knows at which a result that another daemon showed must not be denied any more, less what
 /// the answers themselves take.
-const MUST_SHOW_AFTER: Duration = Duration::from_millis(850);
+const MAX_STALENESS: Duration = Duration::from_millis(850);
 
 /// A store that holds one job with its first result listed.
 #[derive(Default)]
-struct OneJob {
+struct SingleJobStore {
     /// Reads of the job's head.
     header_reads: AtomicUsize,
     /// The store answers nothing.
-    is_away: bool,
+    is_unavailable: bool,
     /// Results that the store holds.
     listed: u32,
     /// The store's answers are from before the job was accepted.
@@ -70,17 +70,17 @@
 }
 
 #[async_trait]
-impl Table for OneJob {
+impl Table for SingleJobStore {
     async fn transact(
         &self,
         _class: RequestClass,
         _transaction: Transaction,
     ) -> Result<TransactionOutcome, PlatformError> {
-        Err(away("transact"))
+        Err(unavailable("transact"))
     }
 
     async fn get(&self, _: RequestClass, _: &[String]) -> Result<Vec<Option<Row>>, PlatformError> {
-        Err(away("get"))
+        Err(unavailable("get"))
     }
 
     async fn scan(
@@ -90,8 +90,8 @@
         after: &str,
         _limit: usize,
     ) -> Result<Vec<Row>, PlatformError> {
-        if self.is_away {
-            return Err(away("scan"));
+        if self.is_unavailable {
+            return Err(unavailable("scan"));
         }
         let row = |position: u32| Row {
             key: format!("{prefix}{position:05}.000"),
@@ -108,15 +108,15 @@
 }
 
 #[async_trait]
-impl WatchedTable for OneJob {
+impl WatchedTable for SingleJobStore {
     async fn read_page(&self, _: &str, _: PageStart<'_>) -> Result<SpacePage, PlatformError> {
-        Err(away("read page"))
+        Err(unavailable("read page"))
     }
 
     async fn read_row(&self, key: &str) -> Result<RowReading, PlatformError> {
         self.header_reads.fetch_add(1, Ordering::Relaxed);
-        if self.is_away {
-            return Err(away("read row"));
+        if self.is_unavailable {
+            return Err(unavailable("read row"));
         }
         let revision = 10 + u64::from(self.listed);
         let row = Row {
@@ -136,14 +136,14 @@
         _: u64,
         _: Duration,
     ) -> Result<ChangePage, PlatformError> {
-        Err(away("wait changes"))
+        Err(unavailable("wait changes"))
     }
 }
 
-struct Nothing;
+struct Stub;
 
 #[async_trait]
-impl Peers for Nothing {
+impl Peers for Stub {
     fn owner_status(&self, _owner: &str) -> OwnerStanding {
         OwnerStanding::Gone
     }
@@ -164,14 +164,14 @@
 }
 
 #[async_trait]
-impl RateLimits for Nothing {
+impl RateLimits for Stub {
     async fn admit(&self, _tenant: &Tenant, _request: &str) -> RateAnswer {
         RateAnswer::Within
     }
 }
 
 #[async_trait]
-impl ReplicaClient for Nothing {
+impl ReplicaClient for Stub {
     async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaAnswer, ExchangeError> {
         Err(ExchangeError::NotSent {
             step: "test",
@@ -182,7 +182,7 @@
 }
 
 #[async_trait]
-impl SlotLeases for Nothing {
+impl SlotLeases for Stub {
     async fn ask(&self, _query: SlotQuery<'_>) -> SlotAnswer {
         SlotAnswer::NoCoordinator
     }
@@ -200,13 +200,13 @@
     fn free_slot(&self, _replica: &Arc<Replica>) {}
 }
 
-fn jobs_over(store: Arc<OneJob>, log: DecisionLog) -> InlineJobs {
+fn jobs_on(store: Arc<SingleJobStore>, log: DecisionLog) -> InlineJobs {
     let forwarder = Forwarder::new(ForwarderParts {
         routes: Arc::new(ArcSwapOption::empty()),
         replicas: Arc::new(ReplicaSet::default()),
-        client: Arc::new(Nothing),
-        places: Arc::new(Nothing),
-        rates: Arc::new(Nothing),
+        client: Arc::new(Stub),
+        places: Arc::new(Stub),
+        rates: Arc::new(Stub),
         quarantine: Arc::new(NoQuarantine),
         proof: Arc::default(),
         log: log.clone(),
@@ -220,10 +220,10 @@
     InlineJobs::new(JobParts {
         instance_id: "this-daemon".to_owned(),
         table: store.clone(),
-        objects: Arc::new(AwayStore),
+        objects: Arc::new(UnavailableStore),
         watched: store,
         forwarder,
-        peers: Arc::new(Nothing),
+        peers: Arc::new(Stub),
         log,
         settings: JobSettings {
             retention: Duration::from_secs(120),
@@ -237,15 +237,15 @@
     age: Duration,
     known: u32,
     listed: u32,
-    is_away: bool,
-) -> (InlineJobs, Arc<OneJob>) {
-    let store = Arc::new(OneJob {
+    is_unavailable: bool,
+) -> (InlineJobs, Arc<SingleJobStore>) {
+    let store = Arc::new(SingleJobStore {
         listed,
-        is_away,
-        ..OneJob::default()
+        is_unavailable,
+        ..SingleJobStore::default()
     });
     let log = DecisionLog::new(LogBounds::default());
-    let jobs = jobs_over(store.clone(), log);
+    let jobs = jobs_on(store.clone(), log);
     jobs.view().update(KnownHeader {
         header: header(known),
         revision: 10 + u64::from(known),
@@ -267,7 +267,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_result_that_others_have_shown_for_a_second_is_shown_by_all() {
+async fn a_stale_copy_does_not_hide_a_listed_result() {
     for age in [850, 950, 1_000, 1_100, 1_250, 1_350, 5_000] {
         let (jobs, _) = daemon(Duration::from_millis(age), 0, 1, false).await;
         let found = read(&jobs, 0, Duration::ZERO).await;
@@ -276,7 +276,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_feed_that_passed_over_a_result_does_not_deny_it() {
+async fn a_fresh_proof_does_not_hide_a_result_that_the_feed_skipped() {
     for age in [0, 1, 200, 700, 799] {
         let (jobs, _) = daemon(Duration::from_millis(age), 0, 1, false).await;
         let found = read(&jobs, 0, Duration::ZERO).await;
@@ -285,7 +285,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_held_read_that_ends_empty_was_proven_at_its_end() {
+async fn a_long_poll_reads_the_store_before_it_returns_an_empty_page() {
     for age in [0, 300, 700, 1_100] {
         let (jobs, _) = daemon(Duration::from_millis(age), 0, 1, false).await;
         let found = read(&jobs, 0, Duration::from_millis(1_000)).await;
@@ -294,14 +294,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_cannot_be_proven_is_not_denied() {
-    let (jobs, _) = daemon(MUST_SHOW_AFTER, 0, 1, true).await;
+async fn a_stale_copy_is_no_proof_of_an_empty_list_while_the_store_is_unavailable() {
+    let (jobs, _) = daemon(MAX_STALENESS, 0, 1, true).await;
     let found = read(&jobs, 0, Duration::ZERO).await;
     assert_eq!(found, Lookup::Unavailable);
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_known_to_be_listed_needs_no_new_proof() {
+async fn a_known_result_is_returned_without_a_header_read() {
     // Results are only added, so that a daemon that knows of one may show it however long ago it heard of it.
     let (jobs, store) = daemon(Duration::from_secs(5), 1, 2, false).await;
     let found = read(&jobs, 0, Duration::ZERO).await;
@@ -310,7 +310,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_empty_answer_costs_one_read_at_its_end() {
+async fn an_empty_page_costs_one_header_read() {
     for wait in [0, 300, 1_000] {
         let (jobs, store) = daemon(Duration::from_millis(200), 0, 0, false).await;
         let found = read(&jobs, 0, Duration::from_millis(wait)).await;
@@ -320,7 +320,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_list_that_never_grows_again_costs_no_read() {
+async fn a_complete_list_costs_no_header_read() {
     let (jobs, store) = daemon(Duration::from_secs(5), 3, 3, false).await;
     let found = read(&jobs, 3, Duration::ZERO).await;
     assert_eq!(count(&found), Some(0));
@@ -328,7 +328,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_older_than_what_is_known_of_the_store_denies_nothing() {
+async fn an_outdated_reading_is_no_proof_of_an_empty_list() {
     // After the store's history was dropped its reads may be seconds behind, while the feed has told of newer revisions.
     let (jobs, _) = daemon(Duration::ZERO, 0, 0, false).await;
     jobs.view().note_revision(11);
@@ -337,32 +337,32 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_is_not_denied_by_an_answer_from_before_it_was_accepted() {
-    let store = Arc::new(OneJob {
+async fn an_outdated_reading_is_no_proof_that_a_job_is_missing() {
+    let store = Arc::new(SingleJobStore {
         is_missing: true,
-        ..OneJob::default()
+        ..SingleJobStore::default()
     });
-    let jobs = jobs_over(store, DecisionLog::new(LogBounds::default()));
+    let jobs = jobs_on(store, DecisionLog::new(LogBounds::default()));
     jobs.view().note_revision(11);
     let found = read(&jobs, 0, Duration::ZERO).await;
     assert_eq!(found, Lookup::Unavailable);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_operator_sees_how_often_the_store_was_asked_and_what_it_said() {
+async fn store_reads_for_listings_are_counted_by_outcome() {
     let log = DecisionLog::new(LogBounds::default());
-    let store = Arc::new(OneJob {
+    let store = Arc::new(SingleJobStore {
         listed: 1,
-        ..OneJob::default()
+        ..SingleJobStore::default()
     });
-    let jobs = jobs_over(store, log.clone());
+    let jobs = jobs_on(store, log.clone());
     jobs.view().update(KnownHeader {
         header: header(0),
         revision: 10,
     });
     jobs.view().note_proof(Instant::now(), 1);
     assert_eq!(count(&read(&jobs, 0, Duration::ZERO).await), Some(1));
-    advance(MUST_SHOW_AFTER).await;
+    advance(MAX_STALENESS).await;
     assert_eq!(count(&read(&jobs, 0, Duration::ZERO).await), Some(1));
     assert_eq!(count(&read(&jobs, 1, Duration::ZERO).await), Some(0));
     let figures = String::from_utf8(log.metrics_text()).unwrap();
--- a/crates/inline-jobs/tests/stuck.rs
+++ b/crates/inline-jobs/tests/stuck.rs
@@ -7,7 +7,7 @@
 use harrierward_wire::{ItemHeadRow, JobHeaderRow};
 use tokio::time::{Instant, advance};
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 fn known(listed: &[u32]) -> KnownHeader {
     let items = (0..3).map(|number| ItemHeadRow {
@@ -36,34 +36,34 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_whose_runs_come_to_nothing_is_stuck() {
+async fn a_job_whose_runs_break_is_stuck() {
     let job = job_with_a_broken_run().await;
-    assert!(job.is_stuck(PATIENCE));
+    assert!(job.is_stuck(TIMEOUT));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_job_that_waits_for_slots_is_not_stuck() {
     let job = OwnedJob::new(known(&[]), Vec::new(), Vec::new());
     advance(Duration::from_secs(20)).await;
-    assert!(!job.is_stuck(PATIENCE));
+    assert!(!job.is_stuck(TIMEOUT));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_that_has_just_been_entered_is_not_stuck() {
+async fn a_newly_registered_job_is_not_stuck() {
     let mut job = OwnedJob::new(known(&[]), Vec::new(), Vec::new());
     job.broken_run_at = Some(Instant::now());
-    assert!(!job.is_stuck(PATIENCE));
+    assert!(!job.is_stuck(TIMEOUT));
 }
 
 /// The progress of items is dropped when they are listed; the listing itself is what has moved.
 #[tokio::test(start_paused = true)]
-async fn a_job_of_which_a_result_was_listed_lately_is_not_stuck() {
+async fn a_job_with_a_recently_listed_result_is_not_stuck() {
     let mut job = job_with_a_broken_run().await;
     job.update_header(known(&[0]));
     advance(Duration::from_millis(2_800)).await;
     job.broken_run_at = Some(Instant::now());
-    assert!(!job.is_stuck(PATIENCE));
+    assert!(!job.is_stuck(TIMEOUT));
     advance(Duration::from_millis(2_200)).await;
     job.broken_run_at = Some(Instant::now());
-    assert!(job.is_stuck(PATIENCE));
+    assert!(job.is_stuck(TIMEOUT));
 }
--- a/crates/inline-jobs/tests/support/mod.rs
+++ b/crates/inline-jobs/tests/support/mod.rs
@@ -10,25 +10,25 @@
 };
 
 /// The answer of a store that is away.
-pub fn away(step: &'static str) -> PlatformError {
+pub fn unavailable(step: &'static str) -> PlatformError {
     PlatformError::new(step, "store", PlatformErrorKind::NotDone, "away")
 }
 
 /// It does nothing, and says so.
-pub struct AwayStore;
+pub struct UnavailableStore;
 
 #[async_trait]
-impl Table for AwayStore {
+impl Table for UnavailableStore {
     async fn transact(
         &self,
         _: RequestClass,
         _: Transaction,
     ) -> Result<TransactionOutcome, PlatformError> {
-        Err(away("transact"))
+        Err(unavailable("transact"))
     }
 
     async fn get(&self, _: RequestClass, _: &[String]) -> Result<Vec<Option<Row>>, PlatformError> {
-        Err(away("get"))
+        Err(unavailable("get"))
     }
 
     async fn scan(
@@ -38,33 +38,33 @@
         _: &str,
         _: usize,
     ) -> Result<Vec<Row>, PlatformError> {
-        Err(away("scan"))
+        Err(unavailable("scan"))
     }
 }
 
 #[async_trait]
-impl ObjectStore for AwayStore {
+impl ObjectStore for UnavailableStore {
     async fn put(&self, _: RequestClass, _: &str, _: Bytes) -> Result<(), PlatformError> {
-        Err(away("put"))
+        Err(unavailable("put"))
     }
 
     async fn get(&self, _: RequestClass, _: &str) -> Result<Bytes, PlatformError> {
-        Err(away("get object"))
+        Err(unavailable("get object"))
     }
 
     async fn delete(&self, _: RequestClass, _: &str) -> Result<(), PlatformError> {
-        Err(away("delete"))
+        Err(unavailable("delete"))
     }
 }
 
 #[async_trait]
-impl WatchedTable for AwayStore {
+impl WatchedTable for UnavailableStore {
     async fn read_page(&self, _: &str, _: PageStart<'_>) -> Result<SpacePage, PlatformError> {
-        Err(away("read page"))
+        Err(unavailable("read page"))
     }
 
     async fn read_row(&self, _: &str) -> Result<RowReading, PlatformError> {
-        Err(away("read row"))
+        Err(unavailable("read row"))
     }
 
     async fn wait_changes(
@@ -73,6 +73,6 @@
         _: u64,
         _: Duration,
     ) -> Result<ChangePage, PlatformError> {
-        Err(away("wait changes"))
+        Err(unavailable("wait changes"))
     }
 }
