--- a/crates/inline-jobs/src/adoption.rs
+++ b/crates/inline-jobs/src/adoption.rs
@@ -1,4 +1,4 @@
-//! Jobs change hands: those of daemons that died or stopped are adopted, and old ones removed.
+//! Adoption of jobs whose owners crashed or stopped, handover of released jobs, and removal of expired ones.
 
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
@@ -14,16 +14,16 @@
 use crate::store::WriteOutcome;
 use crate::view::KnownHeader;
 
-/// How often jobs without owner are looked for.
+/// Interval between checks for jobs without a live owner.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a head's change by this daemon is tried.
+/// How long a header write is retried.
 pub(crate) const HEADER_WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How often old jobs are looked for.
+/// Interval between removals of expired jobs.
 const REMOVAL_INTERVAL: Duration = Duration::from_secs(20);
 
-/// How much longer than promised a job is kept.
+/// Time for which a job is kept beyond its retention.
 const RETENTION_MARGIN: Duration = Duration::from_secs(60);
 
 impl InlineJobs {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Does what is due for jobs whose owners are missing. `owners` are the daemons that may own jobs.
+    /// Steps the takeover of each open job of another daemon. `owners` are the daemons that may own jobs.
     fn check_orphans(&self, owners: &[String]) {
         let open = self.inner.view.open_jobs();
         let mut statuses: HashMap<&str, OwnerStanding> = HashMap::new();
@@ -60,7 +60,7 @@
         self.takeovers().retain(|job| open.contains(job));
     }
 
-    /// Does what is due for a job of another daemon, or of none.
+    /// Does the takeover step due for a job that this daemon does not own.
     fn step_takeover(&self, known: &KnownHeader, status: OwnerStanding, owners: &[String]) {
         let delay = || {
             let adopters = self.adopters_of(known, owners)?;
@@ -82,8 +82,8 @@
         });
     }
 
-    /// The daemons that may adopt a job, which is to read its bodies; `None` if this one is not among them. Where no
-    /// daemon of an allowed region lives the job waits.
+    /// Returns the daemons that may read a job's bodies and so adopt it; `None` if this one is not among
+    /// them. A job whose allowed regions have no live daemon waits.
     fn adopters_of<'a>(
         &self,
         known: &KnownHeader,
@@ -110,7 +110,7 @@
         match written {
             WriteOutcome::Committed { revision } => {
                 self.log_ownership(&known.header, &header, "adopted", status.name());
-                // The watch may have been faster and have begun the loading.
+                // The watch may have delivered this header already and started the load.
                 self.note_header(KnownHeader { header, revision });
             }
             WriteOutcome::Conflict {
@@ -118,12 +118,12 @@
             } => {
                 self.note_header(*current);
             }
-            // The next look decides anew.
+            // The next check retries.
             _ => {}
         }
     }
 
-    /// Gives one job up, with what is left of its items.
+    /// Releases a job and stores its unlisted results and progress for the next owner.
     pub(crate) async fn hand_over(
         &self,
         mut known: KnownHeader,
@@ -136,7 +136,7 @@
             if !state.failures.is_empty() {
                 header.failures.clone_from(&state.failures);
             }
-            // A listing that was under way may have come first.
+            // A concurrent listing may have committed first.
             state
                 .results
                 .retain(|result| !header.listed.contains(&result.item));
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Removes jobs whose time is over; each daemon those that are its own by their order.
+    /// Removes expired jobs; each daemon removes those for which it is first in the adoption order.
     pub(crate) async fn run_removal(self) {
         loop {
             sleep(REMOVAL_INTERVAL).await;
@@ -178,7 +178,7 @@
             let before = self.inner.view.store_now_ms().saturating_sub(keep_ms);
             for known in self.inner.view.closed_before(before) {
                 if adoption_rank(&known.header.job_id, &self.inner.instance_id, &owners) == 0 {
-                    // What is not removed now is found again at the next round.
+                    // A failed removal is retried in the next round.
                     let _ = self.inner.store.remove(&known).await;
                 }
             }
--- a/crates/inline-jobs/src/adoption_order.rs
+++ b/crates/inline-jobs/src/adoption_order.rs
@@ -1,4 +1,5 @@
-//! In which order daemons adopt a job that nobody runs: pure.
+//! Order in which daemons adopt a job without an owner, and the header changes of adoption, challenge and
+//! release. Pure functions.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -7,17 +8,17 @@
 use harrierward_wire::JobHeaderRow;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long an owner must be missing before it is challenged: a member that is held for dead and lives refutes that within
-/// about as long. With the time for which a challenge stands, a job follows its dead owner at most 1 s later than by a view alone.
+/// How long an owner must be missing before it is challenged: longer than a live member takes to refute a false
+/// death report.
 const CHALLENGE_DELAY: Duration = Duration::from_millis(100);
 
-/// How much later than the others a daemon takes a job back that it gave up without stopping: it got nowhere with it.
+/// Additional delay of the daemon that released the job: it could not make progress with it.
 const LAST_OWNER_DELAY: Duration = Duration::from_secs(2);
 
-/// How much longer each further daemon in the job's order waits.
+/// Additional delay per rank in the job's adoption order.
 const RANK_DELAY: Duration = Duration::from_millis(400);
 
-/// The head of a job that its owner gives up.
+/// Returns the header of a job that its owner releases.
 pub fn released(header: &JobHeaderRow) -> JobHeaderRow {
     JobHeaderRow {
         owner: String::new(),
@@ -27,7 +28,7 @@
     }
 }
 
-/// The head of a job that the daemon with this life adopts.
+/// Returns the header of a job that the daemon `instance_id` adopts, under a new epoch.
 pub fn adopted(header: &JobHeaderRow, instance_id: &str) -> JobHeaderRow {
     JobHeaderRow {
         owner: instance_id.to_owned(),
@@ -39,7 +40,7 @@
     }
 }
 
-/// The head of a job whose owner the daemon with this life holds for gone.
+/// Returns the header of a job whose owner the daemon `instance_id` considers missing.
 pub fn challenged(header: &JobHeaderRow, instance_id: &str) -> JobHeaderRow {
     JobHeaderRow {
         challenger: instance_id.to_owned(),
@@ -47,7 +48,7 @@
     }
 }
 
-/// The head as its owner writes it: whoever challenged it is refuted.
+/// Returns the header without a challenge, as its owner writes it.
 pub fn refuted(header: &JobHeaderRow) -> JobHeaderRow {
     JobHeaderRow {
         challenger: String::new(),
@@ -55,7 +56,7 @@
     }
 }
 
-/// Life of the daemon that runs a job or ran it last.
+/// Returns the instance id of the daemon that owns a job or owned it last.
 pub fn last_owner(header: &JobHeaderRow) -> &str {
     if header.owner.is_empty() {
         &header.last_owner
@@ -64,9 +65,10 @@
     }
 }
 
-/// How long the daemon with this `instance_id` waits before it adopts a job that was given up, or challenges an owner that is missing. Daemons adopt a job in an
-/// order of its own, so that they do not all try at once: those `near` its last owner first, since its clients and the
-/// replicas that keep its prompts are there. `owners` are all that may adopt it.
+/// Returns how long the daemon `instance_id` waits before it adopts a released job, or challenges a missing
+/// owner. Each job has its own order of daemons, so that they do not all try at once. Daemons `near` its last
+/// owner come first: its clients and the replicas that cache its prompts are there. `owners` are all daemons that
+/// may adopt it.
 pub fn adoption_delay(
     header: &JobHeaderRow,
     instance_id: &str,
@@ -83,7 +85,7 @@
         let others = owners.iter().filter(|owner| !near.contains(owner));
         1 + adoption_rank(&header.job_id, instance_id, others)
     };
-    // One that was given up is known to be nobody's.
+    // A released job has no owner that could still refute.
     let base_delay = if !header.owner.is_empty() {
         CHALLENGE_DELAY
     } else if header.last_owner == instance_id {
@@ -94,7 +96,7 @@
     base_delay + RANK_DELAY * rank
 }
 
-/// How many of the daemons come before the one with this `instance_id` in a job's order.
+/// Returns how many daemons precede the daemon `instance_id` in a job's order.
 pub fn adoption_rank<'a>(
     job: &str,
     instance_id: &str,
--- a/crates/inline-jobs/src/checkpoint.rs
+++ b/crates/inline-jobs/src/checkpoint.rs
@@ -1,6 +1,6 @@
-//! Progress of running items is saved now and then, so that a job whose owner dies goes on where it was.
+//! Checkpoints of running items' progress, so that a job resumes where it was when its owner crashes.
 //!
-//! The rows are hints: an older one only means that more is run again. So they are written without condition.
+//! The rows are hints: an outdated one only repeats work. They are therefore written unconditionally.
 
 use std::time::Duration;
 
@@ -12,20 +12,20 @@
 use crate::owned_job::OwnedJob;
 use crate::service::InlineJobs;
 
-/// Least time between two checkpoints of a job.
+/// Minimum time between two checkpoints of a job.
 const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Events that an item must have gained since its last checkpoint.
+/// Events that an item must have received since its last checkpoint.
 const MIN_NEW_EVENTS: usize = 30;
 
-/// Most items in one checkpoint.
+/// Items per checkpoint.
 const MAX_ITEMS: usize = 40;
 
-/// Age of the last proof of contact from which on no checkpoints are tried.
+/// Age of the last proof of contact above which the store is considered unreachable.
 const MAX_PROOF_AGE: Duration = Duration::from_millis(1_500);
 
 impl InlineJobs {
-    /// Starts a write for each job whose items have gained enough.
+    /// Starts a checkpoint of each job whose items have received enough events.
     pub(crate) fn start_checkpoints(&self) {
         let age = self.inner.view.proof_age();
         if age.is_none_or(|age| age > MAX_PROOF_AGE) || self.is_stopping() {
@@ -47,7 +47,7 @@
             let store = self.inner.store.clone();
             let job_id = job.known.header.job_id.clone();
             tokio::spawn(async move {
-                // What is not saved now is saved with the next checkpoint.
+                // The next checkpoint saves what this one fails to save.
                 let _ = store.save_progress(&job_id, &rows).await;
             });
         }
--- a/crates/inline-jobs/src/item.rs
+++ b/crates/inline-jobs/src/item.rs
@@ -1,4 +1,4 @@
-//! One item of a job: its request, what has come of it, and where it stands.
+//! One item of a job: its request, output and phase.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -6,77 +6,77 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// What has come of an item so far; shared with the task that runs it.
+/// Output of an item so far; shared with the task that runs it.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct ItemProgress {
-    /// Last event received.
+    /// Number of the last event received; `None` before the first.
     pub last_event: Option<u64>,
-    /// Data of the events so far.
+    /// Data of the events, in order.
     pub texts: Vec<String>,
-    /// When the last of them came to this daemon.
+    /// When this daemon received the last event; `None` if it received none itself.
     pub last_event_at: Option<Instant>,
 }
 
-/// Progress shared between book and task.
+/// Progress shared between the registry and the item's task.
 pub type SharedProgress = Arc<Mutex<ItemProgress>>;
 
-/// Locks shared progress.
+/// Locks shared progress; a poisoned lock is used as it is.
 pub fn lock(progress: &SharedProgress) -> std::sync::MutexGuard<'_, ItemProgress> {
     progress.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Where an item stands.
+/// Phase of an item between submission and listing.
 #[derive(Debug)]
 pub enum ItemPhase {
     /// Waits for a slot.
     Waiting {
-        /// Not to be started earlier.
+        /// Earliest next start.
         not_before: Instant,
     },
-    /// Runs at a replica, or is about to.
+    /// Runs at a replica, or is being placed.
     Running {
-        /// Where; `None` until a place is given.
+        /// Slot of the run; `None` until the item is placed.
         at: Option<RunSlot>,
-        /// Ends the run.
+        /// Handle that aborts the run.
         task: AbortHandle,
-        /// When it began.
+        /// Start of the placement, then of the run.
         since: Instant,
     },
-    /// Its result waits to be listed.
+    /// Its result is not listed yet.
     Done {
-        /// The item failed for good.
+        /// True if no further run is attempted and the result is a failure.
         failed: bool,
     },
     /// Its result is listed.
     Listed,
 }
 
-/// Where an item runs.
+/// Replica and slot of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunSlot {
-    /// Replica.
+    /// Id of the replica.
     pub replica: String,
-    /// Number of the place that it holds there.
+    /// Number of the slot lease, 0 if there is none.
     pub slot: u32,
 }
 
-/// One item.
+/// One item of a job that this daemon owns.
 #[derive(Debug)]
 pub struct Item {
-    /// The request that runs it.
+    /// The request to send to a replica.
     pub request: Arc<ServingRequest>,
-    /// What has come so far.
+    /// Output received so far.
     pub progress: SharedProgress,
-    /// Failed attempts.
+    /// Runs that a replica answered with a failure.
     pub failures: u32,
-    /// Those of them that the job's head counts. The item does not run again before it counts all, so that a later owner
-    /// allows no more attempts than this one.
+    /// Failures that the job's header counts. The item only runs again once it counts all, so that a later
+    /// owner does not allow more attempts.
     pub recorded_failures: u32,
-    /// Events of it that are saved.
+    /// Number of events in the last checkpoint.
     pub saved_events: usize,
-    /// Hash of the replica's start at which it last ran: that one may still keep its prompt.
+    /// Hash of the replica instance at which it last ran, whose prefix cache may still hold its prompt.
     pub last_replica_instance: Option<u32>,
-    /// Where it stands.
+    /// Current phase.
     pub phase: ItemPhase,
 }
 
--- a/crates/inline-jobs/src/item_run.rs
+++ b/crates/inline-jobs/src/item_run.rs
@@ -1,4 +1,4 @@
-//! One run of an item at a replica, from its last event on.
+//! One run of an item at a replica, resumed after its last event.
 
 use std::time::Duration;
 
@@ -11,32 +11,32 @@
 
 use crate::item::{SharedProgress, lock};
 
-/// Silence after which a replica that is silent to everybody is given up.
+/// Stall after which a replica that sends nothing to any request is considered unresponsive.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Silence after which any replica is given up.
+/// Stall after which a run is aborted at any replica.
 const MAX_STALL: Duration = Duration::from_millis(3_000);
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// The whole output is there.
+    /// The output is complete.
     Finished,
-    /// The replica failed the item.
+    /// The replica responded with a failure.
     Failed,
-    /// The item can never be done.
+    /// The replica rejected the item for good.
     Impossible,
-    /// The replica did not take it.
+    /// The replica did not run the item, for this cause.
     NotRun(String),
-    /// The stream broke; the item goes on after its last event.
+    /// The stream broke for this cause; the item resumes after its last event.
     Broken(String),
 }
 
-/// Statuses of a replica's answer to an item.
+/// Status codes of a replica's response to an item.
 const FAILED: u16 = 500;
 const IMPOSSIBLE: u16 = 422;
 
-/// Runs an item where it is placed; one that has `failed_before` and fails again is no evidence against its replica.
+/// Runs an item where it is placed. With `failed_before`, another failure is not counted against the replica.
 pub async fn run(
     forwarder: &Forwarder,
     request: &ServingRequest,
@@ -113,7 +113,7 @@
     }
 }
 
-/// Adds an event to the item's output; events must follow each other without gaps.
+/// Appends an event to the item's output; events must be numbered without gaps.
 fn append_event(progress: &SharedProgress, event: &StreamEvent) -> Result<(), &'static str> {
     let Some(id) = event.id else {
         return Ok(());
--- a/crates/inline-jobs/src/keys.rs
+++ b/crates/inline-jobs/src/keys.rs
@@ -2,25 +2,23 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Space of the jobs' heads, which every daemon watches.
+/// Space of the job headers and the quota fences, which every daemon watches.
 pub const JOB_HEADERS: &str = "jobheads";
 
-/// Space of the items as accepted.
+/// Space of the items as submitted.
 const ITEMS: &str = "jobitems";
 
-/// Space of the results.
 const RESULTS: &str = "jobresults";
 
-/// Space of unfinished items' progress.
 const PROGRESS: &str = "jobprogress";
 
-/// Partitions over which jobs are spread.
+/// Number of partitions; part of the stored format.
 const PARTITIONS: u64 = 8;
 
-/// Longest job id, bytes; keys hold at most 200.
+/// Bound of a job id; a key may have 200 bytes.
 const MAX_ID_BYTES: usize = 120;
 
-/// True if the id can be part of a key.
+/// True if the id may be part of a key.
 pub fn is_usable_id(id: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(is_allowed)
@@ -34,7 +32,7 @@
     format!("p{number}")
 }
 
-/// Names of all partitions.
+/// Returns the names of all partitions.
 pub fn partitions() -> Vec<String> {
     (0..PARTITIONS).map(partition_name).collect()
 }
@@ -44,39 +42,40 @@
     format!("{space}/{partition}/{job_id}")
 }
 
-/// Key of a job's head.
+/// Returns the key of a job's header.
 pub fn header(job_id: &str) -> String {
     key(JOB_HEADERS, job_id)
 }
 
-/// Beginning of the names of the quotas' fences among the heads; no job's id can begin so.
+/// Prefix of the names of quota fences in the space of the headers; no job id may contain `~`.
 const FENCE_PREFIX: &str = "~quota.";
 
-/// Name of a route's fence.
 fn fence_name(route: &str) -> String {
     format!("{FENCE_PREFIX}{:016x}", xxh3_64(route.as_bytes()))
 }
 
-/// Key of a route's fence in the partition of a job.
+/// Returns the key of a route's fence in the partition of a job.
 pub fn fence(route: &str, job_id: &str) -> String {
     let partition = partition_name(partition(job_id));
     format!("{JOB_HEADERS}/{partition}/{}", fence_name(route))
 }
 
-/// Keys of a route's fence in all partitions.
+/// Returns the keys of a route's fence in all partitions.
 pub fn fences(route: &str) -> Vec<String> {
     let name = fence_name(route);
     let key = |partition| format!("{JOB_HEADERS}/{partition}/{name}");
     partitions().into_iter().map(key).collect()
 }
 
-/// Beginning of the names of the rows in which daemons keep what they know of ends of replicas; no job's id can begin so.
+/// Prefix of the names of rows with daemons' crash updates in the space of the headers; no job id may contain
+/// `~`.
 const CRASH_PREFIX: &str = "~crash.";
 
-/// What separates a daemon's name, which stays over restarts, from the rest of its life's.
+/// Separates the member name, which is stable over restarts, from the rest of an instance id.
 const INSTANCE_SEPARATOR: char = '@';
 
-/// Key of the row of a daemon's news of ends of replicas. One a daemon, whatever its life: a restart replaces it.
+/// Returns the key of the row of a daemon's crash updates. All instances of a member share it, so that a restart
+/// replaces the row.
 pub fn crash_updates_key(instance_id: &str) -> String {
     let member = instance_id
         .rsplit_once(INSTANCE_SEPARATOR)
@@ -86,18 +85,18 @@
     format!("{JOB_HEADERS}/{partition}/{CRASH_PREFIX}{hash:016x}")
 }
 
-/// What a row of the space of heads is.
+/// Kinds of rows in the space of the headers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RowKind {
-    /// A job's head.
+    /// Header of a job.
     Header,
-    /// Who keeps a route's quota.
+    /// Fence of a route's quota.
     Fence,
-    /// What a daemon knows of ends of replicas.
+    /// Crashes of replicas that a daemon has observed.
     CrashUpdates,
 }
 
-/// Tells what a row of the space of heads is, by its key.
+/// Returns the kind of a row in the space of the headers, by its key.
 pub fn row_kind(key: &str) -> RowKind {
     let name = key.rsplit('/').next().unwrap_or_default();
     if name.starts_with(FENCE_PREFIX) {
@@ -109,42 +108,42 @@
     }
 }
 
-/// Key of a row of items.
+/// Returns the key of a row of items.
 pub fn items(job_id: &str, number: u32) -> String {
     format!("{}.{number:04}", key(ITEMS, job_id))
 }
 
-/// Beginning of the keys of all rows of items.
+/// Returns the prefix of the keys of all rows of items.
 pub fn items_prefix(job_id: &str) -> String {
     format!("{}.", key(ITEMS, job_id))
 }
 
-/// Key of a piece of a result.
+/// Returns the key of a piece of a result.
 pub fn result(job_id: &str, position: u32, piece: u32) -> String {
     format!("{}.{position:05}.{piece:03}", key(RESULTS, job_id))
 }
 
-/// Beginning of the keys of all results.
+/// Returns the prefix of the keys of all results.
 pub fn results_prefix(job_id: &str) -> String {
     format!("{}.", key(RESULTS, job_id))
 }
 
-/// Position of a result's piece, from its key.
+/// Extracts the position of a result from the key of one of its pieces.
 pub fn position_of_result(key: &str) -> Option<u32> {
     key.rsplit('.').nth(1)?.parse().ok()
 }
 
-/// Key of an item's progress.
+/// Returns the key of an item's progress.
 pub fn progress(job_id: &str, item: u32) -> String {
     format!("{}.{item:05}", key(PROGRESS, job_id))
 }
 
-/// Beginning of the keys of all progress rows.
+/// Returns the prefix of the keys of all progress rows.
 pub fn progress_prefix(job_id: &str) -> String {
     format!("{}.", key(PROGRESS, job_id))
 }
 
-/// Item of a progress row, from its key.
+/// Extracts the item number from the key of a progress row.
 pub fn item_of_progress(key: &str) -> Option<u32> {
     key.rsplit('.').next()?.parse().ok()
 }
--- a/crates/inline-jobs/src/lib.rs
+++ b/crates/inline-jobs/src/lib.rs
@@ -1,9 +1,9 @@
-//! Batch jobs whose items are kept in the store's table: accepted in one transaction, run by the daemon that
-//! accepted them or adopted them, listed under the revision of the job's head, readable at any daemon.
+//! Batch jobs whose items are stored in the store's table: accepted in one transaction, run by the daemon that
+//! accepted or adopted them, and readable at any daemon.
 //!
-//! Why beside `batch`: jobs of a few items need no chunk objects, shard owners or pulls. The head of each job is
-//! the only row that changes; every change of it is conditional, so an owner that was frozen or cut off can list
-//! nothing after another took over.
+//! Only a job's header changes after acceptance, and each change is conditional on its revision. An owner that
+//! was suspended or partitioned can therefore list nothing after another daemon has taken over. Unlike jobs of
+//! the `batch` crate, these need no chunk objects, shard owners or pulls.
 
 mod adoption;
 pub mod adoption_order;
--- a/crates/inline-jobs/src/listing.rs
+++ b/crates/inline-jobs/src/listing.rs
@@ -1,5 +1,5 @@
-//! Listing results: the position of each is fixed by a conditional write that also marks its item, and counts the failures of
-//! items that are to run again.
+//! Listing of results: a conditional write of the header fixes each result's position, marks its item as listed,
+//! and records the failures of items that are to run again.
 
 use std::time::Duration;
 
@@ -13,28 +13,29 @@
 use crate::store::{ListedResult, WriteOutcome};
 use crate::view::KnownHeader;
 
-/// Most results listed at once, and their text in bytes; within one transaction's bounds.
+/// Limits of the results in one listing and of their text in bytes; both fit into one transaction.
 const MAX_RESULTS: usize = 40;
 const MAX_BYTES: usize = 400_000;
 
-/// Time after which a write that gets no answer is looked at anew.
+/// How long a write is retried before the job is checked again.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Pause after a failed write.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// A change of a job's head by its owner.
+/// An owner's update of a job's header, with the rows that belong to it.
 struct Listing {
     known: KnownHeader,
     results: Vec<ListedResult>,
-    /// Failures of items that are to run again.
+    /// Failure counts of items that are to run again.
     failures: Vec<ItemFailuresRow>,
-    /// The items' own rows of the failures that are new.
+    /// Progress of the items whose failures are new.
     failed_progress: Vec<(u32, ItemProgressRow)>,
 }
 
 impl InlineJobs {
-    /// Starts a listing task for each job with finished items, or failures to be counted, and none.
+    /// Starts a listing task for each job that has results to list or failures to record, and no such task
+    /// yet.
     pub(crate) fn start_listings(&self) {
         let mut registry = self.registry();
         for (job_id, job) in &mut registry.jobs {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// What is to be listed; `None` ends the task.
+    /// Returns the next listing; `None` ends the task.
     fn next_listing(&self, job_id: &str) -> Option<Listing> {
         let mut registry = self.registry();
         let job = registry.jobs.get_mut(job_id)?;
@@ -78,7 +79,7 @@
         })
     }
 
-    /// Lists results; true if that is settled.
+    /// Writes a listing; true if its outcome is known.
     async fn list(&self, listing: &Listing) -> bool {
         let Listing {
             known,
@@ -120,7 +121,7 @@
                 self.header_removed(&header.job_id);
                 ("job removed", true)
             }
-            // Only new jobs are written under a fence.
+            // Only the creation of a job is conditional on a fence.
             WriteOutcome::NotCommitted | WriteOutcome::Fenced { .. } => ("not done", false),
             WriteOutcome::Indeterminate => ("in doubt", false),
         };
@@ -139,12 +140,13 @@
 
     fn apply_header(&self, known: KnownHeader) {
         self.note_header(known.clone());
-        // The watch may have been faster; the book must hear of it in any case.
+        // The watch may have delivered the header before; the registry must be updated in any case.
         self.header_changed(&known);
     }
 }
 
-/// A conflict with a head that already lists the results is a write whose answer was lost.
+/// Returns the outcome for a conflict; a header that already lists the results is an own write whose response was
+/// lost.
 fn conflict_name(current: &JobHeaderRow, wanted: &JobHeaderRow) -> &'static str {
     if current.listed == wanted.listed && current.failures == wanted.failures {
         "committed before"
--- a/crates/inline-jobs/src/lookup.rs
+++ b/crates/inline-jobs/src/lookup.rs
@@ -1,4 +1,4 @@
-//! Reading results and items, and ending jobs, at any daemon.
+//! Reads of results and item bodies, and cancellation of jobs, at any daemon.
 
 use std::time::Duration;
 
@@ -13,36 +13,36 @@
 use crate::store::WriteOutcome;
 use crate::view::KnownHeader;
 
-/// Age up to which this daemon's copy of a head is as good as the store's for what no caller can have seen change: an
-/// item's body, the head that an end replaces under its revision.
+/// Age up to which the local copy serves reads where staleness is harmless: an item's body, or a header that a
+/// cancellation replaces under its revision.
 const MAX_COPY_AGE: Duration = Duration::from_millis(1_300);
 
-/// No copy is young enough: the store's row itself is read. A feed proves that the store answers, not that it told of all
-/// changes, and only the row says that nothing is listed (one read a look that ends empty).
+/// Forces a read of the store. A recent watch response proves contact, not that all changes were delivered; only
+/// the row itself proves that nothing is listed.
 const READ_STORE: Duration = Duration::ZERO;
 
-/// Age up to which the feed of the heads counts as alive, so that a held read waits for it. Beyond that, the store is
-/// asked at once.
+/// Age of the last proof up to which a long poll waits for the watch. Above it, the store is read at once.
 const MAX_FEED_AGE: Duration = MAX_COPY_AGE;
 
-/// Text of one page of results, bytes; a page has 1 MB at most.
+/// Text per page of results, in bytes; a page may have 1 MB.
 const PAGE_BYTES: usize = 700_000;
 
-/// Longest time for which an end is tried.
+/// How long a cancellation is retried.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// True if a head of any age tells what to answer from a position on: a result there, or that the list never grows again.
+/// True if a header of any age suffices for a response: it lists a result at `after`, or its list is complete.
 fn is_conclusive(known: &KnownHeader, after: u32) -> bool {
     known.lists_beyond(after) || !known.is_open()
 }
 
 impl InlineJobs {
-    /// True if this daemon's copy of the heads was proven less than `max_age` ago.
+    /// True if the local copy was proven current less than `max_age` ago.
     fn is_proven_within(&self, max_age: Duration) -> bool {
         self.inner.view.proof_age().is_some_and(|age| age < max_age)
     }
 
-    /// The head, from this daemon's copy if that is younger than `max_age`, else from the store.
+    /// Returns the header from the local copy if that was proven less than `max_age` ago, else from the
+    /// store.
     async fn find(&self, job_id: &str, max_age: Duration) -> Lookup<KnownHeader> {
         let is_fresh = self.is_proven_within(max_age);
         match self.inner.view.get(job_id).filter(|_| is_fresh) {
@@ -51,8 +51,8 @@
         }
     }
 
-    /// The head as the store has it. A reading that is older than what this daemon has heard of the store says neither that
-    /// there is no such job, nor what it does not list yet.
+    /// Reads the header from the store. A reading older than the newest known revision proves neither that
+    /// the job is missing nor that a result is unlisted.
     pub(crate) async fn read_header(&self, job_id: &str) -> Lookup<KnownHeader> {
         let view = &self.inner.view;
         let newest = view.newest_revision();
@@ -74,7 +74,7 @@
         view.get(job_id).map_or(Lookup::Missing, Lookup::Found)
     }
 
-    /// Who asks with this key.
+    /// Returns the caller that a key identifies.
     pub fn caller(&self, key: Option<&ApiKey>) -> JobCaller {
         let forwarder = &self.inner.forwarder;
         let Some(routes) = forwarder.routes() else {
@@ -87,8 +87,8 @@
         }
     }
 
-    /// The head of a job that the caller may know of. Jobs of nobody, accepted while there were no tenants or on a
-    /// route that asks for no key, are for all.
+    /// Returns the header of a job visible to the caller. Jobs without a tenant, accepted without tenants
+    /// configured or on a route that requires no key, are visible to all.
     async fn find_for(
         &self,
         caller: &JobCaller,
@@ -107,10 +107,10 @@
         }
     }
 
-    /// Results from position `after` on; waits up to `wait` for one.
+    /// Returns results from position `after` on; waits up to `wait` for one.
     ///
-    /// Positions are only added, so a copy of any age may show what it lists. That nothing is listed is said only by the
-    /// store's row, read after the question came, or of a job whose list never grows again.
+    /// Results are append-only, so a stale header may prove that a result exists. An empty page requires a
+    /// read of the store's row that began after the request, unless the list is complete.
     pub async fn results(
         &self,
         caller: &JobCaller,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// What could not be asked anew may still be known: the copy may have learnt of a result meanwhile.
+    /// Returns a page if the local copy has received a result while the store could not be read.
     async fn page_from_copy(&self, caller: &JobCaller, id: &str, after: u32) -> Lookup<ResultPage> {
         match self.conclusive_header(caller, id, after) {
             Some(known) => self.page(&known, after).await,
@@ -177,7 +177,7 @@
         });
     }
 
-    /// The caller's job, if this daemon's copy says all there is to say now from `after` on.
+    /// Returns the caller's job if the local copy suffices for a response from `after` on.
     fn conclusive_header(&self, caller: &JobCaller, id: &str, after: u32) -> Option<KnownHeader> {
         let view = &self.inner.view;
         let of_tenant = match caller {
@@ -206,7 +206,8 @@
         let Ok(read) = read else {
             return Lookup::Unavailable;
         };
-        // Rows may be newer than the head, or a stale read older; only what both tell is given out.
+        // Rows may be newer than the header, or a stale read older; only results present in both are
+        // returned.
         let items = header.listed.iter().skip(after as usize);
         let results: Vec<JobResult> = items
             .zip(read)
@@ -229,7 +230,7 @@
         })
     }
 
-    /// The body of an item of a job that has not ended.
+    /// Returns the body of an item; `Missing` once its job is cancelled.
     pub async fn item_body(&self, caller: &JobCaller, id: &str, item_id: &str) -> Lookup<Bytes> {
         let known = match self.find_for(caller, id, MAX_COPY_AGE).await {
             Lookup::Found(known) => known,
@@ -254,7 +255,7 @@
         })
     }
 
-    /// Ends a job: nothing of it starts any more.
+    /// Cancels a job: none of its items starts any more.
     pub async fn cancel(&self, caller: &JobCaller, id: &str) -> CancelOutcome {
         let outcome = self.try_cancel(caller, id).await;
         let name = match outcome {
@@ -300,7 +301,7 @@
                     known = *current;
                 }
                 WriteOutcome::Conflict { current: None } => return CancelOutcome::Missing,
-                // Only new jobs are written under a fence.
+                // Only the creation of a job is conditional on a fence.
                 WriteOutcome::NotCommitted | WriteOutcome::Fenced { .. } => {
                     return CancelOutcome::NotCancelled;
                 }
--- a/crates/inline-jobs/src/model.rs
+++ b/crates/inline-jobs/src/model.rs
@@ -10,53 +10,53 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// One item of a job.
+/// One item of a submitted job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SubmittedItem {
-    /// Item id.
+    /// Unique within its job.
     pub id: String,
-    /// Path and query at the replica.
+    /// Path and query of the request to the replica.
     pub target: String,
-    /// Headers.
+    /// Headers of the request to the replica.
     pub headers: HeaderMap,
-    /// Body.
+    /// Body of the request to the replica.
     pub body: Bytes,
-    /// The prompt.
+    /// Prompt parts and token counts, for placement.
     pub prompt: Prompt,
-    /// Tokens of prompt and answer that the item may take.
+    /// Tokens of prompt and output charged to the quota.
     pub tokens: u64,
 }
 
 /// A job as submitted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SubmittedJob {
-    /// Job id.
+    /// Chosen by the caller; unique for its tenant.
     pub id: String,
-    /// Host named by the caller.
+    /// Host of the submission, selects the route.
     pub host: String,
-    /// Path named by the caller.
+    /// Path of the submission, selects the route.
     pub path: String,
-    /// The items.
+    /// At least one item.
     pub items: Vec<SubmittedItem>,
-    /// How long the caller waits.
+    /// How long the caller waits for a response; `None` if it does not say so.
     pub timeout: Option<Duration>,
     /// The caller's key, if it sent one.
     pub key: Option<ApiKey>,
 }
 
-/// Who asks about a job.
+/// The caller of a request about a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum JobCaller {
-    /// Anybody: the configuration knows no tenants.
+    /// Any caller: the configuration has no tenants.
     Anyone,
-    /// A tenant: it knows its own jobs, and those of nobody.
+    /// A tenant, which sees its own jobs and those without a tenant.
     Tenant(Arc<str>),
-    /// A caller whose key is not good: it knows the jobs of nobody.
+    /// A caller without a valid key, which sees only jobs without a tenant.
     Refused(RefusalCause),
 }
 
-/// The id under which a job is kept. Tenants choose ids without knowing of each other, and must not learn of each
-/// other's jobs by them, so each tenant's ids are its own.
+/// Returns the id under which a job is stored. Ids are scoped by tenant, so that tenants can neither collide in
+/// them nor detect each other's jobs.
 pub fn scoped_id(tenant: Option<&str>, id: &str) -> String {
     tenant.map_or_else(
         || id.to_owned(),
@@ -64,80 +64,80 @@
     )
 }
 
-/// What became of a submission.
+/// Outcome of a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// Kept from now on.
+    /// The job is stored.
     Accepted,
-    /// The route's waiting tokens are used up; none of it runs.
+    /// The job exceeds the quota of queued tokens; none of it runs.
     QuotaExceeded {
-        /// When to come back.
+        /// Earliest retry.
         retry_after: Duration,
     },
-    /// Not kept; none of it runs.
+    /// The job is not stored; none of it runs.
     NotStored {
-        /// When to come back.
+        /// Earliest retry.
         retry_after: Duration,
     },
-    /// May have been kept.
+    /// The job may have been stored.
     Indeterminate,
-    /// Cannot be read as a job.
+    /// The job is invalid, for this reason.
     Malformed(&'static str),
-    /// No route takes it.
+    /// No route matches the host and path.
     NoRoute,
-    /// No configuration is known yet.
+    /// The daemon has not received a configuration yet.
     NoConfiguration,
-    /// The caller must not submit it.
+    /// The caller may not submit the job, for this cause.
     Denied(RefusalCause),
 }
 
 /// A listed result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobResult {
-    /// Item id.
+    /// Item id as submitted.
     pub item: String,
-    /// The item failed for good.
+    /// True if the item has used up its attempts or cannot be run.
     pub failed: bool,
-    /// Data of all events in order, parted by line feeds.
+    /// Data of all events in order, separated by line feeds; empty if the item failed.
     pub text: String,
 }
 
-/// Results from a position on.
+/// A page of results.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResultPage {
-    /// Items of the job.
+    /// Number of items of the job.
     pub total: usize,
-    /// Position after the last result.
+    /// Position after the last result of the page.
     pub next: u32,
-    /// The results.
+    /// Results in listed order; empty if none is listed yet.
     pub results: Vec<JobResult>,
 }
 
-/// What became of a question about a job.
+/// Outcome of a read of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Lookup<T> {
-    /// The answer.
+    /// What was read.
     Found(T),
-    /// There is no such job or item.
+    /// The job or item does not exist, or is not visible to the caller.
     Missing,
-    /// The store cannot be asked now.
+    /// The store cannot be read now.
     Unavailable,
 }
 
-/// What became of ending a job.
+/// Outcome of a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// It has ended.
+    /// The job is cancelled, by this call or an earlier one.
     Cancelled,
-    /// There is no such job.
+    /// The job does not exist, or is not visible to the caller.
     Missing,
-    /// Not done.
+    /// The job is not cancelled.
     NotCancelled,
-    /// May have been done.
+    /// The job may have been cancelled.
     Indeterminate,
 }
 
-/// The row of an item.
+/// Encodes an item as a row.
 pub fn item_row(item: &SubmittedItem) -> ItemBodyRow {
     let headers = item
         .headers
@@ -167,7 +167,7 @@
     }
 }
 
-/// The request that runs an item of the job with this head.
+/// Decodes the request that runs an item of the job with this header.
 pub fn item_request(row: ItemBodyRow, header: &JobHeaderRow) -> ServingRequest {
     let mut headers = HeaderMap::new();
     for header in row.headers {
--- a/crates/inline-jobs/src/no_capacity.rs
+++ b/crates/inline-jobs/src/no_capacity.rs
@@ -1,26 +1,26 @@
-//! Where items found no room a moment ago, by service and the regions in which they may run: full replicas hold up the
-//! items that only they may run, and no others.
+//! Records where placements found no free slot, by service and allowed regions, so that full replicas only delay
+//! the items that depend on them.
 
 use std::time::Duration;
 
 use harrierward_tenants::AllowedRegions;
 use tokio::time::Instant;
 
-/// Pause before a place is asked for again where there was none.
+/// Pause before the next placement attempt at the same service and regions.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// How long items that found no room come after all others. Above two of the longest intervals between starts: older
-/// items that are tried in vain would else take every turn.
+/// How long items are started after all others once a placement failed. More than twice the longest start
+/// interval, so that unplaceable older items do not use every start.
 const DEFERRAL_DURATION: Duration = Duration::from_millis(250);
 
-/// Where there was no room, and when.
+/// Recent failed placements.
 #[derive(Debug, Default)]
 pub struct NoCapacity {
     entries: Vec<(String, AllowedRegions, Instant)>,
 }
 
 impl NoCapacity {
-    /// An item of the service that may run in these regions found no room.
+    /// Records that an item of the service, allowed in these regions, found no free slot.
     pub fn note(&mut self, service: &str, regions: &AllowedRegions, now: Instant) {
         let is_kept = |entry: &(String, AllowedRegions, Instant)| {
             let is_same = entry.0 == service && entry.1 == *regions;
@@ -31,12 +31,12 @@
             .push((service.to_owned(), regions.clone(), now));
     }
 
-    /// True if no place is to be asked for now.
+    /// True if no placement is to be attempted now.
     pub fn is_paused(&self, service: &str, regions: &AllowedRegions, now: Instant) -> bool {
         self.was_noted_within(PAUSE, service, regions, now)
     }
 
-    /// True if other items are to be tried first.
+    /// True if other items are to be started first.
     pub fn is_deferred(&self, service: &str, regions: &AllowedRegions, now: Instant) -> bool {
         self.was_noted_within(DEFERRAL_DURATION, service, regions, now)
     }
--- a/crates/inline-jobs/src/owned_job.rs
+++ b/crates/inline-jobs/src/owned_job.rs
@@ -1,4 +1,4 @@
-//! One job that this daemon runs.
+//! One job that this daemon runs, with its items.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -11,17 +11,18 @@
 use crate::store::ListedResult;
 use crate::view::KnownHeader;
 
-/// Most results listed as a job is handed over, and their text in bytes: half of a transaction, so that progress has room.
+/// Limits of the results listed by a handover and of their text in bytes, which leave half of the transaction for
+/// progress.
 const MAX_HANDOVER_RESULTS: usize = 40;
 const MAX_HANDOVER_BYTES: usize = 300_000;
 
-/// True if an item is not listed, nor among the results that are to be listed.
+/// True if an item is neither listed nor among the results to be listed.
 fn is_unlisted(number: u32, item: &Item, to_list: &[ListedResult]) -> bool {
     let is_listed = matches!(item.phase, ItemPhase::Listed);
     !is_listed && !to_list.iter().any(|result| result.item == number)
 }
 
-/// What a later owner needs of an item; `None` if nothing has come of it.
+/// Returns an item's progress for a later owner; `None` if it has no output and no failures.
 fn progress_row(item: &Item) -> Option<ItemProgressRow> {
     let progress = lock(&item.progress);
     if progress.last_event.is_none() && item.failures == 0 {
@@ -34,38 +35,38 @@
     })
 }
 
-/// What is handed over of a job, beside its head.
+/// State that a handover writes in addition to the job's header.
 #[derive(Debug, Default)]
 pub struct HandoverState {
-    /// Results that are done and not listed yet.
+    /// Results that are complete and not listed yet.
     pub results: Vec<ListedResult>,
-    /// Progress of the other items that are not listed.
+    /// Progress of the other unlisted items, by item number.
     pub progress: Vec<(u32, ItemProgressRow)>,
-    /// Failures of items that are not listed.
+    /// Failure counts of unlisted items, for the header.
     pub failures: Vec<ItemFailuresRow>,
 }
 
-/// One job that this daemon runs.
+/// A job that this daemon owns.
 #[derive(Debug)]
 pub struct OwnedJob {
-    /// Its head.
+    /// Newest known header of the same owner and epoch.
     pub known: KnownHeader,
-    /// Its items.
+    /// The items in submitted order.
     pub items: Vec<Item>,
-    /// A task lists results of the job.
+    /// True while a task lists results of the job.
     pub is_listing: bool,
-    /// When progress of its items was last saved.
+    /// Time of the last checkpoint, or of the registration.
     pub checkpoint_at: Instant,
     /// When this daemon began to run it.
     pub registered_at: Instant,
-    /// When a run of it last came to nothing at a replica.
+    /// When a run of it last broke or was refused by a replica; `None` if none did.
     pub broken_run_at: Option<Instant>,
-    /// When results of it were last seen to be listed.
+    /// When the number of listed results last grew; `None` if it has not grown here.
     listed_at: Option<Instant>,
 }
 
 impl OwnedJob {
-    /// A job whose items were read; `progress` is what an earlier owner left.
+    /// Creates a job from its items; `progress` is what an earlier owner stored.
     pub fn new(
         known: KnownHeader,
         requests: Vec<ServingRequest>,
@@ -109,7 +110,7 @@
         job
     }
 
-    /// Takes a newer head of the same owner and epoch: what it lists, and the failures that it counts.
+    /// Applies a newer header of the same owner and epoch: its listed results and failure counts.
     pub fn update_header(&mut self, known: KnownHeader) {
         if known.header.listed.len() > self.known.header.listed.len() {
             self.listed_at = Some(Instant::now());
@@ -124,7 +125,7 @@
         self.mark_listed();
     }
 
-    /// Items that the head lists need nothing more.
+    /// Aborts the runs of listed items and drops their progress.
     fn mark_listed(&mut self) {
         for number in &self.known.header.listed {
             if let Some(item) = self.items.get_mut(*number as usize) {
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Ends all runs; items go back to waiting.
+    /// Aborts all runs; their items wait again.
     pub fn stop_runs(&mut self) {
         for item in &mut self.items {
             if matches!(item.phase, ItemPhase::Running { .. }) {
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Ends all runs; what another owner needs of the job.
+    /// Aborts all runs and returns the state for the next owner.
     pub fn stop_for_handover(&mut self) -> HandoverState {
         self.stop_runs();
         let results = self.results_to_list(MAX_HANDOVER_RESULTS, MAX_HANDOVER_BYTES);
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Progress of items that are not listed, nor among the results that are to be listed, for another owner.
+    /// Returns the progress of items that are neither listed nor in `to_list`.
     pub fn progress_rows(&self, to_list: &[ListedResult]) -> Vec<(u32, ItemProgressRow)> {
         let items = (0..).zip(&self.items);
         let rows = items.filter(|(number, item)| is_unlisted(*number, item, to_list));
@@ -166,8 +167,8 @@
             .collect()
     }
 
-    /// Rows of items whose failures the head does not count yet. Builds that know of no failures in heads drop them when they rewrite one,
-    /// and read them here.
+    /// Returns the progress of items whose failures the header does not count yet. Builds without failure
+    /// counts in headers drop these counts when they rewrite a header, and read these rows instead.
     pub fn failed_progress_rows(&self, to_list: &[ListedResult]) -> Vec<(u32, ItemProgressRow)> {
         let items = (0..).zip(&self.items);
         let failed = items.filter(|(number, item)| {
@@ -177,7 +178,8 @@
         rows.collect()
     }
 
-    /// True if nothing has come of the job here for so long, though runs were tried. Items that wait for slots are not stuck.
+    /// True if runs were tried within `timeout`, but none of them progressed and no result was listed. Items
+    /// that wait for slots are not stuck.
     pub fn is_stuck(&self, timeout: Duration) -> bool {
         let is_recent = |at: Instant| at.elapsed() < timeout;
         let has_progressed = |item: &Item| {
@@ -194,7 +196,7 @@
         has_tried && !is_new && !has_listed && !self.items.iter().any(has_progressed)
     }
 
-    /// Items that have failed as often as their route allows, under an earlier owner, do not run again.
+    /// Fails items that have used up their route's attempts, possibly under an earlier owner.
     pub fn fail_exhausted_items(&mut self, attempts: u32) {
         for item in &mut self.items {
             if item.failures >= attempts && item.is_unfinished() {
@@ -204,12 +206,12 @@
         }
     }
 
-    /// True if items have failed and the head does not count it yet.
+    /// True if the header does not count all failures of the items yet.
     pub fn has_unrecorded_failures(&self) -> bool {
         self.items.iter().any(Item::has_unrecorded_failures)
     }
 
-    /// Failures of items that are not listed, nor among the results that are to be listed, for the head.
+    /// Returns the failure counts of items that are neither listed nor in `to_list`.
     pub fn failures(&self, to_list: &[ListedResult]) -> Vec<ItemFailuresRow> {
         let items = (0..).zip(&self.items);
         let failed =
@@ -221,7 +223,7 @@
         rows.collect()
     }
 
-    /// Results that wait to be listed, within the bounds of one transaction.
+    /// Returns results to be listed, within the limits of one transaction but at least one.
     pub fn results_to_list(&self, max_results: usize, max_bytes: usize) -> Vec<ListedResult> {
         let mut results = Vec::new();
         let mut size = 0;
--- a/crates/inline-jobs/src/pacing.rs
+++ b/crates/inline-jobs/src/pacing.rs
@@ -1,35 +1,35 @@
-//! How urgent items are, and how fast they are started: as gently as their jobs' targets allow.
+//! Urgency of items and the rate at which they are started, as low as their jobs' targets allow.
 //!
-//! Why: an online request that finds no slot takes one that an item holds (`serving::SlotLeases`), and an item that gave
-//! its slot up goes on elsewhere for the price of reading its prompt again. So items fill what is free; starts are
-//! spread, because an item's prompt holds up the tokens of all requests beside it while it is read.
+//! An online request without a free slot preempts an item, which resumes elsewhere at the cost of reading its
+//! prompt again. Starts are spread because prefill of an item's prompt delays the tokens of all requests in the
+//! same batch.
 
 use std::time::Duration;
 
-/// How much of a job's time has passed, in the order in which items are started.
+/// Urgency of an item by its job's age, in start order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// There is time enough.
+    /// Well before the target.
     Relaxed,
-    /// Part of the time is gone.
+    /// A considerable part of the time has passed.
     Pressing,
-    /// The target is near, and can still be met.
+    /// Close to the target, which can still be met.
     Late,
-    /// The target cannot be met any more: others go first, so that not all of them are late.
+    /// The target can no longer be met; other items go first, so that they are not late as well.
     Missed,
 }
 
-/// What items have taken so far, to tell whether one can still be done in time.
+/// Moving averages of the duration and event count of full runs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RunLength {
     seconds: f64,
     events: f64,
 }
 
-/// Weight of a new run in the means.
+/// Weight of a new run in the averages.
 const RUN_WEIGHT: f64 = 0.1;
 
-/// Means before any run has ended.
+/// Averages before the first full run.
 const INITIAL_SECONDS: f64 = 5.0;
 const INITIAL_EVENTS: f64 = 200.0;
 
@@ -43,7 +43,7 @@
 }
 
 impl RunLength {
-    /// Takes a whole run into account.
+    /// Adds a full run to the averages.
     pub fn observe(&mut self, took: Duration, events: usize) {
         self.seconds += (took.as_secs_f64() - self.seconds) * RUN_WEIGHT;
         #[allow(clippy::cast_precision_loss)]
@@ -51,7 +51,7 @@
         self.events += (events - self.events) * RUN_WEIGHT;
     }
 
-    /// Expected time that an item with so many events still takes.
+    /// Returns the expected remaining time of an item that has `events` events.
     pub fn remaining(&self, events: usize) -> Duration {
         #[allow(clippy::cast_precision_loss)]
         let remaining_share = 1.0 - events as f64 / self.events.max(1.0);
@@ -59,14 +59,14 @@
     }
 }
 
-/// Least part of a run that is expected to be left.
+/// Lower bound of the share of a run that is expected to remain.
 const MIN_REMAINING_SHARE: f64 = 0.1;
 
-/// Shares of the target after which a job presses and is late, in percent.
+/// Shares of the target after which a job is pressing and late, in percent.
 const PRESSING_PERCENT: u128 = 40;
 const LATE_PERCENT: u128 = 65;
 
-/// Urgency of an item whose job has this age, and that still takes `remaining`.
+/// Returns the urgency of an item whose job has this age, and that is expected to take `remaining`.
 pub fn urgency(age: Duration, remaining: Duration, target: Duration) -> Urgency {
     if age.saturating_add(remaining) > target {
         return Urgency::Missed;
@@ -82,13 +82,13 @@
     }
 }
 
-/// How long an item whose job has this age, and that still takes `remaining`, may rest and be in time.
+/// Returns how long an item may wait and still meet its target.
 pub fn slack(age: Duration, remaining: Duration, target: Duration) -> Duration {
     target.saturating_sub(age).saturating_sub(remaining)
 }
 
 impl Urgency {
-    /// Least time between two starts of items this urgent at one daemon.
+    /// Returns the minimum time between two starts of items of this urgency at one daemon.
     pub fn start_interval(self) -> Duration {
         match self {
             Self::Relaxed | Self::Missed => Duration::from_millis(100),
--- a/crates/inline-jobs/src/quota.rs
+++ b/crates/inline-jobs/src/quota.rs
@@ -1,10 +1,9 @@
-//! A job's tokens: asked of the coordinator of the route's quota, whom the store names, or of this daemon after it has
-//! made itself the coordinator.
+//! Reservation of a job's tokens at the coordinator of its route's quota.
 //!
-//! Why not estimates by datagram: daemons that do not hear of each other, or of a write that is done seconds later,
-//! would exceed the quota together. Why not a count in the store: all jobs of a route would wait for each other there.
-//! Here the store is asked once for each change of the coordinator, and each job's own transaction carries one more
-//! condition.
+//! A fence row in the store names the coordinator. If it does not respond, this daemon writes a new fence and
+//! becomes the coordinator itself. The transaction that stores a job is conditional on the fence, so two
+//! coordinators cannot exceed the quota together, and jobs of one route do not contend for a counter in the
+//! store.
 
 use std::time::Duration;
 
@@ -18,34 +17,34 @@
 use crate::service::InlineJobs;
 use crate::store::{FenceOutcome, KnownFence};
 
-/// Age of the last proof of contact from which on a coordinator cannot tell what waits.
+/// Age of the last proof of contact above which a coordinator cannot tell what is queued.
 const MAX_PROOF_AGE: Duration = Duration::from_millis(2_000);
 
-/// How long a coordinator that reads what waits is waited for.
+/// How long a coordinator that still reads the job headers is retried.
 const LEDGER_LOAD_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long a new coordinator that cannot be asked is left to keep jobs of its own.
+/// How long a new coordinator is kept although it does not respond.
 const MIN_TENURE: Duration = Duration::from_millis(600);
 
-/// Pauses before the coordinator is asked again, milliseconds.
+/// Range of pauses between requests to the coordinator, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 10..35;
 
-/// What became of a job's tokens.
+/// Outcome of a reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reservation {
-    /// The job may be kept under this fence; `None` if the route has no quota.
+    /// The job may be stored under this fence.
     Granted {
-        /// Revision of the fence.
+        /// Revision of the fence; `None` if the route has no quota.
         fence: Option<u64>,
     },
-    /// The job does not fit.
+    /// The tokens exceed what is left of the quota.
     Full,
-    /// The coordinator could not be asked, and the fence could not be written.
+    /// The coordinator did not respond, and the fence could not be written.
     Unreachable,
 }
 
 impl InlineJobs {
-    /// Gets a job its tokens; ends at `until`.
+    /// Reserves a job's tokens, retrying until `until`.
     pub(crate) async fn reserve(
         &self,
         request: QuotaRequest<'_>,
@@ -92,15 +91,16 @@
         Reservation::Unreachable
     }
 
-    /// True if another daemon wrote the fence just now: daemons that do not hear of each other would else take the
-    /// quota from each other before any of them has kept a job.
+    /// True if another daemon wrote the fence so recently that it must not be replaced yet. Otherwise,
+    /// daemons that cannot reach each other would replace each other's fences before any of them has stored a
+    /// job.
     fn is_within_min_tenure(&self, route: &str, fence: Option<&KnownFence>) -> bool {
         let is_of_other = fence.is_some_and(|fence| fence.coordinator != self.inner.instance_id);
         let age = self.inner.view.fence_age(route);
         is_of_other && age.is_some_and(|age| age < MIN_TENURE)
     }
 
-    /// Decides a job's tokens as the coordinator, for this daemon or a peer. Returns the fence of a grant, else 0.
+    /// Decides a request as the coordinator, for this daemon or a peer. Returns the fence of a grant, else 0.
     pub fn decide_quota(&self, request: QuotaRequest<'_>) -> (QuotaOutcome, u64) {
         let view = &self.inner.view;
         let routes = self.inner.forwarder.routes();
@@ -131,7 +131,7 @@
         }
     }
 
-    /// A job that was granted its tokens will certainly not be kept.
+    /// Releases the grant of a submission that will certainly not be stored.
     pub fn release_grant(&self, request: QuotaRequest<'_>) {
         self.quotas()
             .release(request.route, request.job, request.submission);
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Makes this daemon the coordinator of a route's quota, unless another one is faster.
+    /// Makes this daemon the coordinator of a route's quota, unless the fence has changed since `known`.
     async fn become_coordinator(&self, route: &str, known: Option<KnownFence>, until: Instant) {
         let _one_at_a_time = self.inner.fencing.lock().await;
         let newest = self.inner.view.fence(route);
@@ -175,7 +175,7 @@
             FenceOutcome::Unconfirmed => return,
         };
         self.inner.view.update_fence(route, fence.clone());
-        // What was kept under earlier fences is in the store now; nothing more can be.
+        // Jobs stored under earlier fences are visible to this read; none can be added any more.
         let Some(headers) = self.inner.store.read_headers(fence.revision, until).await else {
             return;
         };
--- a/crates/inline-jobs/src/quota_ledger.rs
+++ b/crates/inline-jobs/src/quota_ledger.rs
@@ -1,8 +1,9 @@
-//! The quotas that this daemon keeps: which jobs were granted their tokens and are not seen in the store yet. Pure. Each
-//! tenant has the route's whole limit for itself; one fence serves all tenants of a route.
+//! Ledger of the quotas that this daemon coordinates: grants whose jobs are not visible in the store yet. Pure.
+//! Each tenant has the route's full limit; one fence serves all tenants of a route.
 //!
-//! Why exact: a job is kept only under the revision of its route's fence, so every job that can still be kept under
-//! it was granted here. The count is that of the heads, read whole after the fence was written, and of these grants.
+//! The count is exact: a job is only stored under the revision of its route's fence, so every job that can still
+//! be stored under it was granted here. Usage is the sum of the headers, read in full after the fence was
+//! written, and of these grants.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -10,7 +11,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long a grant may stay unseen. Then the fence is written anew, so that it can come to nothing for certain.
+/// How long a grant may stay without its job's header. Then the fence is rewritten, which voids all older grants.
 const GRANT_TTL: Duration = Duration::from_secs(8);
 
 #[derive(Debug, Clone)]
@@ -18,7 +19,7 @@
     tokens: u64,
     granted_at: Instant,
     tenant: u64,
-    /// Submissions that may yet keep the job. One that gives the tokens back says nothing of the others.
+    /// Submissions that may still store the job. One that releases its grant does not affect the others.
     submissions: HashSet<u64>,
 }
 
@@ -28,56 +29,56 @@
     grants: HashMap<String, Grant>,
 }
 
-/// A job that wants its tokens.
+/// A request for a job's tokens.
 #[derive(Debug, Clone, Copy)]
 pub struct QuotaRequest<'a> {
-    /// Route.
+    /// Name of the route.
     pub route: &'a str,
-    /// Tenant whose tokens they are; empty without tenants.
+    /// Tenant whose quota is charged; empty without tenants.
     pub tenant: &'a str,
-    /// Job.
+    /// Stored id of the job.
     pub job: &'a str,
-    /// Tokens of its items.
+    /// Sum of the tokens of its items.
     pub tokens: u64,
-    /// Which submission of the job asks: a client that hears nothing sends the same job to another daemon. The same
-    /// number each time one submission asks.
+    /// Random number of the submission, the same in all its requests: a client without a response sends the
+    /// same job to another daemon.
     pub submission: u64,
 }
 
-/// What the heads tell of a route.
+/// Usage of a route as the job headers show it.
 #[derive(Clone, Copy)]
 pub struct RouteCount<'a> {
-    /// Tokens that may wait, of each tenant.
+    /// Tokens that each tenant may have queued.
     pub limit: u64,
-    /// Tokens of the tenant that wait, of all heads known.
+    /// Tokens that the tenant has queued, by all known headers.
     pub waiting: u64,
-    /// True if a job's head is known.
+    /// True if the header of the job is known.
     pub is_known: &'a dyn Fn(&str) -> bool,
 }
 
-/// What becomes of a request.
+/// Decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaDecision {
-    /// The job may be kept under this fence.
+    /// The job may be stored under this fence.
     Granted {
-        /// Revision of the fence.
+        /// Store revision of the fence.
         fence: u64,
     },
-    /// The job does not fit.
+    /// The tokens exceed what is left of the tenant's limit.
     Full,
-    /// The fence must be written, or written anew, before anything can be told.
+    /// The fence must be written, or rewritten, before a request can be decided.
     FenceRequired,
 }
 
-/// All quotas that this daemon keeps.
+/// Grants of all routes whose quota this daemon coordinates.
 #[derive(Debug, Default)]
 pub struct QuotaLedger {
     routes: HashMap<String, RouteQuota>,
 }
 
 impl QuotaLedger {
-    /// The fence was written at this revision, and all heads up to it are known: what was granted before can no
-    /// longer be kept.
+    /// Starts coordinating a route: the fence was written at revision `fence`, and all headers up to it are
+    /// known. Drops grants under earlier fences, which can no longer be stored.
     pub fn begin(&mut self, route: &str, fence: u64) {
         let quota = RouteQuota {
             fence,
@@ -86,17 +87,17 @@
         self.routes.insert(route.to_owned(), quota);
     }
 
-    /// Another daemon wrote the fence.
+    /// Stops coordinating a route whose fence another daemon wrote.
     pub fn end(&mut self, route: &str) {
         self.routes.remove(route);
     }
 
-    /// Revision of the fence that is kept.
+    /// Returns the revision of the fence under which this daemon coordinates a route.
     pub fn fence(&self, route: &str) -> Option<u64> {
         self.routes.get(route).map(|quota| quota.fence)
     }
 
-    /// Decides a request; a granted one counts until its head is known.
+    /// Decides a request. A grant counts until the header of its job is known.
     pub fn decide(
         &mut self,
         request: QuotaRequest<'_>,
@@ -116,7 +117,7 @@
         if (count.is_known)(request.job) {
             return QuotaDecision::Granted { fence };
         }
-        // A submission may bring other items under the same name, and any of them may be the one that is kept.
+        // Another submission may bring other items under the same id, and either may be stored.
         let granted_before = quota
             .grants
             .get(request.job)
@@ -143,7 +144,8 @@
         QuotaDecision::Granted { fence }
     }
 
-    /// A submission will certainly not keep its job. The tokens are free once no other submission of it is left.
+    /// Releases the grant of a submission that will certainly not store its job. The tokens are free once no
+    /// other submission of the job is pending.
     pub fn release(&mut self, route: &str, job: &str, submission: u64) {
         let Some(quota) = self.routes.get_mut(route) else {
             return;
--- a/crates/inline-jobs/src/ready.rs
+++ b/crates/inline-jobs/src/ready.rs
@@ -1,4 +1,4 @@
-//! Items that may be started, as the configuration in force has them run.
+//! Items that may be started, restricted to what the current configuration allows.
 
 use std::sync::Arc;
 
@@ -7,20 +7,20 @@
 
 use crate::registry::StartableItem;
 
-/// An item that may be started now.
+/// An item together with its placement constraints.
 #[derive(Clone)]
 pub struct ReadyItem {
-    /// The item, with the regions in which it may run.
+    /// The item, with its allowed regions in the request.
     pub item: StartableItem,
-    /// Service that runs it.
+    /// Name of the service that runs it.
     pub service: String,
-    /// How long it could rest.
+    /// How long it may wait and still be in time.
     pub item_slack: ItemRoom,
-    /// Items like it found no room lately: all others come first.
+    /// True if similar items recently found no free slot, so that all others go first.
     pub is_deferred: bool,
 }
 
-/// The item with the regions in which it may run by the configuration in force now.
+/// Returns the item with `regions` as its allowed regions.
 pub fn restrict_to_regions(mut item: StartableItem, regions: AllowedRegions) -> StartableItem {
     if item.request.regions != regions {
         let mut request = ServingRequest::clone(&item.request);
--- a/crates/inline-jobs/src/registry.rs
+++ b/crates/inline-jobs/src/registry.rs
@@ -1,4 +1,4 @@
-//! The jobs that this daemon runs, and the state of each item: pure apart from the tasks' handles.
+//! Registry of the jobs that this daemon runs, with the state of each item. Pure apart from the task handles.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,50 +12,50 @@
 use crate::owned_job::OwnedJob;
 use crate::pacing::RunLength;
 
-/// An item that may be started.
+/// A copy of an item that may be started.
 #[derive(Debug, Clone)]
 pub struct StartableItem {
-    /// Job.
+    /// Stored id of the job.
     pub job: String,
-    /// Number of the item.
+    /// Number of the item in its job, from 0.
     pub number: u32,
-    /// Route.
+    /// Name of the route.
     pub route: String,
-    /// When its job was accepted, on the store's clock, milliseconds.
+    /// When its job was accepted, on the store's clock, in milliseconds.
     pub accepted_ms: u64,
-    /// Nothing has come of it yet.
+    /// True if no output was received before this run.
     pub started_fresh: bool,
-    /// Hash of the replica's start at which it last ran.
+    /// Hash of the replica instance at which it last ran; `None` if it has not run at this daemon.
     pub last_replica_instance: Option<u32>,
-    /// Runs that a replica failed.
+    /// Runs that a replica answered with a failure.
     pub failures: u32,
-    /// The request that runs it.
+    /// The request to send to a replica.
     pub request: Arc<ServingRequest>,
-    /// What has come so far.
+    /// Output received so far, shared with the item's task.
     pub progress: SharedProgress,
 }
 
-/// All jobs of this daemon.
+/// All jobs of this daemon, with the state of item scheduling.
 #[derive(Debug, Default)]
 pub struct JobRegistry {
-    /// When an item was last started.
+    /// When an item was last started; `None` before the first.
     pub last_start: Option<Instant>,
-    /// Items for which a place is being asked.
+    /// Placement requests in flight.
     pub placing: usize,
-    /// Where there was no room a moment ago.
+    /// Where placements recently found no free slot.
     pub no_capacity: NoCapacity,
-    /// What items take.
+    /// Mean length of item runs, for the urgency of items.
     pub run_length: RunLength,
-    /// Routes of jobs that the configuration does not hold, and since when this is known.
+    /// Routes of jobs that are missing from the configuration, with the time since when.
     pub missing_routes: BTreeMap<String, Instant>,
-    /// When runs were last ended at a replica for online.
+    /// When runs were last preempted, by replica id.
     pub preempted_at: BTreeMap<String, Instant>,
-    /// The jobs by id.
+    /// The jobs by stored id.
     pub jobs: BTreeMap<String, OwnedJob>,
 }
 
 impl JobRegistry {
-    /// Items that wait and may be started now: those of the oldest jobs first.
+    /// Returns the waiting items that may be started now, those of the oldest jobs first.
     pub fn startable(&self) -> Vec<StartableItem> {
         let now = Instant::now();
         let mut jobs: Vec<&OwnedJob> = self.jobs.values().collect();
@@ -81,8 +81,8 @@
         startable
     }
 
-    /// Notes which jobs' routes the configuration does not hold; items of one that has been missing for `grace_period`
-    /// fail for good, since nothing may run them any more.
+    /// Records which jobs' routes are missing from the configuration, and fails the items of a route that has
+    /// been missing for `grace_period`.
     pub fn fail_items_without_route(
         &mut self,
         is_known: impl Fn(&str) -> bool,
@@ -120,12 +120,12 @@
         }
     }
 
-    /// An item.
+    /// Returns an item; `None` if its job is not owned here any more.
     pub fn item(&mut self, job: &str, number: u32) -> Option<&mut Item> {
         self.jobs.get_mut(job)?.items.get_mut(number as usize)
     }
 
-    /// Ends the `count` youngest runs at a replica; their items wait for `pause`. Returns the items.
+    /// Aborts the `count` youngest runs at a replica; their items wait for `pause`. Returns the items.
     pub fn preempt_runs(
         &mut self,
         replica: &str,
@@ -138,7 +138,7 @@
         selected.map(|run| run.preempt(pause)).collect()
     }
 
-    /// Ends the run that holds a place; its item waits for `pause`. Returns the item.
+    /// Aborts the run that holds a slot; its item waits for `pause`. Returns the item.
     pub fn preempt_lease(&mut self, slot: u32, pause: Duration) -> Option<PreemptedItem> {
         let run = self.runs_where(|at| at.slot == slot).pop()?;
         Some(run.preempt(pause))
@@ -191,15 +191,15 @@
     }
 }
 
-/// An item whose run was ended for online.
+/// An item whose run was aborted in favour of an online request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PreemptedItem {
-    /// Job.
+    /// Stored id of the job.
     pub job: String,
-    /// Item id.
+    /// Item id as submitted.
     pub item: String,
-    /// Replica at which it ran.
+    /// Id of the replica at which it ran.
     pub replica: String,
-    /// Events received so far.
+    /// Number of the last event received, 0 if none.
     pub events: u64,
 }
--- a/crates/inline-jobs/src/runner.rs
+++ b/crates/inline-jobs/src/runner.rs
@@ -1,4 +1,5 @@
-//! Starting items where online leaves room, taking their ends, and giving slots back when online needs them.
+//! Starts items on free replica slots, records the outcomes of runs, and preempts runs when online requests need
+//! the slots.
 
 use std::time::Duration;
 
@@ -13,28 +14,28 @@
 use crate::registry::{PreemptedItem, StartableItem};
 use crate::service::InlineJobs;
 
-/// How often the runner looks for room when nothing wakes it.
+/// Poll interval of the runner when nothing wakes it.
 const TICK: Duration = Duration::from_millis(25);
 
-/// Pause before an item that was not taken, or whose stream broke, is started again.
+/// Pause before an item that was refused, or whose stream broke, is started again.
 const RETRY_PAUSE: Duration = Duration::from_millis(40);
 
-/// How long a route must be missing before its items fail: it may be a moment between two configurations.
+/// How long a route must be missing before its items fail: it may be absent briefly between two configurations.
 const ROUTE_GRACE_PERIOD: Duration = Duration::from_millis(3_000);
 
-/// Pause before an item that a replica failed is started again.
+/// Pause before an item that failed at a replica is started again.
 const FAILURE_PAUSE: Duration = Duration::from_millis(150);
 
-/// Pause before an item that yielded is started again.
+/// Pause before a preempted item is started again.
 const PREEMPTION_PAUSE: Duration = Duration::from_millis(800);
 
-/// Items for which a daemon asks for places at the same time.
+/// Placement requests in flight at a daemon.
 const MAX_PLACING: usize = 3;
 
-/// Objective of an item's question for a place: no caller waits for it.
+/// Time limit of an item's placement request; no caller waits for it.
 const PLACEMENT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Least time between two yields at one replica: the other daemons' counts must have come.
+/// Minimum time between two preemptions at a replica, so that the other daemons' counts arrive in between.
 const PREEMPTION_INTERVAL: Duration = Duration::from_millis(250);
 
 impl InlineJobs {
@@ -73,7 +74,7 @@
             }
             let item_slack = ItemRoom { slack };
             let Some(ready) = self.ready(&routes, item, item_slack) else {
-                // It waits, and must not hold up those that can run.
+                // An item that cannot be placed must not block the others.
                 continue;
             };
             if ready.is_deferred {
@@ -89,8 +90,8 @@
         }
     }
 
-    /// An item that must not run since replicas have ended under its content waits, and is given up when its route allows
-    /// that: its job's caller learns of it then, and not earlier.
+    /// Fails a quarantined item whose job is older than its route's limit. Until then the item waits, as the
+    /// quarantine may end.
     fn fail_expired_quarantined(&self, routes: &RouteTable, item: &StartableItem) {
         let route = routes.configuration.route(&item.route);
         let bounds = route.and_then(|route| route.batch());
@@ -111,7 +112,7 @@
         self.log_run(item, "", &RunOutcome::NotRun("held back".to_owned()));
     }
 
-    /// The item as it may run by the configuration in force; `None` if nothing takes it now.
+    /// Returns the item as the current configuration allows it to run; `None` if no replica can take it now.
     fn ready(
         &self,
         routes: &RouteTable,
@@ -141,7 +142,7 @@
         })
     }
 
-    /// Items that may be started now, those that can no longer be in time last, else the oldest first.
+    /// Returns the items that may be started, the oldest first, those that can no longer be in time last.
     fn startable(&self, routes: &RouteTable) -> Vec<(StartableItem, Urgency, Duration)> {
         let (items, run_length) = {
             let registry = self.registry();
@@ -159,7 +160,7 @@
         startable
     }
 
-    /// How urgent an item is, and how long it could rest.
+    /// Returns an item's urgency, and its slack: the time for which it may wait and still be in time.
     fn urgency_of(
         &self,
         item: &StartableItem,
@@ -177,7 +178,7 @@
         )
     }
 
-    /// True if the time between two starts of items this urgent is over.
+    /// True if the start interval of this urgency has passed.
     fn is_due(&self, urgency: Urgency) -> bool {
         if !self.inner.forwarder.policy().has(Mechanism::Pacing) {
             return true;
@@ -186,7 +187,7 @@
         last.is_none_or(|last| last.elapsed() >= urgency.start_interval())
     }
 
-    /// Asks for a place for an item and runs it there; false if no place is to be asked for now.
+    /// Starts the placement and run of an item; false if too many placements are in flight.
     fn start_item(&self, ready: &ReadyItem) -> bool {
         let item = &ready.item;
         let mut registry = self.registry();
@@ -201,7 +202,7 @@
         let placing = PlacingGuard { jobs: self.clone() };
         let jobs = self.clone();
         let started = ready.clone();
-        // The task cannot end before its phase is set: it takes the lock that is held here.
+        // The task cannot finish before its phase is set: it needs the lock that is held here.
         let task = tokio::spawn(async move { jobs.place_item(started, placing).await });
         if let Some(entry) = registry.item(&item.job, item.number) {
             entry.phase = ItemPhase::Running {
@@ -257,7 +258,7 @@
         self.run_item(item, placement).await;
     }
 
-    /// No replica has room for an item: it waits, and none that may run nowhere else is tried for a moment.
+    /// Returns an item to the queue after no replica had capacity, and pauses placements of its kind.
     fn note_no_capacity(&self, item: &StartableItem, service: &str) {
         let now = Instant::now();
         let mut registry = self.registry();
@@ -301,7 +302,7 @@
         let Some(entry) = job.items.get_mut(item.number as usize) else {
             return;
         };
-        // An earlier owner's listing may have come in since the run ended.
+        // An earlier owner's listing may have arrived since the run ended.
         if matches!(entry.phase, ItemPhase::Listed) {
             return;
         }
@@ -348,7 +349,7 @@
         });
     }
 
-    /// Ends runs at replicas where requests wait for slots that batch work holds, as far as no coordinator does.
+    /// Preempts runs at overcommitted replicas whose slots have no coordinator.
     fn preempt_for_online(&self) {
         let view = self.inner.forwarder.replicas().view();
         let places = self.inner.forwarder.places();
@@ -365,19 +366,19 @@
             if !self.may_preempt_at(&replica.record.id) {
                 continue;
             }
-            // Each daemon gives back its share; the rest follows if it is still needed.
+            // Each daemon preempts its share; further rounds follow while the excess lasts.
             let excess = in_use - slots;
             let share = f64::from(excess * own) / f64::from(replica.batch().max(1));
             self.preempt_runs_at(&replica.record.id, round_stochastically(share));
         }
     }
 
-    /// Online requests need slots at a replica: as many of this daemon's runs there end at once.
+    /// Preempts `slots` of this daemon's runs at a replica.
     pub fn preempt_slots(&self, replica: &str, slots: u32) {
         self.preempt_runs_at(replica, slots as usize);
     }
 
-    /// The item that holds a place shall end at once.
+    /// Preempts the run that holds a slot.
     pub fn preempt_lease(&self, slot: u32) {
         let preempted_items = self.registry().preempt_lease(slot, PREEMPTION_PAUSE);
         self.log_preempted(preempted_items);
@@ -402,7 +403,7 @@
         }
     }
 
-    /// True if the last yield at the replica has shown its effect; then this one counts.
+    /// True if the last preemption at the replica has taken effect; if so, records a new one.
     fn may_preempt_at(&self, replica: &str) -> bool {
         let mut registry = self.registry();
         let last = registry.preempted_at.get(replica);
@@ -416,14 +417,14 @@
     }
 }
 
-/// Rounds so that the daemons' shares add up on the mean.
+/// Rounds stochastically, so that the daemons' shares add up to the excess on average.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 fn round_stochastically(share: f64) -> usize {
     let rounds_up = rand::random::<f64>() < share.fract();
     share.floor() as usize + usize::from(rounds_up)
 }
 
-/// Counts an item for which a place is asked.
+/// Decrements the count of placements in flight when dropped.
 struct PlacingGuard {
     jobs: InlineJobs,
 }
--- a/crates/inline-jobs/src/service.rs
+++ b/crates/inline-jobs/src/service.rs
@@ -1,4 +1,4 @@
-//! The jobs of one daemon: shared state, and what happens when a head changes.
+//! The jobs of one daemon: shared state, reactions to header changes, load and handover.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -24,14 +24,15 @@
 use crate::takeover::JobTakeovers;
 use crate::view::{JobView, KnownHeader};
 
-/// Other daemons, as far as the jobs need them.
+/// The other daemons of the fleet, as the membership protocol shows them.
 #[async_trait]
 pub trait Peers: Send + Sync {
-    /// Lives of the daemons that may own jobs, this one among them; `None` while this daemon has not yet heard of
-    /// the others.
+    /// Returns the instance ids of the daemons that may own jobs, this one included; `None` until the
+    /// membership has settled.
     fn owners(&self) -> Option<Vec<String>>;
 
-    /// Those of them that are in one of these regions: they may read the bodies of jobs that are to stay there.
+    /// Returns those of [`Self::owners`] in one of these regions, which may read the bodies of jobs
+    /// restricted to them.
     fn owners_in(&self, regions: &AllowedRegions) -> Option<Vec<String>> {
         match regions {
             AllowedRegions::Any => self.owners(),
@@ -39,50 +40,51 @@
         }
     }
 
-    /// How this daemon sees another one that owns a job.
+    /// Returns this daemon's view of the owner of a job.
     fn owner_status(&self, owner: &str) -> OwnerStanding;
 
-    /// Of those, the ones in the region of a daemon that may have died; empty if its region is not known.
+    /// Returns the daemons that may own jobs in the region of `owner`, which may be dead; empty if its region
+    /// is unknown.
     fn owners_near(&self, owner: &str) -> Vec<String>;
 
-    /// Asks another daemon, the coordinator of a route's quota, for a job's tokens: what became of it, and the fence of a
-    /// grant. `None` if it does not answer.
+    /// Requests a job's tokens from the coordinator of its route's quota. Returns the outcome and the fence
+    /// of a grant; `None` without a reply.
     async fn request_quota(
         &self,
         coordinator: &str,
         request: QuotaRequest<'_>,
     ) -> Option<(QuotaOutcome, u64)>;
 
-    /// Tells the coordinator that a job will certainly not be kept. Does not wait.
+    /// Notifies the coordinator that a submission will certainly not be stored. Does not wait for delivery.
     fn release_quota(&self, coordinator: &str, request: QuotaRequest<'_>);
 }
 
-/// Bounds of the jobs.
+/// Time bounds of jobs, from the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct JobSettings {
     /// How long a job stays readable after it was accepted.
     pub retention: Duration,
-    /// Time after an acknowledged end within which nothing of the job may start any more.
+    /// Time after an acknowledged cancellation from which none of the job's items may start.
     pub cancel_within: Duration,
 }
 
-/// What the jobs work with.
+/// Dependencies of [`InlineJobs`].
 pub struct JobParts {
-    /// This life of the daemon.
+    /// Identifies this start of the daemon; unique in the fleet.
     pub instance_id: String,
-    /// The store's rows.
+    /// Rows of the store.
     pub table: Arc<dyn Table>,
-    /// The store's objects.
+    /// Objects of the store, for items too large for rows.
     pub objects: Arc<dyn ObjectStore>,
-    /// The store's rows, watched.
+    /// Consistent reads and watches of the same rows.
     pub watched: Arc<dyn WatchedTable>,
-    /// The path to replicas.
+    /// Sends items to replicas, and holds the current configuration.
     pub forwarder: Forwarder,
-    /// Other daemons.
+    /// The other daemons.
     pub peers: Arc<dyn Peers>,
-    /// Decision log.
+    /// Receives the records of decisions.
     pub log: DecisionLog,
-    /// Settings.
+    /// Time bounds.
     pub settings: JobSettings,
 }
 
@@ -99,7 +101,7 @@
     pub wake: Notify,
     pub stopping: AtomicBool,
     pub quotas: Mutex<QuotaLedger>,
-    /// Held while a fence is written.
+    /// Serializes the writes of fences.
     pub fencing: tokio::sync::Mutex<()>,
 }
 
@@ -109,11 +111,11 @@
     pub(crate) inner: Arc<Inner>,
 }
 
-/// Part of the cancel bound that is kept for what is under way.
+/// Margin of the cancellation bound for runs that are being started.
 const CANCEL_MARGIN: Duration = Duration::from_millis(700);
 
 impl InlineJobs {
-    /// Jobs over these parts. Nothing runs until [`InlineJobs::run`] is driven.
+    /// Creates the service. Nothing runs until [`InlineJobs::run`] is polled.
     pub fn new(parts: JobParts) -> Self {
         let inner = Inner {
             instance_id: parts.instance_id,
@@ -135,7 +137,7 @@
         }
     }
 
-    /// The heads as this daemon knows them.
+    /// Returns the local copy of the job headers.
     pub fn view(&self) -> &JobView {
         &self.inner.view
     }
@@ -158,7 +160,8 @@
         self.inner.stopping.load(Ordering::Relaxed)
     }
 
-    /// True if no end of a job can have been acknowledged so long ago that its items must not start any more.
+    /// True if the local copy is recent enough that no cancellation acknowledged longer than the bound ago
+    /// can be missing.
     pub(crate) fn may_start_runs(&self) -> bool {
         let bound = self.inner.settings.cancel_within;
         let bound = bound.saturating_sub(CANCEL_MARGIN);
@@ -166,8 +169,8 @@
         !self.is_stopping() && age.is_some_and(|age| age < bound)
     }
 
-    /// Regions in which a job's items may run and its bodies be read, by the configuration in force; `None` while none is
-    /// known, and nobody may tell.
+    /// Returns the regions in which a job's items may run and its bodies be read; `None` without a
+    /// configuration.
     pub(crate) fn regions_of(&self, route: &str, tenant: &str) -> Option<AllowedRegions> {
         let routes = self.inner.forwarder.routes()?;
         Some(routes.configuration.allowed_regions(route, tenant))
@@ -177,7 +180,7 @@
         header.owner == self.inner.instance_id
     }
 
-    /// Takes a head that was read or written; nothing happens if a newer one is known.
+    /// Applies a header that was read or written, unless a newer one is known.
     pub fn note_header(&self, known: KnownHeader) {
         if let Some(change) = self.inner.view.update(known) {
             self.note_owners(&change);
@@ -185,14 +188,14 @@
         }
     }
 
-    /// Takes the row of a head; one that cannot be read names no job.
+    /// Decodes and applies the row of a header; ignores a row that cannot be decoded.
     pub fn note_header_row(&self, value: &Bytes, revision: u64) {
         if let Some(header) = decode_job_header(value) {
             self.note_header(KnownHeader { header, revision });
         }
     }
 
-    /// A head changed in the store.
+    /// Updates the registry for a newer header: loads, updates or drops the job.
     pub fn header_changed(&self, known: &KnownHeader) {
         let job_id = &known.header.job_id;
         let mut registry = self.registry();
@@ -223,7 +226,7 @@
         self.log_ownership(&before, &known.header, outcome, reason);
     }
 
-    /// A job's row is gone.
+    /// Drops a job whose row was removed from the store.
     pub fn header_removed(&self, job_id: &str) {
         self.inner.view.remove(job_id);
         if let Some(mut job) = self.registry().jobs.remove(job_id) {
@@ -249,20 +252,20 @@
         });
     }
 
-    /// Enters a job whose items are known.
+    /// Registers a job whose items are loaded.
     pub(crate) fn register(&self, job: OwnedJob) {
         let job_id = job.known.header.job_id.clone();
         let mut registry = self.registry();
         registry.jobs.entry(job_id.clone()).or_insert(job);
         drop(registry);
-        // The head may have changed while the items were read; a change from now on finds the job here.
+        // The header may have changed while the items were read; later changes find the job registered.
         if let Some(newest) = self.inner.view.get(&job_id) {
             self.header_changed(&newest);
         }
         self.inner.wake.notify_one();
     }
 
-    /// Reads a job's items, and enters it; nothing happens if that is under way.
+    /// Starts the load of a job's items, unless one is in flight.
     pub(crate) fn load(&self, known: KnownHeader) {
         if !self.takeovers().begin_load(&known.header.job_id) {
             return;
@@ -272,7 +275,7 @@
             let job_id = known.header.job_id.clone();
             jobs.read_and_register(known).await;
             jobs.takeovers().end_load(&job_id);
-            // Lost and won again meanwhile: the task may have ended on the loss.
+            // The job may have been lost and regained during the load, which stops at the loss.
             if let Some(newest) = jobs.inner.view.get(&job_id) {
                 jobs.header_changed(&newest);
             }
@@ -305,7 +308,7 @@
         }
     }
 
-    /// Drives the jobs for as long as the process runs.
+    /// Runs items, adoption and removal until the process ends.
     pub async fn run(self) {
         tokio::join!(
             self.clone().run_items(),
@@ -314,7 +317,7 @@
         );
     }
 
-    /// Gives all jobs up for others; ends at `until` at the latest.
+    /// Releases all jobs to other daemons; returns at `until` at the latest.
     pub async fn hand_over_all(&self, until: Instant) {
         self.inner.stopping.store(true, Ordering::Relaxed);
         let mut released_jobs = Vec::new();
@@ -327,8 +330,8 @@
         let handovers = released_jobs
             .into_iter()
             .map(|(known, left)| self.hand_over(known, left, "stopping", until));
-        // A write that the store does not answer lasts longer than `until`; what it was to hand over is adopted once
-        // this daemon is gone.
+        // A write without a response lasts beyond `until`; the other daemons then adopt the job once this
+        // one has departed.
         let finished = timeout_at(until, futures::future::join_all(handovers)).await;
         if finished.is_err() {
             self.inner.log.record(&Record::DependencyLost {
@@ -339,5 +342,5 @@
     }
 }
 
-/// Pause before a job's items are read again.
+/// Pause before a failed load is retried.
 const LOAD_RETRY_PAUSE: Duration = Duration::from_millis(150);
--- a/crates/inline-jobs/src/store.rs
+++ b/crates/inline-jobs/src/store.rs
@@ -1,4 +1,4 @@
-//! Transactions on jobs' rows, and what is done when their answers are lost.
+//! Transactions on jobs' rows, with retries when their responses are lost.
 
 mod reads;
 mod settling;
@@ -21,54 +21,54 @@
 
 use transactions::{MAX_ROW_BYTES, MAX_TRANSACTION_BYTES, add_progress, header_change, listing};
 
-/// How a conditional write of a head ended.
+/// Outcome of a conditional write of a header.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WriteOutcome {
-    /// It was done at this revision.
+    /// The write was committed.
     Committed {
-        /// Revision of the rows.
+        /// Store revision of the written rows.
         revision: u64,
     },
-    /// The head is another one; nothing was done by the last try.
+    /// The header has changed; the last attempt wrote nothing.
     Conflict {
-        /// The head as it stands; `None` if there is none.
+        /// The present header; `None` if there is none.
         current: Option<Box<KnownHeader>>,
     },
-    /// The quota's fence is another one; nothing was done, and nothing will be.
+    /// The quota's fence has changed; nothing was written, and nothing will be.
     Fenced {
-        /// The fence as it stands.
+        /// The present fence; `None` if there is none or it cannot be decoded.
         current: Option<KnownFence>,
     },
-    /// Nothing was done, and nothing will be.
+    /// Nothing was written, and nothing will be.
     NotCommitted,
-    /// It may have been done, or may yet be.
+    /// The write may have been committed, or may still be.
     Indeterminate,
 }
 
-/// The fence of a route's quota, and the revision of its row.
+/// The fence of a route's quota and the revision of its row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KnownFence {
-    /// Life of the daemon that keeps the quota.
+    /// Instance id of the daemon that coordinates the quota.
     pub coordinator: String,
-    /// Revision.
+    /// Store revision of the row; identifies the fence.
     pub revision: u64,
 }
 
-/// How the write of a fence ended.
+/// Outcome of the write of a fence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FenceOutcome {
-    /// It was written at this revision.
+    /// The fence was written.
     Written {
-        /// Revision of its rows.
+        /// Store revision of its rows.
         revision: u64,
     },
-    /// Another daemon's stands there.
+    /// Another daemon has written the fence.
     Superseded(KnownFence),
-    /// It is not known whether it was written.
+    /// It is unknown whether the fence was written.
     Unconfirmed,
 }
 
-/// The rows of jobs.
+/// Access to jobs' rows in the store.
 #[derive(Clone)]
 pub struct JobStore {
     table: Arc<dyn Table>,
@@ -79,29 +79,29 @@
 /// A result to be listed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedResult {
-    /// Item, by its number in the job.
+    /// Number of the item in its job, from 0.
     pub item: u32,
-    /// The item failed for good.
+    /// True if the item has used up its attempts or cannot be run.
     pub failed: bool,
-    /// Text.
+    /// The item's output; empty if it failed.
     pub text: String,
 }
 
-/// A result as read.
+/// A listed result, assembled from its pieces.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReadResult {
-    /// The item failed for good.
+    /// True if the item has used up its attempts or cannot be run.
     pub failed: bool,
-    /// Text.
+    /// The item's output; empty if it failed.
     pub text: String,
 }
 
-/// What the store says of a job's head.
+/// Result of reading a job's header from the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HeaderReading {
-    /// The head; `None` if there is none.
+    /// The header; `None` if there is none.
     pub header: Option<KnownHeader>,
-    /// Revision of the store that the reading reflects at least.
+    /// Lower bound of the store revision that the reading reflects.
     pub revision: u64,
 }
 
@@ -121,7 +121,7 @@
 }
 
 impl JobStore {
-    /// Jobs in this table; items too large for rows in the object store.
+    /// Creates the access; items too large for rows go to `objects`.
     pub fn new(
         table: Arc<dyn Table>,
         objects: Arc<dyn ObjectStore>,
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Keeps a new job: its head and all items in one transaction, unless there is a job of the id, and only under
-    /// this revision of its route's fence, if the route has one.
+    /// Creates a job: its header and all items in one transaction. Requires that the id is unused and, if the
+    /// route has a fence, that `fence` is its present revision.
     pub async fn create(
         &self,
         mut header: JobHeaderRow,
@@ -145,7 +145,7 @@
     ) -> WriteOutcome {
         let content = Bytes::from(encode(items));
         let header_key = keys::header(&header.job_id);
-        // The head comes first: where both conditions fail, the job is kept already.
+        // The header's condition comes first: where both fail, the job already exists.
         let mut transaction = Transaction::default().require(Condition::Absent {
             key: header_key.clone(),
         });
@@ -175,7 +175,7 @@
         self.settle(RequestClass::Urgent, transaction, until).await
     }
 
-    /// Writes a route's fence in all partitions under its present revision.
+    /// Writes a route's fence in all partitions if `present` is still its revision.
     pub async fn write_fence(
         &self,
         present: Option<u64>,
@@ -195,7 +195,7 @@
         }
         match self.settle(RequestClass::Urgent, transaction, until).await {
             WriteOutcome::Committed { revision } => FenceOutcome::Written { revision },
-            // Own writes whose answers were lost are met again this way.
+            // The conflicting fence may be an own write whose response was lost.
             WriteOutcome::Fenced {
                 current: Some(current),
             } if current.coordinator == row.coordinator => FenceOutcome::Written {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Replaces a head under its revision.
+    /// Replaces a header if `revision` is still its revision.
     pub async fn replace_header(
         &self,
         revision: u64,
@@ -219,7 +219,8 @@
         self.settle(RequestClass::Urgent, transaction, until).await
     }
 
-    /// Replaces a head, lists results from `position` on and keeps the progress of other items, in one transaction.
+    /// Replaces a header, lists results from `position` on and stores the progress of other items, in one
+    /// transaction.
     pub async fn list(
         &self,
         revision: u64,
@@ -233,7 +234,7 @@
         self.settle(RequestClass::Commit, transaction, until).await
     }
 
-    /// Gives a job up for others: lists what is done, and keeps the progress of its unfinished items.
+    /// Releases a job: lists its results and stores the progress of its unfinished items, in one transaction.
     pub async fn hand_over(
         &self,
         revision: u64,
@@ -247,7 +248,7 @@
         self.settle_concurrently(transaction, until).await
     }
 
-    /// Saves the progress of items, once and under no condition.
+    /// Saves the progress of items unconditionally, in one attempt.
     pub async fn save_progress(
         &self,
         job_id: &str,
--- a/crates/inline-jobs/src/store/reads.rs
+++ b/crates/inline-jobs/src/store/reads.rs
@@ -11,17 +11,17 @@
 use crate::keys::{self, RowKind};
 use crate::view::KnownHeader;
 
-/// Most rows read at once.
+/// Rows per page of a scan.
 const MAX_READ_ROWS: usize = 500;
 
-/// Most rows of results read at once; most results are a row of about 15 kB.
+/// Rows per page of a scan of results; a typical row has about 15 kB.
 const MAX_RESULT_ROWS: usize = 40;
 
-/// Most rows removed at once.
+/// Rows removed in one transaction.
 const MAX_DELETE_ROWS: usize = 80;
 
 impl JobStore {
-    /// All heads, as of `revision` at least; `None` if they could not be read before `until`.
+    /// Reads all headers, as of `revision` or later; `None` if that fails until `until`.
     pub async fn read_headers(&self, revision: u64, until: Instant) -> Option<Vec<KnownHeader>> {
         let partitions = keys::partitions();
         while Instant::now() < until {
@@ -29,7 +29,7 @@
                 .watched
                 .read_space(keys::JOB_HEADERS, &partitions)
                 .await;
-            // A read may be older than what was written before it.
+            // The store may serve a read from before `revision`.
             if let Ok(snapshot) = read.as_ref()
                 && snapshot.revision >= revision
             {
@@ -42,7 +42,7 @@
         None
     }
 
-    /// A job's head as the store has it.
+    /// Reads a job's header from the store.
     pub async fn read_header(&self, job_id: &str) -> Result<HeaderReading, PlatformError> {
         let reading = self.watched.read_row(&keys::header(job_id)).await?;
         Ok(HeaderReading {
@@ -51,7 +51,7 @@
         })
     }
 
-    /// All rows whose keys begin with `prefix` and are above `after`.
+    /// Reads all rows whose keys begin with `prefix`.
     async fn read_all(&self, prefix: &str) -> Result<Vec<Row>, PlatformError> {
         let mut rows: Vec<Row> = Vec::new();
         loop {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A job's items.
+    /// Reads a job's items.
     pub async fn read_items(&self, header: &JobHeaderRow) -> Result<JobItemsRow, PlatformError> {
         const STEP: &str = "jobs.read_items";
         let content = if header.item_object.is_empty() {
@@ -91,7 +91,7 @@
         })
     }
 
-    /// Progress of a job's unfinished items.
+    /// Reads the progress of a job's unfinished items.
     pub async fn read_progress(
         &self,
         job_id: &str,
@@ -101,7 +101,8 @@
         Ok(rows.iter().filter_map(read).collect())
     }
 
-    /// Results from `position` on, in order without gaps; about `bytes` of text at most, but one at least.
+    /// Reads results from `position` on, in order and without gaps: about `bytes` of text at most, but at
+    /// least one.
     pub async fn read_results(
         &self,
         job_id: &str,
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Removes all rows of a job whose time is over.
+    /// Removes all rows of an expired job, its header last.
     pub async fn remove(&self, known: &KnownHeader) -> Result<(), PlatformError> {
         let job_id = &known.header.job_id;
         for prefix in [
--- a/crates/inline-jobs/src/store/settling.rs
+++ b/crates/inline-jobs/src/store/settling.rs
@@ -1,4 +1,4 @@
-//! Sending a transaction until its outcome is known.
+//! Retries of a transaction until its outcome is known.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
 use super::{JobStore, WriteOutcome, known, known_fence};
 use crate::keys::{self, RowKind};
 
-/// Pause after which a last write is sent again beside the one that is not answered, whose answer may be lost; and tries at a time.
+/// Time after which an unanswered attempt is repeated concurrently, and the bound of concurrent attempts.
 const RESEND_DELAY: Duration = Duration::from_millis(1_500);
 const MAX_ATTEMPTS: usize = 4;
 
-/// Pauses between tries of one transaction.
+/// Bounds of the pause between attempts.
 pub(super) const FIRST_PAUSE: Duration = Duration::from_millis(15);
 pub(super) const MAX_PAUSE: Duration = Duration::from_millis(250);
 
 impl JobStore {
-    /// Sends a transaction until its outcome is known or `until` has come. Repeating is harmless: the condition on
-    /// the head lets it happen once.
+    /// Sends a transaction until its outcome is known or `until` has passed. Attempts are idempotent: the
+    /// condition on the header allows only one to commit.
     pub(super) async fn settle(
         &self,
         class: RequestClass,
@@ -45,8 +45,8 @@
         }
     }
 
-    /// The same for a daemon that stops, which has no time for a second patience: a try that is not answered yet goes on while
-    /// others are sent beside it. A slow store does the first one, a lost answer is made up for by the second.
+    /// Does the same for a stopping daemon: an attempt without a response continues while others are sent.
+    /// The first one covers a slow store, the later ones a lost response.
     pub(super) async fn settle_concurrently(
         &self,
         transaction: Transaction,
@@ -76,7 +76,7 @@
     }
 }
 
-/// What a transaction's end says of the write of a head.
+/// Translates the outcome of a transaction into that of a header's write.
 fn write_outcome(outcome: TransactionOutcome) -> WriteOutcome {
     match outcome {
         TransactionOutcome::Committed { revision } => WriteOutcome::Committed { revision },
@@ -91,7 +91,7 @@
     }
 }
 
-/// A write whose end is not known in time.
+/// Returns the outcome of a write without a definite response until its deadline.
 fn unsettled(is_indeterminate: bool) -> WriteOutcome {
     if is_indeterminate {
         WriteOutcome::Indeterminate
--- a/crates/inline-jobs/src/store/transactions.rs
+++ b/crates/inline-jobs/src/store/transactions.rs
@@ -1,4 +1,4 @@
-//! The transactions that change a job's rows, within the bounds of the store.
+//! Transactions that change a job's rows, within the limits of the store.
 
 use harrierward_external::{Condition, Transaction, Write};
 use harrierward_wire::{ItemProgressRow, JobHeaderRow, ResultPieceRow, encode, encode_job_header};
@@ -6,16 +6,16 @@
 use super::ListedResult;
 use crate::keys;
 
-/// Largest content of a row, bytes; base64 makes it a third longer.
+/// Content of a row, in bytes; base64 adds a third.
 pub(super) const MAX_ROW_BYTES: usize = 45_000;
 
-/// Largest content of a transaction that is kept in rows, bytes.
+/// Content of the items or progress in one transaction, in bytes.
 pub(super) const MAX_TRANSACTION_BYTES: usize = 600_000;
 
-/// Most entries of a transaction, conditions included: what the users' store takes.
+/// Entries of a transaction, conditions included, as the store allows.
 const MAX_TRANSACTION_ENTRIES: usize = 100;
 
-/// Splits a text at character boundaries.
+/// Splits a text into pieces of a row each, at character boundaries.
 fn pieces_of(text: &str) -> Vec<&str> {
     let mut rest = text;
     let mut pieces = Vec::new();
@@ -32,7 +32,7 @@
     pieces
 }
 
-/// The change of a head that lists results from `position` on.
+/// Returns the transaction that replaces a header and lists results from `position` on.
 pub(super) fn listing(
     revision: u64,
     header: &JobHeaderRow,
@@ -56,7 +56,7 @@
     transaction
 }
 
-/// Adds rows of progress within the bounds of one transaction.
+/// Adds progress rows as far as the transaction has capacity.
 pub(super) fn add_progress(
     mut transaction: Transaction,
     job_id: &str,
--- a/crates/inline-jobs/src/submit.rs
+++ b/crates/inline-jobs/src/submit.rs
@@ -1,4 +1,4 @@
-//! Accepting jobs: one conditional transaction before the answer.
+//! Acceptance of jobs: one conditional transaction before the response.
 
 use std::time::Duration;
 
@@ -17,30 +17,30 @@
 use crate::store::WriteOutcome;
 use crate::view::KnownHeader;
 
-/// Most items of a job.
+/// Items per job.
 const MAX_ITEMS: usize = 200;
 
-/// Longest time for which a submission is held.
+/// Upper bound of the time that a submission may take.
 const MAX_WAIT: Duration = Duration::from_millis(2_500);
 
-/// Part of the caller's patience for which a submission may be held, in percent.
+/// Share of the caller's timeout that a submission may take, in percent.
 const TIMEOUT_PERCENT: u32 = 70;
 
-/// Age of the last proof of contact from which on the store counts as out of reach.
+/// Age of the last proof of contact above which the store is considered unreachable.
 const MAX_PROOF_AGE: Duration = Duration::from_millis(2_800);
 
-/// Longest wait for the first read of the heads, and the pause between looks.
+/// How long a submission waits for the first read of the headers, and the interval of its polls.
 const FIRST_READ_WAIT: Duration = Duration::from_millis(800);
 const FIRST_READ_POLL: Duration = Duration::from_millis(10);
 
-/// When a job that does not fit may come back.
+/// Retry delay given to the caller of a job that exceeds the quota.
 const QUOTA_RETRY: Duration = Duration::from_millis(1_000);
 
-/// When a job that could not be kept may come back.
+/// Retry delay given to the caller of a job that could not be stored.
 const STORE_RETRY: Duration = Duration::from_millis(300);
 
 impl InlineJobs {
-    /// Takes a job, once.
+    /// Accepts a job; idempotent by its id.
     pub async fn submit(&self, mut job: SubmittedJob) -> SubmitOutcome {
         let arrived_at = Instant::now();
         let Some(routes) = self.inner.forwarder.routes() else {
@@ -81,7 +81,7 @@
             return SubmitOutcome::Accepted;
         }
         if !self.is_view_fresh(arrived_at).await {
-            // Nothing was sent: another daemon may still reach the store.
+            // Nothing was sent, so another daemon may still reach the store.
             return SubmitOutcome::NotStored {
                 retry_after: STORE_RETRY,
             };
@@ -120,7 +120,8 @@
                     self.note_header(*current);
                     return SubmitOutcome::Accepted;
                 }
-                // What was granted comes to nothing; a new coordinator is asked.
+                // The grant is void under the new fence; the next iteration requests the tokens
+                // from its coordinator.
                 WriteOutcome::Fenced { current } => {
                     if let Some(current) = current {
                         self.inner.view.update_fence(&route.name, current);
@@ -139,8 +140,8 @@
         }
     }
 
-    /// True if the copy of the heads is true enough to tell what waits. A daemon that has just started waits a
-    /// moment for its first read.
+    /// True if the local copy is recent enough to count what is queued. Waits briefly for the first read
+    /// after the daemon's start.
     async fn is_view_fresh(&self, arrived_at: Instant) -> bool {
         let view = &self.inner.view;
         while view.proof_age().is_none() && arrived_at.elapsed() < FIRST_READ_WAIT {
@@ -184,11 +185,11 @@
         }
     }
 
-    /// The job is kept: enter it, unless it is for others.
+    /// Registers a stored job, unless it was released to other daemons.
     fn register_stored(&self, header: JobHeaderRow, rows: JobItemsRow, revision: u64) {
         let is_owned = self.owns(&header);
         let known = KnownHeader { header, revision };
-        // The watch may have brought the head already, and with it the loading of the items.
+        // The watch may have delivered the header already and started the load of the items.
         let is_registered = self.registry().jobs.contains_key(&known.header.job_id);
         self.inner.view.update(known.clone());
         if !is_owned || is_registered {
@@ -202,7 +203,7 @@
         self.register(OwnedJob::new(known, requests, Vec::new()));
     }
 
-    /// A job that does not fit may have been taken already by another daemon.
+    /// Refuses a job for its quota, unless another daemon has accepted it already.
     async fn refuse_unless_stored(&self, job_id: &str) -> SubmitOutcome {
         match self.read_header(job_id).await {
             Lookup::Found(_) => SubmitOutcome::Accepted,
@@ -244,7 +245,7 @@
     }
 }
 
-/// How long a submission may be held.
+/// Returns how long a submission may take.
 fn max_wait_of(job: &SubmittedJob) -> Duration {
     job.timeout.map_or(MAX_WAIT, |timeout| {
         (timeout * TIMEOUT_PERCENT / 100).min(MAX_WAIT)
--- a/crates/inline-jobs/src/takeover.rs
+++ b/crates/inline-jobs/src/takeover.rs
@@ -1,4 +1,5 @@
-//! Owners that are held for gone are challenged in the job's head; an owner that lives refutes that, and keeps the job.
+//! Takeover of jobs whose owners are missing: a daemon challenges the owner in the job's header, and an owner
+//! that is alive refutes the challenge and keeps the job.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{MutexGuard, PoisonError};
@@ -15,21 +16,21 @@
 use crate::store::WriteOutcome;
 use crate::view::{HeaderChange, KnownHeader};
 
-/// An owner that is challenged and whose job came to nothing for so long gives it up instead of refuting: it reaches the
-/// store, and perhaps no replica.
+/// A challenged owner whose job has made no progress for this long releases it instead of refuting: it reaches
+/// the store, but possibly no replica.
 const STUCK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Most heads that this daemon writes at once for takeovers: a cut that makes all other owners missing shall not fill the
-/// queues of the store, through which their refutations go.
+/// Header writes of takeovers in flight at once. A daemon that is partitioned from all other owners must not fill
+/// the store's queues, which also carry their refutations.
 const MAX_CONCURRENT_WRITES: usize = 8;
 
-/// The takeovers of this daemon, on a clock that counts suspensions.
+/// Takeover state of this daemon. Its clock includes time during which the process was suspended.
 pub(crate) struct JobTakeovers {
     core: Takeovers,
     origin: Instant,
-    /// Jobs whose head this daemon is writing.
+    /// Jobs with a header write in flight.
     writing: HashSet<String>,
-    /// Jobs whose items this daemon is reading, and since when.
+    /// Jobs whose items are being read, with the start of the read.
     loading: HashMap<String, Instant>,
 }
 
@@ -49,8 +50,9 @@
         harrierward_clock::age(self.origin)
     }
 
-    /// What to do about a job now; what is not to wait is under way until [`Self::end_write`]. `delay` is how long this daemon lets
-    /// others go first, `None` if the job is not for it.
+    /// Returns the step due for a job. Any step but [`Step::Wait`] counts as in flight until
+    /// [`Self::end_write`]. `delay` is the time for which this daemon defers to others, `None` if it may not
+    /// adopt the job.
     pub fn step(
         &mut self,
         known: &KnownHeader,
@@ -70,17 +72,16 @@
         step
     }
 
-    /// Begins the write of a job's head; false if one is under way.
+    /// Marks a header write as in flight; false if one already is.
     fn begin_write(&mut self, job_id: &str) -> bool {
         self.writing.insert(job_id.to_owned())
     }
 
-    /// The write of a job's head has ended.
     pub fn end_write(&mut self, job_id: &str) {
         self.writing.remove(job_id);
     }
 
-    /// Begins the reading of a job's items; false if that is under way.
+    /// Marks the read of a job's items as in flight; false if it already is.
     pub fn begin_load(&mut self, job_id: &str) -> bool {
         if self.loading.contains_key(job_id) {
             return false;
@@ -89,25 +90,25 @@
         true
     }
 
-    /// A job's items were read, or need not be.
+    /// Marks the read of a job's items as finished or cancelled.
     pub fn end_load(&mut self, job_id: &str) {
         self.loading.remove(job_id);
     }
 
-    /// True if a job's items could not be read for so long.
+    /// True if the read of a job's items has been in flight for at least `timeout`.
     fn has_been_loading_for(&self, job_id: &str, timeout: Duration) -> bool {
         let since = self.loading.get(job_id);
         since.is_some_and(|since| since.elapsed() >= timeout)
     }
 
-    /// Forgets jobs that are not open any more.
+    /// Drops the state of jobs that are no longer open.
     pub fn retain(&mut self, is_open: impl Fn(&str) -> bool) {
         let now = self.now();
         self.core.retain(is_open, now);
     }
 }
 
-/// Delay of a daemon that must not adopt a job, since it may not read its bodies: longer than any job is open.
+/// Delay of a daemon that may not read the job's bodies and so must not adopt it; longer than any job stays open.
 const INELIGIBLE_DELAY: Duration = Duration::from_secs(1_000_000);
 
 fn claim(known: &KnownHeader) -> Claim<'_> {
@@ -122,7 +123,7 @@
     }
 }
 
-/// A write of a job's head that is under way.
+/// Marks the job's header write as finished when dropped.
 struct WriteGuard {
     jobs: InlineJobs,
     job_id: String,
@@ -142,7 +143,6 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How this daemon sees the owner of a job.
     pub(crate) fn owner_status(&self, header: &JobHeaderRow) -> OwnerStanding {
         if header.owner.is_empty() {
             OwnerStanding::GivenUp
@@ -153,7 +153,7 @@
         }
     }
 
-    /// What a change of a head shows of owners, and an answer to whoever challenges this one.
+    /// Passes a header change to the takeover logic, and refutes a challenge of a job that this daemon owns.
     pub(crate) fn note_owners(&self, change: &HeaderChange) {
         let HeaderChange { before, known } = change;
         if let Some(before) = before {
@@ -169,7 +169,8 @@
         }
     }
 
-    /// Answers a challenge of a job of this daemon. Called again and again while it stands: an answer may be lost on its way.
+    /// Answers a challenge of a job of this daemon. Repeated while the challenge stands, because a write may
+    /// be lost.
     pub(crate) fn answer_if_challenged(&self, known: &KnownHeader) {
         let job_id = &known.header.job_id;
         let is_challenged = !known.header.challenger.is_empty() && !self.is_stopping();
@@ -182,7 +183,7 @@
         });
     }
 
-    /// Runs the write of a job's head that has been entered as under way; it is taken off however the write ends.
+    /// Spawns a header write that is already marked as in flight; the mark is removed however the task ends.
     pub(crate) fn spawn_write<F: Future<Output = ()> + Send>(
         &self,
         known: KnownHeader,
@@ -215,10 +216,11 @@
             WriteOutcome::Conflict {
                 current: Some(current),
             } => *current,
-            // The next look decides anew.
+            // The next check retries.
             _ => return,
         };
-        // A write whose answer was lost is met here too.
+        // The current header may also carry this daemon's challenge, from a write whose response was
+        // lost.
         if current.header.challenger == self.inner.instance_id {
             self.log_ownership(&known.header, &current.header, "challenged", status.name());
             let mut takeovers = self.takeovers();
@@ -229,7 +231,7 @@
         self.note_header(current);
     }
 
-    /// Another daemon holds this one for gone.
+    /// Refutes a challenge, or releases the job if it is stuck here.
     async fn answer_challenge(&self, known: &KnownHeader) {
         let until = Instant::now() + HEADER_WRITE_TIMEOUT;
         if let Some(state) = self.stop_if_stuck(&known.header.job_id) {
@@ -244,16 +246,18 @@
                 self.log_ownership(&known.header, &header, "refuted", &known.header.challenger);
                 self.note_header(KnownHeader { header, revision });
             }
-            // Listed results refute it as well, and so does what else this daemon has written meanwhile.
+            // The conflicting write of this daemon, such as a listing, has refuted the challenge as
+            // well.
             WriteOutcome::Conflict {
                 current: Some(current),
             } => self.note_header(*current),
-            // It is taken over if the store keeps this daemon away for longer.
+            // The challenger takes the job over if the store stays unreachable for this daemon.
             _ => {}
         }
     }
 
-    /// What is left of a job of this daemon that gets nowhere here; `None` for one that moves or waits for slots.
+    /// Stops a stuck job and returns its state for the handover; `None` if the job progresses or only waits
+    /// for slots.
     fn stop_if_stuck(&self, job_id: &str) -> Option<HandoverState> {
         if self.takeovers().has_been_loading_for(job_id, STUCK_TIMEOUT) {
             return Some(HandoverState::default());
--- a/crates/inline-jobs/src/view.rs
+++ b/crates/inline-jobs/src/view.rs
@@ -1,4 +1,4 @@
-//! The jobs' heads as this daemon knows them, from the watch and from its own commits.
+//! Local copy of all job headers and quota fences, fed by the watch and by this daemon's own commits.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -11,27 +11,27 @@
 
 use crate::store::KnownFence;
 
-/// A head and the revision at which it was read.
+/// A job header and the revision at which it was read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KnownHeader {
-    /// The head.
+    /// The decoded row.
     pub header: JobHeaderRow,
-    /// Revision of its row.
+    /// Store revision of the row.
     pub revision: u64,
 }
 
 impl KnownHeader {
-    /// True if items are left to be listed.
+    /// True if items are still to be listed.
     pub fn is_open(&self) -> bool {
         !self.header.ended && self.header.listed.len() < self.header.items.len()
     }
 
-    /// True if a result is listed at the position.
+    /// True if the header lists a result at `position`, counted from 0.
     pub fn lists_beyond(&self, position: u32) -> bool {
         self.header.listed.len() > position as usize
     }
 
-    /// Tokens of the items that are not listed.
+    /// Returns the tokens of the unlisted items; 0 for a cancelled job.
     pub fn waiting_tokens(&self) -> u64 {
         if self.header.ended {
             return 0;
@@ -48,32 +48,31 @@
     }
 }
 
-/// A newer head, and the one known before.
+/// A newer header together with the one that it replaces.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HeaderChange {
     /// `None` for a job that was not known.
     pub before: Option<KnownHeader>,
-    /// The head as it is now.
+    /// The newer header.
     pub known: KnownHeader,
 }
 
 #[derive(Debug, Default)]
 struct State {
     headers: HashMap<String, KnownHeader>,
-    /// The fences of the routes' quotas.
+    /// Fences of the routes' quotas, by route.
     fences: HashMap<String, SeenFence>,
-    /// Newest revision of the store that this daemon has heard of.
+    /// Newest store revision seen by this daemon.
     newest_revision: u64,
-    /// Last moment of which the copy is known to be true.
+    /// Latest moment at which the copy was known to be current.
     proven_at: Option<Instant>,
-    /// The store's clock, milliseconds, and when it said so.
     store_time: Option<StoreTime>,
 }
 
 #[derive(Debug, Clone)]
 struct SeenFence {
     fence: KnownFence,
-    /// When it was first seen; `None` for one that was there before this daemon was.
+    /// When the fence was first seen; `None` if it predates the first proof of contact.
     first_seen_at: Option<Instant>,
 }
 
@@ -83,7 +82,7 @@
     at: Instant,
 }
 
-/// The heads. Entries only move to higher revisions.
+/// Job headers and fences by id; an entry is only replaced by one of a higher revision.
 #[derive(Debug, Default)]
 pub struct JobView {
     state: Mutex<State>,
@@ -95,29 +94,28 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Wakes everybody who waits for a change.
     fn wake(&self) {
         self.changed.notify_waiters();
     }
 
-    /// Completes at the next change.
+    /// Returns a future that completes at the next change.
     pub fn changed(&self) -> tokio::sync::futures::Notified<'_> {
         self.changed.notified()
     }
 
-    /// The store has reached this revision.
+    /// Records that the store has reached `revision`.
     pub fn note_revision(&self, revision: u64) {
         let mut state = self.lock();
         state.newest_revision = state.newest_revision.max(revision);
     }
 
-    /// Newest revision of the store that this daemon has heard of, from the watch and from its own reads and commits. What is
-    /// read from now on and is older than this is out of date.
+    /// Returns the newest store revision seen, from the watch and from this daemon's own reads and commits. A
+    /// later read at a lower revision is outdated.
     pub fn newest_revision(&self) -> u64 {
         self.lock().newest_revision
     }
 
-    /// The copy was true at `moment`.
+    /// Records that the copy was current at `moment`. `store_time_ms` is the store's clock, 0 if unknown.
     pub fn note_proof(&self, moment: Instant, store_time_ms: u64) {
         let mut state = self.lock();
         let is_newer = state.proven_at.is_none_or(|known| known < moment);
@@ -132,12 +130,12 @@
         }
     }
 
-    /// Time since the copy was known to be true; `None` if it never was.
+    /// Returns the time since the copy was known to be current; `None` if it never was.
     pub fn proof_age(&self) -> Option<Duration> {
         self.lock().proven_at.map(harrierward_clock::age)
     }
 
-    /// The store's clock now, milliseconds; 0 if it is not known.
+    /// Returns the store's clock, extrapolated to now, in milliseconds; 0 if unknown.
     pub fn store_now_ms(&self) -> u64 {
         self.lock().store_time.map_or(0, |time| {
             let since =
@@ -146,7 +144,7 @@
         })
     }
 
-    /// Takes a row of a fence.
+    /// Decodes and applies the row of a fence; ignores a row that cannot be decoded.
     pub fn update_fence_row(&self, value: &Bytes, revision: u64) {
         if let Some(row) = decode::<QuotaFenceRow>(value) {
             let fence = KnownFence {
@@ -157,7 +155,7 @@
         }
     }
 
-    /// Takes a route's fence, unless a newer one is known.
+    /// Applies a route's fence, unless a newer one is known.
     pub fn update_fence(&self, route: &str, fence: KnownFence) {
         let mut state = self.lock();
         let known = state.fences.get(route);
@@ -171,20 +169,21 @@
         }
     }
 
-    /// A route's fence.
+    /// Returns a route's fence; `None` if none is known.
     pub fn fence(&self, route: &str) -> Option<KnownFence> {
         let state = self.lock();
         state.fences.get(route).map(|seen| seen.fence.clone())
     }
 
-    /// Time since a route's fence was first seen; `None` if it was there before this daemon was.
+    /// Returns the time since a route's fence was first seen; `None` if it predates the first proof of
+    /// contact.
     pub fn fence_age(&self, route: &str) -> Option<Duration> {
         let state = self.lock();
         let first_seen_at = state.fences.get(route)?.first_seen_at?;
         Some(harrierward_clock::age(first_seen_at))
     }
 
-    /// Takes a head; `None` if it is not newer than what was known.
+    /// Applies a header; `None` if it is not newer than the known one.
     pub fn update(&self, known: KnownHeader) -> Option<HeaderChange> {
         let mut state = self.lock();
         state.newest_revision = state.newest_revision.max(known.revision);
@@ -199,25 +198,25 @@
         Some(HeaderChange { before, known })
     }
 
-    /// Forgets a job whose row is gone.
+    /// Removes a job whose row was removed from the store.
     pub fn remove(&self, job_id: &str) {
         self.lock().headers.remove(job_id);
         self.wake();
     }
 
-    /// A job's head.
+    /// Returns a job's header by its stored id.
     pub fn get(&self, job_id: &str) -> Option<KnownHeader> {
         self.lock().headers.get(job_id).cloned()
     }
 
-    /// All jobs with items left.
+    /// Returns all jobs with unlisted items.
     pub fn open_jobs(&self) -> Vec<KnownHeader> {
         let state = self.lock();
         let open = state.headers.values().filter(|known| known.is_open());
         open.cloned().collect()
     }
 
-    /// Jobs accepted before `before_ms` on the store's clock that have no items left.
+    /// Returns jobs without unlisted items that were accepted before `before_ms` on the store's clock.
     pub fn closed_before(&self, before_ms: u64) -> Vec<KnownHeader> {
         let state = self.lock();
         let old = state
@@ -227,7 +226,7 @@
         old.cloned().collect()
     }
 
-    /// Tokens of all items of a tenant's jobs on a route that are not listed.
+    /// Returns the tokens of all unlisted items of a tenant's jobs on a route.
     pub fn waiting_tokens(&self, route: &str, tenant: &str) -> u64 {
         let state = self.lock();
         let headers = state.headers.values();
--- a/crates/inline-jobs/tests/adoption_order.rs
+++ b/crates/inline-jobs/tests/adoption_order.rs
@@ -1,4 +1,4 @@
-//! Who adopts a job first: daemons near its last owner, whether that died or gave the job up.
+//! Guards against adoption far from a job's last owner, and against daemons that adopt it all at once.
 
 use std::collections::HashSet;
 use std::time::Duration;
--- a/crates/inline-jobs/tests/pacing.rs
+++ b/crates/inline-jobs/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! Which items go first.
+//! Guards against wrong urgencies of items near the target of their job.
 
 use std::time::Duration;
 
--- a/crates/inline-jobs/tests/quota_ledger.rs
+++ b/crates/inline-jobs/tests/quota_ledger.rs
@@ -1,4 +1,4 @@
-//! Coordinators that follow each other, writes that are done late or never, and views that lag: the quota holds.
+//! Guards against an exceeded quota under coordinator changes, late or lost writes, and stale views.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -13,22 +13,39 @@
 
 #[derive(Debug, Clone)]
 enum Event {
-    /// A daemon makes itself the coordinator and reads all heads.
-    Fence { daemon: usize },
-    /// A job asks a daemon that may or may not know that it keeps the quota no longer.
-    Request { daemon: usize, job: u8, tokens: u64 },
-    /// The store does the oldest or newest write that is under way, if its condition still holds.
-    Write { newest: bool },
-    /// A daemon learns that a write of its own will certainly not be done, and gives the tokens back.
-    Abandon { newest: bool },
-    /// The coordinator hears that tokens are given back.
-    Release { newest: bool },
-    /// A job is over: its tokens wait no longer.
-    Finish { job: u8 },
-    /// A daemon hears what the store has.
-    Sync { daemon: usize },
-    /// Time passes.
-    Advance { millis: u64 },
+    /// A daemon becomes the coordinator and reads all headers.
+    Fence {
+        daemon: usize,
+    },
+    /// A job requests tokens from a daemon that may not know that it is no longer the coordinator.
+    Request {
+        daemon: usize,
+        job: u8,
+        tokens: u64,
+    },
+    /// The store commits the oldest or newest pending write, if its condition still holds.
+    Write {
+        newest: bool,
+    },
+    /// A submitter finds that a write will certainly not be committed, and releases its tokens.
+    Abandon {
+        newest: bool,
+    },
+    /// The coordinator receives a release.
+    Release {
+        newest: bool,
+    },
+    /// A job completes: its tokens are no longer queued.
+    Finish {
+        job: u8,
+    },
+    /// A daemon's view catches up with the store.
+    Sync {
+        daemon: usize,
+    },
+    Advance {
+        millis: u64,
+    },
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -47,7 +64,7 @@
     ]
 }
 
-/// What the store holds, or a daemon has heard of it: tokens by job, 0 for one that is over.
+/// Tokens by job, 0 for a completed one: the content of the store, or a daemon's view of it.
 type Headers = BTreeMap<u8, u64>;
 
 struct Write {
@@ -105,7 +122,8 @@
 }
 
 proptest! {
-    // The same job submitted twice, given back once and kept by the other is a rare order of events.
+    // Many cases, since a job submitted twice, released once and stored by the other submission is a rare
+    // sequence.
     #![proptest_config(ProptestConfig::with_cases(4_000))]
 
     #[test]
@@ -203,7 +221,7 @@
     );
 }
 
-/// A client that hears nothing sends its job to another daemon while the first still tries.
+/// A client without a response submits its job to another daemon while the first one still tries to store it.
 #[test]
 fn a_grant_lasts_while_another_submission_of_its_job_is_pending() {
     let now = Instant::now();
@@ -223,7 +241,7 @@
     assert_eq!(decide_for(&mut ledger, &no_headers, 2, 60, now, 3), granted);
 }
 
-/// A client that hears nothing may send other items under the same key to another daemon.
+/// A client without a response may submit other items under the same job id to another daemon.
 #[test]
 fn a_grant_never_covers_more_tokens_than_were_requested() {
     let now = Instant::now();
--- a/crates/inline-jobs/tests/rows_of_headers.rs
+++ b/crates/inline-jobs/tests/rows_of_headers.rs
@@ -1,4 +1,4 @@
-//! The space of the jobs' heads holds rows of three kinds, which must never be taken for each other.
+//! Guards against mistaking one of the three kinds of rows in the space of the headers for another.
 
 mod support;
 
@@ -26,7 +26,7 @@
     assert_eq!(row_kind(&crash_updates_key(LIFE)), RowKind::CrashUpdates);
 }
 
-/// As many rows as daemons, however often these start.
+/// The number of rows must not grow with restarts.
 #[test]
 fn a_restarted_daemon_reuses_its_crash_updates_row() {
     assert_eq!(crash_updates_key("node@1"), crash_updates_key("node@2-ab"));
@@ -36,7 +36,7 @@
     assert!(partitions().iter().any(|one| one == partition), "{key}");
 }
 
-/// A store with a row of each kind; any of them can be decoded as a head.
+/// A store with a row of each kind, all of which decode as a header.
 struct AllKindsStore;
 
 #[async_trait]
--- a/crates/inline-jobs/tests/stale_listing.rs
+++ b/crates/inline-jobs/tests/stale_listing.rs
@@ -1,9 +1,6 @@
-//! A listing never shows less than another daemon has shown before, whatever this daemon has heard of it.
-//!
-//! What happened: a feed answered with the store's newest revision and without the changes up to it. The daemon took the answer
-//! for a proof that its copy of the heads was true, and told a caller that nothing was listed, where another daemon had shown a
-//! result seconds before. What showed it: the lines `listing_asked` of that daemon, `outcome: nothing` beside a `proof_age_ms` of
-//! 1,239 to 1,743, and none at all for the looks that it denied on a proof younger than 0.8 s.
+//! Guards against a listing that hides a result which another daemon has already returned. A watch response may
+//! carry the store's newest revision without all changes up to it, so a recent proof of contact does not prove an
+//! empty list.
 
 mod support;
 
@@ -36,20 +33,19 @@
 
 const JOB: &str = "job-1";
 
-/// Age of what this daemon knows at which a result that another daemon showed must not be denied any more, less what
-/// the answers themselves take.
+/// Age of the local copy above which it must not hide a result that another daemon has returned.
 const MAX_STALENESS: Duration = Duration::from_millis(850);
 
-/// A store that holds one job with its first result listed.
+/// A store that holds one job.
 #[derive(Default)]
 struct SingleJobStore {
-    /// Reads of the job's head.
+    /// Number of reads of the job's header.
     header_reads: AtomicUsize,
-    /// The store answers nothing.
+    /// True if all requests fail.
     is_unavailable: bool,
-    /// Results that the store holds.
+    /// Number of listed results that the store holds.
     listed: u32,
-    /// The store's answers are from before the job was accepted.
+    /// True if reads reflect a revision from before the job was accepted.
     is_missing: bool,
 }
 
@@ -232,7 +228,7 @@
     })
 }
 
-/// A daemon that last heard of the job `age` ago, when `known` results were listed; the store now holds `listed`.
+/// Returns a daemon whose view is `age` old and shows `known` results; the store holds `listed`.
 async fn daemon(
     age: Duration,
     known: u32,
@@ -302,7 +298,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_known_result_is_returned_without_a_header_read() {
-    // Results are only added, so that a daemon that knows of one may show it however long ago it heard of it.
+    // Results are append-only, so a known one may be returned whatever the age of the view.
     let (jobs, store) = daemon(Duration::from_secs(5), 1, 2, false).await;
     let found = read(&jobs, 0, Duration::ZERO).await;
     assert!(count(&found).is_some_and(|count| count >= 1), "{found:?}");
@@ -329,7 +325,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_outdated_reading_is_no_proof_of_an_empty_list() {
-    // After the store's history was dropped its reads may be seconds behind, while the feed has told of newer revisions.
+    // Reads of the store may lag behind the revisions that the watch has delivered.
     let (jobs, _) = daemon(Duration::ZERO, 0, 0, false).await;
     jobs.view().note_revision(11);
     let found = read(&jobs, 0, Duration::ZERO).await;
--- a/crates/inline-jobs/tests/stuck.rs
+++ b/crates/inline-jobs/tests/stuck.rs
@@ -1,4 +1,4 @@
-//! Which jobs get nowhere at their owner, so that it gives them up when it is challenged.
+//! Guards against refuting a challenge for a job that does not progress, and against releasing one that does.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// A job that was entered more than the patience ago, and of which a run has just failed to reach a replica.
+/// Returns a job registered longer ago than the timeout, with a run that has just broken.
 async fn job_with_a_broken_run() -> OwnedJob {
     let mut job = OwnedJob::new(known(&[]), Vec::new(), Vec::new());
     advance(Duration::from_secs(20)).await;
@@ -55,7 +55,7 @@
     assert!(!job.is_stuck(TIMEOUT));
 }
 
-/// The progress of items is dropped when they are listed; the listing itself is what has moved.
+/// Listing an item drops its progress, so the listing itself must count as progress.
 #[tokio::test(start_paused = true)]
 async fn a_job_with_a_recently_listed_result_is_not_stuck() {
     let mut job = job_with_a_broken_run().await;
--- a/crates/inline-jobs/tests/support/mod.rs
+++ b/crates/inline-jobs/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A store that is away, for the parts of it that a test does not need.
+//! A store whose requests all fail, for the interfaces that a test does not need.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
     RowReading, SpacePage, Table, Transaction, TransactionOutcome, WatchedTable,
 };
 
-/// The answer of a store that is away.
+/// Returns the error of an unavailable store.
 pub fn unavailable(step: &'static str) -> PlatformError {
     PlatformError::new(step, "store", PlatformErrorKind::NotDone, "away")
 }
 
-/// It does nothing, and says so.
+/// Fails every request without any effect.
 pub struct UnavailableStore;
 
 #[async_trait]
