--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -6,7 +6,7 @@
 use arc_swap::ArcSwapOption;
 use harrierward_decisions::{DecisionLog, Record};
 use harrierward_external::{ObjectStore, Table, WatchedTable};
-use harrierward_inline_jobs::{HEADS, InlineJobs, JobParts, JobSettings};
+use harrierward_inline_jobs::{InlineJobs, JOB_HEADERS, JobParts, JobSettings};
 use harrierward_relay::Relay;
 use harrierward_serving::{
     ConfigurationProof, Forwarder, ForwarderParts, ForwarderSettings, Location, Replica,
@@ -177,7 +177,7 @@
         let news = Arc::new(PeerNews::new(discovery.clone(), log.clone()));
         members.set_news(news.clone());
         let jobs = InlineJobs::new(JobParts {
-            life,
+            instance_id: life,
             table: table.clone(),
             objects,
             watched: watched.clone(),
@@ -185,7 +185,7 @@
             peers: members.clone(),
             log: log.clone(),
             settings: JobSettings {
-                keep: settings.keep_jobs,
+                retention: settings.keep_jobs,
                 cancel_within: settings.cancel_within,
             },
         });
@@ -194,7 +194,11 @@
             jobs: jobs.clone(),
             members: members.clone(),
         }));
-        let spaces = [source.configuration_space(), source.replica_space(), HEADS];
+        let spaces = [
+            source.configuration_space(),
+            source.replica_space(),
+            JOB_HEADERS,
+        ];
         let peers = Arc::new(HttpPeers::new(pool.clone()));
         let life = members.life();
         let relay = Relay::new(life, watched, peers, &spaces, log.clone());
@@ -282,11 +286,11 @@
 
 impl YieldItems for Yielding {
     fn yield_lease(&self, place: u32) {
-        self.jobs.yield_lease(place);
+        self.jobs.preempt_lease(place);
     }
 
     fn yield_at(&self, replica: &str, count: u32) {
-        self.jobs.yield_slots(replica, count);
+        self.jobs.preempt_slots(replica, count);
     }
 
     fn ask_peer(&self, replica: &Arc<Replica>) {
--- a/crates/inline-jobs/src/quota.rs
+++ b/crates/inline-jobs/src/quota.rs
@@ -1,10 +1,9 @@
-//! A job's tokens: asked of the coordinator of the route's quota, whom the store names, or of this daemon after it has
-//! made itself the coordinator.
+//! Reservation of a job's tokens at the coordinator of its route's quota.
 //!
-//! Why not estimates by datagram: daemons that do not hear of each other, or of a write that is done seconds later,
-//! would exceed the quota together. Why not a count in the store: all jobs of a route would wait for each other there.
-//! Here the store is asked once for each change of the coordinator, and each job's own transaction carries one more
-//! condition.
+//! A fence row in the store names the coordinator. If it does not respond, this daemon writes a new fence and
+//! becomes the coordinator itself. The transaction that stores a job is conditional on the fence, so two
+//! coordinators cannot exceed the quota together, and jobs of one route do not contend for a counter in the
+//! store.
 
 use std::time::Duration;
 
@@ -14,38 +13,38 @@
 use rand::Rng;
 use tokio::time::{Instant, sleep};
 
-use crate::quota_book::{QuotaDecision, QuotaRequest, RouteCount};
+use crate::quota_ledger::{QuotaDecision, QuotaRequest, RouteCount};
 use crate::service::InlineJobs;
 use crate::store::{FenceOutcome, KnownFence};
 
-/// Age of the last proof of contact from which on a coordinator cannot tell what waits.
-const PROOF_TOO_OLD: Duration = Duration::from_millis(2_000);
+/// Age of the last proof of contact above which a coordinator cannot tell what is queued.
+const MAX_PROOF_AGE: Duration = Duration::from_millis(2_000);
 
-/// How long a coordinator that reads what waits is waited for.
-const READING_PATIENCE: Duration = Duration::from_millis(800);
+/// How long a coordinator that still reads the job headers is retried.
+const LEDGER_LOAD_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long a new coordinator that cannot be asked is left to keep jobs of its own.
-const LEAST_TENURE: Duration = Duration::from_millis(600);
+/// How long a new coordinator is kept although it does not respond.
+const MIN_TENURE: Duration = Duration::from_millis(600);
 
-/// Pauses before the coordinator is asked again, milliseconds.
+/// Range of pauses between requests to the coordinator, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 10..35;
 
-/// What became of a job's tokens.
+/// Outcome of a reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reservation {
-    /// The job may be kept under this fence; `None` if the route has no quota.
+    /// The job may be stored under this fence.
     Granted {
-        /// Revision of the fence.
+        /// Revision of the fence; `None` if the route has no quota.
         fence: Option<u64>,
     },
-    /// The job does not fit.
+    /// The tokens exceed what is left of the quota.
     Full,
-    /// The coordinator could not be asked, and the fence could not be written.
+    /// The coordinator did not respond, and the fence could not be written.
     Unreachable,
 }
 
 impl InlineJobs {
-    /// Gets a job its tokens; ends at `until`.
+    /// Reserves a job's tokens, retrying until `until`.
     pub(crate) async fn reserve(
         &self,
         request: QuotaRequest<'_>,
@@ -60,17 +59,17 @@
             let fence = self.inner.view.fence(request.route);
             let outcome = match &fence {
                 None => QuotaOutcome::NotCoordinator,
-                Some(known) if known.coordinator == self.inner.life => {
-                    let answer = self.answer_quota(request);
-                    if let (QuotaOutcome::Granted, fence) = answer {
+                Some(known) if known.coordinator == self.inner.instance_id => {
+                    let reply = self.decide_quota(request);
+                    if let (QuotaOutcome::Granted, fence) = reply {
                         return Reservation::Granted { fence: Some(fence) };
                     }
-                    answer.0
+                    reply.0
                 }
                 Some(known) => match self
                     .inner
                     .peers
-                    .ask_quota(&known.coordinator, request)
+                    .request_quota(&known.coordinator, request)
                     .await
                 {
                     Some((QuotaOutcome::Granted, fence)) => {
@@ -82,9 +81,9 @@
             };
             match outcome {
                 QuotaOutcome::Full => return Reservation::Full,
-                QuotaOutcome::Wait if began.elapsed() < READING_PATIENCE => {}
-                _ if self.is_new(request.route, fence.as_ref()) => {}
-                _ => self.coordinate_quota(request.route, fence, until).await,
+                QuotaOutcome::Wait if began.elapsed() < LEDGER_LOAD_TIMEOUT => {}
+                _ if self.is_within_min_tenure(request.route, fence.as_ref()) => {}
+                _ => self.become_coordinator(request.route, fence, until).await,
             }
             let pause = rand::rng().random_range(PAUSE_MS);
             sleep(Duration::from_millis(pause)).await;
@@ -92,31 +91,32 @@
         Reservation::Unreachable
     }
 
-    /// True if another daemon wrote the fence just now: daemons that do not hear of each other would else take the
-    /// quota from each other before any of them has kept a job.
-    fn is_new(&self, route: &str, fence: Option<&KnownFence>) -> bool {
-        let of_other = fence.is_some_and(|fence| fence.coordinator != self.inner.life);
+    /// True if another daemon wrote the fence so recently that it must not be replaced yet. Otherwise,
+    /// daemons that cannot reach each other would replace each other's fences before any of them has stored a
+    /// job.
+    fn is_within_min_tenure(&self, route: &str, fence: Option<&KnownFence>) -> bool {
+        let is_of_other = fence.is_some_and(|fence| fence.coordinator != self.inner.instance_id);
         let age = self.inner.view.fence_age(route);
-        of_other && age.is_some_and(|age| age < LEAST_TENURE)
+        is_of_other && age.is_some_and(|age| age < MIN_TENURE)
     }
 
-    /// Decides a job's tokens as the coordinator, for this daemon or a peer. Returns the fence of a grant, else 0.
-    pub fn answer_quota(&self, request: QuotaRequest<'_>) -> (QuotaOutcome, u64) {
+    /// Decides a request as the coordinator, for this daemon or a peer. Returns the fence of a grant, else 0.
+    pub fn decide_quota(&self, request: QuotaRequest<'_>) -> (QuotaOutcome, u64) {
         let view = &self.inner.view;
         let routes = self.inner.forwarder.routes();
         let route = routes
             .as_ref()
             .and_then(|routes| routes.configuration.route(request.route));
         let own = view.fence(request.route);
-        let Some(own) = own.filter(|fence| fence.coordinator == self.inner.life) else {
+        let Some(own) = own.filter(|fence| fence.coordinator == self.inner.instance_id) else {
             return (QuotaOutcome::NotCoordinator, 0);
         };
-        let fresh = view.proof_age().is_some_and(|age| age < PROOF_TOO_OLD);
-        let Some(route) = route.filter(|_| fresh && !self.is_stopping()) else {
+        let is_fresh = view.proof_age().is_some_and(|age| age < MAX_PROOF_AGE);
+        let Some(route) = route.filter(|_| is_fresh && !self.is_stopping()) else {
             return (QuotaOutcome::NotCoordinator, 0);
         };
-        let mut book = self.quotas();
-        if book.fence(request.route) != Some(own.revision) {
+        let mut ledger = self.quotas();
+        if ledger.fence(request.route) != Some(own.revision) {
             return (QuotaOutcome::Wait, 0);
         }
         let count = RouteCount {
@@ -124,30 +124,30 @@
             waiting: view.waiting_tokens(request.route, request.tenant),
             is_known: &|job| view.get(job).is_some(),
         };
-        match book.decide(request, count, harrierward_clock::now()) {
+        match ledger.decide(request, count, harrierward_clock::now()) {
             QuotaDecision::Granted { fence } => (QuotaOutcome::Granted, fence),
             QuotaDecision::Full => (QuotaOutcome::Full, 0),
-            QuotaDecision::NotKept => (QuotaOutcome::NotCoordinator, 0),
+            QuotaDecision::FenceRequired => (QuotaOutcome::NotCoordinator, 0),
         }
     }
 
-    /// A job that was granted its tokens will certainly not be kept.
-    pub fn give_back_quota(&self, request: QuotaRequest<'_>) {
+    /// Releases the grant of a submission that will certainly not be stored.
+    pub fn release_grant(&self, request: QuotaRequest<'_>) {
         self.quotas()
-            .give_back(request.route, request.job, request.submission);
+            .release(request.route, request.job, request.submission);
     }
 
-    pub(crate) fn return_quota(&self, request: QuotaRequest<'_>) {
+    pub(crate) fn release_quota(&self, request: QuotaRequest<'_>) {
         match self.inner.view.fence(request.route) {
-            Some(fence) if fence.coordinator != self.inner.life => {
-                self.inner.peers.return_quota(&fence.coordinator, request);
+            Some(fence) if fence.coordinator != self.inner.instance_id => {
+                self.inner.peers.release_quota(&fence.coordinator, request);
             }
-            _ => self.give_back_quota(request),
+            _ => self.release_grant(request),
         }
     }
 
-    /// Makes this daemon the coordinator of a route's quota, unless another one is faster.
-    async fn coordinate_quota(&self, route: &str, known: Option<KnownFence>, until: Instant) {
+    /// Makes this daemon the coordinator of a route's quota, unless the fence has changed since `known`.
+    async fn become_coordinator(&self, route: &str, known: Option<KnownFence>, until: Instant) {
         let _one_at_a_time = self.inner.fencing.lock().await;
         let newest = self.inner.view.fence(route);
         if newest.as_ref().map(|fence| fence.revision) != known.as_ref().map(|fence| fence.revision)
@@ -156,7 +156,7 @@
         }
         let row = QuotaFenceRow {
             route: route.to_owned(),
-            coordinator: self.inner.life.clone(),
+            coordinator: self.inner.instance_id.clone(),
         };
         let written = self
             .inner
@@ -168,19 +168,19 @@
                 coordinator: row.coordinator,
                 revision,
             },
-            FenceOutcome::Other(other) => {
-                self.inner.view.take_fence(route, other);
+            FenceOutcome::Superseded(other) => {
+                self.inner.view.update_fence(route, other);
                 return;
             }
-            FenceOutcome::NotDone => return,
+            FenceOutcome::Unconfirmed => return,
         };
-        self.inner.view.take_fence(route, fence.clone());
-        // What was kept under earlier fences is in the store now; nothing more can be.
-        let Some(heads) = self.inner.store.read_heads(fence.revision, until).await else {
+        self.inner.view.update_fence(route, fence.clone());
+        // Jobs stored under earlier fences are visible to this read; none can be added any more.
+        let Some(headers) = self.inner.store.read_headers(fence.revision, until).await else {
             return;
         };
-        for head in heads {
-            self.learn(head);
+        for header in headers {
+            self.note_header(header);
         }
         self.quotas().begin(route, fence.revision);
         self.inner.log.record(&Record::QuotaKept {
--- a/crates/inline-jobs/src/store.rs
+++ b/crates/inline-jobs/src/store.rs
@@ -1,4 +1,4 @@
-//! Transactions on jobs' rows, and what is done when their answers are lost.
+//! Transactions on jobs' rows, with retries when their responses are lost.
 
 mod reads;
 mod settling;
@@ -11,64 +11,64 @@
     Condition, ObjectStore, PlatformError, RequestClass, Row, Table, Transaction, WatchedTable,
 };
 use harrierward_wire::{
-    ItemProgressRow, JobHeadRow, JobItemsRow, QuotaFenceRow, decode, decode_head, encode,
-    encode_head,
+    ItemProgressRow, JobHeaderRow, JobItemsRow, QuotaFenceRow, decode, decode_job_header, encode,
+    encode_job_header,
 };
 use tokio::time::Instant;
 
 use crate::keys;
-use crate::view::KnownHead;
+use crate::view::KnownHeader;
 
-use transactions::{ROW_BYTES, TRANSACTION_BYTES, add_progress, head_change, listing};
+use transactions::{MAX_ROW_BYTES, MAX_TRANSACTION_BYTES, add_progress, header_change, listing};
 
-/// How a conditional write of a head ended.
+/// Outcome of a conditional write of a header.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WriteOutcome {
-    /// It was done at this revision.
+    /// The write was committed.
     Committed {
-        /// Revision of the rows.
+        /// Store revision of the written rows.
         revision: u64,
     },
-    /// The head is another one; nothing was done by the last try.
+    /// The header has changed; the last attempt wrote nothing.
     Conflict {
-        /// The head as it stands; `None` if there is none.
-        current: Option<Box<KnownHead>>,
+        /// The present header; `None` if there is none.
+        current: Option<Box<KnownHeader>>,
     },
-    /// The quota's fence is another one; nothing was done, and nothing will be.
+    /// The quota's fence has changed; nothing was written, and nothing will be.
     Fenced {
-        /// The fence as it stands.
+        /// The present fence; `None` if there is none or it cannot be decoded.
         current: Option<KnownFence>,
     },
-    /// Nothing was done, and nothing will be.
-    NotDone,
-    /// It may have been done, or may yet be.
-    InDoubt,
+    /// Nothing was written, and nothing will be.
+    NotCommitted,
+    /// The write may have been committed, or may still be.
+    Indeterminate,
 }
 
-/// The fence of a route's quota, and the revision of its row.
+/// The fence of a route's quota and the revision of its row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KnownFence {
-    /// Life of the daemon that keeps the quota.
+    /// Instance id of the daemon that coordinates the quota.
     pub coordinator: String,
-    /// Revision.
+    /// Store revision of the row; identifies the fence.
     pub revision: u64,
 }
 
-/// How the write of a fence ended.
+/// Outcome of the write of a fence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FenceOutcome {
-    /// It was written at this revision.
+    /// The fence was written.
     Written {
-        /// Revision of its rows.
+        /// Store revision of its rows.
         revision: u64,
     },
-    /// Another daemon's stands there.
-    Other(KnownFence),
-    /// It is not known whether it was written.
-    NotDone,
+    /// Another daemon has written the fence.
+    Superseded(KnownFence),
+    /// It is unknown whether the fence was written.
+    Unconfirmed,
 }
 
-/// The rows of jobs.
+/// Access to jobs' rows in the store.
 #[derive(Clone)]
 pub struct JobStore {
     table: Arc<dyn Table>,
@@ -79,35 +79,35 @@
 /// A result to be listed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedResult {
-    /// Item, by its number in the job.
+    /// Number of the item in its job, from 0.
     pub item: u32,
-    /// The item failed for good.
+    /// True if the item has used up its attempts or cannot be run.
     pub failed: bool,
-    /// Text.
+    /// The item's output; empty if it failed.
     pub text: String,
 }
 
-/// A result as read.
+/// A listed result, assembled from its pieces.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReadResult {
-    /// The item failed for good.
+    /// True if the item has used up its attempts or cannot be run.
     pub failed: bool,
-    /// Text.
+    /// The item's output; empty if it failed.
     pub text: String,
 }
 
-/// What the store says of a job's head.
+/// Result of reading a job's header from the store.
 #[derive(Debug, Clone, PartialEq)]
-pub struct HeadReading {
-    /// The head; `None` if there is none.
-    pub head: Option<KnownHead>,
-    /// Revision of the store that the reading reflects at least.
+pub struct HeaderReading {
+    /// The header; `None` if there is none.
+    pub header: Option<KnownHeader>,
+    /// Lower bound of the store revision that the reading reflects.
     pub revision: u64,
 }
 
-fn known(row: &Row) -> Option<KnownHead> {
-    Some(KnownHead {
-        head: decode_head(&row.value)?,
+fn known(row: &Row) -> Option<KnownHeader> {
+    Some(KnownHeader {
+        header: decode_job_header(&row.value)?,
         revision: row.revision,
     })
 }
@@ -121,7 +121,7 @@
 }
 
 impl JobStore {
-    /// Jobs in this table; items too large for rows in the object store.
+    /// Creates the access; items too large for rows go to `objects`.
     pub fn new(
         table: Arc<dyn Table>,
         objects: Arc<dyn ObjectStore>,
@@ -134,48 +134,48 @@
         }
     }
 
-    /// Keeps a new job: its head and all items in one transaction, unless there is a job of the id, and only under
-    /// this revision of its route's fence, if the route has one.
+    /// Creates a job: its header and all items in one transaction. Requires that the id is unused and, if the
+    /// route has a fence, that `fence` is its present revision.
     pub async fn create(
         &self,
-        mut head: JobHeadRow,
+        mut header: JobHeaderRow,
         items: &JobItemsRow,
         fence: Option<u64>,
         until: Instant,
     ) -> WriteOutcome {
         let content = Bytes::from(encode(items));
-        let head_key = keys::head(&head.job_id);
-        // The head comes first: where both conditions fail, the job is kept already.
+        let header_key = keys::header(&header.job_id);
+        // The header's condition comes first: where both fail, the job already exists.
         let mut transaction = Transaction::default().require(Condition::Absent {
-            key: head_key.clone(),
+            key: header_key.clone(),
         });
         if let Some(revision) = fence {
-            let key = keys::fence(&head.route, &head.job_id);
+            let key = keys::fence(&header.route, &header.job_id);
             transaction = transaction.require(Condition::AtRevision { key, revision });
         }
-        if content.len() > TRANSACTION_BYTES {
-            head.item_object = format!("jobitems-{}-{}", head.job_id, head.owner);
+        if content.len() > MAX_TRANSACTION_BYTES {
+            header.item_object = format!("jobitems-{}-{}", header.job_id, header.owner);
             let put = self
                 .objects
-                .put(RequestClass::Commit, &head.item_object, content);
+                .put(RequestClass::Commit, &header.item_object, content);
             if put.await.is_err() {
-                return WriteOutcome::NotDone;
+                return WriteOutcome::NotCommitted;
             }
         } else {
             let mut number = 0;
             let mut rest = content;
             while !rest.is_empty() {
-                let piece = rest.split_to(rest.len().min(ROW_BYTES));
-                transaction = transaction.put(keys::items(&head.job_id, number), piece);
+                let piece = rest.split_to(rest.len().min(MAX_ROW_BYTES));
+                transaction = transaction.put(keys::items(&header.job_id, number), piece);
                 number += 1;
             }
-            head.item_rows = number;
+            header.item_rows = number;
         }
-        transaction = transaction.put(head_key, encode_head(&head));
+        transaction = transaction.put(header_key, encode_job_header(&header));
         self.settle(RequestClass::Urgent, transaction, until).await
     }
 
-    /// Writes a route's fence in all partitions under its present revision.
+    /// Writes a route's fence in all partitions if `present` is still its revision.
     pub async fn write_fence(
         &self,
         present: Option<u64>,
@@ -195,7 +195,7 @@
         }
         match self.settle(RequestClass::Urgent, transaction, until).await {
             WriteOutcome::Committed { revision } => FenceOutcome::Written { revision },
-            // Own writes whose answers were lost are met again this way.
+            // The conflicting fence may be an own write whose response was lost.
             WriteOutcome::Fenced {
                 current: Some(current),
             } if current.coordinator == row.coordinator => FenceOutcome::Written {
@@ -203,51 +203,52 @@
             },
             WriteOutcome::Fenced {
                 current: Some(current),
-            } => FenceOutcome::Other(current),
-            _ => FenceOutcome::NotDone,
+            } => FenceOutcome::Superseded(current),
+            _ => FenceOutcome::Unconfirmed,
         }
     }
 
-    /// Replaces a head under its revision.
-    pub async fn replace_head(
+    /// Replaces a header if `revision` is still its revision.
+    pub async fn replace_header(
         &self,
         revision: u64,
-        head: &JobHeadRow,
+        header: &JobHeaderRow,
         until: Instant,
     ) -> WriteOutcome {
-        let transaction = head_change(revision, head);
+        let transaction = header_change(revision, header);
         self.settle(RequestClass::Urgent, transaction, until).await
     }
 
-    /// Replaces a head, lists results from `position` on and keeps the progress of other items, in one transaction.
+    /// Replaces a header, lists results from `position` on and stores the progress of other items, in one
+    /// transaction.
     pub async fn list(
         &self,
         revision: u64,
-        head: &JobHeadRow,
+        header: &JobHeaderRow,
         (position, results): (u32, &[ListedResult]),
         progress: &[(u32, ItemProgressRow)],
         until: Instant,
     ) -> WriteOutcome {
-        let transaction = listing(revision, head, position, results);
-        let transaction = add_progress(transaction, &head.job_id, progress);
+        let transaction = listing(revision, header, position, results);
+        let transaction = add_progress(transaction, &header.job_id, progress);
         self.settle(RequestClass::Commit, transaction, until).await
     }
 
-    /// Gives a job up for others: lists what is done, and keeps the progress of its unfinished items.
+    /// Releases a job: lists its results and stores the progress of its unfinished items, in one transaction.
     pub async fn hand_over(
         &self,
         revision: u64,
-        head: &JobHeadRow,
+        header: &JobHeaderRow,
         (position, results): (u32, &[ListedResult]),
         progress: &[(u32, ItemProgressRow)],
         until: Instant,
     ) -> WriteOutcome {
-        let transaction = listing(revision, head, position, results);
-        let transaction = add_progress(transaction, &head.job_id, progress);
-        self.settle_side_by_side(transaction, until).await
+        let transaction = listing(revision, header, position, results);
+        let transaction = add_progress(transaction, &header.job_id, progress);
+        self.settle_concurrently(transaction, until).await
     }
 
-    /// Saves the progress of items, once and under no condition.
+    /// Saves the progress of items unconditionally, in one attempt.
     pub async fn save_progress(
         &self,
         job_id: &str,
--- a/crates/inline-jobs/src/submit.rs
+++ b/crates/inline-jobs/src/submit.rs
@@ -1,48 +1,48 @@
-//! Accepting jobs: one conditional transaction before the answer.
+//! Acceptance of jobs: one conditional transaction before the response.
 
 use std::time::Duration;
 
 use harrierward_decisions::Record;
 use harrierward_serving::{Route, caller_of};
-use harrierward_wire::{ItemHeadRow, JobHeadRow, JobItemsRow};
+use harrierward_wire::{ItemHeadRow, JobHeaderRow, JobItemsRow};
 use tokio::time::{Instant, sleep};
 
-use crate::adoption_order::given_up;
+use crate::adoption_order::released;
 use crate::keys;
-use crate::model::{Lookup, SubmitOutcome, SubmittedJob, item_request, item_row, kept_id};
+use crate::model::{Lookup, SubmitOutcome, SubmittedJob, item_request, item_row, scoped_id};
 use crate::owned_job::OwnedJob;
 use crate::quota::Reservation;
-use crate::quota_book::QuotaRequest;
+use crate::quota_ledger::QuotaRequest;
 use crate::service::InlineJobs;
 use crate::store::WriteOutcome;
-use crate::view::KnownHead;
+use crate::view::KnownHeader;
 
-/// Most items of a job.
-const MOST_ITEMS: usize = 200;
+/// Items per job.
+const MAX_ITEMS: usize = 200;
 
-/// Longest time for which a submission is held.
-const LONGEST_HOLD: Duration = Duration::from_millis(2_500);
+/// Upper bound of the time that a submission may take.
+const MAX_WAIT: Duration = Duration::from_millis(2_500);
 
-/// Part of the caller's patience for which a submission may be held, in percent.
-const PATIENCE_PERCENT: u32 = 70;
+/// Share of the caller's timeout that a submission may take, in percent.
+const TIMEOUT_PERCENT: u32 = 70;
 
-/// Age of the last proof of contact from which on the store counts as out of reach.
-const STORE_AWAY_AFTER: Duration = Duration::from_millis(2_800);
+/// Age of the last proof of contact above which the store is considered unreachable.
+const MAX_PROOF_AGE: Duration = Duration::from_millis(2_800);
 
-/// Longest wait for the first read of the heads, and the pause between looks.
+/// How long a submission waits for the first read of the headers, and the interval of its polls.
 const FIRST_READ_WAIT: Duration = Duration::from_millis(800);
-const FIRST_READ_LOOK: Duration = Duration::from_millis(10);
+const FIRST_READ_POLL: Duration = Duration::from_millis(10);
 
-/// When a job that does not fit may come back.
-const FULL_RETRY: Duration = Duration::from_millis(1_000);
+/// Retry delay given to the caller of a job that exceeds the quota.
+const QUOTA_RETRY: Duration = Duration::from_millis(1_000);
 
-/// When a job that could not be kept may come back.
+/// Retry delay given to the caller of a job that could not be stored.
 const STORE_RETRY: Duration = Duration::from_millis(300);
 
 impl InlineJobs {
-    /// Takes a job, once.
+    /// Accepts a job; idempotent by its id.
     pub async fn submit(&self, mut job: SubmittedJob) -> SubmitOutcome {
-        let arrived = Instant::now();
+        let arrived_at = Instant::now();
         let Some(routes) = self.inner.forwarder.routes() else {
             return SubmitOutcome::NoConfiguration;
         };
@@ -59,34 +59,34 @@
                 return SubmitOutcome::Denied(cause);
             }
         };
-        if let Err(cause) = check(&job) {
+        if let Err(cause) = validate(&job) {
             return SubmitOutcome::Malformed(cause);
         }
-        job.id = kept_id(tenant.as_deref(), &job.id);
+        job.id = scoped_id(tenant.as_deref(), &job.id);
         let tenant = tenant.as_deref().unwrap_or_default();
-        let outcome = self.keep(&job, &route, tenant, arrived).await;
+        let outcome = self.store_job(&job, &route, tenant, arrived_at).await;
         self.log_submission(&job, &route, tenant, outcome);
         outcome
     }
 
-    async fn keep(
+    async fn store_job(
         &self,
         job: &SubmittedJob,
         route: &Route,
         tenant: &str,
-        arrived: Instant,
+        arrived_at: Instant,
     ) -> SubmitOutcome {
         let view = &self.inner.view;
         if view.get(&job.id).is_some() {
             return SubmitOutcome::Accepted;
         }
-        if !self.knows_heads(arrived).await {
-            // Nothing was sent: another daemon may still reach the store.
-            return SubmitOutcome::NotKept {
+        if !self.is_view_fresh(arrived_at).await {
+            // Nothing was sent, so another daemon may still reach the store.
+            return SubmitOutcome::NotStored {
                 retry_after: STORE_RETRY,
             };
         }
-        let until = arrived + hold_of(job);
+        let until = arrived_at + max_wait_of(job);
         let request = QuotaRequest {
             route: &route.name,
             tenant,
@@ -100,38 +100,39 @@
         loop {
             let fence = match self.reserve(request, route, until).await {
                 Reservation::Granted { fence } => fence,
-                Reservation::Full => return self.refuse_unless_kept(&job.id).await,
+                Reservation::Full => return self.refuse_unless_stored(&job.id).await,
                 Reservation::Unreachable => {
-                    return SubmitOutcome::NotKept {
+                    return SubmitOutcome::NotStored {
                         retry_after: STORE_RETRY,
                     };
                 }
             };
-            let head = self.head_of(job, route, tenant);
+            let header = self.new_header(job, route, tenant);
             let store = &self.inner.store;
-            match store.create(head.clone(), &rows, fence, until).await {
+            match store.create(header.clone(), &rows, fence, until).await {
                 WriteOutcome::Committed { revision } => {
-                    self.begin(head, rows, revision);
+                    self.register_stored(header, rows, revision);
                     return SubmitOutcome::Accepted;
                 }
                 WriteOutcome::Conflict {
                     current: Some(current),
                 } => {
-                    self.learn(*current);
+                    self.note_header(*current);
                     return SubmitOutcome::Accepted;
                 }
-                // What was granted comes to nothing; a new coordinator is asked.
+                // The grant is void under the new fence; the next iteration requests the tokens
+                // from its coordinator.
                 WriteOutcome::Fenced { current } => {
                     if let Some(current) = current {
-                        self.inner.view.take_fence(&route.name, current);
+                        self.inner.view.update_fence(&route.name, current);
                     }
                 }
-                WriteOutcome::Conflict { current: None } | WriteOutcome::InDoubt => {
-                    return SubmitOutcome::InDoubt;
+                WriteOutcome::Conflict { current: None } | WriteOutcome::Indeterminate => {
+                    return SubmitOutcome::Indeterminate;
                 }
-                WriteOutcome::NotDone => {
-                    self.return_quota(request);
-                    return SubmitOutcome::NotKept {
+                WriteOutcome::NotCommitted => {
+                    self.release_quota(request);
+                    return SubmitOutcome::NotStored {
                         retry_after: STORE_RETRY,
                     };
                 }
@@ -139,17 +140,17 @@
         }
     }
 
-    /// True if the copy of the heads is true enough to tell what waits. A daemon that has just started waits a
-    /// moment for its first read.
-    async fn knows_heads(&self, arrived: Instant) -> bool {
+    /// True if the local copy is recent enough to count what is queued. Waits briefly for the first read
+    /// after the daemon's start.
+    async fn is_view_fresh(&self, arrived_at: Instant) -> bool {
         let view = &self.inner.view;
-        while view.proof_age().is_none() && arrived.elapsed() < FIRST_READ_WAIT {
-            sleep(FIRST_READ_LOOK).await;
+        while view.proof_age().is_none() && arrived_at.elapsed() < FIRST_READ_WAIT {
+            sleep(FIRST_READ_POLL).await;
         }
-        view.proof_age().is_some_and(|age| age <= STORE_AWAY_AFTER)
+        view.proof_age().is_some_and(|age| age <= MAX_PROOF_AGE)
     }
 
-    fn head_of(&self, job: &SubmittedJob, route: &Route, tenant: &str) -> JobHeadRow {
+    fn new_header(&self, job: &SubmittedJob, route: &Route, tenant: &str) -> JobHeaderRow {
         let items = job
             .items
             .iter()
@@ -158,13 +159,13 @@
                 tokens: item.tokens,
             })
             .collect();
-        let head = JobHeadRow {
+        let header = JobHeaderRow {
             job_id: job.id.clone(),
             route: route.name.clone(),
             host: route.host.clone(),
             items,
             listed: Vec::new(),
-            owner: self.inner.life.clone(),
+            owner: self.inner.instance_id.clone(),
             last_owner: String::new(),
             epoch: 1,
             ended: false,
@@ -178,38 +179,38 @@
             later_fields: Vec::new(),
         };
         if self.is_stopping() {
-            given_up(&head)
+            released(&header)
         } else {
-            head
+            header
         }
     }
 
-    /// The job is kept: enter it, unless it is for others.
-    fn begin(&self, head: JobHeadRow, rows: JobItemsRow, revision: u64) {
-        let owned = self.owns(&head);
-        let known = KnownHead { head, revision };
-        // The watch may have brought the head already, and with it the loading of the items.
-        let entered = self.book().jobs.contains_key(&known.head.job_id);
-        self.inner.view.take(known.clone());
-        if !owned || entered {
+    /// Registers a stored job, unless it was released to other daemons.
+    fn register_stored(&self, header: JobHeaderRow, rows: JobItemsRow, revision: u64) {
+        let is_owned = self.owns(&header);
+        let known = KnownHeader { header, revision };
+        // The watch may have delivered the header already and started the load of the items.
+        let is_registered = self.registry().jobs.contains_key(&known.header.job_id);
+        self.inner.view.update(known.clone());
+        if !is_owned || is_registered {
             return;
         }
         let requests = rows
             .items
             .into_iter()
-            .map(|row| item_request(row, &known.head))
+            .map(|row| item_request(row, &known.header))
             .collect();
-        self.enter(OwnedJob::new(known, requests, Vec::new()));
+        self.register(OwnedJob::new(known, requests, Vec::new()));
     }
 
-    /// A job that does not fit may have been taken already by another daemon.
-    async fn refuse_unless_kept(&self, job_id: &str) -> SubmitOutcome {
-        match self.read_head(job_id).await {
+    /// Refuses a job for its quota, unless another daemon has accepted it already.
+    async fn refuse_unless_stored(&self, job_id: &str) -> SubmitOutcome {
+        match self.read_header(job_id).await {
             Lookup::Found(_) => SubmitOutcome::Accepted,
-            Lookup::Missing => SubmitOutcome::DoesNotFit {
-                retry_after: FULL_RETRY,
+            Lookup::Missing => SubmitOutcome::QuotaExceeded {
+                retry_after: QUOTA_RETRY,
             },
-            Lookup::Unsure => SubmitOutcome::NotKept {
+            Lookup::Unavailable => SubmitOutcome::NotStored {
                 retry_after: STORE_RETRY,
             },
         }
@@ -224,9 +225,9 @@
     ) {
         let name = match outcome {
             SubmitOutcome::Accepted => "accepted",
-            SubmitOutcome::DoesNotFit { .. } => "does_not_fit",
-            SubmitOutcome::NotKept { .. } => "not_kept",
-            SubmitOutcome::InDoubt => "in_doubt",
+            SubmitOutcome::QuotaExceeded { .. } => "does_not_fit",
+            SubmitOutcome::NotStored { .. } => "not_kept",
+            SubmitOutcome::Indeterminate => "in_doubt",
             SubmitOutcome::Malformed(cause) => cause,
             SubmitOutcome::NoRoute => "no_route",
             SubmitOutcome::NoConfiguration => "no_configuration",
@@ -244,10 +245,10 @@
     }
 }
 
-/// How long a submission may be held.
-fn hold_of(job: &SubmittedJob) -> Duration {
-    job.patience.map_or(LONGEST_HOLD, |patience| {
-        (patience * PATIENCE_PERCENT / 100).min(LONGEST_HOLD)
+/// Returns how long a submission may take.
+fn max_wait_of(job: &SubmittedJob) -> Duration {
+    job.timeout.map_or(MAX_WAIT, |timeout| {
+        (timeout * TIMEOUT_PERCENT / 100).min(MAX_WAIT)
     })
 }
 
@@ -255,14 +256,14 @@
     job.items.iter().map(|item| item.tokens).sum()
 }
 
-fn check(job: &SubmittedJob) -> Result<(), &'static str> {
+fn validate(job: &SubmittedJob) -> Result<(), &'static str> {
     if !keys::is_usable_id(&job.id) {
         return Err("the job's id must be 1 to 120 letters, digits, '-', '_' or '.'");
     }
     if job.items.is_empty() {
         return Err("a job needs an item");
     }
-    if job.items.len() > MOST_ITEMS {
+    if job.items.len() > MAX_ITEMS {
         return Err("a job has 200 items at most");
     }
     let mut ids: Vec<&str> = job.items.iter().map(|item| item.id.as_str()).collect();
--- a/crates/inline-jobs/tests/rows_of_heads.rs
+++ b/crates/inline-jobs/tests/rows_of_headers.rs
@@ -1,4 +1,4 @@
-//! The space of the jobs' heads holds rows of three kinds, which must never be taken for each other.
+//! Guards against mistaking one of the three kinds of rows in the space of the headers for another.
 
 mod support;
 
@@ -9,42 +9,42 @@
 use harrierward_external::{
     ChangePage, PageStart, PlatformError, Row, RowReading, SpacePage, WatchedTable,
 };
-use harrierward_inline_jobs::{JobStore, RowKind, crash_news, partitions, row_kind};
-use harrierward_wire::{CrashNewsRow, JobHeadRow, QuotaFenceRow, encode};
-use support::{AwayStore, away};
+use harrierward_inline_jobs::{JobStore, RowKind, crash_updates_key, partitions, row_kind};
+use harrierward_wire::{CrashNewsRow, JobHeaderRow, QuotaFenceRow, encode};
+use support::{UnavailableStore, unavailable};
 use tokio::time::Instant;
 
 const JOB: &str = "job-1";
 const LIFE: &str = "node@1";
-const HEAD_KEY: &str = "jobheads/p0/job-1";
+const HEADER_KEY: &str = "jobheads/p0/job-1";
 const FENCE_KEY: &str = "jobheads/p0/~quota.0000000000000001";
 
 #[test]
-fn a_key_tells_what_the_row_is() {
-    assert_eq!(row_kind(HEAD_KEY), RowKind::Head);
+fn a_row_kind_follows_from_its_key() {
+    assert_eq!(row_kind(HEADER_KEY), RowKind::Header);
     assert_eq!(row_kind(FENCE_KEY), RowKind::Fence);
-    assert_eq!(row_kind(&crash_news(LIFE)), RowKind::CrashNews);
+    assert_eq!(row_kind(&crash_updates_key(LIFE)), RowKind::CrashUpdates);
 }
 
-/// As many rows as daemons, however often these start.
+/// The number of rows must not grow with restarts.
 #[test]
-fn a_daemon_that_starts_again_has_the_row_of_its_last_life() {
-    assert_eq!(crash_news("node@1"), crash_news("node@2-ab"));
-    assert_ne!(crash_news("node-1@1"), crash_news("node-2@1"));
-    let key = crash_news(LIFE);
+fn a_restarted_daemon_reuses_its_crash_updates_row() {
+    assert_eq!(crash_updates_key("node@1"), crash_updates_key("node@2-ab"));
+    assert_ne!(crash_updates_key("node-1@1"), crash_updates_key("node-2@1"));
+    let key = crash_updates_key(LIFE);
     let partition = key.split('/').nth(1).expect("a partition");
     assert!(partitions().iter().any(|one| one == partition), "{key}");
 }
 
-/// A store with a row of each kind; any of them can be decoded as a head.
-struct EachKind;
+/// A store with a row of each kind, all of which decode as a header.
+struct AllKindsStore;
 
 #[async_trait]
-impl WatchedTable for EachKind {
+impl WatchedTable for AllKindsStore {
     async fn read_page(&self, _: &str, start: PageStart<'_>) -> Result<SpacePage, PlatformError> {
-        let head = JobHeadRow {
+        let header = JobHeaderRow {
             job_id: JOB.to_owned(),
-            ..JobHeadRow::default()
+            ..JobHeaderRow::default()
         };
         let fence = QuotaFenceRow {
             route: "route".to_owned(),
@@ -55,9 +55,9 @@
             ..CrashNewsRow::default()
         };
         let rows = [
-            (HEAD_KEY.to_owned(), encode(&head)),
+            (HEADER_KEY.to_owned(), encode(&header)),
             (FENCE_KEY.to_owned(), encode(&fence)),
-            (crash_news(LIFE), encode(&news)),
+            (crash_updates_key(LIFE), encode(&news)),
         ];
         let is_here = |key: &str| key.split('/').nth(1) == Some(start.partition);
         let rows = rows.into_iter().filter(|(key, _)| is_here(key));
@@ -74,7 +74,7 @@
     }
 
     async fn read_row(&self, _: &str) -> Result<RowReading, PlatformError> {
-        Err(away("read row"))
+        Err(unavailable("read row"))
     }
 
     async fn wait_changes(
@@ -83,20 +83,20 @@
         _: u64,
         _: Duration,
     ) -> Result<ChangePage, PlatformError> {
-        Err(away("wait changes"))
+        Err(unavailable("wait changes"))
     }
 }
 
 #[tokio::test]
-async fn only_heads_are_read_as_heads() {
-    let rows = Arc::new(EachKind);
-    let away = Arc::new(AwayStore);
-    let store = JobStore::new(away.clone(), away, rows);
+async fn only_headers_are_read_as_headers() {
+    let rows = Arc::new(AllKindsStore);
+    let unavailable = Arc::new(UnavailableStore);
+    let store = JobStore::new(unavailable.clone(), unavailable, rows);
     let until = Instant::now() + Duration::from_secs(2);
-    let heads = store.read_heads(1, until).await.expect("read");
-    let ids: Vec<&str> = heads
+    let headers = store.read_headers(1, until).await.expect("read");
+    let ids: Vec<&str> = headers
         .iter()
-        .map(|known| known.head.job_id.as_str())
+        .map(|known| known.header.job_id.as_str())
         .collect();
     assert_eq!(ids, [JOB]);
 }
--- a/crates/inline-jobs/tests/stale_listing.rs
+++ b/crates/inline-jobs/tests/stale_listing.rs
@@ -1,9 +1,6 @@
-//! A listing never shows less than another daemon has shown before, whatever this daemon has heard of it.
-//!
-//! What happened: a feed answered with the store's newest revision and without the changes up to it. The daemon took the answer
-//! for a proof that its copy of the heads was true, and told a caller that nothing was listed, where another daemon had shown a
-//! result seconds before. What showed it: the lines `listing_asked` of that daemon, `outcome: nothing` beside a `proof_age_ms` of
-//! 1,239 to 1,743, and none at all for the looks that it denied on a proof younger than 0.8 s.
+//! Guards against a listing that hides a result which another daemon has already returned. A watch response may
+//! carry the store's newest revision without all changes up to it, so a recent proof of contact does not prove an
+//! empty list.
 
 mod support;
 
@@ -20,7 +17,7 @@
     Transaction, TransactionOutcome, WatchedTable,
 };
 use harrierward_inline_jobs::{
-    InlineJobs, JobCaller, JobParts, JobSettings, KnownHead, Lookup, Peers, QuotaRequest,
+    InlineJobs, JobCaller, JobParts, JobSettings, KnownHeader, Lookup, Peers, QuotaRequest,
     ResultPage,
 };
 use harrierward_ownership::OwnerStatus;
@@ -30,31 +27,30 @@
     ReplicaSet, SelectionCosts, SlotLeases, SlotQuery, SlotReply,
 };
 use harrierward_tenants::Tenant;
-use harrierward_wire::{ItemHeadRow, JobHeadRow, QuotaOutcome, ResultPieceRow, encode};
-use support::{AwayStore, away};
+use harrierward_wire::{ItemHeadRow, JobHeaderRow, QuotaOutcome, ResultPieceRow, encode};
+use support::{UnavailableStore, unavailable};
 use tokio::time::{Instant, advance};
 
 const JOB: &str = "job-1";
 
-/// Age of what this daemon knows at which a result that another daemon showed must not be denied any more, less what
-/// the answers themselves take.
-const MUST_SHOW_AFTER: Duration = Duration::from_millis(850);
+/// Age of the local copy above which it must not hide a result that another daemon has returned.
+const MAX_STALENESS: Duration = Duration::from_millis(850);
 
-/// A store that holds one job with its first result listed.
+/// A store that holds one job.
 #[derive(Default)]
-struct OneJob {
-    /// Reads of the job's head.
-    head_reads: AtomicUsize,
-    /// The store answers nothing.
-    is_away: bool,
-    /// Results that the store holds.
+struct SingleJobStore {
+    /// Number of reads of the job's header.
+    header_reads: AtomicUsize,
+    /// True if all requests fail.
+    is_unavailable: bool,
+    /// Number of listed results that the store holds.
     listed: u32,
-    /// The store's answers are from before the job was accepted.
+    /// True if reads reflect a revision from before the job was accepted.
     is_missing: bool,
 }
 
-fn head(listed: u32) -> JobHeadRow {
-    JobHeadRow {
+fn header(listed: u32) -> JobHeaderRow {
+    JobHeaderRow {
         job_id: JOB.to_owned(),
         items: (0..3)
             .map(|number| ItemHeadRow {
@@ -65,22 +61,22 @@
         listed: (0..listed).collect(),
         owner: "another-daemon".to_owned(),
         epoch: 1,
-        ..JobHeadRow::default()
+        ..JobHeaderRow::default()
     }
 }
 
 #[async_trait]
-impl Table for OneJob {
+impl Table for SingleJobStore {
     async fn transact(
         &self,
         _class: RequestClass,
         _transaction: Transaction,
     ) -> Result<TransactionOutcome, PlatformError> {
-        Err(away("transact"))
+        Err(unavailable("transact"))
     }
 
     async fn get(&self, _: RequestClass, _: &[String]) -> Result<Vec<Option<Row>>, PlatformError> {
-        Err(away("get"))
+        Err(unavailable("get"))
     }
 
     async fn scan(
@@ -90,8 +86,8 @@
         after: &str,
         _limit: usize,
     ) -> Result<Vec<Row>, PlatformError> {
-        if self.is_away {
-            return Err(away("scan"));
+        if self.is_unavailable {
+            return Err(unavailable("scan"));
         }
         let row = |position: u32| Row {
             key: format!("{prefix}{position:05}.000"),
@@ -108,20 +104,20 @@
 }
 
 #[async_trait]
-impl WatchedTable for OneJob {
+impl WatchedTable for SingleJobStore {
     async fn read_page(&self, _: &str, _: PageStart<'_>) -> Result<SpacePage, PlatformError> {
-        Err(away("read page"))
+        Err(unavailable("read page"))
     }
 
     async fn read_row(&self, key: &str) -> Result<RowReading, PlatformError> {
-        self.head_reads.fetch_add(1, Ordering::Relaxed);
-        if self.is_away {
-            return Err(away("read row"));
+        self.header_reads.fetch_add(1, Ordering::Relaxed);
+        if self.is_unavailable {
+            return Err(unavailable("read row"));
         }
         let revision = 10 + u64::from(self.listed);
         let row = Row {
             key: key.to_owned(),
-            value: Bytes::from(encode(&head(self.listed))),
+            value: Bytes::from(encode(&header(self.listed))),
             revision,
         };
         Ok(RowReading {
@@ -136,15 +132,15 @@
         _: u64,
         _: Duration,
     ) -> Result<ChangePage, PlatformError> {
-        Err(away("wait changes"))
+        Err(unavailable("wait changes"))
     }
 }
 
-struct Nothing;
+struct Stub;
 
 #[async_trait]
-impl Peers for Nothing {
-    fn standing(&self, _owner: &str) -> OwnerStatus {
+impl Peers for Stub {
+    fn owner_status(&self, _owner: &str) -> OwnerStatus {
         OwnerStatus::Absent
     }
 
@@ -156,22 +152,22 @@
         None
     }
 
-    async fn ask_quota(&self, _: &str, _: QuotaRequest<'_>) -> Option<(QuotaOutcome, u64)> {
+    async fn request_quota(&self, _: &str, _: QuotaRequest<'_>) -> Option<(QuotaOutcome, u64)> {
         None
     }
 
-    fn return_quota(&self, _: &str, _: QuotaRequest<'_>) {}
+    fn release_quota(&self, _: &str, _: QuotaRequest<'_>) {}
 }
 
 #[async_trait]
-impl RateLimits for Nothing {
+impl RateLimits for Stub {
     async fn admit(&self, _tenant: &Tenant, _request: &str) -> RateStatus {
         RateStatus::Within
     }
 }
 
 #[async_trait]
-impl ReplicaClient for Nothing {
+impl ReplicaClient for Stub {
     async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError> {
         Err(ExchangeError::NotSent {
             step: "test",
@@ -182,7 +178,7 @@
 }
 
 #[async_trait]
-impl SlotLeases for Nothing {
+impl SlotLeases for Stub {
     async fn acquire(&self, _query: SlotQuery<'_>) -> SlotReply {
         SlotReply::NoCoordinator
     }
@@ -200,13 +196,13 @@
     fn preempt_item(&self, _replica: &Arc<Replica>) {}
 }
 
-fn jobs_over(store: Arc<OneJob>, log: DecisionLog) -> InlineJobs {
+fn jobs_on(store: Arc<SingleJobStore>, log: DecisionLog) -> InlineJobs {
     let forwarder = Forwarder::new(ForwarderParts {
         routes: Arc::new(ArcSwapOption::empty()),
         replicas: Arc::new(ReplicaSet::default()),
-        client: Arc::new(Nothing),
-        leases: Arc::new(Nothing),
-        rates: Arc::new(Nothing),
+        client: Arc::new(Stub),
+        leases: Arc::new(Stub),
+        rates: Arc::new(Stub),
         quarantine: Arc::new(NoQuarantine),
         proof: Arc::default(),
         log: log.clone(),
@@ -218,39 +214,39 @@
         },
     });
     InlineJobs::new(JobParts {
-        life: "this-daemon".to_owned(),
+        instance_id: "this-daemon".to_owned(),
         table: store.clone(),
-        objects: Arc::new(AwayStore),
+        objects: Arc::new(UnavailableStore),
         watched: store,
         forwarder,
-        peers: Arc::new(Nothing),
+        peers: Arc::new(Stub),
         log,
         settings: JobSettings {
-            keep: Duration::from_secs(120),
+            retention: Duration::from_secs(120),
             cancel_within: Duration::from_secs(3),
         },
     })
 }
 
-/// A daemon that last heard of the job `age` ago, when `known` results were listed; the store now holds `listed`.
+/// Returns a daemon whose view is `age` old and shows `known` results; the store holds `listed`.
 async fn daemon(
     age: Duration,
     known: u32,
     listed: u32,
-    is_away: bool,
-) -> (InlineJobs, Arc<OneJob>) {
-    let store = Arc::new(OneJob {
+    is_unavailable: bool,
+) -> (InlineJobs, Arc<SingleJobStore>) {
+    let store = Arc::new(SingleJobStore {
         listed,
-        is_away,
-        ..OneJob::default()
+        is_unavailable,
+        ..SingleJobStore::default()
     });
     let log = DecisionLog::new(LogBounds::default());
-    let jobs = jobs_over(store.clone(), log);
-    jobs.view().take(KnownHead {
-        head: head(known),
+    let jobs = jobs_on(store.clone(), log);
+    jobs.view().update(KnownHeader {
+        header: header(known),
         revision: 10 + u64::from(known),
     });
-    jobs.view().prove(Instant::now(), 1);
+    jobs.view().note_proof(Instant::now(), 1);
     advance(age).await;
     (jobs, store)
 }
@@ -262,12 +258,12 @@
 fn count(found: &Lookup<ResultPage>) -> Option<usize> {
     match found {
         Lookup::Found(page) => Some(page.results.len()),
-        Lookup::Missing | Lookup::Unsure => None,
+        Lookup::Missing | Lookup::Unavailable => None,
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_result_that_others_have_shown_for_a_second_is_shown_by_all() {
+async fn a_stale_copy_does_not_hide_a_listed_result() {
     for age in [850, 950, 1_000, 1_100, 1_250, 1_350, 5_000] {
         let (jobs, _) = daemon(Duration::from_millis(age), 0, 1, false).await;
         let found = read(&jobs, 0, Duration::ZERO).await;
@@ -276,7 +272,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_feed_that_passed_over_a_result_does_not_deny_it() {
+async fn a_fresh_proof_does_not_hide_a_result_that_the_feed_skipped() {
     for age in [0, 1, 200, 700, 799] {
         let (jobs, _) = daemon(Duration::from_millis(age), 0, 1, false).await;
         let found = read(&jobs, 0, Duration::ZERO).await;
@@ -285,7 +281,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_held_read_that_ends_empty_was_proven_at_its_end() {
+async fn a_long_poll_reads_the_store_before_it_returns_an_empty_page() {
     for age in [0, 300, 700, 1_100] {
         let (jobs, _) = daemon(Duration::from_millis(age), 0, 1, false).await;
         let found = read(&jobs, 0, Duration::from_millis(1_000)).await;
@@ -294,75 +290,75 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_cannot_be_proven_is_not_denied() {
-    let (jobs, _) = daemon(MUST_SHOW_AFTER, 0, 1, true).await;
+async fn a_stale_copy_is_no_proof_of_an_empty_list_while_the_store_is_unavailable() {
+    let (jobs, _) = daemon(MAX_STALENESS, 0, 1, true).await;
     let found = read(&jobs, 0, Duration::ZERO).await;
-    assert_eq!(found, Lookup::Unsure);
+    assert_eq!(found, Lookup::Unavailable);
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_known_to_be_listed_needs_no_new_proof() {
-    // Results are only added, so that a daemon that knows of one may show it however long ago it heard of it.
+async fn a_known_result_is_returned_without_a_header_read() {
+    // Results are append-only, so a known one may be returned whatever the age of the view.
     let (jobs, store) = daemon(Duration::from_secs(5), 1, 2, false).await;
     let found = read(&jobs, 0, Duration::ZERO).await;
     assert!(count(&found).is_some_and(|count| count >= 1), "{found:?}");
-    assert_eq!(store.head_reads.load(Ordering::Relaxed), 0);
+    assert_eq!(store.header_reads.load(Ordering::Relaxed), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_empty_answer_costs_one_read_at_its_end() {
+async fn an_empty_page_costs_one_header_read() {
     for wait in [0, 300, 1_000] {
         let (jobs, store) = daemon(Duration::from_millis(200), 0, 0, false).await;
         let found = read(&jobs, 0, Duration::from_millis(wait)).await;
         assert_eq!(count(&found), Some(0));
-        assert_eq!(store.head_reads.load(Ordering::Relaxed), 1, "{wait} ms");
+        assert_eq!(store.header_reads.load(Ordering::Relaxed), 1, "{wait} ms");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_list_that_never_grows_again_costs_no_read() {
+async fn a_complete_list_costs_no_header_read() {
     let (jobs, store) = daemon(Duration::from_secs(5), 3, 3, false).await;
     let found = read(&jobs, 3, Duration::ZERO).await;
     assert_eq!(count(&found), Some(0));
-    assert_eq!(store.head_reads.load(Ordering::Relaxed), 0);
+    assert_eq!(store.header_reads.load(Ordering::Relaxed), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_older_than_what_is_known_of_the_store_denies_nothing() {
-    // After the store's history was dropped its reads may be seconds behind, while the feed has told of newer revisions.
+async fn an_outdated_reading_is_no_proof_of_an_empty_list() {
+    // Reads of the store may lag behind the revisions that the watch has delivered.
     let (jobs, _) = daemon(Duration::ZERO, 0, 0, false).await;
     jobs.view().note_revision(11);
     let found = read(&jobs, 0, Duration::ZERO).await;
-    assert_eq!(found, Lookup::Unsure);
+    assert_eq!(found, Lookup::Unavailable);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_is_not_denied_by_an_answer_from_before_it_was_accepted() {
-    let store = Arc::new(OneJob {
+async fn an_outdated_reading_is_no_proof_that_a_job_is_missing() {
+    let store = Arc::new(SingleJobStore {
         is_missing: true,
-        ..OneJob::default()
+        ..SingleJobStore::default()
     });
-    let jobs = jobs_over(store, DecisionLog::new(LogBounds::default()));
+    let jobs = jobs_on(store, DecisionLog::new(LogBounds::default()));
     jobs.view().note_revision(11);
     let found = read(&jobs, 0, Duration::ZERO).await;
-    assert_eq!(found, Lookup::Unsure);
+    assert_eq!(found, Lookup::Unavailable);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_operator_sees_how_often_the_store_was_asked_and_what_it_said() {
+async fn store_reads_for_listings_are_counted_by_outcome() {
     let log = DecisionLog::new(LogBounds::default());
-    let store = Arc::new(OneJob {
+    let store = Arc::new(SingleJobStore {
         listed: 1,
-        ..OneJob::default()
+        ..SingleJobStore::default()
     });
-    let jobs = jobs_over(store, log.clone());
-    jobs.view().take(KnownHead {
-        head: head(0),
+    let jobs = jobs_on(store, log.clone());
+    jobs.view().update(KnownHeader {
+        header: header(0),
         revision: 10,
     });
-    jobs.view().prove(Instant::now(), 1);
+    jobs.view().note_proof(Instant::now(), 1);
     assert_eq!(count(&read(&jobs, 0, Duration::ZERO).await), Some(1));
-    advance(MUST_SHOW_AFTER).await;
+    advance(MAX_STALENESS).await;
     assert_eq!(count(&read(&jobs, 0, Duration::ZERO).await), Some(1));
     assert_eq!(count(&read(&jobs, 1, Duration::ZERO).await), Some(0));
     let figures = String::from_utf8(log.metrics_text()).unwrap();
