--- a/crates/edge/src/fleet.rs
+++ b/crates/edge/src/fleet.rs
@@ -1,5 +1,4 @@
-//! How many members the fleet had lately, for all that is given out by their number: tenants' rates, and what cold
-//! replicas bear.
+//! Recent fleet size, by which tenants' rates and cold replicas' request rates are divided among the daemons.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -7,15 +6,15 @@
 use harrierward_tenants::{FleetMemory, SeenFleet};
 use tokio::time::Instant;
 
-/// The memory, shared by those who give out.
+/// Recently observed fleet sizes, shared by the rate and slot services.
 #[derive(Debug)]
 pub struct SharedFleet {
     memory: Mutex<FleetMemory>,
 }
 
 impl SharedFleet {
-    /// A daemon that starts now. One that `expects_others` gives out nothing until it has found them, or has looked for
-    /// long.
+    /// Starts with no observation. With `expects_others` the share stays 0 until other members are found or the search
+    /// times out.
     pub fn new(expects_others: bool) -> Self {
         Self {
             memory: Mutex::new(FleetMemory::new(expects_others, harrierward_clock::now())),
@@ -26,17 +25,17 @@
         self.memory.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// So many members, this one among them, are known now.
+    /// Records the current number of members, this daemon included.
     pub fn see(&self, members: usize, now: Instant) {
         self.lock().see(members, now);
     }
 
-    /// Part of each limit that members may give out which see `members` now, 0 to 1.
+    /// Returns the fraction (0 to 1) of each limit that may be granted by a group of `members` that see each other.
     pub fn share(&self, members: usize, now: Instant) -> f64 {
         self.lock().share(members, now)
     }
 
-    /// Takes what another member saw, as a datagram carries it. Returns false if that cannot be placed in time.
+    /// Merges a size reported by another member. Returns false if `seen_ms_ago` lies before the start of the clock.
     pub fn take(&self, members: u32, seen_ms_ago: u32) -> bool {
         let ago = Duration::from_millis(u64::from(seen_ms_ago));
         let members = usize::try_from(members).unwrap_or_default();
@@ -47,7 +46,7 @@
         true
     }
 
-    /// The largest size that is not forgotten, and the time since then in milliseconds, as datagrams carry them.
+    /// Returns the largest unexpired size and its age in milliseconds, in the form sent in datagrams; zeros if none.
     pub fn describe(&self, now: Instant) -> (u32, u32) {
         let Some(seen) = self.lock().largest(now) else {
             return (0, 0);
--- a/crates/edge/src/order.rs
+++ b/crates/edge/src/order.rs
@@ -1,11 +1,10 @@
-//! The order of the members in which they coordinate a tenant's rate: all daemons that know the same members name the
-//! same ones (rendezvous hashing).
+//! Rendezvous hashing of tenants to their rate coordinators: all daemons with the same member list choose the same ones.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::slots::CoordinatorCandidate;
 
-/// The two members that come first: the coordinator, and who follows it.
+/// Returns the two members with the highest weights: the tenant's coordinator and its fallback.
 pub fn first_two<'a>(
     tenant: &str,
     members: &'a [CoordinatorCandidate],
@@ -13,7 +12,7 @@
     first_two_by(tenant, members.iter(), |member| &member.id)
 }
 
-/// The two ids that come first.
+/// Same as [`first_two`], over member ids alone.
 pub fn first_two_ids<'a>(tenant: &str, ids: impl Iterator<Item = &'a str>) -> [Option<&'a str>; 2] {
     first_two_by(tenant, ids, |id| id)
 }
@@ -28,9 +27,9 @@
     let mut second: Option<(u64, T)> = None;
     for member in members {
         let weight = xxh3_64_with_seed(id(member).as_bytes(), seed);
-        if first.is_none_or(|(most, _)| weight > most) {
+        if first.is_none_or(|(max, _)| weight > max) {
             second = first.replace((weight, member));
-        } else if second.is_none_or(|(most, _)| weight > most) {
+        } else if second.is_none_or(|(max, _)| weight > max) {
             second = Some((weight, member));
         }
     }
--- a/crates/edge/src/peer_loads.rs
+++ b/crates/edge/src/peer_loads.rs
@@ -1,4 +1,4 @@
-//! What peers last said of their requests at the replicas, and what follows for each replica: pure.
+//! Requests in progress at each replica, summed over the peers' load notices.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,68 +9,72 @@
 use rand::distr::weighted::WeightedIndex;
 use tokio::time::Instant;
 
-/// How long a peer's word is believed.
-const NOTICE_LIFETIME: Duration = Duration::from_millis(1_500);
+const NOTICE_TTL: Duration = Duration::from_millis(1_500);
 
 struct PeerLoad {
     notice: LoadNotice,
-    at: Instant,
+    received_at: Instant,
 }
 
 impl PeerLoad {
-    fn is_believed(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) < NOTICE_LIFETIME
+    fn is_current(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.received_at) < NOTICE_TTL
     }
 }
 
-/// All peers together at one replica.
+/// Requests of all peers in progress at one replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PeerSum {
-    /// Online requests in progress.
+    /// Online requests, as opposed to batch items.
     pub online: u32,
-    /// Batch items in progress.
+    /// Batch items, which may be preempted.
     pub batch: u32,
 }
 
-/// The peers' last words. All times are those of a clock that counts suspensions.
+/// The latest load notice of each peer. All times come from a clock that counts suspensions.
 #[derive(Default)]
 pub struct PeerLoads {
     loads: HashMap<String, PeerLoad>,
 }
 
 impl PeerLoads {
-    /// Peers heard of lately.
+    /// Returns the number of peers whose notice has not been removed by [`PeerLoads::expire`].
     pub fn heard(&self) -> usize {
         self.loads.len()
     }
 
-    /// Takes a notice; false if a newer one of its sender is known.
+    /// Stores a notice; returns false if its number isn't above that of the sender's last one.
     pub fn take(&mut self, notice: LoadNotice, now: Instant) -> bool {
         let known = self.loads.get(&notice.from);
         if known.is_some_and(|known| known.notice.number >= notice.number) {
             return false;
         }
         let from = notice.from.clone();
-        self.loads.insert(from, PeerLoad { notice, at: now });
+        self.loads.insert(
+            from,
+            PeerLoad {
+                notice,
+                received_at: now,
+            },
+        );
         true
     }
 
-    /// Forgets what is too old; true if anything was.
+    /// Removes expired notices; returns true if there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
         let before = self.loads.len();
-        self.loads.retain(|_, load| load.is_believed(now));
+        self.loads.retain(|_, load| load.is_current(now));
         self.loads.len() != before
     }
 
-    /// The ages of the peers' proofs, of those heard of lately: what was heard before a suspension says nothing of now.
+    /// Returns the ages of the proofs of freshness in unexpired notices; ones from before a suspension are left out.
     pub fn proof_ages_ms(&self, now: Instant) -> impl Iterator<Item = u32> {
         let loads = self.loads.values();
-        let believed = loads.filter(move |load| load.is_believed(now));
-        believed.map(|load| load.notice.proof_age_ms)
+        let current = loads.filter(move |load| load.is_current(now));
+        current.map(|load| load.notice.proof_age_ms)
     }
 
-    /// A peer, chosen at random by their numbers, that runs a batch item at the replica; it counts one less from
-    /// now on.
+    /// Chooses a peer at random, weighted by its batch items at the replica, and subtracts one from its count.
     pub fn take_batch_slot(&mut self, replica: u32, random: &mut impl Rng) -> Option<String> {
         let counts = self.loads.iter_mut().filter_map(|(peer, load)| {
             let mut counts = load.notice.counts.iter_mut();
@@ -85,8 +89,7 @@
         Some((*peer).clone())
     }
 
-    /// Sums by the hash of the replica's id; of `peers` daemons, those not heard of lately are taken to be like the
-    /// others.
+    /// Returns the sums by the hash of the replica's id, scaled up from the peers with a notice to all `peers`.
     pub fn sums(&self, peers: usize) -> HashMap<u32, PeerSum> {
         let mut sums: HashMap<u32, PeerSum> = HashMap::new();
         for count in self.loads.values().flat_map(|load| &load.notice.counts) {
@@ -94,9 +97,9 @@
             sum.online += count.online;
             sum.batch += count.batch;
         }
-        let heard = self.loads.len().max(1);
+        let reporting = self.loads.len().max(1);
         let scale = |count: u32| {
-            let scaled = u64::from(count) * peers.max(heard) as u64 / heard as u64;
+            let scaled = u64::from(count) * peers.max(reporting) as u64 / reporting as u64;
             u32::try_from(scaled).unwrap_or(u32::MAX)
         };
         for sum in sums.values_mut() {
--- a/crates/edge/src/silence.rs
+++ b/crates/edge/src/silence.rs
@@ -1,4 +1,4 @@
-//! Connections that fall silent for good, without a reset, while new ones work.
+//! Detection of connections that stall without a reset while new ones to the same address work.
 
 use std::time::Duration;
 
@@ -8,31 +8,31 @@
 
 use crate::pool::ConnectionPool;
 
-/// Probes in the time after which a connection counts as dead.
+/// Keepalive probes within the time after which a connection counts as dead.
 const PROBES: u32 = 3;
 
-/// Least time between probes that systems take.
-const LEAST_PROBE_PAUSE: Duration = Duration::from_secs(1);
+/// Smallest keepalive interval that operating systems accept.
+const MIN_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Lets the system end a connection whose peer acknowledges nothing for `unacknowledged`: neither bytes, which wait
-/// without a bound otherwise, nor probes where nothing is written.
+/// Makes the operating system close a connection whose peer acknowledges neither data nor keepalive probes for
+/// `unacknowledged`.
 pub(crate) fn set_probes(stream: &TcpStream, unacknowledged: Duration) {
     let socket = SockRef::from(stream);
-    let pause = (unacknowledged / PROBES).max(LEAST_PROBE_PAUSE);
-    let probes = TcpKeepalive::new().with_time(pause).with_interval(pause);
-    // Not every system has these options; the exchanges' own time limits hold anyway.
+    let interval = (unacknowledged / PROBES).max(MIN_PROBE_INTERVAL);
+    let probes = TcpKeepalive::new()
+        .with_time(interval)
+        .with_interval(interval);
+    // Some systems lack these options; the exchanges' own timeouts apply regardless.
     let _ = socket.set_tcp_keepalive(&probes);
     let _ = socket.set_tcp_user_timeout(Some(unacknowledged));
 }
 
-/// Watches one exchange. If it is dropped before its end after a silence, connections that were kept since before the
-/// silence are not used again.
-///
-/// Why at the drop: whoever gives an exchange up, for whatever limit, drops it, and a lost one ends there too.
+/// Detects a stall of one exchange. If the exchange is dropped while stalled, for whatever reason, the pool stops reusing
+/// connections to the address that were idle since before the stall.
 pub(crate) struct SilenceWatch {
     pool: ConnectionPool,
     address: String,
-    heard_at: Option<Instant>,
+    last_received_at: Option<Instant>,
 }
 
 impl SilenceWatch {
@@ -40,28 +40,28 @@
         Self {
             pool: pool.clone(),
             address: address.to_owned(),
-            heard_at: Some(harrierward_clock::now()),
+            last_received_at: Some(harrierward_clock::now()),
         }
     }
 
-    /// Bytes have come.
+    /// Records that bytes were received.
     pub(crate) fn heard(&mut self) {
-        self.heard_at = Some(harrierward_clock::now());
+        self.last_received_at = Some(harrierward_clock::now());
     }
 
-    /// The exchange is over in order.
+    /// Records the regular completion of the exchange.
     pub(crate) fn end(&mut self) {
-        self.heard_at = None;
+        self.last_received_at = None;
     }
 }
 
 impl Drop for SilenceWatch {
     fn drop(&mut self) {
-        let Some(heard_at) = self.heard_at else {
+        let Some(last_received_at) = self.last_received_at else {
             return;
         };
-        if harrierward_clock::age(heard_at) >= self.pool.silent_after() {
-            self.pool.distrust(&self.address, heard_at);
+        if harrierward_clock::age(last_received_at) >= self.pool.silent_after() {
+            self.pool.distrust(&self.address, last_received_at);
         }
     }
 }
--- a/crates/edge/src/trips.rs
+++ b/crates/edge/src/trips.rs
@@ -1,4 +1,4 @@
-//! Round trips to peers by zone, as their answers measured them.
+//! Smoothed round-estimate times to peers, by zone.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,19 +6,18 @@
 
 use harrierward_serving::Location;
 
-/// Parts of a new measurement that go into the mean and into the deviation, and deviations that a patience allows for:
-/// the weights of TCP's retransmission timer (RFC 6298), which answers the same question.
-const MEAN_PART: u32 = 8;
-const DEVIATION_PART: u32 = 4;
-const DEVIATIONS: u32 = 4;
+/// Weights (one over each) of a new sample in the mean and the deviation, and the deviations in a timeout: RFC 6298.
+const MEAN_DIVISOR: u32 = 8;
+const DEVIATION_DIVISOR: u32 = 4;
+const TIMEOUT_DEVIATIONS: u32 = 4;
 
 #[derive(Debug, Clone, Copy)]
-struct Trip {
+struct RttEstimate {
     mean: Duration,
     deviation: Duration,
 }
 
-impl Trip {
+impl RttEstimate {
     fn first(measured: Duration) -> Self {
         Self {
             mean: measured,
@@ -26,56 +25,60 @@
         }
     }
 
-    fn take(&mut self, measured: Duration) {
-        let off = self.mean.abs_diff(measured);
-        self.deviation = self.deviation * (DEVIATION_PART - 1) / DEVIATION_PART;
-        self.deviation += off / DEVIATION_PART;
-        self.mean = self.mean * (MEAN_PART - 1) / MEAN_PART + measured / MEAN_PART;
+    fn update(&mut self, measured: Duration) {
+        let error = self.mean.abs_diff(measured);
+        self.deviation = self.deviation * (DEVIATION_DIVISOR - 1) / DEVIATION_DIVISOR;
+        self.deviation += error / DEVIATION_DIVISOR;
+        self.mean = self.mean * (MEAN_DIVISOR - 1) / MEAN_DIVISOR + measured / MEAN_DIVISOR;
     }
 
     fn longest(self) -> Duration {
-        self.mean + self.deviation * DEVIATIONS
+        self.mean + self.deviation * TIMEOUT_DEVIATIONS
     }
 }
 
-/// What answers told of the way to each zone. Grows with the zones of the fleet.
+/// Round-estimate time estimates by location; one entry for each zone of the fleet.
 #[derive(Debug, Default)]
 pub struct RoundTrips {
-    by_place: Mutex<HashMap<Location, Trip>>,
+    by_location: Mutex<HashMap<Location, RttEstimate>>,
 }
 
 impl RoundTrips {
-    fn lock(&self) -> MutexGuard<'_, HashMap<Location, Trip>> {
-        self.by_place.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, HashMap<Location, RttEstimate>> {
+        self.by_location
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An answer from the place came so long after its question.
-    pub fn note(&self, place: Location, measured: Duration) {
-        let mut by_place = self.lock();
-        by_place
-            .entry(place)
-            .and_modify(|trip| trip.take(measured))
-            .or_insert_with(|| Trip::first(measured));
+    /// Adds the time between a request to the location and its reply.
+    pub fn note(&self, location: Location, measured: Duration) {
+        let mut by_location = self.lock();
+        by_location
+            .entry(location)
+            .and_modify(|estimate| estimate.update(measured))
+            .or_insert_with(|| RttEstimate::first(measured));
     }
 
-    /// Time within which nearly all answers from the place come; `None` if nobody in its region has answered yet.
-    pub fn longest(&self, place: Location) -> Option<Duration> {
-        self.find(place).map(Trip::longest)
+    /// Returns the time within which nearly all replies arrive; `None` if no member of the region has replied yet.
+    pub fn longest(&self, location: Location) -> Option<Duration> {
+        self.find(location).map(RttEstimate::longest)
     }
 
-    /// Mean round trip to the place; `None` if nobody in its region has answered yet.
-    pub fn mean(&self, place: Location) -> Option<Duration> {
-        self.find(place).map(|trip| trip.mean)
+    /// Returns the mean round-estimate time; `None` if no member of the region has replied yet.
+    pub fn mean(&self, location: Location) -> Option<Duration> {
+        self.find(location).map(|estimate| estimate.mean)
     }
 
-    /// The way to a zone, or to the farthest zone measured of the same region.
-    fn find(&self, place: Location) -> Option<Trip> {
-        let by_place = self.lock();
+    /// Returns the estimate of the zone, or else the slowest one of its region.
+    fn find(&self, location: Location) -> Option<RttEstimate> {
+        let by_location = self.lock();
         let in_region = || {
-            let alike = by_place.iter();
-            let alike = alike.filter(|(known, _)| known.region == place.region);
-            alike.map(|(_, trip)| *trip).max_by_key(|trip| trip.mean)
+            let estimates = by_location.iter();
+            let estimates = estimates.filter(|(known, _)| known.region == location.region);
+            estimates
+                .map(|(_, estimate)| *estimate)
+                .max_by_key(|estimate| estimate.mean)
         };
-        by_place.get(&place).copied().or_else(in_region)
+        by_location.get(&location).copied().or_else(in_region)
     }
 }
