--- a/crates/edge/src/slots/granting.rs
+++ b/crates/edge/src/slots/granting.rs
@@ -1,4 +1,4 @@
-//! The groups that this daemon keeps: granting leases.
+//! Granting of leases in the groups that this daemon coordinates.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,13 +12,13 @@
 use harrierward_tenants::AllowedRegions;
 use harrierward_wire::{SlotAsk, SlotGrant, node_datagram::Kind};
 
-use super::asking::millis;
 use super::index::GroupIndex;
 use super::outcomes::work_of;
+use super::requests::millis;
 use super::{Coordinator, SlotService, group_of, layout, usage_of};
 
-/// Who asks for a lease of an own group.
-struct Asker<'a> {
+/// The properties of a lease request on which the choice of a replica depends.
+struct Requester<'a> {
     location: Location,
     is_excluded: &'a dyn Fn(&Replica) -> bool,
     is_connected: &'a dyn Fn(&Replica) -> bool,
@@ -32,27 +32,27 @@
 }
 
 impl SlotService {
-    /// Chooses a replica of an own group by exact counts.
-    fn choose(&self, service: &str, group: GroupId, asker: &Asker<'_>) -> Option<Choice> {
+    /// Chooses a replica of a coordinated group by its exact request counts.
+    fn choose(&self, service: &str, group: GroupId, requester: &Requester<'_>) -> Option<Choice> {
         let index = self.index();
         let view = &index.view;
         let usable = self.usable(&index, service, group);
-        let usable = self.bearing((short_hash(service), group), usable, asker.is_item);
+        let usable = self.within_cold_rate((short_hash(service), group), usable, requester.is_item);
         let query = ChoiceQuery {
-            is_own_zone: &|replica| replica.location.zone == asker.location.zone,
-            is_own_region: &|replica| replica.location.region == asker.location.region,
-            prompt: asker.prompt,
-            regions: asker.regions,
-            length: asker.length,
-            is_excluded: asker.is_excluded,
-            is_connected: asker.is_connected,
-            is_suspected: asker.is_suspected,
-            is_item: asker.is_item,
-            is_overdue: asker.is_overdue,
+            is_own_zone: &|replica| replica.location.zone == requester.location.zone,
+            is_own_region: &|replica| replica.location.region == requester.location.region,
+            prompt: requester.prompt,
+            regions: requester.regions,
+            length: requester.length,
+            is_excluded: requester.is_excluded,
+            is_connected: requester.is_connected,
+            is_suspected: requester.is_suspected,
+            is_item: requester.is_item,
+            is_overdue: requester.is_overdue,
             most_candidates: usize::MAX,
         };
-        let work = work_of(asker.is_item, asker.may_repeat);
-        let may_wait = asker.is_item || asker.is_overdue;
+        let work = work_of(requester.is_item, requester.may_repeat);
+        let may_wait = requester.is_item || requester.is_overdue;
         let offered = self.offered(service, group, usable, work, may_wait);
         let choice = offered
             .into_iter()
@@ -63,7 +63,7 @@
         })
     }
 
-    /// The replicas of a group that take new work; those that vanished only if the service has no others.
+    /// Returns the replicas of a group that accept work; without any, those that the view still considers usable.
     fn usable(&self, index: &GroupIndex, service: &str, group: GroupId) -> Vec<Arc<Replica>> {
         let listed = index.listed(short_hash(service), group).iter();
         let ready: Vec<Arc<Replica>> = listed
@@ -80,9 +80,9 @@
             .collect()
     }
 
-    /// A lease for a request of this daemon's own, in a group that it keeps.
-    pub(super) fn place_own(&self, query: &SlotQuery<'_>, group: GroupId) -> SlotAnswer {
-        let asker = Asker {
+    /// Grants a lease for a request of this daemon, in a group that it coordinates.
+    pub(super) fn grant_own(&self, query: &SlotQuery<'_>, group: GroupId) -> SlotAnswer {
+        let requester = Requester {
             location: self.location,
             is_excluded: &|replica| query.excluded.contains(&replica.record.id),
             is_connected: &|replica| self.is_connected(replica),
@@ -91,10 +91,10 @@
             regions: query.regions,
             length: query.length,
             is_item: query.item.is_some(),
-            is_overdue: query.overdue && !self.claim_return(query.service, group),
+            is_overdue: query.overdue && !self.claim_retry(query.service, group),
             may_repeat: query.may_repeat,
         };
-        let Some(mut choice) = self.choose(query.service, group, &asker) else {
+        let Some(mut choice) = self.choose(query.service, group, &requester) else {
             if self.is_all_cold(&self.usable(&self.index(), query.service, group)) {
                 return SlotAnswer::AllCold;
             }
@@ -105,7 +105,7 @@
             };
         };
         if query.item.is_none()
-            && let Some(after) = self.come_back_after(
+            && let Some(after) = self.retry_after(
                 query.service,
                 group,
                 &choice,
@@ -128,13 +128,13 @@
         };
         let name = (self.holder, lease);
         choice.is_probe = self.note_granted(query.service, group, &choice.replica, name);
-        self.make_room(&choice, usage);
+        self.preempt_if_full(&choice, usage);
         SlotAnswer::Given { choice, lease }
     }
 
-    /// When the caller of an online request is to come back that would be late at the replica chosen for it; `None` if
-    /// it is let in.
-    fn come_back_after(
+    /// Returns when the caller should retry an online request that would miss its objective at the chosen replica;
+    /// `None` if the request is admitted.
+    fn retry_after(
         &self,
         service: &str,
         group: GroupId,
@@ -157,7 +157,7 @@
         let index = self.index();
         let ejected = Self::ejected(&state, service, group);
         let listed = index.listed(service, group).iter();
-        // Cold and ejected ones take few requests, so their slots are no part of what ends soon.
+        // Cold and ejected replicas get few requests, so their slots contribute no completions.
         let ready = listed.filter(|replica| {
             replica.accepts_work() && !replica.is_cold(now) && !ejected.contains(&replica.hash)
         });
@@ -172,26 +172,26 @@
         admission.come_back_after(&newcomer, rand::random(), now)
     }
 
-    /// True if an overdue request is probably one whose caller this daemon told to come back now.
-    fn claim_return(&self, service: &str, group: GroupId) -> bool {
+    /// True if an overdue request is probably a retry that this daemon scheduled for now.
+    fn claim_retry(&self, service: &str, group: GroupId) -> bool {
         let mut state = self.lock();
         let admission = state.admissions.get_mut(&(short_hash(service), group));
         admission.is_some_and(|admission| admission.claim_return(harrierward_clock::now()))
     }
 
-    /// Answers a peer that asks for a lease.
-    pub(super) fn take_ask(&self, ask: &SlotAsk, from: SocketAddr) {
-        let grant = self.answer(ask, from);
+    /// Replies to a peer's lease request.
+    pub(super) fn handle_request(&self, ask: &SlotAsk, from: SocketAddr) {
+        let grant = self.grant_for(ask, from);
         self.send(Kind::SlotGrant(grant), from);
     }
 
-    fn answer(&self, ask: &SlotAsk, from: SocketAddr) -> SlotGrant {
+    fn grant_for(&self, ask: &SlotAsk, from: SocketAddr) -> SlotGrant {
         let none = SlotGrant {
             lease: ask.lease,
             ..SlotGrant::default()
         };
-        self.take_fleet(ask);
-        let given = self.lock().ledger.replica_of(ask.holder, ask.lease);
+        self.merge_fleet_size(ask);
+        let granted = self.lock().ledger.replica_of(ask.holder, ask.lease);
         let view = self.replicas.view();
         let Some((service, _)) = view.service_by_hash(ask.service) else {
             return SlotGrant {
@@ -210,8 +210,8 @@
                 ..none
             };
         }
-        if let Some(replica) = given {
-            // The answer may have been lost: the request is counted once more rather than not at all.
+        if let Some(replica) = granted {
+            // A resent request, whose grant may have been lost: counting it twice is safer than not at all.
             let known = view.by_hash(replica);
             let counted = known.map(|known| self.count_cold(service, group, known));
             return SlotGrant {
@@ -222,7 +222,7 @@
         }
         let prompt = prompt_of(ask);
         let regions = regions_of(ask);
-        let asker = Asker {
+        let requester = Requester {
             location: Location {
                 zone: ask.zone,
                 region: ask.region,
@@ -234,15 +234,15 @@
             regions: &regions,
             length: length_of(ask),
             is_item: ask.item.is_some(),
-            is_overdue: ask.overdue && !self.claim_return(service, group),
-            // The way from another region is not worth a probe.
+            is_overdue: ask.overdue && !self.claim_retry(service, group),
+            // Requests from other regions aren't used as probes.
             may_repeat: ask.may_repeat && !ask.spilled,
         };
         let all_cold = SlotGrant {
             all_cold: true,
             ..none.clone()
         };
-        let Some(choice) = self.choose(service, group, &asker) else {
+        let Some(choice) = self.choose(service, group, &requester) else {
             if self.is_all_cold(&self.usable(&self.index(), service, group)) {
                 return all_cold;
             }
@@ -259,7 +259,7 @@
             let objective = Duration::from_millis(u64::from(ask.objective_ms));
             let may_return = Duration::from_millis(u64::from(ask.may_return_ms));
             let may_return = Some(may_return).filter(|longest| !longest.is_zero());
-            let after = self.come_back_after(service, group, &choice, objective, may_return);
+            let after = self.retry_after(service, group, &choice, objective, may_return);
             if let Some(after) = after {
                 return SlotGrant {
                     come_back_ms: millis(after).max(1),
@@ -285,7 +285,7 @@
         self.publish();
         let name = (ask.holder, ask.lease);
         let is_probe = self.note_granted(service, group, &choice.replica, name);
-        self.make_room(&choice, usage);
+        self.preempt_if_full(&choice, usage);
         choice.replica.note_prompt(&prompt);
         SlotGrant {
             replica,
--- a/crates/edge/src/slots/index.rs
+++ b/crates/edge/src/slots/index.rs
@@ -1,4 +1,4 @@
-//! The replicas by group, so that a question looks at its own group only, however many replicas there are.
+//! Index of the replicas by group, so that a lease request scans one group only.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,26 +9,25 @@
 
 use super::{group_of, layout};
 
-/// The groups of one view of the replicas.
+/// The groups of one replica view.
 #[derive(Debug)]
 pub(super) struct GroupIndex {
-    /// The view that was indexed.
     pub view: Arc<ReplicaView>,
-    /// A digest of the layouts of all services.
-    pub layouts: u64,
+    /// Digest of the group layouts of all services.
+    pub layouts_digest: u64,
     groups: HashMap<(u32, GroupId), Vec<Arc<Replica>>>,
 }
 
 impl GroupIndex {
-    /// Divides the listed replicas of all services.
+    /// Indexes the listed replicas of all services.
     pub fn new(view: Arc<ReplicaView>, policy: Policy) -> Self {
         let mut groups: HashMap<(u32, GroupId), Vec<Arc<Replica>>> = HashMap::new();
-        let mut layouts = 0;
+        let mut layouts_digest = 0;
         for service in view.services() {
             let hash = short_hash(service);
             let layout = layout(&view, service, policy);
-            // The same whatever the order of the services.
-            layouts ^= xxh3_64(format!("{hash} {layout:?}").as_bytes());
+            // XOR makes the digest independent of the order of the services.
+            layouts_digest ^= xxh3_64(format!("{hash} {layout:?}").as_bytes());
             for replica in view.listed(service) {
                 let group = group_of(&layout, replica);
                 groups
@@ -39,23 +38,23 @@
         }
         Self {
             view,
-            layouts,
+            layouts_digest,
             groups,
         }
     }
 
-    /// Region of a group; `None` if it has no replicas, or reaches over all places.
+    /// Returns the region of a group; `None` if it has no replicas or spans all regions.
     pub fn region_of(&self, service: u32, group: GroupId) -> Option<u32> {
         let first = self.listed(service, group).first()?;
         (group.area != 0).then_some(first.location.region)
     }
 
-    /// Service and group of all that have replicas.
+    /// Returns service and group of all groups that have replicas.
     pub fn keys(&self) -> impl Iterator<Item = (u32, GroupId)> {
         self.groups.keys().copied()
     }
 
-    /// Listed replicas of a group, those that leave among them.
+    /// Returns the listed replicas of a group, including draining ones.
     pub fn listed(&self, service: u32, group: GroupId) -> &[Arc<Replica>] {
         self.groups
             .get(&(service, group))
--- a/crates/edge/src/slots/leases.rs
+++ b/crates/edge/src/slots/leases.rs
@@ -1,4 +1,4 @@
-//! Leases as requests ask for them: the groups asked in turn, and leases that this daemon takes itself.
+//! [`SlotLeases`] for [`SlotService`]: the order in which groups are tried, and leases taken without a coordinator.
 
 use std::sync::Arc;
 
@@ -17,42 +17,42 @@
         if !self.costs.policy.has(Mechanism::Coordinators) {
             return SlotAnswer::NoCoordinator;
         }
-        self.forget_over_suspension();
+        self.expire_after_suspension();
         let service = short_hash(query.service);
-        let mut target = self.group_to_ask(&query, service);
-        let mut answer = self.ask_group(&query, service, target).await;
-        let mut answered_by = target;
+        let mut target = self.choose_group(&query, service);
+        let mut answer = self.request_from_group(&query, service, target).await;
+        let mut replied_by = target;
         let was_refused = matches!(answer, SlotAnswer::NoCoordinator);
-        if was_refused && target.left == Some(LeftRegion::Full) {
-            // The room there was taken meanwhile, or nobody there answers: the own region takes it after all.
-            target = self.group_at_home(&query, service);
-            answered_by = target;
-            answer = self.ask_group(&query, service, target).await;
+        if was_refused && target.left_region == Some(LeftRegion::Full) {
+            // The other region has filled up or doesn't reply: fall back to the own region.
+            target = self.own_region_target(&query, service);
+            replied_by = target;
+            answer = self.request_from_group(&query, service, target).await;
         }
-        let other = match answer {
-            SlotAnswer::ComeBack { .. } => self.roomier_group(&query, target.group),
-            SlotAnswer::AllCold => self.warmer_group(&query, target.group),
+        let alternative_group = match answer {
+            SlotAnswer::ComeBack { .. } => self.less_loaded_group(&query, target.group),
+            SlotAnswer::AllCold => self.warm_group(&query, target.group),
             _ => None,
         };
-        if let Some(roomier) = other {
-            let second = self.ask_group(&query, service, roomier).await;
-            if !matches!(second, SlotAnswer::NoCoordinator) || roomier.left.is_none() {
+        if let Some(alternative) = alternative_group {
+            let second = self.request_from_group(&query, service, alternative).await;
+            if !matches!(second, SlotAnswer::NoCoordinator) || alternative.left_region.is_none() {
                 answer = second;
-                answered_by = roomier;
+                replied_by = alternative;
             }
         }
         if let SlotAnswer::Given { lease, .. } = answer
-            && answered_by.left.is_none()
-            && let Some(elsewhere) = self
-                .leave_the_queue(&query, service, answered_by, lease)
+            && replied_by.left_region.is_none()
+            && let Some(spilled) = self
+                .spill_from_queue(&query, service, replied_by, lease)
                 .await
         {
-            answer = elsewhere;
+            answer = spilled;
         }
         if query.item.is_some() && matches!(answer, SlotAnswer::NoRoom | SlotAnswer::AllCold) {
             let mut state = self.lock();
             state
-                .no_room_at
+                .full_for_items_at
                 .insert((service, target.group), harrierward_clock::now());
         }
         answer
@@ -80,12 +80,12 @@
     fn release(&self, lease: u32, end: LeaseEnd) {
         let replica = self.lock().held.release(lease);
         if let Some(replica) = replica {
-            self.report_end(lease, replica, end);
+            self.report_completion(lease, replica, end);
         }
     }
 
     fn is_told_cold(&self, replica: &Replica) -> bool {
-        self.was_told_cold(replica)
+        self.was_reported_cold(replica)
     }
 
     fn is_coordinated(&self, replica: &Replica) -> bool {
@@ -95,15 +95,15 @@
         let service = short_hash(&replica.record.service);
         match self.coordinator(service, self.group(replica)) {
             Coordinator::Own => true,
-            Coordinator::Peer(peer) => peer.address.is_some() && !self.is_silent(&peer.id),
-            Coordinator::Nobody => false,
+            Coordinator::Peer(peer) => peer.address.is_some() && !self.is_unresponsive(&peer.id),
+            Coordinator::Unknown => false,
         }
     }
 
     fn free_slot(&self, replica: &Arc<Replica>) {
         if self.coordinates(replica) {
-            self.end_an_item(replica);
-        } else if let Some(items) = self.yielding.get() {
+            self.preempt_item(replica);
+        } else if let Some(items) = self.preemption.get() {
             if replica.own(WorkClass::Batch) > 0 {
                 items.yield_at(&replica.record.id, 1);
             } else {
--- a/crates/edge/src/slots/mod.rs
+++ b/crates/edge/src/slots/mod.rs
@@ -1,19 +1,19 @@
-//! SlotLeases at replicas: this daemon asks the coordinators of the replicas for them, and keeps those of its own groups.
+//! Slot leases at replicas: requests them from the coordinators of replica groups, and grants those of the groups that
+//! this daemon coordinates.
 //!
-//! Why by datagram, and with a short patience: a lease is a hint that spares a request a wait. A coordinator that is slow,
-//! cut off or gone costs a request a part of its objective once; then the daemon chooses by itself for a while.
+//! Leases are advisory: when a coordinator doesn't reply within a short timeout, the daemon chooses replicas by itself.
 
-mod asking;
-mod choosing_group;
-mod giving_way;
+mod capacity;
 mod granting;
+mod group_selection;
 mod index;
 mod leases;
 mod outcomes;
 mod pacing;
+mod preemption;
 mod reports;
-mod room;
-mod silence;
+mod requests;
+mod unresponsive;
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -39,39 +39,39 @@
 use crate::calls::DatagramCalls;
 use crate::pool::ConnectionPool;
 
+use capacity::ReportedCapacity;
 use index::GroupIndex;
 use pacing::PacingState;
-use room::ToldRoom;
 
 pub use pacing::Pacing;
 
-/// A living member that stays, as far as the leases concern it.
+/// A live member that isn't leaving, and so may coordinate groups and tenants.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CoordinatorCandidate {
-    /// Member id.
+    /// Instance id of the member's daemon.
     pub id: String,
-    /// Its address for datagrams; `None` if it cannot be read.
+    /// Address for datagrams; `None` if the member's entry holds no valid one.
     pub address: Option<SocketAddr>,
-    /// Where it is.
+    /// Zone and region, as hashes.
     pub location: Location,
 }
 
-/// Ends this daemon's own batch items.
+/// Preempts batch items in favour of online requests.
 pub trait YieldItems: Send + Sync {
-    /// The item that holds the lease ends.
+    /// Preempts the item of this daemon that holds the lease.
     fn yield_lease(&self, lease: u32);
 
-    /// So many items at the replica end.
+    /// Preempts up to `count` items of this daemon at the replica.
     fn yield_at(&self, replica: &str, count: u32);
 
-    /// A peer's item at a replica shall end; for a replica whose coordinator is silent.
+    /// Requests that a peer preempt an item at the replica; used where the replica's coordinator is unresponsive.
     fn ask_peer(&self, replica: &Arc<Replica>);
 }
 
-/// Who keeps a group.
+/// The daemon that grants a group's leases.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Coordinator {
-    Nobody,
+    Unknown,
     Own,
     Peer(CoordinatorCandidate),
 }
@@ -79,37 +79,37 @@
 struct State {
     ledger: SlotLedger,
     held: HeldSlots,
-    silent: HashMap<String, Suspicion>,
-    /// What coordinators last told of their groups.
-    rooms: HashMap<(u32, GroupId), ToldRoom>,
-    /// When a group last had no room for an item.
-    no_room_at: HashMap<(u32, GroupId), Instant>,
-    /// Coordinators that the last round of reports told of leases.
-    reported: HashSet<SocketAddr>,
-    /// Digest of the layouts at the last tick.
-    layouts: u64,
+    unresponsive: HashMap<String, Suspicion>,
+    /// Free capacity of the groups, as their coordinators last reported it.
+    capacities: HashMap<(u32, GroupId), ReportedCapacity>,
+    /// When a group last had no free slot for a batch item.
+    full_for_items_at: HashMap<(u32, GroupId), Instant>,
+    /// Coordinators to which the last round of reports named leases.
+    reported_to: HashSet<SocketAddr>,
+    /// Digest of the group layouts at the last tick.
+    layouts_digest: u64,
     ticks: u64,
-    /// What was observed of the groups that this daemon coordinates.
+    /// Admission control of the groups that this daemon coordinates.
     admissions: HashMap<(u32, GroupId), GroupAdmission>,
-    /// What became of requests at the replicas of the groups that this daemon coordinates.
+    /// Outlier detection of the groups that this daemon coordinates.
     outliers: HashMap<(u32, GroupId), OutlierDetector>,
-    /// Coordinators by service and group, as they follow from the members.
+    /// Cache of [`SlotService::find_coordinator`], cleared when the members change.
     coordinators: HashMap<(u32, GroupId), Coordinator>,
-    /// Members nearest to the groups' areas.
+    /// Cache of the members nearest to each area.
     nearest: NearestMembers,
     pacing: PacingState,
 }
 
-/// The leases of one daemon.
+/// Slot leases of one daemon, as a holder and as a coordinator.
 pub struct SlotService {
-    life: String,
+    instance_id: String,
     holder: u64,
     location: Location,
     started: Instant,
     replicas: Arc<ReplicaSet>,
     costs: SelectionCosts,
     members: ArcSwap<Vec<CoordinatorCandidate>>,
-    yielding: OnceLock<Box<dyn YieldItems>>,
+    preemption: OnceLock<Box<dyn YieldItems>>,
     connections: OnceLock<ConnectionPool>,
     pacing: OnceLock<Pacing>,
     index: ArcSwapOption<GroupIndex>,
@@ -121,28 +121,28 @@
 }
 
 impl SlotService {
-    /// Holds nothing, and knows only itself.
+    /// Starts without leases and with this daemon as the only member.
     pub fn new(
-        life: String,
+        instance_id: String,
         location: Location,
         replicas: Arc<ReplicaSet>,
         costs: SelectionCosts,
         log: DecisionLog,
     ) -> Self {
         let own = CoordinatorCandidate {
-            id: life.clone(),
+            id: instance_id.clone(),
             address: None,
             location,
         };
         Self {
-            holder: xxh3_64(life.as_bytes()),
-            life,
+            holder: xxh3_64(instance_id.as_bytes()),
+            instance_id,
             location,
             started: harrierward_clock::now(),
             replicas,
             costs,
             members: ArcSwap::from_pointee(vec![own]),
-            yielding: OnceLock::new(),
+            preemption: OnceLock::new(),
             connections: OnceLock::new(),
             pacing: OnceLock::new(),
             index: ArcSwapOption::empty(),
@@ -153,11 +153,11 @@
             state: Mutex::new(State {
                 ledger: SlotLedger::default(),
                 held: HeldSlots::default(),
-                silent: HashMap::new(),
-                rooms: HashMap::new(),
-                no_room_at: HashMap::new(),
-                reported: HashSet::new(),
-                layouts: 0,
+                unresponsive: HashMap::new(),
+                capacities: HashMap::new(),
+                full_for_items_at: HashMap::new(),
+                reported_to: HashSet::new(),
+                layouts_digest: 0,
                 ticks: 0,
                 admissions: HashMap::new(),
                 outliers: HashMap::new(),
@@ -168,15 +168,15 @@
         }
     }
 
-    /// What ends batch items.
+    /// Sets what preempts batch items; without it none are.
     pub fn set_yielding(&self, items: Box<dyn YieldItems>) {
-        // Set once, at the start.
-        let _ = self.yielding.set(items);
+        // Set once, during startup.
+        let _ = self.preemption.set(items);
     }
 
-    /// The connections to replicas.
+    /// Sets the pool whose idle connections make a replica preferred.
     pub fn set_connections(&self, connections: ConnectionPool) {
-        // Set once, at the start.
+        // Set once, during startup.
         let _ = self.connections.set(connections);
     }
 
@@ -185,21 +185,21 @@
         connections.is_some_and(|pool| pool.has_idle(&replica.record.address))
     }
 
-    /// What datagrams go out by.
+    /// Sets the socket for datagrams; nothing is sent before.
     pub fn set_socket(&self, socket: Arc<UdpSocket>) {
         let _ = self.socket.set(socket);
     }
 
-    /// The members that may keep leases, this one among them unless it leaves.
+    /// Sets the members that may coordinate groups; includes this daemon unless it is leaving.
     pub fn set_members(&self, members: Vec<CoordinatorCandidate>) {
         let members = Arc::new(members);
         let mut state = self.lock();
         self.members.store(members.clone());
         state.coordinators.clear();
         state.nearest.clear();
-        // Each start has a name of its own, so what is known of the gone is of no use any more.
-        let silent = &mut state.silent;
-        silent.retain(|id, _| members.iter().any(|member| member.id == *id));
+        // Each daemon instance has its own id, so entries of departed members are never needed again.
+        let unresponsive = &mut state.unresponsive;
+        unresponsive.retain(|id, _| members.iter().any(|member| member.id == *id));
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -220,9 +220,8 @@
         found
     }
 
-    /// An area's group is coordinated from within the area if anybody is there, else from within its region.
-    ///
-    /// Why: nearly all who ask are there, and an area that is cut off goes on by itself.
+    /// Prefers a coordinator in the group's own area, then in its region: most requesters are there, and a partitioned
+    /// area keeps working.
     fn find_coordinator(
         &self,
         nearest: &mut NearestMembers,
@@ -240,18 +239,18 @@
             .iter()
             .map(|position| members[*position].id.as_str());
         let Some(coordinator) = coordinator_of(service, group, ids) else {
-            return Coordinator::Nobody;
+            return Coordinator::Unknown;
         };
-        if coordinator == self.life {
+        if coordinator == self.instance_id {
             return Coordinator::Own;
         }
         let member = members.iter().find(|member| member.id == coordinator);
-        member.map_or(Coordinator::Nobody, |member| {
+        member.map_or(Coordinator::Unknown, |member| {
             Coordinator::Peer(member.clone())
         })
     }
 
-    /// The replicas by group, as they are listed now.
+    /// Returns the index of the current replica view, rebuilt when the view has changed.
     fn index(&self) -> Arc<GroupIndex> {
         let view = self.replicas.view();
         if let Some(known) = self.index.load_full()
@@ -264,14 +263,14 @@
         index
     }
 
-    /// The group of a replica within its service.
+    /// Returns the group of a replica within its service.
     fn group(&self, replica: &Replica) -> GroupId {
         let view = self.replicas.view();
         let layout = layout(&view, &replica.record.service, self.costs.policy);
         group_of(&layout, replica)
     }
 
-    /// True if this daemon keeps the replica's leases: the other daemons' requests there are then known exactly.
+    /// True if this daemon coordinates the replica's group, and so has the other daemons' exact request counts there.
     pub fn coordinates(&self, replica: &Replica) -> bool {
         let service = short_hash(&replica.record.service);
         self.coordinator(service, self.group(replica)) == Coordinator::Own
@@ -280,13 +279,13 @@
     fn send(&self, kind: node_datagram::Kind, address: SocketAddr) {
         let datagram = NodeDatagram { kind: Some(kind) };
         if let Some(socket) = self.socket.get() {
-            // A datagram that is lost is made good by the next whole report, or by the asker's patience.
+            // Loss is tolerated: the next full report or the requester's timeout covers it.
             let _ = socket.try_send_to(&encode(&datagram), address);
         }
     }
 }
 
-/// How a service's replicas are divided into groups.
+/// Returns how a service's replicas are divided into groups.
 fn layout<'a>(view: &'a ReplicaView, service: &str, policy: Policy) -> GroupLayout<'a> {
     let (zones, regions) = if policy.has(Mechanism::ZoneGroups) {
         (view.zones(service), view.regions(service))
@@ -296,7 +295,6 @@
     GroupLayout::new(view.listed(service).len(), zones, regions)
 }
 
-/// The group of a replica.
 fn group_of(layout: &GroupLayout<'_>, replica: &Replica) -> GroupId {
     layout.group_of(replica.hash, replica.location.zone, replica.location.region)
 }
@@ -314,5 +312,5 @@
     }
 }
 
-/// Longest time left that an item tells, so that an instant can be made of it.
-const LONGEST_SLACK: Duration = Duration::from_secs(24 * 60 * 60);
+/// Upper bound of an item's reported slack; keeps `Instant` arithmetic from overflowing.
+const MAX_SLACK: Duration = Duration::from_secs(24 * 60 * 60);
--- a/crates/edge/src/slots/outcomes.rs
+++ b/crates/edge/src/slots/outcomes.rs
@@ -1,5 +1,5 @@
-//! What requests came to, on its way to the replica's coordinator, and the coordinator's use of it: replicas that fail
-//! beside the others of their group get no work, and are tried one request at a time before they return.
+//! Request outcomes, reported to the replica's coordinator, which ejects outliers of a group and readmits them by
+//! probes.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -12,18 +12,18 @@
 };
 use harrierward_wire::{LeaseOutcome, OutcomeKind, SlotReport, node_datagram::Kind};
 
-use super::asking::millis;
+use super::requests::millis;
 use super::{Coordinator, SlotService, State};
 
-/// Most outcomes that are taken of one report: a holder sends them one by one.
-const MOST_OUTCOMES: usize = 64;
+/// Most outcomes accepted from one report; holders normally send one at a time.
+const MAX_OUTCOMES: usize = 64;
 
-/// All of a replica's new work, in thousandths.
-const WHOLE_SHARE: u32 = 1_000;
+/// Full share of new work, in thousandths.
+const FULL_SHARE: u32 = 1_000;
 
 impl SlotService {
-    /// A lease that was held is free: its replica's coordinator learns that, and what its request came to.
-    pub(super) fn report_end(&self, lease: u32, replica: u32, end: LeaseEnd) {
+    /// Reports a released lease and its request's outcome to the replica's coordinator.
+    pub(super) fn report_completion(&self, lease: u32, replica: u32, end: LeaseEnd) {
         let outcome = LeaseOutcome {
             lease,
             replica,
@@ -43,9 +43,9 @@
         self.send(Kind::SlotReport(report), coordinator);
     }
 
-    /// Takes what a holder says of ended requests.
+    /// Applies the outcomes in a holder's report.
     pub(super) fn take_outcomes(&self, report: &SlotReport) {
-        for outcome in report.outcomes.iter().take(MOST_OUTCOMES) {
+        for outcome in report.outcomes.iter().take(MAX_OUTCOMES) {
             self.take_outcome(report.holder, outcome);
         }
     }
@@ -75,13 +75,13 @@
         let Some(change) = detector.observe(end, group, harrierward_clock::now()) else {
             return;
         };
-        let ejected = ejected_here(&state);
+        let ejected = ejected_count(&state);
         drop(state);
         self.log_change(replica, &change, ejected);
     }
 
-    /// The replicas among which one is chosen, in the order in which that is tried: those that this work may probe,
-    /// those in service, and for an online request in time all of them rather than none.
+    /// Returns candidate sets in the order to try: replicas due for a probe by this work, those in service, and, if
+    /// none is in service or the work can't wait, all usable ones.
     pub(super) fn offered(
         &self,
         service: &str,
@@ -99,36 +99,38 @@
         if detector.is_quiet() {
             return vec![usable];
         }
-        let out = detector.out();
-        let in_service = usable.iter().filter(|replica| !out.contains(&replica.hash));
+        let ejected = detector.out();
+        let in_service = usable
+            .iter()
+            .filter(|replica| !ejected.contains(&replica.hash));
         let in_service: Vec<Arc<Replica>> = in_service.cloned().collect();
         let offered = in_service
             .iter()
             .filter(|replica| rand::random::<f64>() < detector.share(replica.hash));
         let offered: Vec<Arc<Replica>> = offered.cloned().collect();
         drop(state);
-        // A slow replica still goes before one that fails.
+        // A replica with a reduced share is still preferred to an ejected one.
         let in_service = if offered.is_empty() {
             in_service
         } else {
             offered
         };
-        let due = usable.iter();
-        let due = due.filter(|replica| probed.contains(&replica.hash));
-        let mut offered = vec![due.cloned().collect(), in_service];
+        let due_for_probe = usable.iter();
+        let due_for_probe = due_for_probe.filter(|replica| probed.contains(&replica.hash));
+        let mut offered = vec![due_for_probe.cloned().collect(), in_service];
         if !may_wait || offered[1].is_empty() {
             offered.push(usable);
         }
         offered
     }
 
-    /// Replicas of an own group that get no work now.
+    /// Returns the ejected replicas of a coordinated group.
     pub(super) fn ejected(state: &State, service: u32, group: GroupId) -> HashSet<u32> {
         let detector = state.outliers.get(&(service, group));
         detector.map(OutlierDetector::out).unwrap_or_default()
     }
 
-    /// A lease was granted at a replica of an own group. True if its request is a probe.
+    /// Records a lease granted in a coordinated group; returns true if its request is a probe.
     pub(super) fn note_granted(
         &self,
         service: &str,
@@ -144,7 +146,7 @@
         if !is_probe {
             return false;
         }
-        let ejected = ejected_here(&state);
+        let ejected = ejected_count(&state);
         drop(state);
         self.log.record(&Record::ReplicaStanding {
             replica: &replica.record.id,
@@ -161,7 +163,7 @@
         true
     }
 
-    /// Forgets replicas that are gone, and groups that another daemon keeps now.
+    /// Drops the state of removed replicas and of groups that this daemon no longer coordinates.
     pub(super) fn prune_outliers(&self) {
         let known: Vec<(u32, GroupId)> = self.lock().outliers.keys().copied().collect();
         let index = self.index();
@@ -170,13 +172,13 @@
             let listed = index.listed(service, group).iter();
             let listed: HashSet<u32> = listed.map(|replica| replica.hash).collect();
             let mut state = self.lock();
-            let before = ejected_here(&state);
+            let before = ejected_count(&state);
             if !is_own || listed.is_empty() {
                 state.outliers.remove(&(service, group));
             } else if let Some(detector) = state.outliers.get_mut(&(service, group)) {
                 detector.keep_only(&listed);
             }
-            let ejected = ejected_here(&state);
+            let ejected = ejected_count(&state);
             drop(state);
             if ejected != before {
                 self.log.record(&Record::EjectionsDropped {
@@ -190,10 +192,10 @@
     fn log_change(&self, replica: &Replica, change: &StandingChange, ejected: u64) {
         let (outcome, absence, share_permille) = match change.what {
             StandingEvent::Ejected(absence) => ("ejected", absence, 0),
-            StandingEvent::Spared => ("spared", Duration::ZERO, WHOLE_SHARE),
-            StandingEvent::Returned => ("returned", Duration::ZERO, WHOLE_SHARE),
+            StandingEvent::Spared => ("spared", Duration::ZERO, FULL_SHARE),
+            StandingEvent::Returned => ("returned", Duration::ZERO, FULL_SHARE),
             StandingEvent::Slowed(share) => ("slowed", Duration::ZERO, share),
-            StandingEvent::Restored => ("restored", Duration::ZERO, WHOLE_SHARE),
+            StandingEvent::Restored => ("restored", Duration::ZERO, FULL_SHARE),
         };
         self.log.record(&Record::ReplicaStanding {
             replica: &replica.record.id,
@@ -210,8 +212,8 @@
     }
 }
 
-/// Replicas that are out in all groups of this daemon.
-fn ejected_here(state: &State) -> u64 {
+/// Returns the number of ejected replicas in all coordinated groups.
+fn ejected_count(state: &State) -> u64 {
     let detectors = state.outliers.values();
     detectors.map(OutlierDetector::out_count).sum()
 }
@@ -229,7 +231,7 @@
     }
 }
 
-/// What kind of work a question is about, to a replica that is to be tried.
+/// Returns the class of the work, which decides whether it may be used as a probe.
 pub(super) fn work_of(is_item: bool, may_repeat: bool) -> ProbeWork {
     match (is_item, may_repeat) {
         (true, _) => ProbeWork::Item,
--- a/crates/edge/src/slots/pacing.rs
+++ b/crates/edge/src/slots/pacing.rs
@@ -1,5 +1,4 @@
-//! Cold replicas of the groups that this daemon coordinates: who may be sent there, counted so that all daemons together
-//! stay within what the replicas bear.
+//! Rate limiting of requests to cold replicas by the coordinators of their groups, over all daemons together.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -15,68 +14,68 @@
 use super::{Coordinator, SlotService};
 use crate::fleet::SharedFleet;
 
-/// How long a coordinator's word that a group is cold holds at who asked, for replicas that it chooses itself: rows that
-/// tell of it come to all daemons within about a second, and each question brings a new word.
-const TOLD_LASTS: Duration = Duration::from_secs(1);
+/// How long a coordinator's reply that a group is cold applies to replicas that this daemon chooses itself; the
+/// replicas' own rows arrive within about this time.
+const REPORTED_COLD_TTL: Duration = Duration::from_secs(1);
 
-/// Ticks of the membership between two looks at the warmth of all replicas.
+/// Ticks of the membership between two scans for cold replicas.
 const WARMTH_TICKS: u64 = 10;
 
-/// Names a group of all services.
+/// Hash of a service, and a group of it.
 pub(super) type GroupKey = (u32, GroupId);
 
-/// What a slot service needs to pace.
+/// Settings and state from which a slot service derives the rates of cold replicas.
 #[derive(Debug)]
 pub struct Pacing {
-    /// What cold replicas may be sent beyond the rate that they bear.
+    /// Bounds on what may be granted in addition to a replica's warm-up rate.
     pub bounds: RateBounds,
-    /// How large the fleet was lately.
+    /// Recent fleet size, which determines this daemon's share of each rate.
     pub fleet: Arc<SharedFleet>,
 }
 
-/// What is kept under the slot service's lock.
+/// The part of the pacing state that is guarded by the slot service's lock.
 #[derive(Debug)]
 pub(super) struct PacingState {
     pacer: ColdPacer<GroupKey>,
-    /// Requests turned away since the last tick.
-    turned_away: u32,
-    /// Cold replicas by zone, as last logged.
-    logged: BTreeMap<String, usize>,
-    /// Groups that their coordinators called cold, and when.
-    told_cold: HashMap<GroupKey, Instant>,
+    /// Requests refused since the last tick.
+    refused: u32,
+    /// Number of cold replicas by zone, as last logged.
+    logged_cold: BTreeMap<String, usize>,
+    /// Groups that their coordinators reported cold, and when.
+    reported_cold: HashMap<GroupKey, Instant>,
 }
 
 impl PacingState {
     pub(super) fn new(now: Instant) -> Self {
         Self {
             pacer: ColdPacer::new(now),
-            turned_away: 0,
-            logged: BTreeMap::new(),
-            told_cold: HashMap::new(),
+            refused: 0,
+            logged_cold: BTreeMap::new(),
+            reported_cold: HashMap::new(),
         }
     }
 }
 
 impl SlotService {
-    /// What paces requests to cold replicas; without it they get nothing.
+    /// Sets the pacing of requests to cold replicas; without it they get none.
     pub fn set_pacing(&self, pacing: Pacing) {
-        // Set once, at the start.
+        // Set once, during startup.
         let _ = self.pacing.set(pacing);
     }
 
-    /// Part of the fleet that this daemon sees.
+    /// Returns the share of each rate for the members that this daemon sees now.
     fn share(&self, pacing: &Pacing, now: Instant) -> f64 {
         pacing.fleet.share(self.members.load().len(), now)
     }
 
-    /// The part of the fleet that counts: one that has grown does so after a wait only.
-    fn lowest_share(&self, pacing: &Pacing, now: Instant) -> f64 {
+    /// Returns the share in force; an increase takes effect only after a delay.
+    fn effective_share(&self, pacing: &Pacing, now: Instant) -> f64 {
         let share = self.share(pacing, now);
         self.lock().pacing.pacer.share(share)
     }
 
-    /// Of a group's replicas, those that may get a request now: warm ones, and cold ones that bear one more.
-    pub(super) fn bearing(
+    /// Keeps the replicas that may get a request now: warm ones, and cold ones below their rate.
+    pub(super) fn within_cold_rate(
         &self,
         group: GroupKey,
         replicas: Vec<Arc<Replica>>,
@@ -95,22 +94,22 @@
             let warm = replicas.into_iter();
             return warm.filter(|replica| !replica.is_cold(now)).collect();
         };
-        let share = self.lowest_share(pacing, now);
+        let share = self.effective_share(pacing, now);
         let mut state = self.lock();
         let pacer = &mut state.pacing.pacer;
-        let mut has_room = |replica: &Arc<Replica>| {
+        let mut has_capacity = |replica: &Arc<Replica>| {
             let Some(pace) = pace_of(pacing, replica, share) else {
                 return false;
             };
             pacer.has_room(&group, replica.hash, pace, usage, &pacing.bounds, now)
         };
         let all = replicas.into_iter();
-        all.filter(|replica| !replica.is_cold(now) || has_room(replica))
+        all.filter(|replica| !replica.is_cold(now) || has_capacity(replica))
             .collect()
     }
 
-    /// Counts a request for its replica: until when it may be sent there if that is cold. An error if the replica bears
-    /// none now.
+    /// Counts a request against a cold replica's rate. Returns until when it may be sent (`None` if the replica is
+    /// warm), or an error if the rate is used up.
     pub(super) fn count_cold(
         &self,
         service: &str,
@@ -122,14 +121,14 @@
             return Ok(None);
         }
         let pacing = self.pacing.get().ok_or(AllCold)?;
-        let share = self.lowest_share(pacing, now);
+        let share = self.effective_share(pacing, now);
         let pace = pace_of(pacing, replica, share).ok_or(AllCold)?;
         let key = (short_hash(service), group);
         let mut state = self.lock();
         let pacer = &mut state.pacing.pacer;
         let is_taken = pacer.take(&key, replica.hash, pace, &pacing.bounds, now);
         if !is_taken {
-            state.pacing.turned_away += 1;
+            state.pacing.refused += 1;
             return Err(AllCold);
         }
         drop(state);
@@ -137,36 +136,36 @@
         Ok(Some(now + COLD_GRANT_LIFETIME))
     }
 
-    /// True if nothing was chosen in a group because its replicas are cold and got all that they bear now.
+    /// True if all of the replicas are cold; counts the refused request then.
     pub(super) fn is_all_cold(&self, replicas: &[Arc<Replica>]) -> bool {
         let now = harrierward_clock::now();
         let mut all = replicas.iter();
         let is_all = !replicas.is_empty() && all.all(|replica| replica.is_cold(now));
         if is_all {
-            self.lock().pacing.turned_away += 1;
+            self.lock().pacing.refused += 1;
         }
         is_all
     }
 
-    /// Takes a coordinator's word on whether its whole group is cold.
-    pub(super) fn note_told_cold(&self, group: GroupKey, is_cold: bool) {
+    /// Records a coordinator's reply on whether its whole group is cold.
+    pub(super) fn note_reported_cold(&self, group: GroupKey, is_cold: bool) {
         let now = harrierward_clock::now();
         let mut state = self.lock();
-        let told = &mut state.pacing.told_cold;
-        told.retain(|known, at| *known != group && is_fresh(*at, now));
+        let reported = &mut state.pacing.reported_cold;
+        reported.retain(|known, at| *known != group && is_fresh(*at, now));
         if is_cold {
-            told.insert(group, now);
+            reported.insert(group, now);
         }
     }
 
-    /// True if the replica's coordinator called its group cold a moment ago.
-    pub(super) fn was_told_cold(&self, replica: &Replica) -> bool {
-        if self.lock().pacing.told_cold.is_empty() {
+    /// True if the coordinator of the replica's group recently reported it cold.
+    pub(super) fn was_reported_cold(&self, replica: &Replica) -> bool {
+        if self.lock().pacing.reported_cold.is_empty() {
             return false;
         }
         let group = (short_hash(&replica.record.service), self.group(replica));
-        let told = self.lock().pacing.told_cold.get(&group).copied();
-        told.is_some_and(|at| is_fresh(at, harrierward_clock::now()))
+        let reported = self.lock().pacing.reported_cold.get(&group).copied();
+        reported.is_some_and(|at| is_fresh(at, harrierward_clock::now()))
     }
 
     fn log_counted(&self, replica: &Replica, share: f64, now: Instant) {
@@ -179,18 +178,18 @@
         });
     }
 
-    /// One line a tick for all requests that were turned away: there may be very many.
-    fn log_turned_away(&self, pacing: &Pacing, now: Instant) {
-        let requests = std::mem::take(&mut self.lock().pacing.turned_away);
+    /// Logs the refused requests of a tick as one record.
+    fn log_refused(&self, pacing: &Pacing, now: Instant) {
+        let requests = std::mem::take(&mut self.lock().pacing.refused);
         if requests > 0 {
             self.log.record(&Record::ColdTurnedAway {
                 requests,
-                share_permille: permille(self.lowest_share(pacing, now)),
+                share_permille: permille(self.effective_share(pacing, now)),
             });
         }
     }
 
-    /// Driven by the membership's tick: which groups this daemon coordinates, and how many replicas are cold.
+    /// Called on the membership's tick: updates the coordinated groups and the share, and logs refusals and warmth.
     pub(super) fn tick_pacing(&self, now: Instant) {
         let Some(pacing) = self.pacing.get() else {
             return;
@@ -204,13 +203,13 @@
         let mut state = self.lock();
         state.pacing.pacer.tick(own, share, &pacing.bounds, now);
         drop(state);
-        self.log_turned_away(pacing, now);
+        self.log_refused(pacing, now);
         if self.lock().ticks.is_multiple_of(WARMTH_TICKS) {
             self.log_warmth(now);
         }
     }
 
-    /// A line for each zone in which the number of cold replicas has changed.
+    /// Logs each zone in which the number of cold replicas has changed.
     fn log_warmth(&self, now: Instant) {
         let view = self.replicas.view();
         let mut cold: BTreeMap<&str, (usize, u128)> = BTreeMap::new();
@@ -222,25 +221,24 @@
             }
         }
         for (zone, (count, longest)) in cold {
-            let logged = {
+            let logged_cold = {
                 let mut state = self.lock();
-                let logged = &mut state.pacing.logged;
-                logged.insert(zone.to_owned(), count).unwrap_or(0)
+                let logged_cold = &mut state.pacing.logged_cold;
+                logged_cold.insert(zone.to_owned(), count).unwrap_or(0)
             };
-            if logged != count {
+            if logged_cold != count {
                 self.log.record(&Record::ZoneWarmth {
                     zone,
                     cold: count,
-                    before: logged,
+                    before: logged_cold,
                     longest_ms: u64::try_from(longest).unwrap_or(u64::MAX),
                 });
             }
         }
     }
 
-    /// Tells a coordinator how large the fleet was: one that has just started knows nothing of members that were cut
-    /// off before.
-    pub(super) fn tell_fleet(&self, ask: &mut SlotAsk) {
+    /// Adds the largest recent fleet size to a lease request, for a coordinator that started after a partition.
+    pub(super) fn add_fleet_size(&self, ask: &mut SlotAsk) {
         if let Some(pacing) = self.pacing.get() {
             let (members, seen_ms_ago) = pacing.fleet.describe(harrierward_clock::now());
             let present = u32::try_from(self.members.load().len()).unwrap_or(u32::MAX);
@@ -251,28 +249,28 @@
         }
     }
 
-    /// Takes what an asker tells of the fleet.
-    pub(super) fn take_fleet(&self, ask: &SlotAsk) {
+    /// Merges the fleet size in a peer's lease request.
+    pub(super) fn merge_fleet_size(&self, ask: &SlotAsk) {
         if let Some(pacing) = self.pacing.get().filter(|_| ask.fleet_members > 0) {
             pacing.fleet.take(ask.fleet_members, ask.fleet_seen_ms_ago);
         }
     }
 }
 
-fn is_fresh(told: Instant, now: Instant) -> bool {
-    now.saturating_duration_since(told) < TOLD_LASTS
+fn is_fresh(reported_at: Instant, now: Instant) -> bool {
+    now.saturating_duration_since(reported_at) < REPORTED_COLD_TTL
 }
 
-/// The pace for a replica. One of a service that says nothing of a rate gets none while it is cold.
+/// Returns the pace of a cold replica; `None`, so no requests, if its service states no warm-up rate.
 fn pace_of(pacing: &Pacing, replica: &Replica, share: f64) -> Option<ColdPace> {
     let warmup = replica.service_warmup()?;
     let limit = RateLimit::new(warmup.per_second, 0.0).ok()?;
     Some(ColdPace::of(&pacing.bounds, limit, share))
 }
 
-/// The replica, or all of a group, is cold and has got what it bears now.
+/// The replica, or each one of a group, is cold and its rate is used up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("cold replicas got all that they bear now")]
+#[error("the request rate of the cold replicas is used up")]
 pub(super) struct AllCold;
 
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
--- a/crates/edge/src/slots/giving_way.rs
+++ b/crates/edge/src/slots/preemption.rs
@@ -1,4 +1,4 @@
-//! Items that end where online requests need their slots.
+//! Preemption of batch items by online requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,18 +11,18 @@
 use super::{SlotService, class_of};
 
 impl SlotService {
-    /// An online request was given a lease where all are taken: an item ends for it.
-    pub(super) fn make_room(&self, choice: &Choice, usage: SlotUse) {
+    /// Preempts an item if an online request was granted a lease at a full replica.
+    pub(super) fn preempt_if_full(&self, choice: &Choice, usage: SlotUse) {
         let replica = &choice.replica;
         let may_preempt = self.costs.policy.has(Mechanism::Preemption);
         let online = may_preempt && class_of(usage) == WorkClass::Online;
         if online && choice.load >= replica.slots() && replica.batch() > 0 {
-            self.end_an_item(replica);
+            self.preempt_item(replica);
         }
     }
 
-    /// The item at the replica with most time left gives its lease back.
-    pub(super) fn end_an_item(&self, replica: &Arc<Replica>) {
+    /// Preempts the item with the most slack at the replica, of this daemon or of a peer.
+    pub(super) fn preempt_item(&self, replica: &Arc<Replica>) {
         let now = harrierward_clock::now();
         let (own, peers) = {
             let state = self.lock();
@@ -36,9 +36,9 @@
         let own = own.filter(|_| own_first);
         let slack = own.map(|(_, slack)| slack);
         if let Some(slack) = slack.or(peers.map(|ended| ended.slack)) {
-            self.log_end(replica, slack, own.is_none());
+            self.log_preemption(replica, slack, own.is_none());
         }
-        if let (Some((lease, _)), Some(items)) = (own, self.yielding.get()) {
+        if let (Some((lease, _)), Some(items)) = (own, self.preemption.get()) {
             self.lock().held.release(lease);
             items.yield_lease(lease);
         } else if let Some(ended) = peers {
@@ -53,7 +53,7 @@
         }
     }
 
-    pub(super) fn log_end(&self, replica: &Replica, slack: Duration, of_peer: bool) {
+    pub(super) fn log_preemption(&self, replica: &Replica, slack: Duration, of_peer: bool) {
         self.log.record(&Record::ItemEndOrdered {
             replica: &replica.record.id,
             online: replica.online(),
@@ -64,9 +64,9 @@
         });
     }
 
-    /// A coordinator, or a daemon that found none, wants items of this daemon to end.
-    pub(super) fn take_yield(&self, request: &YieldRequest) {
-        let Some(items) = self.yielding.get() else {
+    /// Handles a request to preempt items of this daemon, by lease or by replica.
+    pub(super) fn handle_preemption(&self, request: &YieldRequest) {
+        let Some(items) = self.preemption.get() else {
             return;
         };
         if request.lease > 0 {
--- a/crates/edge/src/slots/reports.rs
+++ b/crates/edge/src/slots/reports.rs
@@ -1,4 +1,4 @@
-//! What holders and coordinators tell each other of leases.
+//! Lease reports between holders and coordinators.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -9,12 +9,12 @@
 
 use super::{SlotService, State};
 
-/// Ticks of the membership between two whole reports to a coordinator.
+/// Ticks of the membership between two full reports to a coordinator.
 const REPORT_TICKS: u64 = 4;
 
 impl SlotService {
-    /// Takes into account how long requests that have ended held their slots.
-    pub(super) fn observe_ended(&self, state: &mut State) {
+    /// Feeds the hold times of released leases to admission control.
+    pub(super) fn observe_hold_times(&self, state: &mut State) {
         let ended = state.ledger.take_ended();
         let view = self.replicas.view();
         for lease in ended {
@@ -28,20 +28,20 @@
         }
     }
 
-    /// Takes what a holder says of its leases.
+    /// Applies a holder's report of its leases and outcomes.
     pub(super) fn take_report(&self, report: &SlotReport, from: SocketAddr) {
         {
             let mut state = self.lock();
             state
                 .ledger
                 .take_report(report, from, harrierward_clock::now());
-            self.observe_ended(&mut state);
+            self.observe_hold_times(&mut state);
         }
         self.take_outcomes(report);
         self.publish();
     }
 
-    /// Brings the replicas' counts of other daemons' requests up to date.
+    /// Updates the replicas' counts of other daemons' requests from the ledger.
     pub(super) fn publish(&self) {
         let mut state = self.lock();
         let changed = state.ledger.take_changed();
@@ -64,16 +64,17 @@
         }
     }
 
-    /// Driven by the membership's tick: forgets silent holders, and tells coordinators what is held.
+    /// Called on the membership's tick: expires unresponsive holders and reports held leases to coordinators.
     pub fn tick(&self) {
         let now = harrierward_clock::now();
-        let layouts = self.index().layouts;
+        let layouts_digest = self.index().layouts_digest;
         let due = {
             let mut state = self.lock();
             state.ledger.expire(now);
             state.ticks += 1;
-            // Coordinators of groups that are new know nothing until the holders tell them.
-            let changed = std::mem::replace(&mut state.layouts, layouts) != layouts;
+            // Coordinators of new groups have no leases on record until the holders report them.
+            let changed =
+                std::mem::replace(&mut state.layouts_digest, layouts_digest) != layouts_digest;
             if changed {
                 state.coordinators.clear();
             }
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Reports all leases held to their coordinators, and that there are none any more to those who had some.
+    /// Sends a full report to each coordinator of held leases, and an empty one to those that no longer have any.
     pub(super) fn report_to_coordinators(&self, now: Instant) {
         let held = self.lock().held.replicas();
         let mut held_with: HashMap<SocketAddr, HashSet<u32>> = HashMap::new();
@@ -99,14 +100,14 @@
         let mut reports = Vec::new();
         {
             let mut state = self.lock();
-            for address in std::mem::take(&mut state.reported) {
+            for address in std::mem::take(&mut state.reported_to) {
                 held_with.entry(address).or_default();
             }
             for (address, replicas) in held_with {
-                let holds = |replica| replicas.contains(&replica);
-                let report = state.held.whole_report(self.holder, now, holds);
+                let is_held_there = |replica| replicas.contains(&replica);
+                let report = state.held.whole_report(self.holder, now, is_held_there);
                 if !report.held.is_empty() {
-                    state.reported.insert(address);
+                    state.reported_to.insert(address);
                 }
                 reports.push((address, report));
             }
@@ -116,27 +117,26 @@
         }
     }
 
-    /// After a suspension, forgets the leases that have become old meanwhile before any of them is counted; the next tick
-    /// may come later than questions do.
-    pub(super) fn forget_over_suspension(&self) {
+    /// After a suspension, expires outdated leases before any is counted, without waiting for the next tick.
+    pub(super) fn expire_after_suspension(&self) {
         if self.suspensions.take().is_some() {
             self.lock().ledger.expire(harrierward_clock::now());
             self.publish();
         }
     }
 
-    /// Takes a datagram that concerns leases; gives back any other.
+    /// Handles datagrams about leases; returns any other.
     pub fn receive(&self, kind: Kind, from: SocketAddr) -> Option<Kind> {
-        self.forget_over_suspension();
+        self.expire_after_suspension();
         match kind {
-            Kind::SlotAsk(ask) => self.take_ask(&ask, from),
+            Kind::SlotAsk(ask) => self.handle_request(&ask, from),
             Kind::SlotGrant(grant) => {
                 if self.calls.take(grant.lease, grant) {
-                    self.note_late(from);
+                    self.note_late_reply(from);
                 }
             }
             Kind::SlotReport(report) => self.take_report(&report, from),
-            Kind::YieldRequest(request) => self.take_yield(&request),
+            Kind::YieldRequest(request) => self.handle_preemption(&request),
             other => return Some(other),
         }
         None
--- a/crates/edge/src/slots/asking.rs
+++ b/crates/edge/src/slots/requests.rs
@@ -1,4 +1,4 @@
-//! One question to a group's coordinator, and what its answer means.
+//! Lease requests to a group's coordinator and the handling of its reply.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,44 +16,44 @@
 
 use crate::calls::{CallPatience, PeerPlace};
 
-use super::choosing_group::Target;
-use super::{Coordinator, CoordinatorCandidate, LONGEST_SLACK, SlotService, usage_of};
+use super::group_selection::Target;
+use super::{Coordinator, CoordinatorCandidate, MAX_SLACK, SlotService, usage_of};
 
-/// Parts of a request's objective after which a coordinator is asked again, and given up; the way to it is added, up to
-/// the last part.
-const ASK_AGAIN_PART: u32 = 25;
-const GIVE_UP_PART: u32 = 10;
-pub(super) const LONGEST_PART: u32 = 3;
+/// Fractions (one over each) of a request's objective: time until the resend, timeout, and the upper bound of the
+/// timeout plus the measured round trip.
+const RESEND_DIVISOR: u32 = 25;
+const TIMEOUT_DIVISOR: u32 = 10;
+pub(super) const MAX_WAIT_DIVISOR: u32 = 3;
 
-/// Bounds of the patience with a coordinator, beside the way to it.
-const LEAST_PATIENCE: Duration = Duration::from_millis(15);
-const MOST_PATIENCE: Duration = Duration::from_millis(60);
+/// Bounds of the timeout for a coordinator's reply, before the round trip is added.
+const MIN_TIMEOUT: Duration = Duration::from_millis(15);
+const MAX_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Replicas with a kept connection that a question names at the most: four bytes each.
-const MOST_CONNECTED: usize = 16;
+/// Most replicas with an idle connection that a lease request names, at four bytes each.
+const MAX_CONNECTED: usize = 16;
 
-/// A question that is under way; ends it where the asker goes away.
-struct Awaiting<'a> {
+/// A lease request in flight; dropped without a reply, it releases the lease at the coordinator.
+struct PendingRequest<'a> {
     service: &'a SlotService,
     lease: u32,
     coordinator: SocketAddr,
-    answered: bool,
+    replied: bool,
 }
 
-impl Drop for Awaiting<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         let mut state = self.service.lock();
         state.held.stop_waiting(self.lease);
         drop(state);
-        if !self.answered {
-            // The coordinator may have given the lease out.
+        if !self.replied {
+            // The coordinator may have granted the lease.
             self.service.report_released(self.lease, self.coordinator);
         }
     }
 }
 
 impl SlotService {
-    pub(super) async fn ask_group(
+    pub(super) async fn request_from_group(
         &self,
         query: &SlotQuery<'_>,
         service: u32,
@@ -61,23 +61,23 @@
     ) -> SlotAnswer {
         let group = target.group;
         let mut answer = match self.coordinator(service, group) {
-            Coordinator::Nobody => SlotAnswer::NoCoordinator,
+            Coordinator::Unknown => SlotAnswer::NoCoordinator,
             Coordinator::Own => {
-                let answer = self.place_own(query, group);
-                self.note_own_room(query, service, group, &answer);
+                let answer = self.grant_own(query, group);
+                self.note_own_capacity(query, service, group, &answer);
                 answer
             }
-            Coordinator::Peer(peer) => self.ask_peer(query, service, target, &peer).await,
+            Coordinator::Peer(peer) => self.request_from_peer(query, service, target, &peer).await,
         };
         if let SlotAnswer::Given { choice, .. } = &mut answer {
-            let is_away = choice.replica.location.region != self.location.region;
-            let why = target.left.unwrap_or(LeftRegion::Price);
-            choice.left_region = is_away.then_some(why);
+            let is_other_region = choice.replica.location.region != self.location.region;
+            let why = target.left_region.unwrap_or(LeftRegion::Price);
+            choice.left_region = is_other_region.then_some(why);
         }
         answer
     }
 
-    async fn ask_peer(
+    async fn request_from_peer(
         &self,
         query: &SlotQuery<'_>,
         service: u32,
@@ -88,7 +88,7 @@
         let Some(address) = coordinator.address else {
             return SlotAnswer::NoCoordinator;
         };
-        if self.is_silent(&coordinator.id) {
+        if self.is_unresponsive(&coordinator.id) {
             return SlotAnswer::NoCoordinator;
         }
         let lease = {
@@ -97,40 +97,41 @@
             state.held.wait_for(lease);
             lease
         };
-        let mut awaiting = Awaiting {
+        let mut pending = PendingRequest {
             service: self,
             lease,
             coordinator: address,
-            answered: false,
+            replied: false,
         };
-        let mut ask = self.describe_ask(query, service, group, lease);
-        self.tell_fleet(&mut ask);
-        let asked_at = harrierward_clock::now();
-        ask.spilled = target.left == Some(LeftRegion::Full);
-        let give_up = query.objective / GIVE_UP_PART;
-        let give_up = give_up.clamp(LEAST_PATIENCE, MOST_PATIENCE);
+        let mut ask = self.build_request(query, service, group, lease);
+        self.add_fleet_size(&mut ask);
+        let requested_at = harrierward_clock::now();
+        ask.spilled = target.left_region == Some(LeftRegion::Full);
+        let timeout = query.objective / TIMEOUT_DIVISOR;
+        let timeout = timeout.clamp(MIN_TIMEOUT, MAX_TIMEOUT);
         let patience = CallPatience {
-            again: give_up * GIVE_UP_PART / ASK_AGAIN_PART,
-            give_up,
-            longest: query.objective / LONGEST_PART,
+            again: timeout * TIMEOUT_DIVISOR / RESEND_DIVISOR,
+            give_up: timeout,
+            longest: query.objective / MAX_WAIT_DIVISOR,
         };
         let send = || self.send(Kind::SlotAsk(ask.clone()), address);
         let mut place = PeerPlace::from(self.location, coordinator.location);
-        // Not for a request that has a place at home: the late answer tells the next one how long the way is.
+        // A spilled request has a slot in its own region, so it doesn't wait longer for an unmeasured peer; a late
+        // reply still yields the round-trip time.
         place.is_far &= !ask.spilled;
         let Some(grant) = self.calls.ask(lease, place, patience, send).await else {
-            drop(awaiting);
-            self.note_silent(&coordinator.id);
+            drop(pending);
+            self.note_unresponsive(&coordinator.id);
             return SlotAnswer::NoCoordinator;
         };
-        awaiting.answered = true;
-        drop(awaiting);
-        self.note_heard(&coordinator.id);
-        self.note_told_cold((service, group), grant.all_cold);
+        pending.replied = true;
+        drop(pending);
+        self.note_reply(&coordinator.id);
+        self.note_reported_cold((service, group), grant.all_cold);
         if !grant.all_cold && !grant.is_probe {
-            self.note_room(query, service, group, &grant);
+            self.note_capacity(query, service, group, &grant);
         }
-        self.take_grant(query, lease, &grant, address, asked_at)
+        self.take_grant(query, lease, &grant, address, requested_at)
     }
 
     fn take_grant(
@@ -139,7 +140,7 @@
         lease: u32,
         grant: &SlotGrant,
         coordinator: SocketAddr,
-        asked_at: Instant,
+        requested_at: Instant,
     ) -> SlotAnswer {
         if grant.all_cold {
             return SlotAnswer::AllCold;
@@ -158,9 +159,9 @@
         if grant.replica == 0 {
             return none;
         }
-        if harrierward_clock::age(asked_at) >= HOLDER_LIFETIME {
-            // The patience is kept by timers, which stand still during a suspension. The coordinator may have forgotten
-            // the lease since, and given its slot to others.
+        if harrierward_clock::age(requested_at) >= HOLDER_LIFETIME {
+            // Timers stop during a suspension, so the timeout may not have fired. The coordinator may have expired the
+            // lease meanwhile and granted its slot again.
             self.report_released(lease, coordinator);
             return none;
         }
@@ -171,9 +172,11 @@
             return none;
         };
         let now = harrierward_clock::now();
-        let cold_until = grant.counted_cold.then(|| asked_at + COLD_GRANT_LIFETIME);
+        let cold_until = grant
+            .counted_cold
+            .then(|| requested_at + COLD_GRANT_LIFETIME);
         if replica.is_cold(now) && cold_until.is_none() {
-            // This daemon has heard sooner than the coordinator that the replica is cold.
+            // This daemon learned before the coordinator that the replica is cold.
             self.report_released(lease, coordinator);
             return SlotAnswer::AllCold;
         }
@@ -194,7 +197,7 @@
         }
     }
 
-    fn describe_ask(
+    fn build_request(
         &self,
         query: &SlotQuery<'_>,
         service: u32,
@@ -205,7 +208,7 @@
         let listed = index.listed(service, group).iter();
         let suspected = listed.clone().filter(|replica| replica.is_suspected());
         let connected = listed.filter(|replica| self.is_connected(replica));
-        let connected = connected.map(|replica| replica.hash).take(MOST_CONNECTED);
+        let connected = connected.map(|replica| replica.hash).take(MAX_CONNECTED);
         let parts = query.prompt.parts.iter().map(|part| PromptPartRow {
             id: part.id,
             tokens: part.tokens,
@@ -245,7 +248,7 @@
         }
     }
 
-    /// A lease that was or may have been given out is not needed: nothing was sent under it.
+    /// Releases a lease at the coordinator that was or may have been granted, with the outcome that nothing was sent.
     fn report_released(&self, lease: u32, coordinator: SocketAddr) {
         let outcome = LeaseOutcome {
             lease,
@@ -261,24 +264,24 @@
         self.send(Kind::SlotReport(report), coordinator);
     }
 
-    /// The peer that keeps a replica's leases.
+    /// Returns the address of the peer that coordinates a replica's group; `None` if this daemon does or there is none.
     pub(super) fn peer_coordinating(&self, replica: u32) -> Option<SocketAddr> {
         let view = self.replicas.view();
         let replica = view.by_hash(replica)?;
         let service = short_hash(&replica.record.service);
         match self.coordinator(service, self.group(replica)) {
             Coordinator::Peer(peer) => peer.address,
-            Coordinator::Own | Coordinator::Nobody => None,
+            Coordinator::Own | Coordinator::Unknown => None,
         }
     }
 }
 
 pub(super) fn millis(time: Duration) -> u32 {
-    let time = time.min(LONGEST_SLACK);
+    let time = time.min(MAX_SLACK);
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// The regions that a question names; nothing where all are allowed.
+/// Returns the allowed regions for a lease request; `None` if all are allowed.
 fn region_names(regions: &AllowedRegions) -> Option<RegionNames> {
     match regions {
         AllowedRegions::Any => None,
--- a/crates/edge/src/trips.rs
+++ b/crates/edge/src/trips.rs
@@ -1,4 +1,4 @@
-//! Smoothed round-estimate times to peers, by zone.
+//! Smoothed round-trip times to peers, by zone.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -37,7 +37,7 @@
     }
 }
 
-/// Round-estimate time estimates by location; one entry for each zone of the fleet.
+/// Round-trip time estimates by location; one entry for each zone of the fleet.
 #[derive(Debug, Default)]
 pub struct RoundTrips {
     by_location: Mutex<HashMap<Location, RttEstimate>>,
@@ -64,7 +64,7 @@
         self.find(location).map(RttEstimate::longest)
     }
 
-    /// Returns the mean round-estimate time; `None` if no member of the region has replied yet.
+    /// Returns the mean round-trip time; `None` if no member of the region has replied yet.
     pub fn mean(&self, location: Location) -> Option<Duration> {
         self.find(location).map(|estimate| estimate.mean)
     }
