--- a/crates/edge/src/calls.rs
+++ b/crates/edge/src/calls.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout};
 
-use crate::trips::RoundTrips;
+use crate::round_trips::RoundTrips;
 
 /// How long a question that was given up is remembered, so that a late answer still tells how long the way is.
 const REMEMBERED_FOR: Duration = Duration::from_secs(1);
--- a/crates/edge/src/pool.rs
+++ b/crates/edge/src/pool.rs
@@ -22,7 +22,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout};
 
-use crate::silence::{SilenceWatch, set_probes};
+use crate::stall::{SilenceWatch, set_probes};
 
 /// Bounds of the pool.
 #[derive(Debug, Clone, Copy)]
--- a/crates/edge/src/rates/giving.rs
+++ b/crates/edge/src/rates/granting.rs
@@ -1,4 +1,4 @@
-//! Giving out tokens: as the coordinator of a tenant, or in the place of one that is silent to the asker.
+//! Granting of tokens, as the coordinator of a tenant or as the fallback of one that is unresponsive to the requester.
 
 use harrierward_decisions::Record;
 use harrierward_tenants::{RateDecision, Succession, Tenant};
@@ -6,12 +6,12 @@
 use tokio::time::Instant;
 
 use super::{RateService, permille};
-use crate::order::{first_two, first_two_ids};
+use crate::rendezvous::{top_two, top_two_ids};
 use crate::slots::CoordinatorCandidate;
 
 impl RateService {
-    /// Gives out tokens of a tenant that this daemon coordinates; `None` if it cannot tell its part of the limit yet.
-    pub(super) fn give_out(&self, tenant: &Tenant, wanted: u32) -> Option<RateDecision> {
+    /// Grants tokens of a tenant that this daemon coordinates; `None` while its share of the limit is unknown.
+    pub(super) fn grant(&self, tenant: &Tenant, requested: u32) -> Option<RateDecision> {
         let members = self.members.load().len();
         let now = harrierward_clock::now();
         let share = self.fleet.share(members, now);
@@ -23,55 +23,58 @@
         let limit = tenant.rate;
         let decision = state
             .ledger
-            .take(&tenant.name, limit, &self.bounds, share, wanted, now);
+            .take(&tenant.name, limit, &self.bounds, share, requested, now);
         Some(decision)
     }
 
-    /// Gives out a token of a tenant in the place of its coordinator, which is silent to the asker. Returns false if
-    /// this daemon may not, or has given out all that it may.
-    pub(super) fn stand_in(&self, tenant: &Tenant, silent: &str) -> bool {
+    /// Grants a token as the fallback of a coordinator that is unresponsive to the requester. Returns false if this
+    /// daemon isn't the fallback or its allowance is used up.
+    pub(super) fn grant_as_fallback(&self, tenant: &Tenant, unresponsive: &str) -> bool {
         let members = self.members.load();
         let now = harrierward_clock::now();
         let share = self.fleet.share(members.len(), now);
         let mut state = self.lock();
-        let may = state.is_told && self.follows(tenant, silent, &state.succession, &members, now);
+        let is_fallback = state.fleet_size_reported
+            && self.is_fallback_of(tenant, unresponsive, &state.succession, &members, now);
         let limit = tenant.rate;
-        let stood_in = may
+        let granted = is_fallback
             && state
                 .ledger
                 .stand_in(&tenant.name, limit, &self.bounds, share, now);
         drop(state);
         self.log.record(&Record::RateStoodIn {
             tenant: &tenant.name,
-            silent,
-            outcome: match (may, stood_in) {
+            silent: unresponsive,
+            outcome: match (is_fallback, granted) {
                 (false, _) => "may not",
                 (true, false) => "used up",
                 (true, true) => "granted",
             },
             share_permille: permille(share),
         });
-        stood_in
+        granted
     }
 
-    /// True if this daemon comes next after `silent`, also among the members that went lately.
-    fn follows(
+    /// True if this daemon directly follows `unresponsive` in the tenant's rendezvous order, recently departed members
+    /// included.
+    fn is_fallback_of(
         &self,
         tenant: &Tenant,
-        silent: &str,
+        unresponsive: &str,
         succession: &Succession,
         members: &[CoordinatorCandidate],
         now: Instant,
     ) -> bool {
-        let Some(gone) = succession.gone(now) else {
+        let Some(departed) = succession.gone(now) else {
             return false;
         };
         let members = members.iter().map(|member| member.id.as_str());
-        first_two_ids(&tenant.name, members.chain(gone)) == [Some(silent), Some(&*self.life)]
+        top_two_ids(&tenant.name, members.chain(departed))
+            == [Some(unresponsive), Some(&*self.instance_id)]
     }
 
-    pub(super) fn answer(&self, ask: &RateAsk) -> RateGrant {
-        self.take_fleet(ask.fleet_members, ask.fleet_seen_ms_ago);
+    pub(super) fn reply_to(&self, ask: &RateAsk) -> RateGrant {
+        self.merge_fleet_size(ask.fleet_members, ask.fleet_seen_ms_ago);
         let mut grant = self.decide(ask);
         (grant.fleet_members, grant.fleet_seen_ms_ago) =
             self.fleet.describe(harrierward_clock::now());
@@ -80,13 +83,13 @@
 
     fn decide(&self, ask: &RateAsk) -> RateGrant {
         let members = self.members.load();
-        let is_first = self.is_first(&ask.tenant, &members);
+        let is_coordinator = self.is_coordinator(&ask.tenant, &members);
         let tenant = self.tenant(&ask.tenant);
         let decision = tenant
-            .filter(|_| is_first)
-            .and_then(|tenant| self.give_out(&tenant, ask.wanted.max(1)));
+            .filter(|_| is_coordinator)
+            .and_then(|tenant| self.grant(&tenant, ask.wanted.max(1)));
         let Some(decision) = decision else {
-            if self.stands_in_for(ask) {
+            if self.try_fallback_grant(ask) {
                 return RateGrant {
                     number: ask.number,
                     outcome: RateOutcome::Granted as i32,
@@ -94,8 +97,8 @@
                     ..RateGrant::default()
                 };
             }
-            let [first, _] = first_two(&ask.tenant, &members);
-            let other = first.filter(|member| member.id != self.life);
+            let [coordinator, _] = top_two(&ask.tenant, &members);
+            let other = coordinator.filter(|member| member.id != self.instance_id);
             let address = other.and_then(|member| member.address);
             return RateGrant {
                 number: ask.number,
@@ -120,12 +123,12 @@
         }
     }
 
-    /// True if it gave out a token for a question whose asker met a silent coordinator.
-    fn stands_in_for(&self, ask: &RateAsk) -> bool {
+    /// Grants a token as a fallback if the request names an unresponsive coordinator; returns true if it did.
+    fn try_fallback_grant(&self, ask: &RateAsk) -> bool {
         if ask.silent.is_empty() {
             return false;
         }
         let tenant = self.tenant(&ask.tenant);
-        tenant.is_some_and(|tenant| self.stand_in(&tenant, &ask.silent))
+        tenant.is_some_and(|tenant| self.grant_as_fallback(&tenant, &ask.silent))
     }
 }
--- a/crates/edge/src/rates/mod.rs
+++ b/crates/edge/src/rates/mod.rs
@@ -1,14 +1,11 @@
-//! Rates of tenants over all daemons: this daemon asks a tenant's coordinator for tokens, and gives out those of the
-//! tenants that it coordinates itself.
+//! Fleet-wide rate limits of tenants: requests tokens from a tenant's coordinator, and grants those of the tenants that
+//! this daemon coordinates. A request without a token is refused, so the limits hold during partitions too.
 //!
-//! Why asked, and not estimated: a limit holds for the whole fleet, also for daemons that are cut off. A daemon admits
-//! only requests for which a coordinator gave it a token; with nobody to ask, it refuses and the caller goes elsewhere.
-//!
-//! A coordinator that died is found out after a second or more. Until then the member that follows it gives out a
-//! bounded stock in its place ([`Succession`], [`RateLedger::stand_in`]).
+//! Until a failed coordinator is removed from the members, the next member by rendezvous hash acts as fallback and
+//! grants a bounded number of tokens ([`Succession`], [`RateLedger::stand_in`]).
 
-mod asking;
-mod giving;
+mod granting;
+mod requests;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,25 +23,25 @@
 
 use crate::calls::DatagramCalls;
 use crate::fleet::SharedFleet;
-use crate::order::first_two;
+use crate::rendezvous::top_two;
 use crate::slots::CoordinatorCandidate;
-use asking::Asked;
+use requests::TokenReply;
 
-/// Stocks kept before those are dropped that hold nothing; bounds the memory of a daemon whose tenants change.
-const MOST_STOCKS: usize = 1_024;
+/// Number of token pools above which idle ones are removed; bounds memory when tenants change.
+const MAX_POOLS: usize = 1_024;
 
 struct State {
     ledger: RateLedger,
-    stocks: HashMap<Arc<str>, TokenStock>,
-    silent_until: HashMap<String, Instant>,
-    /// Another member has told how large the fleet was, or could not be asked.
-    is_told: bool,
+    pools: HashMap<Arc<str>, TokenStock>,
+    unresponsive_until: HashMap<String, Instant>,
+    /// Another member has reported its recent fleet size, or could not be reached.
+    fleet_size_reported: bool,
     succession: Succession,
 }
 
-/// The rates of one daemon.
+/// Tenants' rate limits, as seen by one daemon.
 pub struct RateService {
-    life: String,
+    instance_id: String,
     bounds: RateBounds,
     fleet: Arc<SharedFleet>,
     routes: SharedRoutes,
@@ -57,21 +54,21 @@
 }
 
 impl RateService {
-    /// Knows only itself.
+    /// Starts with this daemon as the only member.
     pub fn new(
-        life: String,
+        instance_id: String,
         fleet: Arc<SharedFleet>,
         bounds: RateBounds,
         routes: SharedRoutes,
         log: DecisionLog,
     ) -> Self {
         let own = CoordinatorCandidate {
-            id: life.clone(),
+            id: instance_id.clone(),
             address: None,
             location: Location::default(),
         };
         Self {
-            life,
+            instance_id,
             bounds,
             fleet,
             routes,
@@ -82,48 +79,48 @@
             log,
             state: Mutex::new(State {
                 ledger: RateLedger::default(),
-                stocks: HashMap::new(),
-                silent_until: HashMap::new(),
-                is_told: false,
+                pools: HashMap::new(),
+                unresponsive_until: HashMap::new(),
+                fleet_size_reported: false,
                 succession: Succession::new(bounds.in_doubt_for(), harrierward_clock::now()),
             }),
         }
     }
 
-    /// What datagrams go out by.
+    /// Sets the socket for datagrams; nothing is sent before.
     pub fn set_socket(&self, socket: Arc<UdpSocket>) {
-        // Set once, at the start.
+        // Set once, during startup.
         let _ = self.socket.set(socket);
     }
 
-    /// To be called ten times a second at least: finds out that this daemon stood still.
+    /// Detects that this daemon was stalled; must be called at least ten times a second.
     pub fn tick(&self) {
         self.note_running(&mut self.lock(), harrierward_clock::now());
     }
 
     fn note_running(&self, state: &mut State, now: Instant) {
-        if let Some(stood_still) = state.ledger.note_running(now) {
+        if let Some(stall) = state.ledger.note_running(now) {
             self.log.record(&Record::RatesStoodStill {
-                stood_still_ms: u64::try_from(stood_still.as_millis()).unwrap_or(u64::MAX),
+                stood_still_ms: u64::try_from(stall.as_millis()).unwrap_or(u64::MAX),
             });
         }
     }
 
-    /// The members that may coordinate tenants, this one among them unless it leaves.
+    /// Sets the members that may coordinate tenants; includes this daemon unless it is leaving.
     pub fn set_members(&self, members: Vec<CoordinatorCandidate>) {
         let mut state = self.lock();
         let now = harrierward_clock::now();
         self.fleet.see(members.len(), now);
         let share = self.fleet.share(members.len(), now);
         let before = self.members.load();
-        let is_there = |id: &str| members.iter().any(|member| member.id == id);
-        let gone = before.iter().filter(|member| !is_there(&member.id));
-        let gone = gone.map(|member| member.id.clone());
-        state.succession.note_change(gone, is_there, now);
-        let is_first = |tenant: &str| self.is_first(tenant, &members);
-        let dropped = state.ledger.retain(&self.bounds, now, is_first);
-        // Each start has a name of its own, so what is known of the gone is of no use any more.
-        state.silent_until.retain(|id, _| is_there(id));
+        let is_member = |id: &str| members.iter().any(|member| member.id == id);
+        let departed = before.iter().filter(|member| !is_member(&member.id));
+        let departed = departed.map(|member| member.id.clone());
+        state.succession.note_change(departed, is_member, now);
+        let is_coordinator = |tenant: &str| self.is_coordinator(tenant, &members);
+        let dropped = state.ledger.retain(&self.bounds, now, is_coordinator);
+        // Each daemon instance has its own id, so entries of departed members are never needed again.
+        state.unresponsive_until.retain(|id, _| is_member(id));
         self.members.store(Arc::new(members));
         drop(state);
         if dropped > 0 {
@@ -134,28 +131,28 @@
         }
     }
 
-    /// True if this daemon coordinates the tenant among these members.
-    fn is_first(&self, tenant: &str, members: &[CoordinatorCandidate]) -> bool {
-        let [first, _] = first_two(tenant, members);
-        first.is_some_and(|member| member.id == self.life)
+    /// True if this daemon coordinates the tenant, given these members.
+    fn is_coordinator(&self, tenant: &str, members: &[CoordinatorCandidate]) -> bool {
+        let [coordinator, _] = top_two(tenant, members);
+        coordinator.is_some_and(|member| member.id == self.instance_id)
     }
 
-    /// Part of each limit that this daemon gives out as a coordinator, 0 to 1.
+    /// Returns the fraction (0 to 1) of each limit that this daemon may grant as a coordinator.
     pub fn share(&self) -> f64 {
         let members = self.members.load().len();
         self.fleet.share(members, harrierward_clock::now())
     }
 
-    /// True if this daemon coordinates the tenant.
+    /// True if this daemon coordinates the tenant, given the current members.
     pub fn coordinates(&self, tenant: &str) -> bool {
-        self.is_first(tenant, &self.members.load())
+        self.is_coordinator(tenant, &self.members.load())
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Answers a peer's question, or takes the answer to an own one. Returns datagrams of other kinds.
+    /// Handles token requests and grants; returns datagrams of other kinds.
     pub fn receive(
         &self,
         kind: node_datagram::Kind,
@@ -163,13 +160,13 @@
     ) -> Option<node_datagram::Kind> {
         match kind {
             node_datagram::Kind::RateAsk(ask) => {
-                let grant = self.answer(&ask);
+                let grant = self.reply_to(&ask);
                 self.send(node_datagram::Kind::RateGrant(grant), from);
                 None
             }
             node_datagram::Kind::RateGrant(grant) => {
                 if self.calls.take(grant.number, grant) {
-                    self.note_late(from);
+                    self.note_late_reply(from);
                 }
                 None
             }
@@ -177,16 +174,16 @@
         }
     }
 
-    /// An answer came that nobody waits for any more: its sender is not silent, only farther than was known.
-    fn note_late(&self, from: SocketAddr) {
+    /// Marks the sender of a reply that arrived after the timeout as responsive: it is slow to reach, not failed.
+    fn note_late_reply(&self, from: SocketAddr) {
         let members = self.members.load();
         let sender = members.iter().find(|one| one.address == Some(from));
         if let Some(sender) = sender {
-            self.lock().silent_until.remove(&sender.id);
+            self.lock().unresponsive_until.remove(&sender.id);
         }
     }
 
-    /// A tenant as the configuration in force has it.
+    /// Returns a tenant of the configuration in force.
     fn tenant(&self, name: &str) -> Option<Arc<Tenant>> {
         let routes = self.routes.load();
         let directory = routes.as_ref()?.configuration.tenants.as_ref()?;
@@ -196,16 +193,16 @@
     fn send(&self, kind: node_datagram::Kind, address: SocketAddr) {
         let datagram = NodeDatagram { kind: Some(kind) };
         if let Some(socket) = self.socket.get() {
-            // A question that is lost is sent once more; then the asker goes on without an answer.
+            // A lost request is resent once; after that the requester proceeds without a reply.
             let _ = socket.try_send_to(&encode(&datagram), address);
         }
     }
 
-    /// Takes what another member saw of the fleet: a coordinator that has just started knows nothing of members that
-    /// were cut off before.
-    fn take_fleet(&self, members: u32, seen_ms_ago: u32) {
+    /// Merges a fleet size reported by another member, which may include members that were partitioned off before this
+    /// daemon started.
+    fn merge_fleet_size(&self, members: u32, seen_ms_ago: u32) {
         if self.fleet.take(members, seen_ms_ago) {
-            self.lock().is_told = true;
+            self.lock().fleet_size_reported = true;
         }
     }
 
@@ -215,16 +212,16 @@
         request: &str,
         coordinator: &str,
         outcome: &str,
-        asked_at: Instant,
+        requested_at: Instant,
     ) {
-        let asked_for = harrierward_clock::age(asked_at).as_millis();
+        let waited = harrierward_clock::age(requested_at).as_millis();
         self.log.record(&Record::RateRefused {
             request,
             tenant: &tenant.name,
             coordinator,
             outcome,
             share_permille: permille(self.share()),
-            asked_ms: u64::try_from(asked_for).unwrap_or(u64::MAX),
+            asked_ms: u64::try_from(waited).unwrap_or(u64::MAX),
         });
     }
 }
@@ -233,7 +230,7 @@
 impl RateLimits for RateService {
     async fn admit(&self, tenant: &Tenant, request: &str) -> RateAnswer {
         let now = harrierward_clock::now();
-        match self.take_from_stock(tenant, now) {
+        match self.take_from_pool(tenant, now) {
             Ok(()) => return RateAnswer::Within,
             Err(Some(retry_after)) => {
                 self.log_refusal(tenant, request, "", "refused before", now);
@@ -241,18 +238,18 @@
             }
             Err(None) => {}
         }
-        let (coordinator, asked) = self.ask_coordinators(tenant).await;
-        match asked {
-            Asked::Granted => RateAnswer::Within,
-            Asked::Empty(retry_after) => {
+        let (coordinator, reply) = self.request_from_coordinators(tenant).await;
+        match reply {
+            TokenReply::Granted => RateAnswer::Within,
+            TokenReply::Exhausted(retry_after) => {
                 self.log_refusal(tenant, request, &coordinator, "at the limit", now);
                 RateAnswer::Over { retry_after }
             }
-            Asked::Other(_) => {
+            TokenReply::NotCoordinator(_) => {
                 self.log_refusal(tenant, request, &coordinator, "not the coordinator", now);
                 RateAnswer::Unknown
             }
-            Asked::Silent => {
+            TokenReply::NoReply => {
                 self.log_refusal(tenant, request, &coordinator, "no answer", now);
                 RateAnswer::Unknown
             }
--- a/crates/edge/src/order.rs
+++ b/crates/edge/src/rendezvous.rs
@@ -5,19 +5,19 @@
 use crate::slots::CoordinatorCandidate;
 
 /// Returns the two members with the highest weights: the tenant's coordinator and its fallback.
-pub fn first_two<'a>(
+pub fn top_two<'a>(
     tenant: &str,
     members: &'a [CoordinatorCandidate],
 ) -> [Option<&'a CoordinatorCandidate>; 2] {
-    first_two_by(tenant, members.iter(), |member| &member.id)
+    top_two_by(tenant, members.iter(), |member| &member.id)
 }
 
-/// Same as [`first_two`], over member ids alone.
-pub fn first_two_ids<'a>(tenant: &str, ids: impl Iterator<Item = &'a str>) -> [Option<&'a str>; 2] {
-    first_two_by(tenant, ids, |id| id)
+/// Same as [`top_two`], over member ids alone.
+pub fn top_two_ids<'a>(tenant: &str, ids: impl Iterator<Item = &'a str>) -> [Option<&'a str>; 2] {
+    top_two_by(tenant, ids, |id| id)
 }
 
-fn first_two_by<'a, T: Copy>(
+fn top_two_by<'a, T: Copy>(
     tenant: &str,
     members: impl Iterator<Item = T>,
     id: impl Fn(T) -> &'a str,
--- a/crates/edge/src/server/connection.rs
+++ b/crates/edge/src/server/connection.rs
@@ -19,7 +19,7 @@
 use super::activity::Activity;
 use super::stream::{WatchedStream, has_unread};
 use super::{HttpService, ResponseBody, ServerControl, ServerStage};
-use crate::silence::set_probes;
+use crate::stall::set_probes;
 
 /// Least buffer of a connection, bytes.
 const LEAST_BUFFER: usize = 16 << 10;
