--- /dev/null
+++ b/crates/edge/src/quarantine/broken_connections.rs
@@ -0,0 +1,184 @@
+//! Broken connections to replicas, kept until it is known whether the replica has crashed: only then does it refuse
+//! connections, or is its entry removed.
+
+use std::collections::{BTreeMap, HashMap};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use harrierward_quarantine::{ContentId, ReplicaStart};
+use harrierward_serving::{Replica, ReplicaView};
+use tokio::sync::watch;
+use tokio::time::{Instant, sleep, timeout};
+
+use super::QuarantineService;
+
+/// Delays before the probes that follow a broken connection; the later ones catch a process that is slow to exit.
+const PROBE_DELAYS: [Duration; 3] = [
+    Duration::ZERO,
+    Duration::from_millis(30),
+    Duration::from_millis(120),
+];
+
+/// Longest wait of a request for the liveness of its replica.
+const MAX_WAIT: Duration = Duration::from_millis(50);
+
+/// How long a broken connection is kept; longer than the time after which entries without heartbeats are removed.
+const BROKEN_TTL: Duration = Duration::from_secs(6);
+
+/// Time within which all connections of one crash break; shorter than a replica's restart.
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(1);
+
+/// Whether a replica to which a connection broke still accepts connections.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Liveness {
+    Unknown,
+    Listening,
+    Crashed,
+}
+
+struct BrokenReplica {
+    replica: Arc<Replica>,
+    since: Instant,
+    /// Contents that were in progress, with the time their connection broke; emptied once the crash is confirmed.
+    contents: BTreeMap<ContentId, Instant>,
+    liveness: watch::Sender<Liveness>,
+}
+
+/// Replicas to which a connection broke within [`BROKEN_TTL`].
+#[derive(Default)]
+pub struct BrokenConnections {
+    replicas: Mutex<HashMap<ReplicaStart, BrokenReplica>>,
+    /// Number of entries, readable without the lock.
+    count: AtomicUsize,
+}
+
+impl BrokenConnections {
+    fn lock(&self) -> MutexGuard<'_, HashMap<ReplicaStart, BrokenReplica>> {
+        self.replicas.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// True if no connection has broken recently.
+    pub fn is_empty(&self) -> bool {
+        self.count.load(Ordering::Relaxed) == 0
+    }
+
+    /// Records a connection that broke with the content in progress; returns true if it is the first one to that
+    /// replica.
+    pub fn note(&self, instance: ReplicaStart, replica: &Arc<Replica>, content: ContentId) -> bool {
+        let now = harrierward_clock::now();
+        let mut replicas = self.lock();
+        // Where instances share an id, a replica that crashed earlier may have restarted under the same one.
+        replicas.retain(|known_instance, broken| {
+            let is_over = *broken.liveness.borrow() == Liveness::Crashed
+                && harrierward_clock::age(broken.since) > SAME_CRASH_WINDOW;
+            *known_instance != instance || !is_over
+        });
+        let is_first = !replicas.contains_key(&instance);
+        let broken = replicas.entry(instance).or_insert_with(|| BrokenReplica {
+            replica: replica.clone(),
+            since: now,
+            contents: BTreeMap::new(),
+            liveness: watch::Sender::new(Liveness::Unknown),
+        });
+        broken.contents.entry(content).or_insert(now);
+        self.count.store(replicas.len(), Ordering::Relaxed);
+        is_first
+    }
+
+    /// True if the replica's crash is confirmed.
+    pub fn is_confirmed(&self, instance: ReplicaStart) -> bool {
+        let replicas = self.lock();
+        replicas
+            .get(&instance)
+            .is_some_and(|broken| *broken.liveness.borrow() == Liveness::Crashed)
+    }
+
+    /// Marks the replica as crashed. Returns when its first connection broke and the contents that were in progress;
+    /// `None` if there are none or they were returned before.
+    pub fn confirm(
+        &self,
+        instance: ReplicaStart,
+    ) -> Option<(Instant, BTreeMap<ContentId, Instant>)> {
+        let mut replicas = self.lock();
+        let broken = replicas.get_mut(&instance)?;
+        broken.liveness.send_replace(Liveness::Crashed);
+        let contents = std::mem::take(&mut broken.contents);
+        (!contents.is_empty()).then_some((broken.since, contents))
+    }
+
+    fn note_listening(&self, instance: ReplicaStart) {
+        if let Some(broken) = self.lock().get(&instance) {
+            broken.liveness.send_if_modified(|liveness| {
+                let is_new = *liveness == Liveness::Unknown;
+                if is_new {
+                    *liveness = Liveness::Listening;
+                }
+                is_new
+            });
+        }
+    }
+
+    /// Removes a content that got a complete response elsewhere, and so didn't cause a crash.
+    pub fn remove_content(&self, content: ContentId) {
+        for broken in self.lock().values_mut() {
+            broken.contents.remove(&content);
+        }
+    }
+
+    /// Returns the replicas whose entries were removed, or now name another instance, after connections to them broke.
+    /// Drained replicas are left out.
+    pub fn removed(&self, view: &ReplicaView, now: Instant) -> Vec<(ReplicaStart, Arc<Replica>)> {
+        if self.is_empty() {
+            return Vec::new();
+        }
+        let mut replicas = self.lock();
+        replicas.retain(|_, broken| now.saturating_duration_since(broken.since) < BROKEN_TTL);
+        self.count.store(replicas.len(), Ordering::Relaxed);
+        let is_removed = |instance: &ReplicaStart, broken: &BrokenReplica| {
+            let is_drained = broken.replica.is_draining();
+            !broken.contents.is_empty() && !is_drained && view.by_hash(instance.0).is_none()
+        };
+        let removed = replicas
+            .iter()
+            .filter(|(instance, broken)| is_removed(instance, broken));
+        removed
+            .map(|(instance, broken)| (*instance, broken.replica.clone()))
+            .collect()
+    }
+
+    /// Returns the replica if contents were in progress on broken connections to it and its crash isn't confirmed yet.
+    pub fn pending(&self, instance: ReplicaStart) -> Option<Arc<Replica>> {
+        let replicas = self.lock();
+        let broken = replicas.get(&instance)?;
+        (!broken.contents.is_empty()).then(|| broken.replica.clone())
+    }
+
+    /// Waits up to [`MAX_WAIT`] for the liveness of a replica; returns true if it has crashed.
+    pub async fn wait_for_liveness(&self, instance: ReplicaStart) -> bool {
+        let mut liveness = match self.lock().get(&instance) {
+            Some(broken) => broken.liveness.subscribe(),
+            None => return false,
+        };
+        let observed = timeout(
+            MAX_WAIT,
+            liveness.wait_for(|liveness| *liveness != Liveness::Unknown),
+        )
+        .await;
+        matches!(observed, Ok(Ok(liveness)) if *liveness == Liveness::Crashed)
+    }
+}
+
+impl QuarantineService {
+    /// Probes whether a replica to which a connection broke still accepts connections.
+    pub(super) async fn probe(self, instance: ReplicaStart, replica: Arc<Replica>) {
+        for delay in PROBE_DELAYS {
+            sleep(delay).await;
+            if self.inner.pool.is_refused(&replica.record.address).await {
+                self.confirm_crash(instance, &replica, "refused");
+                return;
+            }
+            self.inner.broken_connections.note_listening(instance);
+        }
+    }
+}
--- a/crates/edge/src/quarantine/mod.rs
+++ b/crates/edge/src/quarantine/mod.rs
@@ -1,13 +1,13 @@
-//! Requests under which replicas end, as this daemon sees them and as others tell: what is held back here.
+//! Quarantine of request contents under which replicas crash.
 //!
-//! Why told from daemon to daemon, and by the store only as well ([`stored`]): a request that ends replicas comes again within half a second at any
-//! daemon, and whole fleets of replicas are gone before a store that is slow or away has answered. What is known is small,
-//! any order will do, and each telling repeats the last, so that a lost datagram costs a tenth of a second.
+//! Crash reports spread by gossip, since clients retry within half a second at other daemons, faster than an
+//! unavailable store could propagate them; the store ([`store_row`]) carries them to daemons that gossip doesn't reach.
+//! Reports merge in any order and are repeated, so loss is tolerated.
 
-mod breaks;
-mod operating;
-mod stored;
-mod telling;
+mod broken_connections;
+mod gossip;
+mod operator_api;
+mod store_row;
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -26,29 +26,29 @@
 use crate::pool::ConnectionPool;
 use crate::slots::CoordinatorCandidate;
 
-use breaks::Breaks;
-use stored::OwnRow;
+use broken_connections::BrokenConnections;
+use store_row::OwnRow;
 
-pub use operating::HeldContents;
+pub use operator_api::HeldContents;
 
-/// Ticks between two looks at what is too old to count.
+/// Ticks between two removals of expired crash reports.
 const EXPIRE_TICKS: u64 = 10;
 
-/// The quarantine of one daemon; cheap to clone.
+/// Quarantined contents, as seen by one daemon; cheap to clone.
 #[derive(Clone)]
 pub struct QuarantineService {
     inner: Arc<Inner>,
 }
 
 struct Inner {
-    life: String,
+    instance_id: String,
     replicas: Arc<ReplicaSet>,
     pool: ConnectionPool,
     log: DecisionLog,
     ledger: Mutex<CrashLedger>,
-    /// What the ledger comes to, for the request path.
-    standings: ArcSwap<Standings>,
-    breaks: Breaks,
+    /// Status by content, derived from the ledger; read on the request path without a lock.
+    statuses: ArcSwap<Standings>,
+    broken_connections: BrokenConnections,
     own_row: OwnRow,
     members: ArcSwap<Vec<SocketAddr>>,
     socket: OnceLock<Arc<UdpSocket>>,
@@ -56,21 +56,21 @@
 }
 
 impl QuarantineService {
-    /// Knows nothing against any content.
+    /// Starts without any crash reports.
     pub fn new(
-        life: String,
+        instance_id: String,
         replicas: Arc<ReplicaSet>,
         pool: ConnectionPool,
         log: DecisionLog,
     ) -> Self {
         let inner = Inner {
-            life,
+            instance_id,
             replicas,
             pool,
             log,
             ledger: Mutex::default(),
-            standings: ArcSwap::default(),
-            breaks: Breaks::default(),
+            statuses: ArcSwap::default(),
+            broken_connections: BrokenConnections::default(),
             own_row: OwnRow::default(),
             members: ArcSwap::default(),
             socket: OnceLock::new(),
@@ -81,39 +81,47 @@
         }
     }
 
-    /// The socket over which others are told.
+    /// Sets the socket for gossip; nothing is sent before.
     pub fn set_socket(&self, socket: Arc<UdpSocket>) {
-        // Set once, at the start.
+        // Set once, during startup.
         let _ = self.inner.socket.set(socket);
     }
 
-    /// The living members; those that are new are told at once.
+    /// Sets the live members; those that have just joined are sent the crash reports.
     pub fn set_members(&self, members: &[CoordinatorCandidate]) {
-        let others = members.iter().filter(|member| member.id != self.inner.life);
+        let others = members
+            .iter()
+            .filter(|member| member.id != self.inner.instance_id);
         let addresses: Vec<SocketAddr> = others.filter_map(|member| member.address).collect();
         let before = self.inner.members.swap(Arc::new(addresses.clone()));
-        let joined = addresses.into_iter().filter(|one| !before.contains(one));
-        self.tell_joined(joined.collect());
+        let joined = addresses
+            .into_iter()
+            .filter(|address| !before.contains(address));
+        self.send_to_joined(joined.collect());
     }
 
-    /// Drives what is due; called each tenth of a second.
+    /// Confirms crashes of removed replicas, expires reports and gossips; called every 100 ms.
     pub fn tick(&self) {
         let tick = self.inner.ticks.fetch_add(1, Ordering::Relaxed);
         let now = harrierward_clock::now();
-        for (start, replica) in self.inner.breaks.gone(&self.inner.replicas.view(), now) {
-            self.confirm(start, &replica, "gone");
+        for (instance, replica) in self
+            .inner
+            .broken_connections
+            .removed(&self.inner.replicas.view(), now)
+        {
+            self.confirm_crash(instance, &replica, "gone");
         }
         if tick.is_multiple_of(EXPIRE_TICKS) && self.ledger().expire(now) {
-            self.judge();
+            self.update_statuses();
         }
-        self.tell_some(tick, now);
+        self.gossip(tick, now);
     }
 
-    /// Takes a datagram that concerns the quarantine; gives back any other.
+    /// Handles crash reports; returns datagrams of other kinds.
     pub fn receive(&self, kind: node_datagram::Kind) -> Option<node_datagram::Kind> {
         match kind {
-            node_datagram::Kind::CrashNews(news) => {
-                self.take_news(&news);
+            node_datagram::Kind::CrashNews(reports) => {
+                self.merge_reports(&reports);
                 None
             }
             other => Some(other),
@@ -127,10 +135,15 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The replica has ended: whatever of this daemon was in progress there may have done it.
-    fn confirm(&self, start: ReplicaStart, replica: &Arc<Replica>, known_by: &'static str) {
+    /// Records a crash of the replica against all contents of this daemon that were in progress there.
+    fn confirm_crash(
+        &self,
+        instance: ReplicaStart,
+        replica: &Arc<Replica>,
+        known_by: &'static str,
+    ) {
         replica.set_ended();
-        let Some((since, contents)) = self.inner.breaks.confirm(start) else {
+        let Some((since, contents)) = self.inner.broken_connections.confirm(instance) else {
             return;
         };
         self.inner.log.record(&Record::ReplicaEnded {
@@ -139,56 +152,56 @@
             contents: contents.len(),
             after_ms: millis(harrierward_clock::age(since)),
         });
-        let mut is_news = false;
+        let mut is_new = false;
         {
             let now = harrierward_clock::now();
             let mut ledger = self.ledger();
             for (content, at) in contents {
-                is_news |= ledger.note_end(content, start, at, now);
+                is_new |= ledger.note_end(content, instance, at, now);
             }
         }
-        if is_news {
-            self.judge();
-            self.make_known();
+        if is_new {
+            self.update_statuses();
+            self.publish();
         }
     }
 
-    /// Brings the standings up to date, and logs what is held back from now on, or no longer.
-    fn judge(&self) {
+    /// Recomputes the statuses, and logs contents that are newly quarantined or no longer are.
+    fn update_statuses(&self) {
         let now = harrierward_clock::now();
-        // The ledger is held until the standings are in place: an older judgement must not replace a newer one.
+        // Locked until the statuses are stored, so that older ones can't replace newer ones.
         let ledger = self.ledger();
-        let standings = Arc::new(ledger.standings());
-        let before = self.inner.standings.swap(standings.clone());
+        let statuses = Arc::new(ledger.standings());
+        let before = self.inner.statuses.swap(statuses.clone());
         drop(ledger);
-        let held = standings.held().count();
-        for (content, hold) in standings.held() {
+        let quarantined = statuses.held().count();
+        for (content, quarantine) in statuses.held() {
             if !before.is_to_blame(content) {
-                self.log_held(content, "held", hold, held, now);
+                self.log_change(content, "held", quarantine, quarantined, now);
             }
         }
-        for (content, hold) in before.held() {
-            if !standings.is_to_blame(content) {
-                self.log_held(content, "cleared", hold, held, now);
+        for (content, quarantine) in before.held() {
+            if !statuses.is_to_blame(content) {
+                self.log_change(content, "cleared", quarantine, quarantined, now);
             }
         }
     }
 
-    fn log_held(
+    fn log_change(
         &self,
         content: ContentId,
         outcome: &str,
-        hold: harrierward_quarantine::Hold,
-        held: usize,
+        quarantine: harrierward_quarantine::Hold,
+        quarantined: usize,
         now: Instant,
     ) {
         self.inner.log.record(&Record::ContentHeld {
             content: &content.to_string(),
             outcome,
-            ends: hold.ends,
-            since_ms: millis(now.saturating_duration_since(hold.since)),
-            hold_ms: millis(hold.until.saturating_duration_since(now)),
-            held,
+            ends: quarantine.ends,
+            since_ms: millis(now.saturating_duration_since(quarantine.since)),
+            hold_ms: millis(quarantine.until.saturating_duration_since(now)),
+            held: quarantined,
         });
     }
 }
@@ -196,42 +209,50 @@
 #[async_trait]
 impl Quarantine for QuarantineService {
     fn holds_any(&self) -> bool {
-        !self.inner.standings.load().is_empty()
+        !self.inner.statuses.load().is_empty()
     }
 
     fn standing(&self, content: ContentId) -> Standing {
         self.inner
-            .standings
+            .statuses
             .load()
             .of(content, harrierward_clock::now())
     }
 
     fn note_broken(&self, content: ContentId, replica: &Arc<Replica>) {
-        let start = ReplicaStart(replica.hash);
-        if self.inner.breaks.note(start, replica, content) {
-            tokio::spawn(self.clone().probe(start, replica.clone()));
-        } else if self.inner.breaks.is_confirmed(start) {
-            self.confirm(start, replica, "refused");
+        let instance = ReplicaStart(replica.hash);
+        if self
+            .inner
+            .broken_connections
+            .note(instance, replica, content)
+        {
+            tokio::spawn(self.clone().probe(instance, replica.clone()));
+        } else if self.inner.broken_connections.is_confirmed(instance) {
+            self.confirm_crash(instance, replica, "refused");
         }
     }
 
     fn note_whole(&self, content: ContentId) {
-        if self.inner.breaks.is_quiet() && self.inner.standings.load().is_empty() {
+        if self.inner.broken_connections.is_empty() && self.inner.statuses.load().is_empty() {
             return;
         }
-        self.inner.breaks.forget(content);
-        let is_news = self
+        self.inner.broken_connections.remove_content(content);
+        let is_new = self
             .ledger()
             .clear(content, rand::random(), harrierward_clock::now());
-        if is_news {
-            self.judge();
-            self.make_known();
+        if is_new {
+            self.update_statuses();
+            self.publish();
         }
     }
 
     async fn has_ended(&self, replica: &Arc<Replica>) -> bool {
-        let start = ReplicaStart(replica.hash);
-        self.inner.breaks.wait(start).await || replica.has_ended()
+        let instance = ReplicaStart(replica.hash);
+        self.inner
+            .broken_connections
+            .wait_for_liveness(instance)
+            .await
+            || replica.has_ended()
     }
 }
 
--- a/crates/edge/src/quarantine/operating.rs
+++ b/crates/edge/src/quarantine/operator_api.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of contents that are held back, and how one is released.
+//! Operator API: lists quarantined contents and releases them.
 
 use std::sync::Arc;
 
@@ -16,82 +16,84 @@
 
 use super::{QuarantineService, millis};
 
-/// Path of the list; a content's digest behind it names one.
+/// Path of the list; with a content's digest (hexadecimal) appended, of that content.
 pub const PATH: &str = "/internal/held";
 
-/// A content that is held back.
+/// A quarantined content, as listed in JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct HeldContent {
-    /// Digest of path, caller and body, as in the log's lines.
+    /// Digest of path, caller and body, as in the decision log.
     content: String,
-    /// Replicas that ended under it.
+    /// Replicas that crashed under it.
     ends: usize,
-    /// Time since the first and the last of these ends, milliseconds.
+    /// Time since the first of these crashes, in milliseconds.
     since_ms: u64,
-    /// See `since_ms`.
+    /// Time since the last of these crashes, in milliseconds.
     last_end_ms: u64,
-    /// How much longer it is held back, milliseconds.
+    /// Remaining time in quarantine, in milliseconds.
     hold_ms: u64,
 }
 
 impl QuarantineService {
-    /// What is held back now.
+    /// Returns the contents in quarantine now.
     pub fn held(&self) -> Vec<HeldContent> {
         let now = harrierward_clock::now();
         let age = |at: Instant| millis(now.saturating_duration_since(at));
-        let standings = self.inner.standings.load();
-        let held = standings.held().map(|(content, hold)| HeldContent {
+        let statuses = self.inner.statuses.load();
+        let held = statuses.held().map(|(content, quarantine)| HeldContent {
             content: content.to_string(),
-            ends: hold.ends,
-            since_ms: age(hold.since),
-            last_end_ms: age(hold.last_end),
-            hold_ms: millis(hold.until.saturating_duration_since(now)),
+            ends: quarantine.ends,
+            since_ms: age(quarantine.since),
+            last_end_ms: age(quarantine.last_end),
+            hold_ms: millis(quarantine.until.saturating_duration_since(now)),
         });
         held.collect()
     }
 
-    /// Lets a content run again, at all daemons; false if nothing is known against it.
+    /// Releases a content from quarantine at all daemons; returns false if there are no crash reports against it.
     pub fn release(&self, content: ContentId) -> bool {
-        let hold = self
+        let quarantine = self
             .inner
-            .standings
+            .statuses
             .load()
             .held()
-            .find(|(one, _)| *one == content);
+            .find(|(id, _)| *id == content);
         if !self
             .ledger()
             .clear(content, rand::random(), harrierward_clock::now())
         {
             return false;
         }
-        self.judge();
-        self.make_known();
+        self.update_statuses();
+        self.publish();
         self.inner.log.record(&Record::ContentHeld {
             content: &content.to_string(),
             outcome: "released",
-            ends: hold.map_or(0, |(_, hold)| hold.ends),
-            since_ms: hold.map_or(0, |(_, hold)| millis(harrierward_clock::age(hold.since))),
+            ends: quarantine.map_or(0, |(_, quarantine)| quarantine.ends),
+            since_ms: quarantine.map_or(0, |(_, quarantine)| {
+                millis(harrierward_clock::age(quarantine.since))
+            }),
             hold_ms: 0,
-            held: self.inner.standings.load().held().count(),
+            held: self.inner.statuses.load().held().count(),
         });
         true
     }
 }
 
-/// Answers operators on the control address.
+/// Serves the quarantine's list and releases on the control address.
 pub struct HeldContents<S> {
     quarantine: QuarantineService,
-    /// Answers all other paths.
+    /// Serves all other paths.
     others: Arc<S>,
 }
 
 impl<S> HeldContents<S> {
-    /// The list of this quarantine, before another service.
+    /// Serves [`PATH`] from `quarantine`, and all other paths from `others`.
     pub fn new(quarantine: QuarantineService, others: Arc<S>) -> Self {
         Self { quarantine, others }
     }
 
-    fn answer(&self, method: &Method, name: &str) -> (StatusCode, Bytes) {
+    fn respond(&self, method: &Method, name: &str) -> (StatusCode, Bytes) {
         let content = u64::from_str_radix(name, 16).ok().map(ContentId);
         match (method, content) {
             (&Method::GET, None) if name.is_empty() => {
@@ -120,7 +122,7 @@
         let Some(name) = request.uri().path().strip_prefix(PATH) else {
             return self.others.call(request).await;
         };
-        let (status, body) = self.answer(request.method(), name.trim_start_matches('/'));
+        let (status, body) = self.respond(request.method(), name.trim_start_matches('/'));
         let body = Full::new(body).map_err(|never| match never {});
         let mut response = Response::new(body.boxed_unsync());
         *response.status_mut() = status;
