--- a/crates/edge/src/fleet.rs
+++ b/crates/edge/src/fleet.rs
@@ -3,13 +3,13 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use harrierward_tenants::{FleetMemory, SeenFleet};
+use harrierward_tenants::{FleetSize, FleetSizes};
 use tokio::time::Instant;
 
 /// Recently observed fleet sizes, shared by the rate and slot services.
 #[derive(Debug)]
 pub struct SharedFleet {
-    memory: Mutex<FleetMemory>,
+    memory: Mutex<FleetSizes>,
 }
 
 impl SharedFleet {
@@ -17,17 +17,17 @@
     /// times out.
     pub fn new(expects_others: bool) -> Self {
         Self {
-            memory: Mutex::new(FleetMemory::new(expects_others, harrierward_clock::now())),
+            memory: Mutex::new(FleetSizes::new(expects_others, harrierward_clock::now())),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, FleetMemory> {
+    fn lock(&self) -> MutexGuard<'_, FleetSizes> {
         self.memory.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records the current number of members, this daemon included.
     pub fn see(&self, members: usize, now: Instant) {
-        self.lock().see(members, now);
+        self.lock().observe(members, now);
     }
 
     /// Returns the fraction (0 to 1) of each limit that may be granted by a group of `members` that see each other.
@@ -42,7 +42,7 @@
         let Some(at) = harrierward_clock::now().checked_sub(ago) else {
             return false;
         };
-        self.lock().take(SeenFleet { members, at });
+        self.lock().merge(FleetSize { members, at });
         true
     }
 
--- a/crates/edge/src/quarantine/broken_connections.rs
+++ b/crates/edge/src/quarantine/broken_connections.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use harrierward_quarantine::{ContentId, ReplicaStart};
+use harrierward_quarantine::{ContentId, ReplicaInstance};
 use harrierward_serving::{Replica, ReplicaView};
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
@@ -48,13 +48,13 @@
 /// Replicas to which a connection broke within [`BROKEN_TTL`].
 #[derive(Default)]
 pub struct BrokenConnections {
-    replicas: Mutex<HashMap<ReplicaStart, BrokenReplica>>,
+    replicas: Mutex<HashMap<ReplicaInstance, BrokenReplica>>,
     /// Number of entries, readable without the lock.
     count: AtomicUsize,
 }
 
 impl BrokenConnections {
-    fn lock(&self) -> MutexGuard<'_, HashMap<ReplicaStart, BrokenReplica>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<ReplicaInstance, BrokenReplica>> {
         self.replicas.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -65,7 +65,12 @@
 
     /// Records a connection that broke with the content in progress; returns true if it is the first one to that
     /// replica.
-    pub fn note(&self, instance: ReplicaStart, replica: &Arc<Replica>, content: ContentId) -> bool {
+    pub fn note(
+        &self,
+        instance: ReplicaInstance,
+        replica: &Arc<Replica>,
+        content: ContentId,
+    ) -> bool {
         let now = harrierward_clock::now();
         let mut replicas = self.lock();
         // Where instances share an id, a replica that crashed earlier may have restarted under the same one.
@@ -87,7 +92,7 @@
     }
 
     /// True if the replica's crash is confirmed.
-    pub fn is_confirmed(&self, instance: ReplicaStart) -> bool {
+    pub fn is_confirmed(&self, instance: ReplicaInstance) -> bool {
         let replicas = self.lock();
         replicas
             .get(&instance)
@@ -98,7 +103,7 @@
     /// `None` if there are none or they were returned before.
     pub fn confirm(
         &self,
-        instance: ReplicaStart,
+        instance: ReplicaInstance,
     ) -> Option<(Instant, BTreeMap<ContentId, Instant>)> {
         let mut replicas = self.lock();
         let broken = replicas.get_mut(&instance)?;
@@ -107,7 +112,7 @@
         (!contents.is_empty()).then_some((broken.since, contents))
     }
 
-    fn note_listening(&self, instance: ReplicaStart) {
+    fn note_listening(&self, instance: ReplicaInstance) {
         if let Some(broken) = self.lock().get(&instance) {
             broken.liveness.send_if_modified(|liveness| {
                 let is_new = *liveness == Liveness::Unknown;
@@ -128,14 +133,18 @@
 
     /// Returns the replicas whose entries were removed, or now name another instance, after connections to them broke.
     /// Drained replicas are left out.
-    pub fn removed(&self, view: &ReplicaView, now: Instant) -> Vec<(ReplicaStart, Arc<Replica>)> {
+    pub fn removed(
+        &self,
+        view: &ReplicaView,
+        now: Instant,
+    ) -> Vec<(ReplicaInstance, Arc<Replica>)> {
         if self.is_empty() {
             return Vec::new();
         }
         let mut replicas = self.lock();
         replicas.retain(|_, broken| now.saturating_duration_since(broken.since) < BROKEN_TTL);
         self.count.store(replicas.len(), Ordering::Relaxed);
-        let is_removed = |instance: &ReplicaStart, broken: &BrokenReplica| {
+        let is_removed = |instance: &ReplicaInstance, broken: &BrokenReplica| {
             let is_drained = broken.replica.is_draining();
             !broken.contents.is_empty() && !is_drained && view.by_hash(instance.0).is_none()
         };
@@ -148,14 +157,14 @@
     }
 
     /// Returns the replica if contents were in progress on broken connections to it and its crash isn't confirmed yet.
-    pub fn pending(&self, instance: ReplicaStart) -> Option<Arc<Replica>> {
+    pub fn pending(&self, instance: ReplicaInstance) -> Option<Arc<Replica>> {
         let replicas = self.lock();
         let broken = replicas.get(&instance)?;
         (!broken.contents.is_empty()).then(|| broken.replica.clone())
     }
 
     /// Waits up to [`MAX_WAIT`] for the liveness of a replica; returns true if it has crashed.
-    pub async fn wait_for_liveness(&self, instance: ReplicaStart) -> bool {
+    pub async fn wait_for_liveness(&self, instance: ReplicaInstance) -> bool {
         let mut liveness = match self.lock().get(&instance) {
             Some(broken) => broken.liveness.subscribe(),
             None => return false,
@@ -171,7 +180,7 @@
 
 impl QuarantineService {
     /// Probes whether a replica to which a connection broke still accepts connections.
-    pub(super) async fn probe(self, instance: ReplicaStart, replica: Arc<Replica>) {
+    pub(super) async fn probe(self, instance: ReplicaInstance, replica: Arc<Replica>) {
         for delay in PROBE_DELAYS {
             sleep(delay).await;
             if self.inner.pool.is_refused(&replica.record.address).await {
--- a/crates/edge/src/quarantine/gossip.rs
+++ b/crates/edge/src/quarantine/gossip.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use harrierward_quarantine::{ContentId, ReplicaStart, ToldClearing, ToldContent, ToldEnd};
+use harrierward_quarantine::{
+    ContentId, ReplicaInstance, ReportedClearing, ReportedContent, ReportedCrash,
+};
 use harrierward_wire::{
     CrashNews, CrashedContent, NodeDatagram, ReplicaEnd, encode, node_datagram,
 };
@@ -72,7 +74,7 @@
         let contents = {
             let ledger = self.ledger();
             let statuses = self.inner.statuses.load();
-            ledger.told(&statuses, harrierward_clock::now(), MAX_CONTENTS)
+            ledger.to_announce(&statuses, harrierward_clock::now(), MAX_CONTENTS)
         };
         let Some(socket) = self.inner.socket.get().filter(|_| !contents.is_empty()) else {
             return;
@@ -88,20 +90,21 @@
     }
 
     pub(super) fn merge_reports(&self, reports: &CrashNews) {
-        let contents: Vec<ToldContent> = reports.contents.iter().map(reported_content).collect();
+        let contents: Vec<ReportedContent> =
+            reports.contents.iter().map(reported_content).collect();
         let now = harrierward_clock::now();
-        let is_new = self.ledger().take(&contents, now);
+        let is_new = self.ledger().merge(&contents, now);
         if is_new {
             self.update_statuses();
         }
-        let crashes = contents.iter().flat_map(|content| &content.ends);
+        let crashes = contents.iter().flat_map(|content| &content.crashes);
         for instance in crashes.map(|crash| crash.replica) {
             self.note_reported_crash(instance);
         }
     }
 
     /// Confirms a crash reported by another daemon if connections of this one to the replica broke.
-    fn note_reported_crash(&self, instance: ReplicaStart) {
+    fn note_reported_crash(&self, instance: ReplicaInstance) {
         if let Some(replica) = self.inner.broken_connections.pending(instance) {
             self.confirm_crash(instance, &replica, "peer");
         }
@@ -112,11 +115,11 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-pub(super) fn to_message(contents: &[ToldContent]) -> CrashNews {
+pub(super) fn to_message(contents: &[ReportedContent]) -> CrashNews {
     let contents = contents.iter().map(|reported| CrashedContent {
         content: reported.content.0,
         ends: reported
-            .ends
+            .crashes
             .iter()
             .map(|crash| ReplicaEnd {
                 replica: crash.replica.0,
@@ -133,16 +136,16 @@
     }
 }
 
-fn reported_content(message: &CrashedContent) -> ToldContent {
-    let crashes = message.ends.iter().map(|crash| ToldEnd {
-        replica: ReplicaStart(crash.replica),
+fn reported_content(message: &CrashedContent) -> ReportedContent {
+    let crashes = message.ends.iter().map(|crash| ReportedCrash {
+        replica: ReplicaInstance(crash.replica),
         age: Duration::from_millis(u64::from(crash.age_ms)),
     });
     let cleared = message.cleared_ms.checked_sub(1);
-    ToldContent {
+    ReportedContent {
         content: ContentId(message.content),
-        ends: crashes.collect(),
-        cleared: cleared.map(|age_ms| ToldClearing {
+        crashes: crashes.collect(),
+        cleared: cleared.map(|age_ms| ReportedClearing {
             number: message.clearing,
             age: Duration::from_millis(u64::from(age_ms)),
         }),
--- a/crates/edge/src/quarantine/mod.rs
+++ b/crates/edge/src/quarantine/mod.rs
@@ -17,7 +17,9 @@
 use arc_swap::ArcSwap;
 use async_trait::async_trait;
 use harrierward_decisions::{DecisionLog, Record};
-use harrierward_quarantine::{ContentId, CrashLedger, ReplicaStart, Standing, Standings};
+use harrierward_quarantine::{
+    ContentId, ContentStatus, ContentStatuses, CrashLedger, ReplicaInstance,
+};
 use harrierward_serving::{Quarantine, Replica, ReplicaSet};
 use harrierward_wire::node_datagram;
 use tokio::net::UdpSocket;
@@ -47,7 +49,7 @@
     log: DecisionLog,
     ledger: Mutex<CrashLedger>,
     /// Status by content, derived from the ledger; read on the request path without a lock.
-    statuses: ArcSwap<Standings>,
+    statuses: ArcSwap<ContentStatuses>,
     broken_connections: BrokenConnections,
     own_row: OwnRow,
     members: ArcSwap<Vec<SocketAddr>>,
@@ -138,7 +140,7 @@
     /// Records a crash of the replica against all contents of this daemon that were in progress there.
     fn confirm_crash(
         &self,
-        instance: ReplicaStart,
+        instance: ReplicaInstance,
         replica: &Arc<Replica>,
         known_by: &'static str,
     ) {
@@ -157,7 +159,7 @@
             let now = harrierward_clock::now();
             let mut ledger = self.ledger();
             for (content, at) in contents {
-                is_new |= ledger.note_end(content, instance, at, now);
+                is_new |= ledger.note_crash(content, instance, at, now);
             }
         }
         if is_new {
@@ -171,17 +173,17 @@
         let now = harrierward_clock::now();
         // Locked until the statuses are stored, so that older ones can't replace newer ones.
         let ledger = self.ledger();
-        let statuses = Arc::new(ledger.standings());
+        let statuses = Arc::new(ledger.statuses());
         let before = self.inner.statuses.swap(statuses.clone());
         drop(ledger);
-        let quarantined = statuses.held().count();
-        for (content, quarantine) in statuses.held() {
-            if !before.is_to_blame(content) {
+        let quarantined = statuses.quarantined().count();
+        for (content, quarantine) in statuses.quarantined() {
+            if !before.is_cause(content) {
                 self.log_change(content, "held", quarantine, quarantined, now);
             }
         }
-        for (content, quarantine) in before.held() {
-            if !statuses.is_to_blame(content) {
+        for (content, quarantine) in before.quarantined() {
+            if !statuses.is_cause(content) {
                 self.log_change(content, "cleared", quarantine, quarantined, now);
             }
         }
@@ -191,14 +193,14 @@
         &self,
         content: ContentId,
         outcome: &str,
-        quarantine: harrierward_quarantine::Hold,
+        quarantine: harrierward_quarantine::QuarantinePeriod,
         quarantined: usize,
         now: Instant,
     ) {
         self.inner.log.record(&Record::ContentHeld {
             content: &content.to_string(),
             outcome,
-            ends: quarantine.ends,
+            ends: quarantine.crashes,
             since_ms: millis(now.saturating_duration_since(quarantine.since)),
             hold_ms: millis(quarantine.until.saturating_duration_since(now)),
             held: quarantined,
@@ -212,7 +214,7 @@
         !self.inner.statuses.load().is_empty()
     }
 
-    fn standing(&self, content: ContentId) -> Standing {
+    fn standing(&self, content: ContentId) -> ContentStatus {
         self.inner
             .statuses
             .load()
@@ -220,7 +222,7 @@
     }
 
     fn note_broken(&self, content: ContentId, replica: &Arc<Replica>) {
-        let instance = ReplicaStart(replica.hash);
+        let instance = ReplicaInstance(replica.hash);
         if self
             .inner
             .broken_connections
@@ -247,7 +249,7 @@
     }
 
     async fn has_ended(&self, replica: &Arc<Replica>) -> bool {
-        let instance = ReplicaStart(replica.hash);
+        let instance = ReplicaInstance(replica.hash);
         self.inner
             .broken_connections
             .wait_for_liveness(instance)
--- a/crates/edge/src/quarantine/operator_api.rs
+++ b/crates/edge/src/quarantine/operator_api.rs
@@ -40,13 +40,15 @@
         let now = harrierward_clock::now();
         let age = |at: Instant| millis(now.saturating_duration_since(at));
         let statuses = self.inner.statuses.load();
-        let held = statuses.held().map(|(content, quarantine)| HeldContent {
-            content: content.to_string(),
-            ends: quarantine.ends,
-            since_ms: age(quarantine.since),
-            last_end_ms: age(quarantine.last_end),
-            hold_ms: millis(quarantine.until.saturating_duration_since(now)),
-        });
+        let held = statuses
+            .quarantined()
+            .map(|(content, quarantine)| HeldContent {
+                content: content.to_string(),
+                ends: quarantine.crashes,
+                since_ms: age(quarantine.since),
+                last_end_ms: age(quarantine.last_crash),
+                hold_ms: millis(quarantine.until.saturating_duration_since(now)),
+            });
         held.collect()
     }
 
@@ -56,7 +58,7 @@
             .inner
             .statuses
             .load()
-            .held()
+            .quarantined()
             .find(|(id, _)| *id == content);
         if !self
             .ledger()
@@ -69,12 +71,12 @@
         self.inner.log.record(&Record::ContentHeld {
             content: &content.to_string(),
             outcome: "released",
-            ends: quarantine.map_or(0, |(_, quarantine)| quarantine.ends),
+            ends: quarantine.map_or(0, |(_, quarantine)| quarantine.crashes),
             since_ms: quarantine.map_or(0, |(_, quarantine)| {
                 millis(harrierward_clock::age(quarantine.since))
             }),
             hold_ms: 0,
-            held: self.inner.statuses.load().held().count(),
+            held: self.inner.statuses.load().quarantined().count(),
         });
         true
     }
--- a/crates/edge/src/quarantine/store_row.rs
+++ b/crates/edge/src/quarantine/store_row.rs
@@ -102,7 +102,7 @@
     fn reports_to_store(&self) -> Option<CrashNews> {
         let ledger = self.ledger();
         let statuses = self.inner.statuses.load();
-        let contents = ledger.kept(&statuses, harrierward_clock::now(), MAX_STORED);
+        let contents = ledger.to_store(&statuses, harrierward_clock::now(), MAX_STORED);
         (!contents.is_empty()).then(|| to_message(&contents))
     }
 
--- a/crates/edge/src/rates/granting.rs
+++ b/crates/edge/src/rates/granting.rs
@@ -40,7 +40,7 @@
         let granted = is_fallback
             && state
                 .ledger
-                .stand_in(&tenant.name, limit, &self.bounds, share, now);
+                .take_as_fallback(&tenant.name, limit, &self.bounds, share, now);
         drop(state);
         self.log.record(&Record::RateStoodIn {
             tenant: &tenant.name,
@@ -65,7 +65,7 @@
         members: &[CoordinatorCandidate],
         now: Instant,
     ) -> bool {
-        let Some(departed) = succession.gone(now) else {
+        let Some(departed) = succession.departed(now) else {
             return false;
         };
         let members = members.iter().map(|member| member.id.as_str());
@@ -114,7 +114,7 @@
                 tokens,
                 ..RateGrant::default()
             },
-            RateDecision::Empty { retry_after } => RateGrant {
+            RateDecision::Exhausted { retry_after } => RateGrant {
                 number: ask.number,
                 outcome: RateOutcome::Empty as i32,
                 retry_after_ms: u32::try_from(retry_after.as_millis()).unwrap_or(u32::MAX),
--- a/crates/edge/src/rates/mod.rs
+++ b/crates/edge/src/rates/mod.rs
@@ -2,7 +2,7 @@
 //! this daemon coordinates. A request without a token is refused, so the limits hold during partitions too.
 //!
 //! Until a failed coordinator is removed from the members, the next member by rendezvous hash acts as fallback and
-//! grants a bounded number of tokens ([`Succession`], [`RateLedger::stand_in`]).
+//! grants a bounded number of tokens ([`Succession`], [`RateLedger::take_as_fallback`]).
 
 mod granting;
 mod requests;
@@ -16,7 +16,7 @@
 use async_trait::async_trait;
 use harrierward_decisions::{DecisionLog, Record};
 use harrierward_serving::{Location, RateAnswer, RateLimits, SharedRoutes};
-use harrierward_tenants::{RateBounds, RateLedger, Succession, Tenant, TokenStock};
+use harrierward_tenants::{RateBounds, RateLedger, Succession, Tenant, TokenPool};
 use harrierward_wire::{NodeDatagram, RateGrant, encode, node_datagram};
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
@@ -32,7 +32,7 @@
 
 struct State {
     ledger: RateLedger,
-    pools: HashMap<Arc<str>, TokenStock>,
+    pools: HashMap<Arc<str>, TokenPool>,
     unresponsive_until: HashMap<String, Instant>,
     /// Another member has reported its recent fleet size, or could not be reached.
     fleet_size_reported: bool,
@@ -82,7 +82,7 @@
                 pools: HashMap::new(),
                 unresponsive_until: HashMap::new(),
                 fleet_size_reported: false,
-                succession: Succession::new(bounds.in_doubt_for(), harrierward_clock::now()),
+                succession: Succession::new(bounds.accounting_period(), harrierward_clock::now()),
             }),
         }
     }
@@ -99,7 +99,7 @@
     }
 
     fn note_running(&self, state: &mut State, now: Instant) {
-        if let Some(stall) = state.ledger.note_running(now) {
+        if let Some(stall) = state.ledger.detect_stall(now) {
             self.log.record(&Record::RatesStoodStill {
                 stood_still_ms: u64::try_from(stall.as_millis()).unwrap_or(u64::MAX),
             });
--- a/crates/edge/src/rates/requests.rs
+++ b/crates/edge/src/rates/requests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use harrierward_serving::Location;
-use harrierward_tenants::{RateDecision, Tenant, TokenStock};
+use harrierward_tenants::{RateDecision, Tenant, TokenPool};
 use harrierward_wire::{RateAsk, RateOutcome, node_datagram};
 use tokio::time::Instant;
 
@@ -60,7 +60,7 @@
         let (fleet_members, fleet_seen_ms_ago) = self.fleet.describe(now);
         let state = self.lock();
         let pool = state.pools.get(&tenant.name);
-        let requested = pool.map_or(1, TokenStock::wanted);
+        let requested = pool.map_or(1, TokenPool::wanted);
         RateAsk {
             number: self.next_call.fetch_add(1, Ordering::Relaxed),
             tenant: tenant.name.to_string(),
@@ -216,7 +216,7 @@
     fn grant_to_self(&self, tenant: &Tenant) -> TokenReply {
         match self.grant(tenant, 1) {
             Some(RateDecision::Granted { .. }) => TokenReply::Granted,
-            Some(RateDecision::Empty { retry_after }) => TokenReply::Exhausted(retry_after),
+            Some(RateDecision::Exhausted { retry_after }) => TokenReply::Exhausted(retry_after),
             None => TokenReply::NoReply,
         }
     }
--- a/crates/edge/src/slots/capacity.rs
+++ b/crates/edge/src/slots/capacity.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use harrierward_serving::{SlotAnswer, SlotQuery, expected_wait_ms};
-use harrierward_slots::{GroupId, Room};
+use harrierward_slots::{FreeCapacity, GroupId};
 use harrierward_wire::SlotGrant;
 use tokio::time::Instant;
 
@@ -17,23 +17,24 @@
 
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ReportedCapacity {
-    capacity: Room,
+    capacity: FreeCapacity,
     received_at: Instant,
 }
 
 impl SlotService {
     /// Returns the group's capacity if it was reported recently.
-    pub(super) fn reported_capacity(&self, service: u32, group: GroupId) -> Option<Room> {
+    pub(super) fn reported_capacity(&self, service: u32, group: GroupId) -> Option<FreeCapacity> {
         let state = self.lock();
         let reported = state.capacities.get(&(service, group))?;
         (harrierward_clock::age(reported.received_at) < CAPACITY_TTL).then_some(reported.capacity)
     }
 
-    pub(super) fn capacity(&self, service: u32, group: GroupId) -> Room {
-        self.reported_capacity(service, group).unwrap_or(Room {
-            free_permille: UNREPORTED_PERMILLE,
-            wait: Duration::ZERO,
-        })
+    pub(super) fn capacity(&self, service: u32, group: GroupId) -> FreeCapacity {
+        self.reported_capacity(service, group)
+            .unwrap_or(FreeCapacity {
+                free_permille: UNREPORTED_PERMILLE,
+                wait: Duration::ZERO,
+            })
     }
 
     /// Records the capacity in a reply. Replies without a choice and repeated ones carry none.
@@ -55,7 +56,7 @@
             let slots = view.by_hash(grant.replica).map(|replica| replica.slots());
             slots.map_or(Duration::ZERO, |slots| self.queue_wait(grant.load, slots))
         };
-        let capacity = Room {
+        let capacity = FreeCapacity {
             free_permille: grant.free_permille,
             wait,
         };
@@ -69,7 +70,7 @@
     }
 
     /// Records a group's capacity with the current time.
-    pub(super) fn set_capacity(&self, service: u32, group: GroupId, capacity: Room) {
+    pub(super) fn set_capacity(&self, service: u32, group: GroupId, capacity: FreeCapacity) {
         let reported = ReportedCapacity {
             capacity,
             received_at: harrierward_clock::now(),
@@ -95,7 +96,7 @@
             SlotAnswer::ComeBack { .. } => (0, query.objective),
             SlotAnswer::NoRoom | SlotAnswer::NoCoordinator | SlotAnswer::AllCold => return,
         };
-        let capacity = Room {
+        let capacity = FreeCapacity {
             free_permille,
             wait,
         };
--- a/crates/edge/src/slots/group_selection.rs
+++ b/crates/edge/src/slots/group_selection.rs
@@ -7,7 +7,7 @@
     LeaseEnd, LeftRegion, PromptLength, ROOMY_PERMILLE, Replica, SlotAnswer, SlotLeases, SlotQuery,
     Verdict, preference_weight, short_hash,
 };
-use harrierward_slots::{Crossing, GroupId, GroupLayout, is_better_off};
+use harrierward_slots::{GroupId, GroupLayout, SpillCost, should_spill};
 
 use super::capacity::UNREPORTED_PERMILLE;
 use super::index::GroupIndex;
@@ -242,8 +242,12 @@
         let cheaper = candidates.into_iter().filter_map(|group| {
             let other = self.capacity(service, group);
             let crossing = self.crossing(service, group, groups.query.objective)?;
-            let is_cheaper = is_better_off(&own, &other, &crossing);
-            is_cheaper.then_some((other.wait + crossing.way, rand::random::<u32>(), group))
+            let is_cheaper = should_spill(&own, &other, &crossing);
+            is_cheaper.then_some((
+                other.wait + crossing.network_delay,
+                rand::random::<u32>(),
+                group,
+            ))
         });
         let (_, _, group) = cheaper.min()?;
         Some(Target {
@@ -280,7 +284,7 @@
     }
 
     /// Returns the cost of using a group of another region; `None` if its coordinator is unknown or unresponsive.
-    fn crossing(&self, service: u32, group: GroupId, objective: Duration) -> Option<Crossing> {
+    fn crossing(&self, service: u32, group: GroupId, objective: Duration) -> Option<SpillCost> {
         let Coordinator::Peer(peer) = self.coordinator(service, group) else {
             return None;
         };
@@ -288,13 +292,13 @@
             return None;
         }
         let round_trip = self.calls.trips().mean(peer.location);
-        Some(Crossing {
+        Some(SpillCost {
             // Until a round trip is measured, the longest wait for a reply is assumed.
-            way: round_trip.map_or(objective / MAX_WAIT_DIVISOR, |round_trip| {
+            network_delay: round_trip.map_or(objective / MAX_WAIT_DIVISOR, |round_trip| {
                 round_trip * ROUND_TRIPS
             }),
-            price: Duration::from_secs_f64(self.costs.other_region_ms.max(0.0) / 1_000.0),
-            least_free_permille: ROOMY_PERMILLE,
+            penalty: Duration::from_secs_f64(self.costs.other_region_ms.max(0.0) / 1_000.0),
+            min_free_permille: ROOMY_PERMILLE,
         })
     }
 
--- a/crates/edge/src/slots/outcomes.rs
+++ b/crates/edge/src/slots/outcomes.rs
@@ -8,7 +8,7 @@
 use harrierward_decisions::Record;
 use harrierward_serving::{LeaseEnd, Mechanism, Replica, Verdict, short_hash};
 use harrierward_slots::{
-    GroupId, LeaseName, OutlierDetector, ProbeWork, RequestEnd, StandingChange, StandingEvent,
+    GroupId, LeaseId, OutlierDetector, ProbeWork, RequestOutcome, StatusChange, StatusEvent,
 };
 use harrierward_wire::{LeaseOutcome, OutcomeKind, SlotReport, node_datagram::Kind};
 
@@ -63,8 +63,8 @@
             return;
         }
         let listed = index.listed(key.0, key.1).iter();
-        let group = listed.filter(|replica| replica.accepts_work()).count();
-        let end = RequestEnd {
+        let group_size = listed.filter(|replica| replica.accepts_work()).count();
+        let outcome = RequestOutcome {
             replica: outcome.replica,
             lease: (holder, outcome.lease),
             kind: OutcomeKind::try_from(outcome.kind).unwrap_or(OutcomeKind::NoEvidence),
@@ -72,7 +72,7 @@
         };
         let mut state = self.lock();
         let detector = state.outliers.entry(key).or_default();
-        let Some(change) = detector.observe(end, group, harrierward_clock::now()) else {
+        let Some(change) = detector.observe(outcome, group_size, harrierward_clock::now()) else {
             return;
         };
         let ejected = ejected_count(&state);
@@ -95,11 +95,11 @@
         let Some(detector) = detector else {
             return vec![usable];
         };
-        let probed = detector.probed_by(work, harrierward_clock::now());
-        if detector.is_quiet() {
+        let probed = detector.probe_candidates(work, harrierward_clock::now());
+        if detector.has_no_outliers() {
             return vec![usable];
         }
-        let ejected = detector.out();
+        let ejected = detector.ejected();
         let in_service = usable
             .iter()
             .filter(|replica| !ejected.contains(&replica.hash));
@@ -127,7 +127,7 @@
     /// Returns the ejected replicas of a coordinated group.
     pub(super) fn ejected(state: &State, service: u32, group: GroupId) -> HashSet<u32> {
         let detector = state.outliers.get(&(service, group));
-        detector.map(OutlierDetector::out).unwrap_or_default()
+        detector.map(OutlierDetector::ejected).unwrap_or_default()
     }
 
     /// Records a lease granted in a coordinated group; returns true if its request is a probe.
@@ -136,7 +136,7 @@
         service: &str,
         group: GroupId,
         replica: &Replica,
-        lease: LeaseName,
+        lease: LeaseId,
     ) -> bool {
         let mut state = self.lock();
         let detector = state.outliers.get_mut(&(short_hash(service), group));
@@ -176,7 +176,7 @@
             if !is_own || listed.is_empty() {
                 state.outliers.remove(&(service, group));
             } else if let Some(detector) = state.outliers.get_mut(&(service, group)) {
-                detector.keep_only(&listed);
+                detector.retain_listed(&listed);
             }
             let ejected = ejected_count(&state);
             drop(state);
@@ -189,13 +189,13 @@
         }
     }
 
-    fn log_change(&self, replica: &Replica, change: &StandingChange, ejected: u64) {
-        let (outcome, absence, share_permille) = match change.what {
-            StandingEvent::Ejected(absence) => ("ejected", absence, 0),
-            StandingEvent::Spared => ("spared", Duration::ZERO, FULL_SHARE),
-            StandingEvent::Returned => ("returned", Duration::ZERO, FULL_SHARE),
-            StandingEvent::Slowed(share) => ("slowed", Duration::ZERO, share),
-            StandingEvent::Restored => ("restored", Duration::ZERO, FULL_SHARE),
+    fn log_change(&self, replica: &Replica, change: &StatusChange, ejected: u64) {
+        let (outcome, absence, share_permille) = match change.event {
+            StatusEvent::Ejected(absence) => ("ejected", absence, 0),
+            StatusEvent::Spared => ("spared", Duration::ZERO, FULL_SHARE),
+            StatusEvent::Returned => ("returned", Duration::ZERO, FULL_SHARE),
+            StatusEvent::Slowed(share) => ("slowed", Duration::ZERO, share),
+            StatusEvent::Restored => ("restored", Duration::ZERO, FULL_SHARE),
         };
         self.log.record(&Record::ReplicaStanding {
             replica: &replica.record.id,
@@ -204,7 +204,7 @@
             share_permille,
             outcomes: change.outcomes,
             failures: change.failures,
-            in_a_row: change.in_a_row,
+            in_a_row: change.consecutive_failures,
             window_ms: u64::from(millis(change.window)),
             others_permille: change.others_permille,
             ejected,
@@ -215,7 +215,7 @@
 /// Returns the number of ejected replicas in all coordinated groups.
 fn ejected_count(state: &State) -> u64 {
     let detectors = state.outliers.values();
-    detectors.map(OutlierDetector::out_count).sum()
+    detectors.map(OutlierDetector::ejected_count).sum()
 }
 
 fn kind_of(verdict: Verdict) -> OutcomeKind {
--- a/crates/edge/src/slots/reports.rs
+++ b/crates/edge/src/slots/reports.rs
@@ -15,7 +15,7 @@
 impl SlotService {
     /// Feeds the hold times of released leases to admission control.
     pub(super) fn observe_hold_times(&self, state: &mut State) {
-        let ended = state.ledger.take_ended();
+        let ended = state.ledger.take_released();
         let view = self.replicas.view();
         for lease in ended {
             let Some(replica) = view.by_hash(lease.replica) else {
@@ -34,7 +34,7 @@
             let mut state = self.lock();
             state
                 .ledger
-                .take_report(report, from, harrierward_clock::now());
+                .apply_report(report, from, harrierward_clock::now());
             self.observe_hold_times(&mut state);
         }
         self.take_outcomes(report);
@@ -105,7 +105,7 @@
             }
             for (address, replicas) in held_with {
                 let is_held_there = |replica| replicas.contains(&replica);
-                let report = state.held.whole_report(self.holder, now, is_held_there);
+                let report = state.held.full_report(self.holder, now, is_held_there);
                 if !report.held.is_empty() {
                     state.reported_to.insert(address);
                 }
--- a/crates/slots/src/ejection.rs
+++ b/crates/slots/src/ejection.rs
@@ -1,7 +1,7 @@
-//! Outlier detection over the replicas of one group, as their coordinator sees their requests end: pure.
+//! Outlier detection over the replicas of one group, from the outcomes that their coordinator receives. Pure.
 //!
-//! A replica that fails is judged against the others of its group only: what all do alike is the load's or the
-//! service's doing, and taking replicas out would make it worse. What is known is a hint and dies with the coordinator.
+//! A replica is compared with the others of its group only: ejecting replicas for failures that all of them share
+//! would make an overload worse. The state is a hint and isn't persisted.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -9,208 +9,205 @@
 use harrierward_wire::OutcomeKind;
 use tokio::time::Instant;
 
-use crate::bad_luck::{stands_out, usual_rate};
 use crate::outcome_window::{OutcomeWindow, median};
+use crate::significance::{baseline_rate, is_outlier};
 
-/// Share of a group's replicas that may be out at the same time, in percent: beyond it the others would not bear the
-/// load, and the fault is hardly the replicas'.
-const MOST_OUT_PERCENT: usize = 50;
+/// Maximum share of a group's replicas that may be ejected at a time, in percent; the others must sustain the load.
+const MAX_EJECTED_PERCENT: usize = 50;
 
-/// How long a replica is ejected for the first time, and how often that doubles at most.
-const FIRST_ABSENCE: Duration = Duration::from_millis(1_000);
-const MOST_DOUBLINGS: u32 = 5;
+/// Time of the first ejection, and how often it may double for repeated ones.
+const BASE_EJECTION_TIME: Duration = Duration::from_millis(1_000);
+const MAX_DOUBLINGS: u32 = 5;
 
-/// Time in service after which an earlier ejection is forgotten.
-const FORGIVEN_AFTER: Duration = Duration::from_secs(30);
+/// Time in service after which the count of ejections is reset.
+const EJECTION_RESET_AFTER: Duration = Duration::from_secs(30);
 
-/// Probes that must be served before a replica returns.
+/// Consecutive successful probes after which a replica returns to service.
 const PROBES_TO_RETURN: u32 = 3;
 
-/// How long the end of a probe is waited for before another is sent: an item may run for long, and a report may have
-/// been lost. What fails a request does so in less.
-const PROBE_PATIENCE: Duration = Duration::from_secs(1);
+/// Time after which an unanswered probe is replaced: a batch item may run for long, and reports may be lost.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long after its absence a replica waits for items to probe it, and for work that may be repeated before any
-/// work may.
-const ITEMS_FIRST: Duration = Duration::from_millis(150);
-const REPEATABLE_FIRST: Duration = Duration::from_millis(2_000);
+/// Time after an ejection's end from which repeatable requests may probe besides batch items, and from which any
+/// request may if there is no repeatable work.
+const REPEATABLE_PROBE_DELAY: Duration = Duration::from_millis(150);
+const ONCE_ONLY_PROBE_DELAY: Duration = Duration::from_millis(2_000);
 
-/// Samples from which the time to the first event is compared, and how many times the others' it must be to count as
-/// slow.
-const LEAST_TIMED: usize = 6;
+/// Samples needed to compare times to the first event, and the factor above the others' at which a replica is slow.
+const MIN_TIMINGS: usize = 6;
 const SLOW_FACTOR: f64 = 4.0;
 
-/// Least difference from the others' time to the first event, milliseconds.
-const LEAST_SLOW_MS: f64 = 100.0;
+/// Minimum difference from the others' time to the first event, milliseconds.
+const MIN_SLOW_EXCESS_MS: f64 = 100.0;
 
-/// Share of its new work that even the slowest replica keeps, so that its recovery is seen.
-const LEAST_SHARE: f64 = 0.05;
+/// Minimum share of new work that a slow replica keeps, so that its recovery is observed.
+const MIN_SHARE: f64 = 0.05;
 
-/// The lease of a request: its holder and its number there.
-pub type LeaseName = (u64, u32);
+/// Identifies a lease by its holder and the holder's number for it.
+pub type LeaseId = (u64, u32);
 
-/// The end of one request.
+/// The outcome of one request, reported by its holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RequestEnd {
-    /// Its replica.
+pub struct RequestOutcome {
+    /// Hash of the replica's id.
     pub replica: u32,
-    /// Its lease.
-    pub lease: LeaseName,
-    /// How it ended.
+    /// Lease under which the request ran.
+    pub lease: LeaseId,
+    /// Classification by the holder.
     pub kind: OutcomeKind,
-    /// Time to the first event; zero if that says nothing.
+    /// Time to the first event; zero if it wasn't measured or isn't comparable.
     pub first_event: Duration,
 }
 
-/// What kind of work may try a replica that was ejected.
+/// Work that may probe an ejected replica, in the order of preference.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeWork {
-    /// A batch item.
+    /// A batch item; it can run again.
     Item,
-    /// A request that may be sent again elsewhere.
+    /// A request that may be sent again to another replica.
     Repeatable,
-    /// A request that may run once only.
+    /// A request that must run at most once.
     OnceOnly,
 }
 
-/// A change of a replica's standing, with what it rests on.
+/// A change of a replica's status, with the evidence for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StandingChange {
-    /// The replica.
+pub struct StatusChange {
+    /// Hash of the replica's id.
     pub replica: u32,
-    /// What changed.
-    pub what: StandingEvent,
-    /// Outcomes counted, and failures among them.
+    /// The transition.
+    pub event: StatusEvent,
+    /// Number of outcomes in the window.
     pub outcomes: u32,
-    /// Failures among them.
+    /// Number of failures in the window.
     pub failures: u32,
-    /// Failures in a row up to now.
-    pub in_a_row: u32,
-    /// Age of the oldest outcome counted.
+    /// Number of failures since the last success.
+    pub consecutive_failures: u32,
+    /// Age of the oldest outcome in the window.
     pub window: Duration,
-    /// Share of failures of the group's others, in thousandths.
+    /// Failure rate of the group's other replicas, in thousandths.
     pub others_permille: u32,
 }
 
-/// What changed of a replica's standing.
+/// Transition of a replica's status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StandingEvent {
-    /// It gets no work for so long.
+pub enum StatusEvent {
+    /// Ejected for this time.
     Ejected(Duration),
-    /// It would be ejected, but as many of its group are out as may be.
+    /// Outlier that isn't ejected since the group is at its limit of ejections.
     Spared,
-    /// It gets work again.
+    /// Back in service after its probes succeeded.
     Returned,
-    /// Its first events come late: it gets this part of its new work, in thousandths.
+    /// Slow to the first event: its share of new work is reduced to this value, in thousandths.
     Slowed(u32),
-    /// It gets all of its new work again.
+    /// No longer slow: its full share of new work is restored.
     Restored,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum Status {
     InService,
-    Out {
+    Ejected {
         until: Instant,
-        good_probes: u32,
-        probe: Option<(LeaseName, Instant)>,
+        successful_probes: u32,
+        probe: Option<(LeaseId, Instant)>,
     },
 }
 
 #[derive(Debug)]
-struct Watched {
+struct ReplicaState {
     window: OutcomeWindow,
-    standing: Standing,
+    status: Status,
     ejections: u32,
-    since: Instant,
+    in_service_since: Instant,
     spared_at: Option<Instant>,
 }
 
-impl Watched {
+impl ReplicaState {
     fn new(now: Instant) -> Self {
         Self {
             window: OutcomeWindow::default(),
-            standing: Standing::InService,
+            status: Status::InService,
             ejections: 0,
-            since: now,
+            in_service_since: now,
             spared_at: None,
         }
     }
 
-    fn is_out(&self) -> bool {
-        self.standing != Standing::InService
+    fn is_ejected(&self) -> bool {
+        self.status != Status::InService
     }
 }
 
-/// The replicas of one group, as their requests end.
+/// Health of the replicas of one group.
 #[derive(Debug, Default)]
 pub struct OutlierDetector {
-    watched: HashMap<u32, Watched>,
+    replicas: HashMap<u32, ReplicaState>,
     shares: HashMap<u32, f64>,
     last_repeatable: Option<Instant>,
 }
 
 impl OutlierDetector {
-    /// Replicas that get no work now.
-    pub fn out(&self) -> HashSet<u32> {
-        let out = self.watched.iter().filter(|(_, one)| one.is_out());
-        out.map(|(replica, _)| *replica).collect()
+    /// Returns the replicas that are ejected.
+    pub fn ejected(&self) -> HashSet<u32> {
+        let ejected = self.replicas.iter().filter(|(_, state)| state.is_ejected());
+        ejected.map(|(replica, _)| *replica).collect()
     }
 
-    /// Number of replicas that get no work now.
-    pub fn out_count(&self) -> u64 {
-        self.watched
+    /// Returns the number of ejected replicas.
+    pub fn ejected_count(&self) -> u64 {
+        self.replicas
             .values()
-            .map(|one| u64::from(one.is_out()))
+            .map(|state| u64::from(state.is_ejected()))
             .sum()
     }
 
-    /// True if no replica is out and none is slow.
-    pub fn is_quiet(&self) -> bool {
-        self.shares.is_empty() && !self.watched.values().any(Watched::is_out)
+    /// True if no replica is ejected and none is slow.
+    pub fn has_no_outliers(&self) -> bool {
+        self.shares.is_empty() && !self.replicas.values().any(ReplicaState::is_ejected)
     }
 
-    /// Part of its new work that a replica still gets; 1 unless it is slow beside the others.
+    /// Returns the share of its new work that a replica receives; 1 unless it is slow compared with the others.
     pub fn share(&self, replica: u32) -> f64 {
         self.shares.get(&replica).copied().unwrap_or(1.0)
     }
 
-    /// Forgets replicas that are not listed any more.
-    pub fn keep_only(&mut self, listed: &HashSet<u32>) {
-        self.watched.retain(|replica, _| listed.contains(replica));
+    /// Removes the state of replicas that aren't in `listed`.
+    pub fn retain_listed(&mut self, listed: &HashSet<u32>) {
+        self.replicas.retain(|replica, _| listed.contains(replica));
         self.shares.retain(|replica, _| listed.contains(replica));
     }
 
-    /// Replicas that this work may try now; one request at a time each.
-    pub fn probed_by(&mut self, work: ProbeWork, now: Instant) -> Vec<u32> {
+    /// Returns the ejected replicas that this work may probe now; those with a probe in progress aren't among them.
+    pub fn probe_candidates(&mut self, work: ProbeWork, now: Instant) -> Vec<u32> {
         if work != ProbeWork::OnceOnly {
             self.last_repeatable = Some(now);
         }
-        let hardly_repeatable = self
+        let lacks_repeatable = self
             .last_repeatable
-            .is_none_or(|last| now.saturating_duration_since(last) >= REPEATABLE_FIRST);
-        let due = self.watched.iter().filter(|(_, one)| {
-            let Standing::Out { until, probe, .. } = one.standing else {
+            .is_none_or(|last| now.saturating_duration_since(last) >= ONCE_ONLY_PROBE_DELAY);
+        let due = self.replicas.iter().filter(|(_, state)| {
+            let Status::Ejected { until, probe, .. } = state.status else {
                 return false;
             };
             let may_probe = match work {
                 ProbeWork::Item => now >= until,
-                ProbeWork::Repeatable => now >= until + ITEMS_FIRST,
-                ProbeWork::OnceOnly => hardly_repeatable && now >= until + REPEATABLE_FIRST,
+                ProbeWork::Repeatable => now >= until + REPEATABLE_PROBE_DELAY,
+                ProbeWork::OnceOnly => lacks_repeatable && now >= until + ONCE_ONLY_PROBE_DELAY,
             };
-            may_probe && !is_probed(probe, now)
+            may_probe && !is_probing(probe, now)
         });
         due.map(|(replica, _)| *replica).collect()
     }
 
-    /// A lease was granted at the replica. True if its request is a probe; one beside a probe that still runs is none,
-    /// else the probe's end would never be taken where requests keep coming.
-    pub fn note_grant(&mut self, replica: u32, lease: LeaseName, now: Instant) -> bool {
-        let Some(watched) = self.watched.get_mut(&replica) else {
+    /// Records a grant at the replica. True if it becomes the replica's probe; a grant during a probe doesn't replace
+    /// it, or under steady load no probe would ever complete.
+    pub fn note_grant(&mut self, replica: u32, lease: LeaseId, now: Instant) -> bool {
+        let Some(state) = self.replicas.get_mut(&replica) else {
             return false;
         };
-        match &mut watched.standing {
-            Standing::Out { until, probe, .. } if now >= *until && !is_probed(*probe, now) => {
+        match &mut state.status {
+            Status::Ejected { until, probe, .. } if now >= *until && !is_probing(*probe, now) => {
                 *probe = Some((lease, now));
                 true
             }
@@ -218,163 +215,163 @@
         }
     }
 
-    /// A request has ended. `group` is the number of the group's replicas that could take work.
+    /// Records a request's outcome. `group` is the number of the group's replicas that can take work.
     pub fn observe(
         &mut self,
-        end: RequestEnd,
+        outcome: RequestOutcome,
         group: usize,
         now: Instant,
-    ) -> Option<StandingChange> {
-        if let Some(watched) = self.watched.get(&end.replica).filter(|one| one.is_out()) {
-            let Standing::Out { probe, .. } = watched.standing else {
+    ) -> Option<StatusChange> {
+        if let Some(state) = self
+            .replicas
+            .get(&outcome.replica)
+            .filter(|state| state.is_ejected())
+        {
+            let Status::Ejected { probe, .. } = state.status else {
                 return None;
             };
-            // What was sent before it was ejected says nothing new.
-            let is_probe = probe.is_some_and(|(lease, _)| lease == end.lease);
-            return is_probe.then(|| self.take_probe(end, now)).flatten();
+            // Outcomes of requests sent before the ejection are no new evidence.
+            let is_probe = probe.is_some_and(|(lease, _)| lease == outcome.lease);
+            return is_probe.then(|| self.apply_probe(outcome, now)).flatten();
         }
-        let is_failure = is_failure(end.kind)?;
-        let watched = self.watched.entry(end.replica);
-        let watched = watched.or_insert_with(|| Watched::new(now));
-        watched.window.add(is_failure, now);
+        let is_failure = is_failure(outcome.kind)?;
+        let state = self.replicas.entry(outcome.replica);
+        let state = state.or_insert_with(|| ReplicaState::new(now));
+        state.window.add(is_failure, now);
         if is_failure {
-            return self.judge(end.replica, group, now);
+            return self.evaluate(outcome.replica, group, now);
         }
-        if !end.first_event.is_zero() && watched.window.time(end.first_event, now) {
-            return self.compare_times(end.replica, now);
+        if !outcome.first_event.is_zero() && state.window.add_timing(outcome.first_event, now) {
+            return self.compare_times(outcome.replica, now);
         }
         None
     }
 
-    /// Ejects a replica that fails as the others do not, as far as the bound allows.
-    fn judge(&mut self, replica: u32, group: usize, now: Instant) -> Option<StandingChange> {
+    /// Ejects the replica if it is an outlier, within the limit of ejections.
+    fn evaluate(&mut self, replica: u32, group: usize, now: Instant) -> Option<StatusChange> {
         let others = self.others_rate(replica, now)?;
-        let watched = self.watched.get(&replica)?;
-        if !stands_out(&watched.window.summary(now), others) {
+        let state = self.replicas.get(&replica)?;
+        if !is_outlier(&state.window.summary(now), others) {
             return None;
         }
-        let is_full = self.out_count() >= most_out(group);
-        let watched = self.watched.get_mut(&replica)?;
-        if is_full {
-            let told = watched.spared_at;
-            if told.is_some_and(|at| now < at + FIRST_ABSENCE) {
+        let is_at_limit = self.ejected_count() >= max_ejected(group);
+        let state = self.replicas.get_mut(&replica)?;
+        if is_at_limit {
+            let last_spared = state.spared_at;
+            if last_spared.is_some_and(|at| now < at + BASE_EJECTION_TIME) {
                 return None;
             }
-            watched.spared_at = Some(now);
-            return Some(self.change(replica, StandingEvent::Spared, others, now));
+            state.spared_at = Some(now);
+            return Some(self.change(replica, StatusEvent::Spared, others, now));
         }
-        if now.saturating_duration_since(watched.since) >= FORGIVEN_AFTER {
-            watched.ejections = 0;
+        if now.saturating_duration_since(state.in_service_since) >= EJECTION_RESET_AFTER {
+            state.ejections = 0;
         }
-        let absence = watched.eject(now);
-        Some(self.change(replica, StandingEvent::Ejected(absence), others, now))
+        let ejection_time = state.eject(now);
+        Some(self.change(replica, StatusEvent::Ejected(ejection_time), others, now))
     }
 
-    fn take_probe(&mut self, end: RequestEnd, now: Instant) -> Option<StandingChange> {
-        let watched = self.watched.get_mut(&end.replica)?;
-        let Standing::Out {
-            good_probes, probe, ..
-        } = &mut watched.standing
+    fn apply_probe(&mut self, outcome: RequestOutcome, now: Instant) -> Option<StatusChange> {
+        let state = self.replicas.get_mut(&outcome.replica)?;
+        let Status::Ejected {
+            successful_probes,
+            probe,
+            ..
+        } = &mut state.status
         else {
             return None;
         };
         *probe = None;
-        let is_failure = is_failure(end.kind)?;
-        let what = if is_failure {
-            watched.window.add(true, now);
-            StandingEvent::Ejected(watched.eject(now))
+        let is_failure = is_failure(outcome.kind)?;
+        let event = if is_failure {
+            state.window.add(true, now);
+            StatusEvent::Ejected(state.eject(now))
         } else {
-            *good_probes += 1;
-            if *good_probes < PROBES_TO_RETURN {
+            *successful_probes += 1;
+            if *successful_probes < PROBES_TO_RETURN {
                 return None;
             }
-            watched.standing = Standing::InService;
-            self.shares.remove(&end.replica);
-            watched.window = OutcomeWindow::default();
-            watched.since = now;
-            StandingEvent::Returned
+            state.status = Status::InService;
+            self.shares.remove(&outcome.replica);
+            state.window = OutcomeWindow::default();
+            state.in_service_since = now;
+            StatusEvent::Returned
         };
-        let others = self.others_rate(end.replica, now).unwrap_or_default();
-        Some(self.change(end.replica, what, others, now))
+        let others = self.others_rate(outcome.replica, now).unwrap_or_default();
+        Some(self.change(outcome.replica, event, others, now))
     }
 
-    /// Share of failures that is usual among the others in service. `None` if nothing is known of any.
+    /// Returns the baseline failure rate of the other replicas in service; `None` without outcomes.
     fn others_rate(&self, replica: u32, now: Instant) -> Option<f64> {
-        let others = self.watched.iter();
-        let others = others.filter(|(other, one)| **other != replica && !one.is_out());
-        let others = others.map(|(_, one)| one.window.summary(now));
-        usual_rate(others.collect())
+        let others = self.replicas.iter();
+        let others = others.filter(|(other, state)| **other != replica && !state.is_ejected());
+        let others = others.map(|(_, state)| state.window.summary(now));
+        baseline_rate(others.collect())
     }
 
-    /// Looks anew whether a replica's first events come late beside the others'. Tells when that changes.
-    fn compare_times(&mut self, replica: u32, now: Instant) -> Option<StandingChange> {
-        let own = self.watched.get(&replica)?;
-        let own = own.window.first_event_ms(LEAST_TIMED, now)?;
-        let others = self.watched.iter().filter(|(other, _)| **other != replica);
-        let others = others.filter_map(|(_, one)| one.window.first_event_ms(LEAST_TIMED, now));
+    /// Updates whether the replica is slow compared with the others; returns the change, if any.
+    fn compare_times(&mut self, replica: u32, now: Instant) -> Option<StatusChange> {
+        let own = self.replicas.get(&replica)?;
+        let own = own.window.first_event_ms(MIN_TIMINGS, now)?;
+        let others = self.replicas.iter().filter(|(other, _)| **other != replica);
+        let others = others.filter_map(|(_, state)| state.window.first_event_ms(MIN_TIMINGS, now));
         let usual = median(others.collect())?;
-        let is_slow = own >= usual * SLOW_FACTOR && own >= usual + LEAST_SLOW_MS;
-        let what = if is_slow {
-            let share = (usual * SLOW_FACTOR / 2.0 / own).max(LEAST_SHARE);
+        let is_slow = own >= usual * SLOW_FACTOR && own >= usual + MIN_SLOW_EXCESS_MS;
+        let event = if is_slow {
+            let share = (usual * SLOW_FACTOR / 2.0 / own).max(MIN_SHARE);
             let was_slow = self.shares.insert(replica, share).is_some();
-            (!was_slow).then(|| StandingEvent::Slowed(permille(share)))
+            (!was_slow).then(|| StatusEvent::Slowed(permille(share)))
         } else {
             let was_slow = self.shares.remove(&replica).is_some();
-            was_slow.then_some(StandingEvent::Restored)
+            was_slow.then_some(StatusEvent::Restored)
         };
         let others = self.others_rate(replica, now).unwrap_or_default();
-        what.map(|what| self.change(replica, what, others, now))
+        event.map(|event| self.change(replica, event, others, now))
     }
 
-    fn change(
-        &self,
-        replica: u32,
-        what: StandingEvent,
-        others: f64,
-        now: Instant,
-    ) -> StandingChange {
+    fn change(&self, replica: u32, event: StatusEvent, others: f64, now: Instant) -> StatusChange {
         let window = self
-            .watched
+            .replicas
             .get(&replica)
-            .map(|one| one.window.summary(now));
+            .map(|state| state.window.summary(now));
         let window = window.unwrap_or_default();
-        StandingChange {
+        StatusChange {
             replica,
-            what,
+            event,
             outcomes: window.outcomes,
             failures: window.failures,
-            in_a_row: window.in_a_row,
+            consecutive_failures: window.consecutive_failures,
             window: window.age,
             others_permille: permille(others),
         }
     }
 }
 
-impl Watched {
+impl ReplicaState {
     fn eject(&mut self, now: Instant) -> Duration {
-        let absence = FIRST_ABSENCE * (1 << self.ejections.min(MOST_DOUBLINGS));
+        let ejection_time = BASE_EJECTION_TIME * (1 << self.ejections.min(MAX_DOUBLINGS));
         self.ejections += 1;
-        self.standing = Standing::Out {
-            until: now + absence,
-            good_probes: 0,
+        self.status = Status::Ejected {
+            until: now + ejection_time,
+            successful_probes: 0,
             probe: None,
         };
-        absence
+        ejection_time
     }
 }
 
-/// True while the end of a probe is waited for.
-fn is_probed(probe: Option<(LeaseName, Instant)>, now: Instant) -> bool {
-    probe.is_some_and(|(_, at)| now < at + PROBE_PATIENCE)
+/// True while a probe is in progress and hasn't timed out.
+fn is_probing(probe: Option<(LeaseId, Instant)>, now: Instant) -> bool {
+    probe.is_some_and(|(_, at)| now < at + PROBE_TIMEOUT)
 }
 
-/// Replicas of a group of this size that may be out at the same time: one at least where there is another.
-fn most_out(group: usize) -> u64 {
-    let share = group * MOST_OUT_PERCENT / 100;
+/// Returns the limit of ejections for a group of this size; at least 1 if it has several replicas.
+fn max_ejected(group: usize) -> u64 {
+    let share = group * MAX_EJECTED_PERCENT / 100;
     share.max(usize::from(group > 1)) as u64
 }
 
-/// Whether an outcome is a failure of the replica; `None` if it says nothing.
+/// Whether an outcome is a failure of the replica; `None` if it is no evidence.
 fn is_failure(kind: OutcomeKind) -> Option<bool> {
     match kind {
         OutcomeKind::NoEvidence | OutcomeKind::NotSent => None,
--- a/crates/slots/tests/ledger.rs
+++ b/crates/slots/tests/ledger.rs
@@ -53,8 +53,8 @@
         released: vec![1],
         ..SlotReport::default()
     };
-    ledger.take_report(&released, address(1), now);
-    ledger.take_report(&released, address(1), now);
+    ledger.apply_report(&released, address(1), now);
+    ledger.apply_report(&released, address(1), now);
     assert_eq!(ledger.counts(REPLICA), counts(0, 1));
 }
 
@@ -72,7 +72,7 @@
         ..SlotReport::default()
     };
     let last = now + HOLDER_LIFETIME - millis(1);
-    ledger.take_report(&released, address(1), last);
+    ledger.apply_report(&released, address(1), last);
     assert_eq!(ledger.counts(REPLICA), counts(2, 0), "in time");
     let late = last + HOLDER_LIFETIME;
     ledger.grant(HOLDER, address(1), 4, REPLICA, SlotUse::Online, late);
@@ -98,9 +98,9 @@
             }],
             ..SlotReport::default()
         };
-        ledger.take_report(&released, address(1), now + millis(40));
+        ledger.apply_report(&released, address(1), now + millis(40));
         assert_eq!(ledger.counts(REPLICA), counts(0, 0));
-        assert_eq!(ledger.take_ended().len(), expected, "{kind:?}");
+        assert_eq!(ledger.take_released().len(), expected, "{kind:?}");
     }
 }
 
@@ -114,9 +114,9 @@
     }
     let elsewhere = held.next_number();
     held.take(elsewhere, OTHER_REPLICA, SlotUse::Online);
-    let report = held.whole_report(HOLDER, now, |replica| replica == REPLICA);
+    let report = held.full_report(HOLDER, now, |replica| replica == REPLICA);
     let mut ledger = SlotLedger::default();
-    ledger.take_report(&report, address(1), now);
+    ledger.apply_report(&report, address(1), now);
     assert_eq!(ledger.counts(REPLICA), counts(1, 1));
     assert_eq!(ledger.counts(OTHER_REPLICA), counts(0, 0));
 }
@@ -134,10 +134,10 @@
     for lease in [awaited, given_up] {
         ledger.grant(HOLDER, address(1), lease, REPLICA, SlotUse::Online, now);
     }
-    let report = held.whole_report(HOLDER, now, |_| true);
+    let report = held.full_report(HOLDER, now, |_| true);
     let later = held.next_number();
     ledger.grant(HOLDER, address(1), later, REPLICA, SlotUse::Online, now);
-    ledger.take_report(&report, address(1), now);
+    ledger.apply_report(&report, address(1), now);
     assert_eq!(ledger.replica_of(HOLDER, awaited), Some(REPLICA));
     assert_eq!(ledger.replica_of(HOLDER, given_up), None);
     assert_eq!(ledger.replica_of(HOLDER, later), Some(REPLICA));
@@ -153,8 +153,8 @@
     ledger.grant(9, address(3), 1, OTHER_REPLICA, item(now, 5_000), now);
     let ended = ledger.most_slack(REPLICA, now).expect("an item");
     assert_eq!((ended.holder, ended.lease), (address(2), 1));
-    ledger.note_ending(ended, now);
-    ledger.note_ending(ended, now);
+    ledger.note_preempted(ended, now);
+    ledger.note_preempted(ended, now);
     assert_eq!(ledger.counts(REPLICA), counts(0, 1));
     let next = ledger.most_slack(REPLICA, now).expect("the other one");
     assert_eq!(next.holder, address(1));
@@ -162,11 +162,11 @@
     let mut held = HeldSlots::default();
     let lease = held.next_number();
     held.take(lease, REPLICA, item(now, 900));
-    let early = held.whole_report(8, now, |_| true);
-    ledger.take_report(&early, address(2), now + millis(100));
+    let early = held.full_report(8, now, |_| true);
+    ledger.apply_report(&early, address(2), now + millis(100));
     assert_eq!(ledger.counts(REPLICA), counts(0, 1), "it is just ending");
-    let late = held.whole_report(8, now, |_| true);
-    ledger.take_report(&late, address(2), now + millis(600));
+    let late = held.full_report(8, now, |_| true);
+    ledger.apply_report(&late, address(2), now + millis(600));
     assert_eq!(ledger.counts(REPLICA), counts(0, 2), "the order was lost");
 }
 
@@ -300,7 +300,7 @@
                         ..SlotReport::default()
                     };
                     if reported {
-                        ledger.take_report(&report, address(1), now);
+                        ledger.apply_report(&report, address(1), now);
                     }
                 }
                 Event::Release { pick, reported } => {
@@ -316,19 +316,19 @@
                         ..SlotReport::default()
                     };
                     if reported {
-                        ledger.take_report(&report, address(1), now);
+                        ledger.apply_report(&report, address(1), now);
                     }
                 }
                 Event::Whole { reported } => {
-                    let report = held.whole_report(HOLDER, now, |_| true);
+                    let report = held.full_report(HOLDER, now, |_| true);
                     if reported {
-                        ledger.take_report(&report, address(1), now);
+                        ledger.apply_report(&report, address(1), now);
                     }
                 }
             }
         }
-        let report = held.whole_report(HOLDER, now, |_| true);
-        ledger.take_report(&report, address(1), now);
+        let report = held.full_report(HOLDER, now, |_| true);
+        ledger.apply_report(&report, address(1), now);
         let mut wanted: HashMap<u32, u32> = HashMap::new();
         for replica in truth.values() {
             *wanted.entry(*replica).or_default() += 1;
--- a/crates/slots/tests/pacer.rs
+++ b/crates/slots/tests/pacer.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use harrierward_slots::{COLD_GRANT_LIFETIME, ColdPace, ColdPacer, ColdUse};
-use harrierward_tenants::{FleetMemory, RateBounds, RateLimit};
+use harrierward_tenants::{FleetSizes, RateBounds, RateLimit};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -47,7 +47,7 @@
 
 struct Daemon {
     pacer: ColdPacer<u32>,
-    fleet: FleetMemory,
+    fleet: FleetSizes,
     view: BTreeSet<usize>,
     refresh_at: Option<Instant>,
     lives: bool,
@@ -60,8 +60,8 @@
 
 impl Daemon {
     fn start(side: usize, view: BTreeSet<usize>, now: Instant) -> Self {
-        let mut fleet = FleetMemory::new(true, now);
-        fleet.see(view.len(), now);
+        let mut fleet = FleetSizes::new(true, now);
+        fleet.observe(view.len(), now);
         Self {
             pacer: ColdPacer::new(now),
             fleet,
@@ -170,7 +170,7 @@
                 let mut view = self.reachable(self.daemons[number].side);
                 view.insert(number);
                 let daemon = &mut self.daemons[number];
-                daemon.fleet.see(view.len(), self.now);
+                daemon.fleet.observe(view.len(), self.now);
                 daemon.view = view;
                 daemon.refresh_at = None;
             }
@@ -205,7 +205,7 @@
         let pace = self.pace(coordinator);
         let (now, usage) = (self.now, ColdUse::Online);
         let pacer = &mut self.daemons[coordinator].pacer;
-        pacer.has_room(&GROUP, REPLICA, pace, usage, &BOUNDS, now)
+        pacer.has_capacity(&GROUP, REPLICA, pace, usage, &BOUNDS, now)
             && pacer.take(&GROUP, REPLICA, pace, &BOUNDS, now)
     }
 
@@ -318,7 +318,7 @@
 }
 
 fn bound() -> f64 {
-    BOUNDS.most_in_window(limit(BEARS))
+    BOUNDS.max_in_window(limit(BEARS))
 }
 
 proptest! {
@@ -345,11 +345,11 @@
     ) {
         let bounds = RateBounds { window: Duration::from_secs(1), excess: over, slack };
         let limit = RateLimit::new(per_second, 0.0).expect("a rate");
-        let most = bounds.most_in_window(limit);
+        let most = bounds.max_in_window(limit);
         let counted_over = (bounds.window + COLD_GRANT_LIFETIME).as_secs_f64();
         let given = |share: f64| {
             let pace = ColdPace::of(&bounds, limit, share);
-            if pace.saved < 1.0 { 0.0 } else { pace.saved + pace.per_second * counted_over }
+            if pace.burst < 1.0 { 0.0 } else { pace.burst + pace.per_second * counted_over }
         };
         prop_assert!(given(1.0) * 2.0 <= most + 1e-9);
         let all: f64 = shares.iter().sum();
@@ -389,7 +389,7 @@
         });
         plays.max().expect("plays") as f64
     };
-    let bound = BOUNDS.most_in_window(limit(BUSY));
+    let bound = BOUNDS.max_in_window(limit(BUSY));
     assert!(most(Fault::None) <= bound);
     let unsafe_one = most(Fault::IgnoresLifetime);
     assert!(unsafe_one > bound, "{unsafe_one} of {bound}");
@@ -417,14 +417,14 @@
     for tick in 0..50 {
         pacer.tick(HashSet::from([GROUP]), 1.0, &BOUNDS, at(tick * 100));
     }
-    let has_room = |pacer: &mut ColdPacer<u32>, usage, ms| {
-        pacer.has_room(&GROUP, REPLICA, pace, usage, &BOUNDS, at(ms))
+    let has_capacity = |pacer: &mut ColdPacer<u32>, usage, ms| {
+        pacer.has_capacity(&GROUP, REPLICA, pace, usage, &BOUNDS, at(ms))
     };
-    assert!(has_room(&mut pacer, ColdUse::Item, 4_900));
+    assert!(has_capacity(&mut pacer, ColdUse::Item, 4_900));
     assert!(pacer.take(&GROUP, REPLICA, pace, &BOUNDS, at(4_900)));
-    assert!(has_room(&mut pacer, ColdUse::Online, 5_300));
-    assert!(!has_room(&mut pacer, ColdUse::Item, 5_300));
-    assert!(has_room(&mut pacer, ColdUse::Item, 5_700));
+    assert!(has_capacity(&mut pacer, ColdUse::Online, 5_300));
+    assert!(!has_capacity(&mut pacer, ColdUse::Item, 5_300));
+    assert!(has_capacity(&mut pacer, ColdUse::Item, 5_700));
 }
 
 /// A coordinator that has just become one, or stood still, gives out nothing at first.
@@ -436,7 +436,7 @@
     let at = |ms| start + Duration::from_millis(ms);
     let own = || HashSet::from([GROUP]);
     let may = |pacer: &mut ColdPacer<u32>, ms| {
-        pacer.has_room(&GROUP, REPLICA, pace, ColdUse::Online, &BOUNDS, at(ms))
+        pacer.has_capacity(&GROUP, REPLICA, pace, ColdUse::Online, &BOUNDS, at(ms))
     };
     for tick in 0..60 {
         pacer.tick(HashSet::new(), 1.0, &BOUNDS, at(tick * 100));
