--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -28,7 +28,7 @@
 use crate::server::{HttpService, ServerControl, ServerStage, serve};
 use crate::settings::EdgeSettings;
 use crate::slots::{Pacing, SlotService, YieldItems};
-use crate::watches::{HeadTaker, Paces, start_watches};
+use crate::watches::{JobRowHandler, WatchIntervals, start_watches};
 
 /// What a daemon is made of.
 pub struct DaemonParts {
@@ -201,12 +201,12 @@
         let relay = Arc::new(relay);
         members.set_relay(relay.clone());
         let fleet = members.clone();
-        let paces = Paces::new(&settings, relay.clone(), move || fleet.fleet_size());
-        let heads = HeadTaker {
+        let intervals = WatchIntervals::new(&settings, relay.clone(), move || fleet.fleet_size());
+        let heads = JobRowHandler {
             jobs: jobs.clone(),
             quarantine: quarantine.clone(),
         };
-        start_watches(&discovery, source.as_ref(), heads, &paces, &log);
+        start_watches(&discovery, source.as_ref(), heads, &intervals, &log);
         let clock = jobs.clone();
         let store_now_ms = move || clock.view().store_now_ms();
         tokio::spawn(quarantine.clone().keep_stored(table, store_now_ms));
--- a/crates/edge/src/server/activity.rs
+++ b/crates/edge/src/server/activity.rs
@@ -1,4 +1,4 @@
-//! What happens on one connection: requests in progress, and since when it rests.
+//! Tracks one connection: its requests in progress and since when it has been idle.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -9,28 +9,26 @@
 
 use super::ServerControl;
 
-/// When a connection is to be closed if nothing happens on it.
+/// When a connection is closed if nothing happens on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct CloseTime {
-    /// When.
     pub at: Instant,
-    /// A head was begun and does not come to its end.
-    pub head_is_slow: bool,
+    /// Whether a request header was started and not completed in time.
+    pub is_header_timeout: bool,
 }
 
-/// The activity of a connection. A request is in progress until the last byte of its answer is handed to the system: one
-/// whose body is made may wait in the connection's buffer for a slow caller, and would end with the process.
+/// The activity of a connection. A request stays in progress until the last byte of its response is handed to the
+/// kernel: buffered bytes for a slow caller would be lost if the process exited.
 pub(super) struct Activity {
     control: Arc<ServerControl>,
     started: Instant,
-    /// Requests in progress.
     open: AtomicUsize,
-    /// Those of them whose answers are made, and not yet sent to the last byte.
+    /// Requests whose responses are produced but not yet fully sent.
     unsent: AtomicUsize,
-    /// When the last request ended, milliseconds since `started`.
-    rested_at: AtomicU64,
-    /// When the first bytes after that came, plus one; 0 if none have come.
-    head_at: AtomicU64,
+    /// When the last request completed, milliseconds since `started`.
+    idle_since: AtomicU64,
+    /// When the first bytes after that arrived, plus one; 0 if none have arrived.
+    header_started_at: AtomicU64,
 }
 
 impl Activity {
@@ -41,8 +39,8 @@
             started: Instant::now(),
             open: AtomicUsize::new(0),
             unsent: AtomicUsize::new(0),
-            rested_at: AtomicU64::new(0),
-            head_at: AtomicU64::new(0),
+            idle_since: AtomicU64::new(0),
+            header_started_at: AtomicU64::new(0),
         }
     }
 
@@ -54,59 +52,62 @@
         self.open.load(Ordering::Relaxed) > 0
     }
 
-    pub fn bytes_came(&self) {
-        if !self.is_busy() && self.head_at.load(Ordering::Relaxed) == 0 {
-            self.head_at.store(self.now() + 1, Ordering::Relaxed);
+    pub fn note_received(&self) {
+        if !self.is_busy() && self.header_started_at.load(Ordering::Relaxed) == 0 {
+            self.header_started_at
+                .store(self.now() + 1, Ordering::Relaxed);
         }
     }
 
-    pub fn request_began(&self) {
+    pub fn begin_request(&self) {
         self.control.in_progress.fetch_add(1, Ordering::Relaxed);
         self.open.fetch_add(1, Ordering::Relaxed);
-        self.head_at.store(0, Ordering::Relaxed);
+        self.header_started_at.store(0, Ordering::Relaxed);
     }
 
-    /// The body of an answer is made or given up.
-    pub fn answer_made(&self) {
+    /// Notes that the body of a response was produced or dropped.
+    pub fn finish_response(&self) {
         self.unsent.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// All bytes so far are handed to the system.
-    pub fn all_sent(&self) {
-        let answered = self.unsent.swap(0, Ordering::Relaxed);
-        if answered == 0 {
+    /// Notes that all bytes written so far are handed to the kernel.
+    pub fn note_all_sent(&self) {
+        let completed = self.unsent.swap(0, Ordering::Relaxed);
+        if completed == 0 {
             return;
         }
-        self.open.fetch_sub(answered, Ordering::Relaxed);
+        self.open.fetch_sub(completed, Ordering::Relaxed);
         self.control
             .in_progress
-            .fetch_sub(answered, Ordering::Relaxed);
-        self.rested_at.store(self.now(), Ordering::Relaxed);
-        self.head_at.store(0, Ordering::Relaxed);
+            .fetch_sub(completed, Ordering::Relaxed);
+        self.idle_since.store(self.now(), Ordering::Relaxed);
+        self.header_started_at.store(0, Ordering::Relaxed);
     }
 
-    /// When the connection is to be closed if nothing happens; `None` while it is busy.
-    pub fn closes_at(&self, limits: &CallerLimits) -> Option<CloseTime> {
+    /// Returns when the connection is closed if nothing happens; `None` while it is busy.
+    pub fn close_time(&self, limits: &CallerLimits) -> Option<CloseTime> {
         if self.is_busy() {
             return None;
         }
-        let head_at = self.head_at.load(Ordering::Relaxed);
-        if head_at > 0 {
+        let header_started_at = self.header_started_at.load(Ordering::Relaxed);
+        if header_started_at > 0 {
             return Some(CloseTime {
-                at: self.started + Duration::from_millis(head_at - 1) + limits.header_timeout,
-                head_is_slow: true,
+                at: self.started
+                    + Duration::from_millis(header_started_at - 1)
+                    + limits.header_timeout,
+                is_header_timeout: true,
             });
         }
-        let rested_at = self.rested_at.load(Ordering::Relaxed);
+        let idle_since = self.idle_since.load(Ordering::Relaxed);
         Some(CloseTime {
-            at: self.started + Duration::from_millis(rested_at) + limits.idle_timeout,
-            head_is_slow: false,
+            at: self.started + Duration::from_millis(idle_since) + limits.idle_timeout,
+            is_header_timeout: false,
         })
     }
 }
 
 impl Drop for Activity {
-    /// The connection is gone, and its requests with it.
+    /// Stops counting the closed connection and its requests.
     fn drop(&mut self) {
         let open = self.open.load(Ordering::Relaxed);
         self.control.in_progress.fetch_sub(open, Ordering::Relaxed);
--- a/crates/edge/src/server/connection.rs
+++ b/crates/edge/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller: its requests one after the other, and its close in order.
+//! Serves one caller connection: sequential requests, then an orderly close.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -21,21 +21,20 @@
 use super::{HttpService, ResponseBody, ServerControl, ServerStage};
 use crate::silence::set_probes;
 
-/// Least buffer of a connection, bytes.
-const LEAST_BUFFER: usize = 16 << 10;
+const MIN_BUFFER_BYTES: usize = 16 << 10;
 
-/// How often the times of a busy connection are looked at.
-const BUSY_CHECK: Duration = Duration::from_secs(1);
+/// Interval at which the deadlines of a busy connection are checked.
+const BUSY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause before a connection whose unread bytes kept it open is looked at again.
-const UNREAD_CHECK: Duration = Duration::from_millis(5);
+/// Pause before checking again a connection that unread bytes keep open.
+const UNREAD_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long a caller is given to take the end of its connection: a socket that is closed with bytes unread is reset, which
-/// may take the last answer from the caller.
-const LONGEST_LINGER: Duration = Duration::from_millis(500);
+/// Time the caller has to close its side: closing a socket with unread bytes resets it and may lose the last
+/// response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Bytes thrown away at once while a connection lingers.
-const LINGER_BYTES: usize = 4 << 10;
+/// Size of the buffer that discards bytes while a connection lingers.
+const LINGER_BUFFER_BYTES: usize = 4 << 10;
 
 pub(super) async fn serve_connection<S: HttpService>(
     stream: TcpStream,
@@ -45,25 +44,25 @@
     let _ = stream.set_nodelay(true);
     set_probes(&stream, control.unacknowledged_timeout);
     let stream = Arc::new(stream);
-    if serve_requests(&stream, control, service).await == Ending::InOrder {
-        let _ = timeout(LONGEST_LINGER, throw_away(&stream)).await;
+    if serve_requests(&stream, control, service).await == ConnectionEnd::Graceful {
+        let _ = timeout(LINGER_TIMEOUT, discard_unread(&stream)).await;
     }
 }
 
-/// How the serving of a connection ended.
+/// How a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Ending {
-    /// Its writing side is shut down.
-    InOrder,
-    /// It is to be broken off.
-    Broken,
+enum ConnectionEnd {
+    /// Its write side is shut down.
+    Graceful,
+    /// It must be dropped without a shutdown.
+    Aborted,
 }
 
 async fn serve_requests<S: HttpService>(
     stream: &Arc<TcpStream>,
     control: Arc<ServerControl>,
     service: Arc<S>,
-) -> Ending {
+) -> ConnectionEnd {
     let limits = *control.limits.load_full();
     let activity = Arc::new(Activity::begin(control.clone()));
     let io = WatchedStream {
@@ -74,51 +73,51 @@
         let control = control.clone();
         let activity = activity.clone();
         service_fn(move |request| {
-            let running = RunningRequest::begin(control.clone(), activity.clone());
+            let guard = RequestGuard::begin(control.clone(), activity.clone());
             let service = service.clone();
-            async move { Ok::<_, std::convert::Infallible>(running.answer(service, request).await) }
+            async move { Ok::<_, std::convert::Infallible>(guard.answer(service, request).await) }
         })
     };
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(None)
-        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(io), handler);
     let mut connection = std::pin::pin!(connection);
     let mut stage = control.stage.subscribe();
     let mut closing = false;
     loop {
-        let wants_close = *stage.borrow_and_update() == ServerStage::Closing;
-        let close_time = activity.closes_at(&limits);
+        let is_closing_stage = *stage.borrow_and_update() == ServerStage::Closing;
+        let close_time = activity.close_time(&limits);
         let due = close_time.filter(|close| close.at <= Instant::now());
-        if due.is_some_and(|close| close.head_is_slow || closing) {
-            return Ending::Broken;
+        if due.is_some_and(|close| close.is_header_timeout || closing) {
+            return ConnectionEnd::Aborted;
         }
-        let check = if !closing && (wants_close || due.is_some()) {
-            // A request that has come is read and answered.
+        let check = if !closing && (is_closing_stage || due.is_some()) {
+            // A request that has already arrived is read and answered before the close.
             if !activity.is_busy() && has_unread(stream) {
-                Instant::now() + UNREAD_CHECK
+                Instant::now() + UNREAD_CHECK_INTERVAL
             } else {
                 closing = true;
                 connection.as_mut().graceful_shutdown();
-                Instant::now() + BUSY_CHECK
+                Instant::now() + BUSY_CHECK_INTERVAL
             }
         } else {
-            close_time.map_or_else(|| Instant::now() + BUSY_CHECK, |close| close.at)
+            close_time.map_or_else(|| Instant::now() + BUSY_CHECK_INTERVAL, |close| close.at)
         };
         tokio::select! {
             ended = &mut connection => {
-                return if ended.is_ok() { Ending::InOrder } else { Ending::Broken };
+                return if ended.is_ok() { ConnectionEnd::Graceful } else { ConnectionEnd::Aborted };
             }
             () = sleep_until(check) => {}
-            changed = stage.changed() => if changed.is_err() { return Ending::Broken },
+            changed = stage.changed() => if changed.is_err() { return ConnectionEnd::Aborted },
         }
     }
 }
 
-/// Reads until the caller closes its side.
-async fn throw_away(stream: &TcpStream) {
-    let mut buffer = vec![0; LINGER_BYTES];
+/// Reads and discards bytes until the caller closes its side.
+async fn discard_unread(stream: &TcpStream) {
+    let mut buffer = vec![0; LINGER_BUFFER_BYTES];
     loop {
         if stream.readable().await.is_err() {
             return;
@@ -131,15 +130,15 @@
     }
 }
 
-/// A request in progress; its answer is made at the end of its body, or at its drop.
-struct RunningRequest {
+/// A request in progress; its response counts as produced when its body ends or is dropped.
+struct RequestGuard {
     control: Arc<ServerControl>,
     activity: Arc<Activity>,
 }
 
-impl RunningRequest {
+impl RequestGuard {
     fn begin(control: Arc<ServerControl>, activity: Arc<Activity>) -> Self {
-        activity.request_began();
+        activity.begin_request();
         Self { control, activity }
     }
 
@@ -153,23 +152,20 @@
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
         }
-        response.map(|body| GuardedBody {
-            body,
-            _running: self,
-        })
+        response.map(|body| GuardedBody { body, _guard: self })
     }
 }
 
-impl Drop for RunningRequest {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.activity.answer_made();
+        self.activity.finish_response();
     }
 }
 
-/// An answer's body that keeps its request counted.
+/// A response body that keeps its request counted as in progress.
 struct GuardedBody {
     body: ResponseBody,
-    _running: RunningRequest,
+    _guard: RequestGuard,
 }
 
 impl Body for GuardedBody {
--- a/crates/edge/src/server/mod.rs
+++ b/crates/edge/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP server towards callers: limits on heads and idle connections, and a planned stop that cuts nothing off.
+//! HTTP server: limits on headers and idle connections, and a graceful stop that drops no request.
 
 mod activity;
 mod connection;
@@ -23,36 +23,36 @@
 
 use connection::serve_connection;
 
-/// Pause after a failed accept, for example when descriptors have run out.
+/// Pause after a failed accept, for example when file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// How long a caller may leave bytes unacknowledged, or its receive window closed, before it has gone. Where bytes wait
-/// nothing else ends the request, and its slot at a replica stays taken. Longer than towards replicas: a caller may read
+/// How long a caller may leave bytes unacknowledged or its receive window closed before its connection is dropped.
+/// Without this limit its request would keep a replica's slot. Longer than towards replicas, since callers may read
 /// slowly.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Body of an answer; an error breaks the connection off.
+/// Body of a response; an error aborts the connection.
 pub type ResponseBody = UnsyncBoxBody<Bytes, Cut>;
 
-/// What serves the requests.
+/// Handler of the requests of a server.
 #[async_trait]
 pub trait HttpService: Send + Sync + 'static {
-    /// Answers one request. The future is dropped when the caller goes away.
+    /// Answers one request. The future is dropped when the caller disconnects.
     async fn call(&self, request: Request<Incoming>) -> Response<ResponseBody>;
 }
 
-/// Stages of the server's life.
+/// Stages of a server from start to stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ServerStage {
-    /// Serves.
+    /// Normal operation.
     Serving,
-    /// Serves, and closes each connection after its next answer.
+    /// Accepts connections, and closes each one after its next response.
     Draining,
-    /// Takes no new connections and closes idle ones; services begin nothing that becomes whole only now.
+    /// Accepts no connections and closes idle ones; services start no new work.
     Closing,
 }
 
-/// A server's shared state.
+/// Shared state of one server: its stage, its limits and its counts.
 pub struct ServerControl {
     stage: watch::Sender<ServerStage>,
     in_progress: AtomicUsize,
@@ -76,13 +76,13 @@
 }
 
 impl ServerControl {
-    /// Another time after which a caller that takes nothing has gone.
+    /// Replaces the time after which a caller that acknowledges no bytes is disconnected.
     pub fn with_unacknowledged_timeout(mut self, timeout: Duration) -> Self {
         self.unacknowledged_timeout = timeout;
         self
     }
 
-    /// Where failures of the server are told.
+    /// Sets the log for failures of the server.
     pub fn with_log(mut self, log: DecisionLog) -> Self {
         self.log = Some(log);
         self
@@ -97,39 +97,39 @@
         }
     }
 
-    /// Moves to another stage.
+    /// Moves the server to another stage and notifies its connections.
     pub fn set_stage(&self, stage: ServerStage) {
         self.stage.send_replace(stage);
     }
 
-    /// The stage.
+    /// Returns the current stage.
     pub fn stage(&self) -> ServerStage {
         *self.stage.borrow()
     }
 
-    /// Requests read whose answer is not yet sent to its last byte.
+    /// Returns the number of requests read whose response is not yet fully sent.
     pub fn in_progress(&self) -> usize {
         self.in_progress.load(Ordering::Relaxed)
     }
 
-    /// Open connections.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
 
-    /// Takes over limits for connections made from now on.
+    /// Sets the limits of connections accepted from now on.
     pub fn set_limits(&self, limits: CallerLimits) {
         self.limits.store(Arc::new(limits));
     }
 }
 
-/// Accepts connections until the stage [`ServerStage::Closing`]; then the listener is closed.
+/// Accepts connections until the stage [`ServerStage::Closing`], then closes the listener.
 pub async fn serve<S: HttpService>(
     listener: TcpListener,
     control: Arc<ServerControl>,
     service: Arc<S>,
 ) {
-    let begin = |stream: TcpStream| {
+    let spawn_connection = |stream: TcpStream| {
         tokio::spawn(serve_connection(stream, control.clone(), service.clone()));
     };
     let mut stage = control.stage.subscribe();
@@ -142,7 +142,7 @@
         match accepted {
             Ok((stream, _)) => {
                 is_failing = false;
-                begin(stream);
+                spawn_connection(stream);
             }
             Err(error) => {
                 if !std::mem::replace(&mut is_failing, true) {
@@ -152,12 +152,12 @@
             }
         }
     }
-    waiting_connections(&listener).for_each(begin);
+    pending_connections(&listener).for_each(spawn_connection);
 }
 
-/// Connections that wait to be accepted: their callers may have sent requests, which closing the listener would reset.
-/// Asked of the system, since the runtime learns of connections only at its next turn.
-fn waiting_connections(listener: &TcpListener) -> impl Iterator<Item = TcpStream> {
+/// Accepts the pending connections: closing the listener would reset them and lose requests already sent. Calls the
+/// kernel directly, since the runtime reports new connections only at its next poll.
+fn pending_connections(listener: &TcpListener) -> impl Iterator<Item = TcpStream> {
     let listener = SockRef::from(listener);
     std::iter::from_fn(move || {
         let (socket, _) = listener.accept().ok()?;
--- a/crates/edge/src/server/stream.rs
+++ b/crates/edge/src/server/stream.rs
@@ -1,4 +1,4 @@
-//! A caller's socket, shared by the HTTP connection and its keeper, which looks at it before it closes it.
+//! A caller's socket, shared by the HTTP connection and the code that closes it.
 
 use std::mem::MaybeUninit;
 use std::net::Shutdown;
@@ -12,14 +12,14 @@
 
 use super::activity::Activity;
 
-/// A stream that notes when bytes come, and when all are sent.
+/// A stream that records when bytes arrive and when all are sent.
 pub(super) struct WatchedStream {
     pub stream: Arc<TcpStream>,
     pub activity: Arc<Activity>,
 }
 
-/// True if bytes wait to be read. To close now would reset the connection, and what the caller has not read yet would be
-/// lost with it.
+/// True if bytes wait to be read: closing now would reset the connection and lose responses that the caller has not
+/// read.
 pub(super) fn has_unread(stream: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     let peeked = SockRef::from(stream).peek(&mut byte);
@@ -38,7 +38,7 @@
                 Ok(read) => {
                     buffer.advance(read);
                     if read > 0 {
-                        self.activity.bytes_came();
+                        self.activity.note_received();
                     }
                     return Poll::Ready(Ok(()));
                 }
@@ -86,9 +86,9 @@
         true
     }
 
-    /// Asked when the connection's buffer is empty: a socket has none of its own.
+    /// Called when the connection's write buffer is empty; a socket has no buffer in user space.
     fn poll_flush(self: Pin<&mut Self>, _context: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        self.activity.all_sent();
+        self.activity.note_all_sent();
         Poll::Ready(Ok(()))
     }
 
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -1,82 +1,81 @@
-//! Settings of one daemon.
+//! Settings of one daemon, read once at its start.
 
 use std::time::Duration;
 
 use harrierward_serving::{KeyTrust, Mechanism, Policy, SelectionCosts, Topology};
 use harrierward_tenants::RateBounds;
 
-/// Addresses that peers are told, `IP:PORT`; `None` for the one that is bound.
+/// Addresses that peers receive, `IP:PORT`; `None` for the bound one.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AdvertisedAddresses {
-    /// In place of [`EdgeSettings::peer_address`].
+    /// Advertised in place of [`EdgeSettings::peer_address`].
     pub peer: Option<String>,
-    /// In place of [`EdgeSettings::control_address`].
+    /// Advertised in place of [`EdgeSettings::control_address`].
     pub control: Option<String>,
 }
 
-/// Settings; addresses are `IP:PORT`.
+/// Settings of a daemon; addresses are `IP:PORT`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EdgeSettings {
-    /// Name of the daemon.
+    /// Name of the daemon, the same for all its instances.
     pub member: String,
-    /// Zone.
+    /// Zone in which the daemon runs; one of `topology`.
     pub zone: String,
-    /// Region.
+    /// Region in which `zone` lies.
     pub region: String,
-    /// All zones, and the regions in which they lie.
+    /// All zones and the region of each.
     pub topology: Topology,
-    /// Address for callers.
+    /// Address on which callers are served.
     pub caller_address: String,
-    /// Address on which the daemon says whether it is ready.
+    /// Address of the readiness check.
     pub ready_address: String,
-    /// Address for the daemons' control calls; may be empty.
+    /// Address for control calls of other daemons; empty to serve none.
     pub control_address: String,
-    /// UDP and TCP address for peers.
+    /// UDP address for datagrams of peers.
     pub peer_address: String,
-    /// Addresses that peers are told where they differ from those that are bound, as behind a forwarder.
+    /// Advertised addresses where they differ from the bound ones, as behind a port forwarder.
     pub advertised: AdvertisedAddresses,
-    /// Peers' addresses of some other daemons.
+    /// Peer addresses of some other daemons, contacted to join the membership.
     pub seeds: Vec<String>,
-    /// Address of the store.
+    /// Address of the shared store.
     pub store_address: String,
-    /// Reads a second that the store takes from all daemons together.
+    /// Reads per second that the store sustains from all daemons together.
     pub store_reads_a_second: f64,
-    /// Time from the request to stop to the end by force.
+    /// Time from the request to stop until the process is killed.
     pub grace: Duration,
-    /// How long a job stays readable after it was sent.
+    /// How long a job stays readable after its submission.
     pub keep_jobs: Duration,
-    /// Time after a job's end within which nothing of it may start any more.
+    /// Time after a job's cancellation from which none of its items may start.
     pub cancel_within: Duration,
-    /// Share by which the waiting tokens may exceed their limit.
+    /// Share by which queued tokens may exceed their limit.
     pub quota_excess: f64,
-    /// How long keys are served by a daemon that does not learn of new configurations.
+    /// How long keys are accepted by a daemon without contact to the source of configurations.
     pub key_trust: KeyTrust,
-    /// What the fleet may exceed tenants' rates by.
+    /// Bounds on how far the fleet may exceed tenants' rates.
     pub rate_bounds: RateBounds,
-    /// What cold replicas may be sent beyond the rate that they bear.
+    /// Bounds on what cold replicas may receive beyond the rate they sustain.
     pub warmup_bounds: RateBounds,
-    /// Address of the metrics; may be empty.
+    /// Address on which metrics are served; empty to serve none.
     pub metrics_address: String,
-    /// Mechanisms of the policy in use.
+    /// Policy mechanisms in use.
     pub policy: Policy,
-    /// What a request must be spared, beyond the time on the way, for it to leave its region; `None` for what the choice
-    /// of replicas takes by itself.
+    /// Time a request must save, beyond the RTT, to leave its region; `None` for the default cost.
     pub region_price: Option<Duration>,
 }
 
 impl EdgeSettings {
-    /// Address at which peers send datagrams.
+    /// Returns the address to which peers send datagrams.
     pub fn told_peer_address(&self) -> &str {
         self.advertised.peer.as_ref().unwrap_or(&self.peer_address)
     }
 
-    /// Address at which peers ask control calls; may be empty.
+    /// Returns the address to which peers send control calls; empty if there is none.
     pub fn told_control_address(&self) -> &str {
         let told = self.advertised.control.as_ref();
         told.unwrap_or(&self.control_address)
     }
 
-    /// The prices by which replicas are chosen.
+    /// Returns the costs by which replicas are selected.
     pub fn costs(&self) -> SelectionCosts {
         let mut costs = SelectionCosts::under(self.policy);
         if let Some(price) = self.region_price
--- a/crates/edge/src/stop.rs
+++ b/crates/edge/src/stop.rs
@@ -1,7 +1,7 @@
-//! The planned stop of a daemon: callers and jobs leave it side by side, so that neither waits for the other.
+//! Planned stop of a daemon: callers are drained and jobs handed over concurrently.
 //!
-//! Handing jobs over needs the store, which may be slow or away for the whole grace. If the listener were closed only
-//! after that, callers would be let in until there is no time left to answer them.
+//! The hand-over depends on the store, which may be unavailable for the whole grace period; draining must not wait
+//! for it.
 
 use std::pin::pin;
 use std::sync::atomic::Ordering;
@@ -13,23 +13,24 @@
 use crate::daemon::Daemon;
 use crate::server::ServerStage;
 
-/// Time in which the platform takes a daemon that is not ready out of service.
-const TAKEN_OUT_AFTER: Duration = Duration::from_millis(2_600);
+/// Time in which the platform stops routing callers to a daemon that is not ready.
+const READINESS_PROPAGATION: Duration = Duration::from_millis(2_600);
 
-/// Part of the grace that is kept for the end itself.
-const END_RESERVE: Duration = Duration::from_millis(900);
+/// Part of the grace period reserved for the final steps.
+const SHUTDOWN_RESERVE: Duration = Duration::from_millis(900);
 
-/// How often a stopping daemon looks whether its requests are done.
-const STOP_CHECK: Duration = Duration::from_millis(50);
+/// Interval at which a stopping daemon checks whether its requests are completed.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time for idle connections to be closed in order.
-const CLOSE_TIME: Duration = Duration::from_millis(150);
+/// Time for idle connections to be closed gracefully.
+const IDLE_CLOSE_WAIT: Duration = Duration::from_millis(150);
 
 impl Daemon {
-    /// Stops in order: not ready at once, then what was read is answered while jobs are handed over, then the end.
+    /// Stops gracefully: reports not ready, answers the requests already read while jobs are handed over, then
+    /// closes.
     pub async fn stop(&self) {
-        let asked_at = Instant::now();
-        let last = asked_at + self.settings.grace.saturating_sub(END_RESERVE);
+        let requested_at = Instant::now();
+        let deadline = requested_at + self.settings.grace.saturating_sub(SHUTDOWN_RESERVE);
         let control = &self.service.control;
         self.service.stopping.store(true, Ordering::Relaxed);
         control.set_stage(ServerStage::Draining);
@@ -37,53 +38,53 @@
             in_progress: control.in_progress(),
         });
         tokio::join!(
-            self.hand_jobs_over(asked_at, last),
-            self.answer_callers(asked_at, last)
+            self.hand_over_jobs(requested_at, deadline),
+            self.drain_callers(requested_at, deadline)
         );
-        sleep(CLOSE_TIME).await;
+        sleep(IDLE_CLOSE_WAIT).await;
         self.log.record(&Record::Stopped {
             cut_off: control.in_progress(),
-            after_ms: milliseconds_since(asked_at),
+            after_ms: millis_since(requested_at),
         });
         self.log.flush();
     }
 
-    /// Gives jobs to the other daemons. Those that are not handed over when callers are no longer let in are adopted: the
-    /// others are told then at the latest. A hand-over that is still under way meets the adoption at the store's condition.
-    async fn hand_jobs_over(&self, asked_at: Instant, last: Instant) {
-        let mut handing = pin!(self.service.jobs.hand_over_all(last));
-        let handed = timeout_at(asked_at + TAKEN_OUT_AFTER, handing.as_mut()).await;
+    /// Hands jobs over to other daemons. Once callers are refused the daemon leaves the membership, so that its
+    /// remaining jobs are adopted; a concurrent hand-over fails at the store's conditional write.
+    async fn hand_over_jobs(&self, requested_at: Instant, deadline: Instant) {
+        let mut hand_over = pin!(self.service.jobs.hand_over_all(deadline));
+        let in_time = timeout_at(requested_at + READINESS_PROPAGATION, hand_over.as_mut()).await;
         self.members.leave();
-        if handed.is_err() {
-            handing.await;
+        if in_time.is_err() {
+            hand_over.await;
         }
-        self.log_stop_step("jobs handed over", asked_at);
+        self.log_stop_step("jobs handed over", requested_at);
     }
 
-    /// Lets callers in until the platform has led them away, then answers what was read.
-    async fn answer_callers(&self, asked_at: Instant, last: Instant) {
+    /// Accepts callers until the platform routes them elsewhere, then answers the requests already read.
+    async fn drain_callers(&self, requested_at: Instant, deadline: Instant) {
         let control = &self.service.control;
-        sleep_until(asked_at + TAKEN_OUT_AFTER).await;
-        // If most daemons of a zone stop at once, callers still come; from now on they are not let in.
+        sleep_until(requested_at + READINESS_PROPAGATION).await;
+        // If most daemons of a zone stop at once, callers still arrive; from now on they are refused.
         control.set_stage(ServerStage::Closing);
-        self.log_stop_step("listener closed", asked_at);
-        while control.in_progress() > 0 && Instant::now() < last {
-            sleep(STOP_CHECK).await;
+        self.log_stop_step("listener closed", requested_at);
+        while control.in_progress() > 0 && Instant::now() < deadline {
+            sleep(DRAIN_CHECK_INTERVAL).await;
         }
-        self.log_stop_step("requests answered", asked_at);
+        self.log_stop_step("requests answered", requested_at);
     }
 
-    fn log_stop_step(&self, step: &str, asked_at: Instant) {
+    fn log_stop_step(&self, step: &str, requested_at: Instant) {
         let control = &self.service.control;
         self.log.record(&Record::StopStep {
             step,
-            after_ms: milliseconds_since(asked_at),
+            after_ms: millis_since(requested_at),
             in_progress: control.in_progress(),
             connections: control.connections(),
         });
     }
 }
 
-fn milliseconds_since(moment: Instant) -> u64 {
+fn millis_since(moment: Instant) -> u64 {
     u64::try_from(moment.elapsed().as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/edge/src/watches.rs
+++ b/crates/edge/src/watches.rs
@@ -1,4 +1,4 @@
-//! The watches of one daemon: which spaces it keeps copies of, how often it asks, and who takes what is new.
+//! Starts the watches of one daemon: which spaces it copies, how often it polls, and which component applies updates.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,43 +16,43 @@
 use crate::quarantine::QuarantineService;
 use crate::settings::EdgeSettings;
 
-/// How long the store may hold a question for changes of a space that seldom changes. A connection on which the
-/// answer is lost says nothing until this is over, and a daemon must be up to date again within the users' bound on
-/// contact (3 s on the smallest sites) after such trouble.
-const QUIET_WAIT: Duration = Duration::from_millis(2_000);
+/// How long the store may hold a long poll of a space that seldom changes. A lost response is detected only after
+/// this time, and contact must be restored within 3 s.
+const LONG_POLL_WAIT: Duration = Duration::from_millis(2_000);
 
-/// Proofs of contact within the time for which keys are served without one.
-const PROOFS_IN_TRUST: u32 = 4;
+/// Proofs of contact to obtain within the time for which keys are accepted without one.
+const PROOFS_PER_TRUST_PERIOD: u32 = 4;
 
-/// Paces of watches, which follow the fleet's size.
-pub(crate) struct Paces {
-    is_gathering: bool,
+/// Polling intervals of watches, which depend on the fleet's size.
+pub(crate) struct WatchIntervals {
+    coalesces: bool,
     fleet_size: Arc<dyn Fn() -> usize + Send + Sync>,
     relay: Arc<Relay>,
     reads_a_second: f64,
     configuration_wait: Duration,
 }
 
-/// Time between whole reads of a space that a peer hands on: what differs from the peer's copy is found by digest.
-const WHOLE_READS_OF_FOLLOWERS: Duration = Duration::from_secs(600);
+/// Time between full reads of a space that is relayed by a peer: differences to the peer's copy are found by digest.
+const FOLLOWER_FULL_READ_INTERVAL: Duration = Duration::from_secs(600);
 
-/// A daemon that may serve keys only for a while without contact must prove its contact several times in that while.
+/// Returns the hold time of the configuration's long polls: short enough for several proofs of contact per trust
+/// period.
 fn configuration_wait(trust: KeyTrust) -> Duration {
     match trust {
-        KeyTrust::Unbounded => QUIET_WAIT,
-        KeyTrust::For(bound) => QUIET_WAIT.min(bound / PROOFS_IN_TRUST),
+        KeyTrust::Unbounded => LONG_POLL_WAIT,
+        KeyTrust::For(trust_period) => LONG_POLL_WAIT.min(trust_period / PROOFS_PER_TRUST_PERIOD),
     }
 }
 
-impl Paces {
-    /// Paces for these settings, where spaces are read through `relay`.
+impl WatchIntervals {
+    /// Creates the intervals for these settings, with spaces read through `relay`.
     pub fn new(
         settings: &EdgeSettings,
         relay: Arc<Relay>,
         fleet_size: impl Fn() -> usize + Send + Sync + 'static,
     ) -> Self {
         Self {
-            is_gathering: settings.policy.has(Mechanism::GatheredChanges),
+            coalesces: settings.policy.has(Mechanism::GatheredChanges),
             fleet_size: Arc::new(fleet_size),
             relay,
             reads_a_second: settings.store_reads_a_second,
@@ -60,8 +60,8 @@
         }
     }
 
-    fn gathering(&self, space: &'static str) -> WatchPace {
-        if !self.is_gathering {
+    fn coalescing(&self, space: &'static str) -> WatchPace {
+        if !self.coalesces {
             return unpaced();
         }
         let (fleet_size, reads) = (self.fleet_size.clone(), self.reads_a_second);
@@ -72,18 +72,18 @@
         })
     }
 
-    fn whole_reads(&self, space: &'static str) -> WholeReadPace {
+    fn full_reads(&self, space: &'static str) -> WholeReadPace {
         let (fleet_size, reads) = (self.fleet_size.clone(), self.reads_a_second);
         let relay = self.relay.clone();
         Arc::new(move |calls| {
             if relay.is_follower(space) {
-                return WHOLE_READS_OF_FOLLOWERS;
+                return FOLLOWER_FULL_READ_INTERVAL;
             }
             whole_read_interval(fleet_size(), calls, reads)
         })
     }
 
-    /// The copy that the watch of a space keeps.
+    /// Returns the copy that the watch of a space keeps.
     fn copy(&self, space: &'static str) -> Arc<SharedSpace> {
         self.relay.space(space).cloned().unwrap_or_default()
     }
@@ -93,76 +93,76 @@
 pub(crate) fn start_watches(
     discovery: &Arc<Discovery>,
     source: &dyn DiscoverySource,
-    head_taker: HeadTaker,
-    paces: &Paces,
+    job_rows: JobRowHandler,
+    intervals: &WatchIntervals,
     log: &DecisionLog,
 ) {
     let watch = |space, partitions: Vec<String>, pace, wait| Watch {
-        table: paces.relay.clone(),
+        table: intervals.relay.clone(),
         space,
         settings: WatchSettings {
             wait,
             ..WatchSettings::default()
         },
         pace,
-        whole_read_pace: paces.whole_reads(space),
+        whole_read_pace: intervals.full_reads(space),
         partitions,
         log: log.clone(),
     };
     let configuration = watch(
         source.configuration_space(),
-        one_partition(),
+        unnamed_partition(),
         unpaced(),
-        paces.configuration_wait,
+        intervals.configuration_wait,
     );
-    let taker = discovery.clone();
-    let copy = paces.copy(source.configuration_space());
-    let taking = move |update| taker.take_configuration(&update, "store");
-    tokio::spawn(configuration.run_shared(copy, taking));
+    let target = discovery.clone();
+    let copy = intervals.copy(source.configuration_space());
+    let apply = move |update| target.take_configuration(&update, "store");
+    tokio::spawn(configuration.run_shared(copy, apply));
     let replicas = watch(
         source.replica_space(),
-        one_partition(),
-        paces.gathering(source.replica_space()),
-        QUIET_WAIT,
+        unnamed_partition(),
+        intervals.coalescing(source.replica_space()),
+        LONG_POLL_WAIT,
     );
-    let taker = discovery.clone();
-    let copy = paces.copy(source.replica_space());
-    tokio::spawn(replicas.run_shared(copy, move |update| taker.take_replicas(&update)));
+    let target = discovery.clone();
+    let copy = intervals.copy(source.replica_space());
+    tokio::spawn(replicas.run_shared(copy, move |update| target.take_replicas(&update)));
     let wait = WatchSettings::default().wait;
-    let heads = watch(HEADS, partitions(), paces.gathering(HEADS), wait);
-    let copy = paces.copy(HEADS);
-    let first = discovery.clone();
+    let heads = watch(HEADS, partitions(), intervals.coalescing(HEADS), wait);
+    let copy = intervals.copy(HEADS);
+    let discovery = discovery.clone();
     tokio::spawn(async move {
-        // Where all daemons start at once the store takes only part of their calls: what callers wait for is read first.
-        wait_until_complete(&first).await;
-        let taking = move |update| head_taker.take(&update);
-        heads.run_shared(copy, taking).await;
+        // When all daemons start at once the store is overloaded: what callers wait for is read first.
+        wait_until_complete(&discovery).await;
+        let apply = move |update| job_rows.take(&update);
+        heads.run_shared(copy, apply).await;
     });
 }
 
-/// How long the jobs' headers wait for the configuration and the replicas, and the pause between looks.
-const DISCOVERY_FIRST: Duration = Duration::from_millis(2_000);
-const DISCOVERY_LOOK: Duration = Duration::from_millis(10);
+/// Longest time that reading the jobs' headers waits for the configuration and the replicas, and its check interval.
+const DISCOVERY_WAIT: Duration = Duration::from_millis(2_000);
+const DISCOVERY_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 async fn wait_until_complete(discovery: &Discovery) {
-    let until = Instant::now() + DISCOVERY_FIRST;
+    let until = Instant::now() + DISCOVERY_WAIT;
     while !discovery.is_complete() && Instant::now() < until {
-        sleep(DISCOVERY_LOOK).await;
+        sleep(DISCOVERY_CHECK_INTERVAL).await;
     }
 }
 
-/// The partition without a name, in which spaces that are not ours keep their rows.
-fn one_partition() -> Vec<String> {
+/// Returns the unnamed partition, which holds the rows of spaces that jobs don't own.
+fn unnamed_partition() -> Vec<String> {
     vec![String::new()]
 }
 
-/// What the rows of the space of heads are for.
-pub(crate) struct HeadTaker {
+/// Applies the rows of the space of job headers.
+pub(crate) struct JobRowHandler {
     pub jobs: InlineJobs,
     pub quarantine: QuarantineService,
 }
 
-impl HeadTaker {
+impl JobRowHandler {
     fn take(&self, update: &SpaceUpdate) {
         let view = self.jobs.view();
         view.note_revision(update.revision);
@@ -170,8 +170,8 @@
             match row_kind(&row.key) {
                 RowKind::Head => self.jobs.learn_row(&row.value, row.revision),
                 RowKind::Fence => view.take_fence_row(&row.value, row.revision),
-                // Before the store's clock is told to those that write such rows: a daemon that has started must not replace
-                // what its last life knew before it has read it.
+                // Before the store's time is published to writers of such rows: a new instance must not overwrite the
+                // state of its predecessor before reading it.
                 RowKind::CrashNews => self.quarantine.take_stored(row, update.store_time_ms),
             }
         }
