--- a/crates/edge/src/calls.rs
+++ b/crates/edge/src/calls.rs
@@ -1,4 +1,4 @@
-//! Questions to peers by datagram: each is sent at most twice, and its answer is waited for within a bound.
+//! Request/reply calls to peers by datagram: each request is sent at most twice, with a bounded wait.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -10,40 +10,38 @@
 
 use crate::trips::RoundTrips;
 
-/// How long a question that was given up is remembered, so that a late answer still tells how long the way is.
-const REMEMBERED_FOR: Duration = Duration::from_secs(1);
+/// How long a timed-out request is remembered, so that a late reply still gives an RTT sample.
+const LATE_REPLY_WINDOW: Duration = Duration::from_secs(1);
 
-/// Most questions remembered after they were given up.
-const MOST_REMEMBERED: usize = 256;
+const MAX_TIMED_OUT: usize = 256;
 
-/// Bounds of one question to a peer beside which the way takes no time; the way as measured is added.
+/// Timeouts of one call to a peer with negligible RTT; the measured RTT is added.
 #[derive(Debug, Clone, Copy)]
 pub struct CallPatience {
-    /// Time after which it is sent again.
+    /// Time after which the request is sent again.
     pub again: Duration,
-    /// Time after which it is given up.
+    /// Time after which the call fails.
     pub give_up: Duration,
-    /// Longest time to wait, however long the way is.
+    /// Upper bound of the wait, whatever the RTT.
     pub longest: Duration,
 }
 
 impl CallPatience {
-    /// The bounds for a peer whose answers come within `way`.
-    ///
-    /// Why measured: a constant that suits one deployment's distances takes every peer of a wider one for silent.
-    fn over(self, way: Duration) -> Self {
-        let give_up = self.bounded(self.give_up + way);
+    /// Returns the timeouts for a peer with round-trip time `rtt`: a fixed timeout would make each more distant peer
+    /// seem unresponsive.
+    fn with_rtt(self, rtt: Duration) -> Self {
+        let give_up = self.clamp_timeout(self.give_up + rtt);
         Self {
-            again: (self.again + way).min(give_up),
+            again: (self.again + rtt).min(give_up),
             give_up,
             longest: self.longest,
         }
     }
 
-    /// The bounds for a peer far away that has never answered: as long as possible, and sent again in the middle, so
-    /// that a question that was lost is not taken for a longer way.
-    fn over_unknown(self) -> Self {
-        let give_up = self.bounded(self.longest);
+    /// Returns the timeouts for a peer in another region without an RTT sample: the longest wait, with the resend
+    /// halfway so that a lost request is not mistaken for a longer RTT.
+    fn with_unknown_rtt(self) -> Self {
+        let give_up = self.clamp_timeout(self.longest);
         Self {
             again: give_up / 2,
             give_up,
@@ -51,23 +49,22 @@
         }
     }
 
-    fn bounded(self, give_up: Duration) -> Duration {
+    fn clamp_timeout(self, give_up: Duration) -> Duration {
         give_up.min(self.longest.max(self.give_up))
     }
 }
 
-/// Where a peer is that is asked.
+/// Location of the peer of a call.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerPlace {
-    /// Its place.
+    /// Zone and region of the peer.
     pub location: Location,
-    /// It is in another region than this daemon. Its first answer is waited for as long as possible: how long the way
-    /// is shows only then.
+    /// Whether the peer is in another region than this daemon: without an RTT sample its reply gets the longest wait.
     pub is_far: bool,
 }
 
 impl PeerPlace {
-    /// The place of a peer, as seen from `own`.
+    /// Returns the location of a peer relative to `own`.
     pub fn from(own: Location, peer: Location) -> Self {
         Self {
             location: peer,
@@ -77,65 +74,65 @@
 }
 
 #[derive(Debug)]
-struct Question<A> {
-    place: Location,
-    asked: Instant,
+struct PendingCall<A> {
+    location: Location,
+    sent_at: Instant,
     longest: Duration,
-    /// `None` once it was given up.
-    asker: Option<oneshot::Sender<A>>,
+    /// `None` once the call has timed out.
+    caller: Option<oneshot::Sender<A>>,
 }
 
-/// Questions that wait for their answers, by number.
+/// Calls that wait for their replies, by number. `A` is the reply.
 #[derive(Debug)]
 pub struct DatagramCalls<A> {
-    waiting: Mutex<HashMap<u32, Question<A>>>,
+    pending: Mutex<HashMap<u32, PendingCall<A>>>,
     trips: RoundTrips,
 }
 
 impl<A> Default for DatagramCalls<A> {
     fn default() -> Self {
         Self {
-            waiting: Mutex::default(),
+            pending: Mutex::default(),
             trips: RoundTrips::default(),
         }
     }
 }
 
-/// Ends the question where its asker goes away; what is answered later is only measured.
-struct Waiting<'a, A> {
+/// Abandons the call when its caller drops it; a late reply only gives an RTT sample.
+struct CallGuard<'a, A> {
     calls: &'a DatagramCalls<A>,
     number: u32,
 }
 
-impl<A> Drop for Waiting<'_, A> {
+impl<A> Drop for CallGuard<'_, A> {
     fn drop(&mut self) {
-        let mut waiting = self.calls.lock();
-        if let Some(question) = waiting.get_mut(&self.number) {
-            question.asker = None;
+        let mut pending = self.calls.lock();
+        if let Some(call) = pending.get_mut(&self.number) {
+            call.caller = None;
         }
-        if waiting.len() > MOST_REMEMBERED {
-            let is_kept = |question: &Question<A>| {
-                question.asker.is_some() || question.asked.elapsed() < REMEMBERED_FOR
+        if pending.len() > MAX_TIMED_OUT {
+            let is_retained = |call: &PendingCall<A>| {
+                call.caller.is_some() || call.sent_at.elapsed() < LATE_REPLY_WINDOW
             };
-            waiting.retain(|_, question| is_kept(question));
+            pending.retain(|_, call| is_retained(call));
         }
-        if waiting.len() > 2 * MOST_REMEMBERED {
-            waiting.retain(|_, question| question.asker.is_some());
+        if pending.len() > 2 * MAX_TIMED_OUT {
+            pending.retain(|_, call| call.caller.is_some());
         }
     }
 }
 
 impl<A> DatagramCalls<A> {
-    fn lock(&self) -> MutexGuard<'_, HashMap<u32, Question<A>>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, HashMap<u32, PendingCall<A>>> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The ways that answers measured.
+    /// Returns the round-trip times measured from replies.
     pub fn trips(&self) -> &RoundTrips {
         &self.trips
     }
 
-    /// Sends a question to a peer at a place by `send`, once more after a while, and waits for its answer.
+    /// Sends a request by `send`, resends it once, and waits for the reply; `None` on timeout.
     pub async fn ask(
         &self,
         number: u32,
@@ -144,47 +141,46 @@
         send: impl Fn(),
     ) -> Option<A> {
         let patience = match self.trips.longest(peer.location) {
-            Some(way) => patience.over(way),
-            None if peer.is_far => patience.over_unknown(),
+            Some(rtt) => patience.with_rtt(rtt),
+            None if peer.is_far => patience.with_unknown_rtt(),
             None => patience,
         };
         let (sender, mut receiver) = oneshot::channel();
-        let question = Question {
-            place: peer.location,
-            asked: Instant::now(),
+        let call = PendingCall {
+            location: peer.location,
+            sent_at: Instant::now(),
             longest: patience.longest,
-            asker: Some(sender),
+            caller: Some(sender),
         };
-        self.lock().insert(number, question);
-        let _waiting = Waiting {
+        self.lock().insert(number, call);
+        let _guard = CallGuard {
             calls: self,
             number,
         };
         send();
-        if let Ok(answer) = timeout(patience.again, &mut receiver).await {
-            return answer.ok();
+        if let Ok(reply) = timeout(patience.again, &mut receiver).await {
+            return reply.ok();
         }
         send();
-        let left = patience.give_up.saturating_sub(patience.again);
-        timeout(left, &mut receiver).await.ok()?.ok()
+        let remaining = patience.give_up.saturating_sub(patience.again);
+        timeout(remaining, &mut receiver).await.ok()?.ok()
     }
 
-    /// Takes an answer. One that nobody waits for any more tells only how long the way is, and that its peer is not
-    /// silent: else a peer that is farther than the patience reaches would be taken for silent for ever. Returns true
-    /// for a late one that would have been in time had the way been known.
-    pub fn take(&self, number: u32, answer: A) -> bool {
-        let Some(question) = self.lock().remove(&number) else {
+    /// Completes a call with its reply. A late reply only updates the RTT, so that a peer beyond the default timeout
+    /// does not stay unresponsive forever. Returns true for a late reply that a known RTT would have made timely.
+    pub fn take(&self, number: u32, reply: A) -> bool {
+        let Some(call) = self.lock().remove(&number) else {
             return false;
         };
-        let measured = question.asked.elapsed();
-        if measured < REMEMBERED_FOR {
-            self.trips.note(question.place, measured);
+        let elapsed = call.sent_at.elapsed();
+        if elapsed < LATE_REPLY_WINDOW {
+            self.trips.note(call.location, elapsed);
         }
-        let is_late = match question.asker {
-            // The asker may have gone away at this moment.
-            Some(asker) => asker.send(answer).is_err(),
+        let is_late = match call.caller {
+            // The caller may drop the call at this moment.
+            Some(caller) => caller.send(reply).is_err(),
             None => true,
         };
-        is_late && measured < question.longest
+        is_late && elapsed < call.longest
     }
 }
--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon: its parts wired together, and its start.
+//! Wires the parts of a daemon together and starts it.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,11 +16,11 @@
 use tokio::net::{TcpListener, UdpSocket};
 
 use crate::discovery::{Discovery, DiscoverySource};
-use crate::figures::Figures;
 use crate::fleet::SharedFleet;
 use crate::members::{Members, new_life};
+use crate::metrics::MetricsService;
 use crate::peer_news::PeerNews;
-use crate::peer_rows::{PeerRows, learn};
+use crate::peer_rows::{PeerRows, bootstrap};
 use crate::pool::ConnectionPool;
 use crate::quarantine::{HeldContents, QuarantineService};
 use crate::rates::RateService;
@@ -30,60 +30,60 @@
 use crate::slots::{Pacing, SlotService, YieldItems};
 use crate::watches::{JobRowHandler, WatchIntervals, start_watches};
 
-/// What a daemon is made of.
+/// Parts from which a daemon is built.
 pub struct DaemonParts {
-    /// Settings.
+    /// Settings of the daemon, fixed for its lifetime.
     pub settings: EdgeSettings,
-    /// Translation of the store's rows.
+    /// Parser of the store's rows.
     pub source: Arc<dyn DiscoverySource>,
-    /// The store's rows.
+    /// Rows of the shared store.
     pub table: Arc<dyn Table>,
-    /// The store's objects.
+    /// Objects of the shared store: contents and results too large for a row.
     pub objects: Arc<dyn ObjectStore>,
-    /// The store's feeds.
+    /// Change feeds of the shared store.
     pub watched: Arc<dyn WatchedTable>,
-    /// The replicas' protocol.
+    /// Client of the replicas' protocol.
     pub replicas: Arc<dyn ReplicaClient>,
-    /// Connections to peers.
+    /// Connections to peers and replicas.
     pub pool: ConnectionPool,
-    /// Decision log.
+    /// Decision log, which also holds the metrics.
     pub log: DecisionLog,
 }
 
-/// What a service needs of its daemon.
+/// State of a daemon that its callers' service uses.
 pub struct EdgeService {
-    /// The request path.
+    /// Forwards online requests to replicas.
     pub forwarder: Forwarder,
-    /// Batch jobs.
+    /// Accepts and runs batch jobs.
     pub jobs: InlineJobs,
-    /// The servers' state.
+    /// State of the callers' server.
     pub control: Arc<ServerControl>,
     pub(crate) stopping: AtomicBool,
-    /// Contents that are held back.
+    /// Quarantined contents.
     pub quarantine: QuarantineService,
     discovery: Arc<Discovery>,
     members: Arc<Members>,
 }
 
 impl EdgeService {
-    /// Living daemons that this one knows, itself among them.
+    /// Returns the number of live members in this daemon's view, itself included.
     pub fn fleet_size(&self) -> usize {
         self.members.fleet_size()
     }
 
-    /// True if the daemon wants new connections.
+    /// True if the daemon accepts new connections: it is discovered, not stopping and not isolated from the store.
     pub fn is_ready(&self) -> bool {
         let stopping = self.stopping.load(Ordering::Relaxed);
         !stopping && self.discovery.is_complete() && !self.members.is_cut_off_alone()
     }
 
-    /// True if the daemon stops, and begins nothing any more.
+    /// True if the daemon is closing and starts no new work.
     pub fn is_closing(&self) -> bool {
         self.control.stage() == ServerStage::Closing
     }
 }
 
-/// A running daemon.
+/// A running daemon; its watches run on the runtime that started it.
 pub struct Daemon {
     pub(crate) settings: EdgeSettings,
     pub(crate) service: Arc<EdgeService>,
@@ -93,7 +93,7 @@
 }
 
 impl Daemon {
-    /// Wires the parts and starts the watches on the current runtime.
+    /// Connects the parts and starts the watches on the current runtime.
     pub fn start(parts: DaemonParts) -> Self {
         let DaemonParts {
             settings,
@@ -190,7 +190,7 @@
             },
         });
         members.set_jobs(jobs.clone());
-        slots.set_yielding(Box::new(Yielding {
+        slots.set_yielding(Box::new(BatchPreemption {
             jobs: jobs.clone(),
             members: members.clone(),
         }));
@@ -213,14 +213,14 @@
         tokio::spawn(jobs.clone().run());
         tokio::spawn(news.catch_up(pool.clone()));
         tokio::spawn(discovery.clone().watch_evacuated());
-        let learning = learn(
+        let bootstrapping = bootstrap(
             discovery.clone(),
             members.clone(),
             relay.clone(),
             pool,
             log.clone(),
         );
-        tokio::spawn(learning);
+        tokio::spawn(bootstrapping);
         let service = Arc::new(EdgeService {
             forwarder,
             jobs,
@@ -239,12 +239,15 @@
         }
     }
 
-    /// What the callers' service needs.
+    /// Returns the state that the callers' service uses.
     pub fn service(&self) -> Arc<EdgeService> {
         self.service.clone()
     }
 
-    /// Serves callers and the question whether the daemon is ready.
+    /// Binds the configured addresses and serves callers, readiness, metrics, and peers.
+    ///
+    /// # Errors
+    /// An address cannot be bound.
     pub async fn listen<C: HttpService, R: HttpService>(
         &self,
         callers: Arc<C>,
@@ -260,8 +263,8 @@
         tokio::spawn(serve(ready_listener, inner_control.clone(), readiness));
         if !self.settings.metrics_address.is_empty() {
             let listener = TcpListener::bind(&self.settings.metrics_address).await?;
-            let figures = Arc::new(Figures::new(self.log.clone()));
-            tokio::spawn(serve(listener, inner_control.clone(), figures));
+            let metrics = Arc::new(MetricsService::new(self.log.clone()));
+            tokio::spawn(serve(listener, inner_control.clone(), metrics));
         }
         if !self.settings.control_address.is_empty() {
             let listener = TcpListener::bind(&self.settings.control_address).await?;
@@ -274,13 +277,13 @@
     }
 }
 
-/// What ends batch items for online requests.
-struct Yielding {
+/// Preempts batch items for online requests.
+struct BatchPreemption {
     jobs: InlineJobs,
     members: Arc<Members>,
 }
 
-impl YieldItems for Yielding {
+impl YieldItems for BatchPreemption {
     fn yield_lease(&self, place: u32) {
         self.jobs.yield_lease(place);
     }
--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Configuration and replicas as this daemon knows them, from the store's rows.
+//! The daemon's configuration and replicas, from the store's rows or from peers.
 
 mod evacuations;
 
@@ -19,51 +19,51 @@
 
 use evacuations::KnownZones;
 
-/// Translates the store's rows.
+/// Parses the store's rows.
 pub trait DiscoverySource: Send + Sync {
-    /// Space that holds the configuration.
+    /// Returns the store's space that holds the configuration.
     fn configuration_space(&self) -> &'static str;
 
-    /// Space that holds the replicas' records.
+    /// Returns the store's space that holds the replicas' records.
     fn replica_space(&self) -> &'static str;
 
-    /// The configuration of a row, if it holds one.
+    /// Parses the configuration of a row; `None` if the row holds none.
     ///
     /// # Errors
-    /// The row holds a configuration that cannot be taken over: the field and its value. Keys are not named.
+    /// The row holds an invalid configuration: the field and its value. Keys are not included.
     fn configuration_of(&self, row: &Row) -> Result<Option<ServingConfiguration>, String>;
 
-    /// The replica of a row.
+    /// Parses the replica of a row.
     ///
     /// # Errors
-    /// The row names no replica to use: what of it cannot be read. The row's own text is not repeated.
+    /// The row holds no usable replica: the part that is invalid. The row's own text is not included.
     fn replica_of(&self, row: &Row) -> Result<ReplicaRecord, String>;
 
-    /// The zone that a row of the configuration's space with this key takes out of service, if it is such a row.
+    /// Returns the zone that a configuration row with this key evacuates; `None` for other rows.
     fn evacuated_zone_of(&self, _key: &str) -> Option<String> {
         None
     }
 
-    /// True if the settings name the zone.
+    /// True if the zone is part of the configured topology.
     fn knows_zone(&self, _zone: &str) -> bool {
         true
     }
 }
 
-/// True if a row says something that is worth a line. How long a replica stays cold is not: each row of a cold one tells
-/// another time, all daemons see all rows, and the changes of a zone's warmth have lines of their own.
-fn is_news(known: &ReplicaRecord, told: &ReplicaRecord) -> bool {
+/// True if a replica's change is worth a log line. A changed warmup time alone is not: each row of a cold replica has
+/// another, and all daemons receive all rows.
+fn is_notable(known: &ReplicaRecord, received: &ReplicaRecord) -> bool {
     let known = ReplicaRecord {
-        warmup: told.warmup,
+        warmup: received.warmup,
         ..known.clone()
     };
-    known != *told
+    known != *received
 }
 
-/// Least time between two lines on rows that cannot be read: another writer may leave many.
-const REJECTED_EVERY: Duration = Duration::from_secs(1);
+/// Minimum time between two log lines on invalid rows, of which another writer may leave many.
+const REJECTED_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the daemon believes; updates only move forward.
+/// The daemon's configuration and replicas. Updates never replace newer state by older state.
 pub struct Discovery {
     source: Arc<dyn DiscoverySource>,
     routes: SharedRoutes,
@@ -80,31 +80,31 @@
     configuration: Option<Row>,
     replicas: HashMap<String, (Row, ReplicaRecord)>,
     replicas_read: bool,
-    /// Rows so far that could not be read, and when that was told last.
+    /// Number of invalid rows so far.
     rejected: u64,
-    rejected_told_at: Option<Instant>,
-    /// The replicas are a peer's word; the store's first word replaces them all.
-    replicas_of_peer: bool,
+    rejected_logged_at: Option<Instant>,
+    /// True if the replicas come from a peer; the store's first read replaces them all.
+    replicas_from_peer: bool,
 }
 
-/// What an update changes among the replicas.
+/// Changes of an update to the replica set.
 #[derive(Default)]
 struct ReplicaChanges {
     changed: Vec<ReplicaRecord>,
-    /// Ids.
-    gone: Vec<String>,
+    /// Ids of the replicas to remove.
+    removed: Vec<String>,
 }
 
 impl ReplicaChanges {
-    /// A replica is not used any more, whatever the same update said of it before.
-    fn forget(&mut self, id: String) {
+    /// Removes a replica, overriding any earlier change to it in the same update.
+    fn remove(&mut self, id: String) {
         self.changed.retain(|record| record.id != id);
-        self.gone.push(id);
+        self.removed.push(id);
     }
 }
 
 impl Discovery {
-    /// Knows nothing yet.
+    /// Starts without a configuration and replicas.
     pub fn new(
         source: Arc<dyn DiscoverySource>,
         routes: SharedRoutes,
@@ -129,27 +129,27 @@
         self.rows.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// True once a configuration and the replicas are known.
+    /// True once a configuration and the replicas have been read.
     pub fn is_complete(&self) -> bool {
         self.routes.load().is_some() && self.rows().replicas_read
     }
 
-    /// Rows for a daemon that cannot read the store.
+    /// Returns the rows to send to a daemon that cannot read the store: the configuration and the replicas.
     pub fn known_rows(&self) -> (Option<Row>, Vec<Row>) {
         let rows = self.rows();
         let replicas = rows.replicas.values().map(|(row, _)| row.clone()).collect();
         (rows.configuration.clone(), replicas)
     }
 
-    /// Takes an update of the configuration's space. Evacuations come first: what the configuration lets in then finds
-    /// them in force.
+    /// Applies an update of the configuration's space. Evacuations are applied first, so that they are in force
+    /// before the configuration admits requests.
     pub fn take_configuration(&self, update: &SpaceUpdate, origin: &str) {
         self.take_evacuation_rows(update, origin);
         for row in &update.written {
             self.adopt(row, origin);
         }
-        if let Some(moment) = update.as_of {
-            self.proof.prove(moment);
+        if let Some(as_of) = update.as_of {
+            self.proof.prove(as_of);
         }
     }
 
@@ -167,10 +167,10 @@
         };
         let mut rows = self.rows();
         let current = self.routes.load_full();
-        let newer = current
+        let is_newer = current
             .as_ref()
             .is_none_or(|table| configuration.version > table.configuration.version);
-        if !newer {
+        if !is_newer {
             return;
         }
         self.log.record(&Record::ConfigurationInForce {
@@ -185,7 +185,7 @@
         self.apply_warmups(self.replicas.view().all());
     }
 
-    /// Tells replicas how those of their service warm up.
+    /// Sets the warmup parameters of each replica's service.
     fn apply_warmups<'a>(&self, replicas: impl Iterator<Item = &'a Arc<Replica>>) {
         let routes = self.routes.load_full();
         let Some(configuration) = routes.as_ref().map(|table| &table.configuration) else {
@@ -197,32 +197,32 @@
         }
     }
 
-    /// Takes an update of the replicas' space from the store.
+    /// Applies an update of the replicas' space from the store.
     pub fn take_replicas(&self, update: &SpaceUpdate) {
         let mut rows = self.rows();
-        let first = !std::mem::replace(&mut rows.replicas_read, true);
+        let is_first_read = !std::mem::replace(&mut rows.replicas_read, true);
         let mut changes = ReplicaChanges::default();
-        if std::mem::take(&mut rows.replicas_of_peer) {
-            let told = rows.replicas.drain().map(|(_, (_, record))| record.id);
-            changes.gone.extend(told);
+        if std::mem::take(&mut rows.replicas_from_peer) {
+            let from_peer = rows.replicas.drain().map(|(_, (_, record))| record.id);
+            changes.removed.extend(from_peer);
         }
         for row in &update.written {
-            self.note_replica(&mut rows, row, first, &mut changes);
+            self.note_replica(&mut rows, row, is_first_read, &mut changes);
         }
         for key in &update.removed {
             if let Some((row, record)) = rows.replicas.remove(key) {
                 self.log_replica(&record, "gone", row.revision);
-                changes.gone.push(record.id);
+                changes.removed.push(record.id);
             }
         }
         self.note_warmups(&update.written);
-        if first {
+        if is_first_read {
             self.log_first_replicas(&rows, "store");
         }
         self.publish(changes);
     }
 
-    /// Takes replicas from a peer: only those that the store has not told of.
+    /// Applies replicas from a peer, unless replicas have been read already.
     pub fn take_replicas_of_peer(&self, peer_rows: &[Row]) {
         let mut rows = self.rows();
         if rows.replicas_read {
@@ -233,13 +233,13 @@
             self.note_replica(&mut rows, row, true, &mut changes);
         }
         rows.replicas_read = true;
-        rows.replicas_of_peer = true;
+        rows.replicas_from_peer = true;
         self.log_first_replicas(&rows, "peer");
         self.publish(changes);
     }
 
-    /// Takes a replica's row. The rows of the first read are logged together: a large fleet that starts would write a
-    /// line for each pair of a daemon and a replica.
+    /// Records a replica's row. Rows of the first read are logged as one summary: otherwise the start of a large
+    /// fleet would log a line for each pair of a daemon and a replica.
     fn note_replica(
         &self,
         rows: &mut KnownRows,
@@ -256,10 +256,10 @@
         };
         let known = rows.replicas.get(&row.key).map(|(_, known)| known);
         let is_restart = known.is_some_and(|known| known.is_other_start(&record));
-        // An entry without a date speaks of the start that is known.
+        // A row without a start time belongs to the replica instance already known.
         record.born_ms = record.born_ms.or(known.and_then(|known| known.born_ms));
-        let is_news = known.is_none_or(|known| is_news(known, &record));
-        if is_news && !is_first_read {
+        let is_notable = known.is_none_or(|known| is_notable(known, &record));
+        if is_notable && !is_first_read {
             let state = match (record.draining, is_restart) {
                 (true, _) => "draining",
                 (false, true) => "started again",
@@ -271,7 +271,7 @@
         rows.replicas.insert(row.key.clone(), (row.clone(), record));
     }
 
-    /// A row that cannot be read names no replica to use, and the one that it named before is not used either.
+    /// Handles an invalid row: the replica that the row held before is removed.
     fn reject_replica(
         &self,
         rows: &mut KnownRows,
@@ -283,15 +283,15 @@
             if let Some(replica) = self.replicas.view().get(&record.id) {
                 replica.set_unlisted(true);
             }
-            changes.forget(record.id);
+            changes.remove(record.id);
         }
         rows.rejected += 1;
         let now = Instant::now();
         let is_due = rows
-            .rejected_told_at
-            .is_none_or(|at| now.saturating_duration_since(at) >= REJECTED_EVERY);
+            .rejected_logged_at
+            .is_none_or(|at| now.saturating_duration_since(at) >= REJECTED_LOG_INTERVAL);
         if is_due {
-            rows.rejected_told_at = Some(now);
+            rows.rejected_logged_at = Some(now);
             self.log.record(&Record::ReplicaRejected {
                 entry: &row.key,
                 revision: row.revision,
@@ -302,7 +302,7 @@
     }
 
     fn publish(&self, changes: ReplicaChanges) {
-        if changes.changed.is_empty() && changes.gone.is_empty() {
+        if changes.changed.is_empty() && changes.removed.is_empty() {
             return;
         }
         let routes = self.routes.load_full();
@@ -313,23 +313,23 @@
         };
         let ids: Vec<String> = changes.changed.iter().map(|one| one.id.clone()).collect();
         self.replicas
-            .update(changes.changed, &changes.gone, memory_tokens);
+            .update(changes.changed, &changes.removed, memory_tokens);
         let view = self.replicas.view();
         self.apply_warmups(ids.iter().filter_map(|id| view.get(id)));
     }
 
-    /// The rows' word on warmth, for replicas that were known before: new ones take it from their record.
+    /// Updates the warmup of known replicas from their rows; new replicas take it from their record.
     fn note_warmups(&self, written: &[Row]) {
-        let seen = harrierward_clock::now();
+        let received_at = harrierward_clock::now();
         let view = self.replicas.view();
         let readable = written
             .iter()
             .filter_map(|row| self.source.replica_of(row).ok());
         for record in readable {
             if let Some(replica) = view.get(&record.id) {
-                // Another start takes it from its own record.
+                // Another replica instance takes its warmup from its own record.
                 if !replica.record.is_other_start(&record) {
-                    replica.note_row_warmup(record.warmup, seen);
+                    replica.note_row_warmup(record.warmup, received_at);
                 }
             }
         }
@@ -353,7 +353,7 @@
         });
     }
 
-    /// Version of the configuration in force; 0 if there is none.
+    /// Returns the version of the configuration in force; 0 if there is none.
     pub fn configuration_version(&self) -> u64 {
         let routes = self.routes.load();
         routes
@@ -361,7 +361,7 @@
             .map_or(0, |routes| routes.configuration.version)
     }
 
-    /// True if the store may have told others of a configuration that this daemon has not heard of.
+    /// True if the store may hold a newer configuration that this daemon has not received.
     pub fn is_stale(&self) -> bool {
         self.proof.is_stale()
     }
--- a/crates/edge/src/discovery/evacuations.rs
+++ b/crates/edge/src/discovery/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones as this daemon knows them, from the store's rows and from peers.
+//! Evacuated zones, merged from the store's rows and from peers.
 
 use std::collections::HashMap;
 use std::sync::{Arc, PoisonError};
@@ -11,8 +11,8 @@
 
 use super::Discovery;
 
-/// Time between two looks at what still runs in evacuated zones.
-const RUNNING_LOOK: Duration = Duration::from_millis(500);
+/// Interval at which the work still running in evacuated zones is counted.
+const RUNNING_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Default)]
 pub(super) struct KnownZones {
@@ -30,20 +30,23 @@
         let written = update.written.iter();
         let written = written.filter_map(|row| Some((zone_of(&row.key)?, row.revision)));
         let written = written.collect();
-        let gone: Vec<String> = update
+        let removed: Vec<String> = update
             .removed
             .iter()
             .filter_map(|key| zone_of(key))
             .collect();
-        let news = self.zones().rows.take(written, &gone, update.complete_at);
+        let news = self
+            .zones()
+            .rows
+            .take(written, &removed, update.complete_at);
         self.take_evacuations(&news, origin);
-        self.log_without_room(&news, origin);
+        self.log_ignored_zones(&news, origin);
     }
 
-    /// Rows that are not in force since there are too many: told again at each whole read, for as long as it is so.
-    fn log_without_room(&self, news: &EvacuationNews, origin: &str) {
-        let standing = news.zones.iter().filter(|(_, mark)| !mark.is_over);
-        for (zone, mark) in standing {
+    /// Logs evacuations that are ignored because the zone limit is reached; repeated at each full read.
+    fn log_ignored_zones(&self, news: &EvacuationNews, origin: &str) {
+        let active = news.zones.iter().filter(|(_, mark)| !mark.is_over);
+        for (zone, mark) in active {
             if self.zones().zones.is_kept(zone) {
                 continue;
             }
@@ -51,9 +54,9 @@
         }
     }
 
-    /// Takes what the store or a peer knows of evacuated zones.
+    /// Merges evacuations received from the store or from a peer.
     pub fn take_evacuations(&self, news: &EvacuationNews, origin: &str) {
-        // The lock is held until the replicas know: an older set must not come after a newer one.
+        // The lock is held until the replicas are updated: an older set must not overwrite a newer one.
         let mut known = self.zones();
         let changes = known.zones.merge(news, harrierward_clock::now());
         if changes.is_empty() {
@@ -66,22 +69,22 @@
         }
     }
 
-    /// What this daemon knows of evacuated zones.
+    /// Returns the known evacuations, to be sent to peers.
     pub fn evacuations(&self) -> EvacuationNews {
         self.zones().zones.news()
     }
 
-    /// When this daemon learned that the zone's last evacuation was over; `None` if there was none.
+    /// Returns when this daemon learned that the zone's last evacuation ended; `None` if there was none.
     pub fn zone_returned_at(&self, zone: &str) -> Option<Instant> {
         self.zones().zones.returned_at(zone)
     }
 
-    /// Requests and items of this daemon in progress in a zone.
+    /// Returns the number of this daemon's requests and items in progress in a zone.
     fn running_in(&self, zone: &str) -> u32 {
         let view = self.replicas.view();
-        let there = view.all().filter(|replica| replica.record.zone == zone);
+        let in_zone = view.all().filter(|replica| replica.record.zone == zone);
         let running =
-            there.map(|replica| replica.own(WorkClass::Online) + replica.own(WorkClass::Batch));
+            in_zone.map(|replica| replica.own(WorkClass::Online) + replica.own(WorkClass::Batch));
         running.sum()
     }
 
@@ -107,16 +110,16 @@
         });
     }
 
-    /// Tells operators what still runs in evacuated zones, for as long as the process does.
+    /// Logs the work that still runs in evacuated zones; never returns.
     pub async fn watch_evacuated(self: Arc<Self>) {
-        let mut told: HashMap<String, u32> = HashMap::new();
+        let mut logged: HashMap<String, u32> = HashMap::new();
         loop {
-            sleep(RUNNING_LOOK).await;
+            sleep(RUNNING_CHECK_INTERVAL).await;
             let evacuated = self.zones().zones.evacuated();
-            told.retain(|zone, _| evacuated.contains(zone));
+            logged.retain(|zone, _| evacuated.contains(zone));
             for zone in evacuated {
                 let running = self.running_in(&zone);
-                if told.insert(zone.clone(), running) != Some(running) {
+                if logged.insert(zone.clone(), running) != Some(running) {
                     let zone = &zone;
                     self.log.record(&Record::ZoneRunning { zone, running });
                 }
--- a/crates/edge/src/hedged.rs
+++ b/crates/edge/src/hedged.rs
@@ -1,7 +1,7 @@
-//! One question to several peers: the next one is asked as soon as one has nothing to say, or stays silent a while.
+//! Hedged requests: the next peer is asked when one fails or does not respond within a delay.
 //!
-//! A machine that lost its power is still among the members for a second or two and says nothing at all. Asked one
-//! after the other, each such peer would cost its whole time-out.
+//! A crashed peer stays in the membership for a second or two; asking one after the other would cost its full
+//! timeout.
 
 use std::future::Future;
 use std::time::Duration;
@@ -10,34 +10,34 @@
 use futures::stream::FuturesUnordered;
 use tokio::time::{Instant, sleep_until};
 
-/// The first answer; `None` once all have nothing to say. `ask` bounds its own time. Questions that are not needed any
-/// more are dropped.
-pub async fn first_answer<A, F, Answering>(
+/// Returns the first response; `None` once all peers have failed. `request` must have a timeout of its own.
+/// Outstanding requests are dropped.
+pub async fn first_answer<R, F, Response>(
     peers: Vec<String>,
-    silent_for: Duration,
-    ask: F,
-) -> Option<A>
+    delay: Duration,
+    request: F,
+) -> Option<R>
 where
-    F: Fn(String) -> Answering,
-    Answering: Future<Output = Option<A>>,
+    F: Fn(String) -> Response,
+    Response: Future<Output = Option<R>>,
 {
-    let mut waiting = peers.into_iter();
-    let mut asked = FuturesUnordered::new();
-    while let Some(peer) = waiting.next() {
-        asked.push(ask(peer));
-        let next_at = Instant::now() + silent_for;
+    let mut remaining = peers.into_iter();
+    let mut pending = FuturesUnordered::new();
+    while let Some(peer) = remaining.next() {
+        pending.push(request(peer));
+        let hedge_at = Instant::now() + delay;
         tokio::select! {
-            answer = asked.next() => {
-                if let Some(Some(answer)) = answer {
-                    return Some(answer);
+            response = pending.next() => {
+                if let Some(Some(response)) = response {
+                    return Some(response);
                 }
             }
-            () = sleep_until(next_at), if waiting.len() > 0 => {}
+            () = sleep_until(hedge_at), if remaining.len() > 0 => {}
         }
     }
-    while let Some(answer) = asked.next().await {
-        if answer.is_some() {
-            return answer;
+    while let Some(response) = pending.next().await {
+        if response.is_some() {
+            return response;
         }
     }
     None
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,14 +1,14 @@
-//! One serving daemon without machines for control and without disk: its server towards callers, its connections
-//! to back ends, its copies of what the store says, and its peers.
+//! One serving daemon: its HTTP servers, connection pool, copies of the store's spaces, and peers. It keeps no state
+//! on disk.
 
 mod answer_budget;
 mod calls;
 mod daemon;
 mod discovery;
-mod figures;
 mod fleet;
 mod hedged;
 mod members;
+mod metrics;
 mod order;
 mod peer_loads;
 mod peer_news;
--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -1,4 +1,4 @@
-//! The other daemons: who lives, and what each has in progress at the replicas.
+//! Membership of the fleet: drives the SWIM protocol, and exchanges load notices with peers.
 
 mod notices;
 mod peers;
@@ -32,40 +32,39 @@
 use crate::settings::EdgeSettings;
 use crate::slots::{CoordinatorCandidate, SlotService};
 
-use notices::{ALONE_CUT_OFF_AFTER, NOTICE_FAN_OUT};
+use notices::{ISOLATION_PROOF_AGE, NOTICE_FAN_OUT};
 
-/// How often the membership protocol is driven.
+/// Interval at which the membership protocol is driven.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Ticks between two load notices.
-const NOTICE_TICKS: u64 = 2;
+const TICKS_PER_NOTICE: u64 = 2;
 
-/// Age of the own proof from which on this daemon, if it alone is cut off from the store, says so to all: its jobs go
-/// on elsewhere.
-const CUT_OFF_AFTER: Duration = Duration::from_millis(3_200);
+/// Age of the proof of contact from which a daemon that alone is cut off from the store declares itself detached, so
+/// that other daemons take over its jobs.
+const DETACH_PROOF_AGE: Duration = Duration::from_millis(3_200);
 
-/// Largest datagram received, bytes.
-const DATAGRAM_LIMIT: usize = 65_536;
+/// Size of the receive buffer in bytes.
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
 struct State {
     core: MembershipCore,
-    /// The core's view at the last tick: what the rest of the daemon goes by.
+    /// The membership view of the last tick, used by the rest of the daemon.
     view: Arc<MembershipView>,
     loads: PeerLoads,
-    /// Replicas at which peers had something when their loads were last published.
-    published: HashSet<u32>,
-    notices: u64,
-    others_since: Option<Instant>,
+    /// Hashes of the replicas whose peer loads were nonzero when last published.
+    replicas_with_peer_load: HashSet<u32>,
+    notice_count: u64,
+    first_peer_at: Option<Instant>,
 }
 
-/// This daemon's view of its peers.
+/// The daemon's membership and its communication with peers.
 pub struct Members {
     life: String,
     zone: String,
     region: String,
     policy: Policy,
-    /// Beginning of the membership's time. It is the steady clock, which stands still while the machine is suspended: ages in
-    /// the protocol are times in which this daemon listened, and a suspicion must not run out while nobody could refute it.
+    /// Start of the protocol's time, on a clock that stops while the machine is suspended: a suspicion must not
+    /// expire while this daemon could not receive its refutation.
     started: Instant,
     replicas: Arc<ReplicaSet>,
     log: DecisionLog,
@@ -81,24 +80,24 @@
     state: Mutex<State>,
 }
 
-/// A name for this life of the daemon.
+/// Returns a unique id for this daemon instance: `NAME@MILLISECONDS-RANDOM`, numbers in hexadecimal.
 pub fn new_life(member: &str) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = now.map_or(0, |time| time.as_millis());
     format!("{member}@{millis:x}-{:04x}", rand::random::<u16>())
 }
 
-/// What a life's name tells.
+/// A parsed instance id.
 #[derive(Debug, PartialEq, Eq)]
 struct LifeName<'a> {
-    /// The daemon by its settings' name.
+    /// Name of the daemon in its settings.
     member: &'a str,
-    /// When it was started, by its machine's clock, milliseconds.
+    /// When the instance started by its machine's clock, milliseconds since the epoch.
     started_ms: u64,
 }
 
 impl<'a> LifeName<'a> {
-    /// `None` for a name of another form.
+    /// Parses an instance id; `None` if it has another format.
     fn parse(life: &'a str) -> Option<Self> {
         let (member, start) = life.rsplit_once('@')?;
         let (millis, _) = start.split_once('-')?;
@@ -108,7 +107,7 @@
 }
 
 impl Members {
-    /// Knows only itself.
+    /// Starts with this daemon as the only member.
     pub fn new(
         life: String,
         settings: &EdgeSettings,
@@ -139,9 +138,9 @@
             view: Arc::new(core.view()),
             core,
             loads: PeerLoads::default(),
-            published: HashSet::new(),
-            notices: 0,
-            others_since: None,
+            replicas_with_peer_load: HashSet::new(),
+            notice_count: 0,
+            first_peer_at: None,
         };
         Self {
             life,
@@ -168,16 +167,16 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Addresses at which some other living daemons answer control calls, near ones first.
-    pub fn control_addresses(&self, most: usize) -> Vec<String> {
+    /// Returns control addresses of other live members, nearest first.
+    pub fn control_addresses(&self, limit: usize) -> Vec<String> {
         let view = self.view();
         let others =
             view.others_nearest_first(&self.life, &self.zone, &self.region, &mut rand::rng());
         let addresses = others.into_iter().map(|one| one.peer_address.clone());
-        addresses.take(most).collect()
+        addresses.take(limit).collect()
     }
 
-    /// Living daemons, this one among them.
+    /// Returns the number of live members, this one included.
     pub fn fleet_size(&self) -> usize {
         self.view().members.len()
     }
@@ -186,22 +185,22 @@
         self.lock().view.clone()
     }
 
-    /// True if this daemon cannot reach the store, but most others can: it is better if new work goes to them.
+    /// True if this daemon cannot reach the store but most others can: new work should go to them.
     pub fn is_cut_off_alone(&self) -> bool {
-        self.is_alone_without_proof_for(&self.lock(), ALONE_CUT_OFF_AFTER)
+        self.is_isolated_for(&self.lock(), ISOLATION_PROOF_AGE)
     }
 
-    /// Member id of this life of the daemon.
+    /// Returns the id of this daemon instance.
     pub fn life(&self) -> &str {
         &self.life
     }
 
-    /// Says that this daemon leaves.
+    /// Announces that this daemon leaves the membership.
     pub fn leave(&self) {
         self.lock().core.leave();
     }
 
-    /// Asks a peer for a slot that its batch items hold; what is lost on the way is not asked again.
+    /// Requests that a peer preempt one of its batch items at the replica; a lost request is not resent.
     pub fn ask_peer_to_yield(&self, replica: &Replica) {
         let hash = replica.hash;
         let address = {
@@ -221,7 +220,7 @@
         self.send_to(node_datagram::Kind::YieldRequest(request), address);
     }
 
-    /// Drives the protocol over `socket` for as long as the process runs.
+    /// Drives the protocol over `socket`; never returns.
     pub async fn run(self: Arc<Self>, socket: Arc<UdpSocket>) {
         let _ = self.socket.set(socket.clone());
         self.slots.set_socket(socket.clone());
@@ -239,15 +238,15 @@
             let mut datagrams = Vec::new();
             {
                 let mut state = self.lock();
-                let detached = self.is_alone_without_proof_for(&state, CUT_OFF_AFTER);
+                let detached = self.is_isolated_for(&state, DETACH_PROOF_AGE);
                 state.core.set_detached(detached);
                 let actions = state.core.tick(self.started.elapsed(), &mut random);
                 datagrams.extend(wrap(actions));
-                self.note_changes(&mut state);
+                self.publish_view(&mut state);
                 if state.loads.heard() > NOTICE_FAN_OUT {
                     self.publish_loads(&mut state);
                 }
-                if tick.is_multiple_of(NOTICE_TICKS) {
+                if tick.is_multiple_of(TICKS_PER_NOTICE) {
                     datagrams.extend(self.notices(&mut state));
                 }
             }
@@ -261,7 +260,7 @@
         }
     }
 
-    /// Tells of a suspension of the machine since the last tick. Whoever asks for the age of something has counted it already.
+    /// Logs a suspension of the machine since the last tick.
     fn note_suspension(&self, suspensions: &SuspensionWatch) {
         let Some(suspended) = suspensions.take() else {
             return;
@@ -272,10 +271,10 @@
     }
 
     async fn receive_all(self: Arc<Self>, socket: Arc<UdpSocket>) {
-        let mut buffer = vec![0; DATAGRAM_LIMIT];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-                // A peer that has gone shows up as a refused connection on some systems.
+                // A departed peer causes a refused connection on some systems.
                 sleep(TICK).await;
                 continue;
             };
@@ -298,16 +297,16 @@
             }
             Some(node_datagram::Kind::QuotaAsk(ask)) => {
                 drop(state);
-                self.take_quota_ask(&ask, from);
+                self.handle_quota_ask(&ask, from);
                 Vec::new()
             }
             Some(node_datagram::Kind::QuotaAnswer(answer)) => {
-                // A late answer changes nothing: a job's tokens are asked for again.
+                // A late reply needs no handling: a job requests its tokens again.
                 let _ = self.quota_calls.take(answer.number, answer);
                 Vec::new()
             }
             Some(node_datagram::Kind::LoadNotice(notice)) => {
-                self.take_notice(&mut state, notice);
+                self.handle_notice(&mut state, notice);
                 Vec::new()
             }
             _ => Vec::new(),
@@ -324,16 +323,16 @@
         }
     }
 
-    /// Brings the view up to date: once a tick, since a start of the whole fleet brings hundreds of members within
-    /// a second, and each change has a cost of all members.
-    fn note_changes(&self, state: &mut State) {
+    /// Publishes the changed view. Done once a tick, since each change costs time in the number of members and many
+    /// may join within a second.
+    fn publish_view(&self, state: &mut State) {
         if !state.core.take_changed() {
             return;
         }
         let view = Arc::new(state.core.view());
         let before = std::mem::replace(&mut state.view, view.clone());
-        if view.members.len() > 1 && state.others_since.is_none() {
-            state.others_since = Some(Instant::now());
+        if view.members.len() > 1 && state.first_peer_at.is_none() {
+            state.first_peer_at = Some(Instant::now());
         }
         let (joined, gone) = view.changes_since(&before);
         if joined + gone > 0 {
@@ -350,51 +349,48 @@
             location: Location::new(&member.zone, &member.region),
         });
         let staying: Vec<CoordinatorCandidate> = staying.collect();
-        self.tell_relay(&view);
+        self.update_relay_members(&view);
         self.quarantine.set_members(&staying);
         self.rates.set_members(staying.clone());
         self.slots.set_members(staying);
     }
 
-    /// Tells whom of the own zone this daemon may follow. Who cannot reach the store has nothing to hand on.
-    fn tell_relay(&self, view: &MembershipView) {
+    /// Sets the peers of the own zone that this daemon may follow: those attached to the store.
+    fn update_relay_members(&self, view: &MembershipView) {
         let Some(relay) = self.relay.get() else {
             return;
         };
-        let near = view.staying().filter(|member| {
+        let candidates = view.staying().filter(|member| {
             member.zone == self.zone && !member.detached && !member.peer_address.is_empty()
         });
-        let near = near.map(|member| RelayPeer {
+        let candidates = candidates.map(|member| RelayPeer {
             id: member.id.clone(),
             address: member.peer_address.clone(),
         });
-        let near: Vec<RelayPeer> = near.collect();
-        relay.set_members(&near, view.members.len());
+        let candidates: Vec<RelayPeer> = candidates.collect();
+        relay.set_members(&candidates, view.members.len());
     }
 
-    /// Where the store's spaces are read.
+    /// Sets the relay that reads the store's spaces; effective once.
     pub fn set_relay(&self, relay: Arc<Relay>) {
-        // Set once, at the start.
         let _ = self.relay.set(relay);
     }
 
-    /// The jobs of this daemon, of which its peers are told, and whose quotas they ask for.
+    /// Sets the jobs, whose state is announced to peers and whose quotas peers request; effective once.
     pub fn set_jobs(&self, jobs: InlineJobs) {
-        // Set once, at the start.
         let _ = self.jobs.set(jobs);
     }
 
     fn send_to(&self, kind: node_datagram::Kind, address: SocketAddr) {
         let datagram = NodeDatagram { kind: Some(kind) };
         if let Some(socket) = self.socket.get() {
-            // A datagram that is lost is sent again, or its sender gives up.
+            // A lost datagram is resent, or its sender times out.
             let _ = socket.try_send_to(&encode(&datagram), address);
         }
     }
 
-    /// The operator's rows, of which peers are told in passing.
+    /// Sets the updates of the operator's rows that notices carry; effective once.
     pub fn set_news(&self, news: Arc<PeerNews>) {
-        // Set once, at the start.
         let _ = self.news.set(news);
     }
 }
--- a/crates/edge/src/members/notices.rs
+++ b/crates/edge/src/members/notices.rs
@@ -1,4 +1,4 @@
-//! What daemons tell some others in passing: what they have in progress, how old their proof is, the operator's rows.
+//! Load notices to a sample of the peers: requests in progress, age of the proof of contact, and the operator's rows.
 
 use std::time::Duration;
 
@@ -8,16 +8,15 @@
 
 use super::{Members, State};
 
-/// Members that one notice goes to. Coordinators count exactly; a notice only serves a daemon that finds no
-/// coordinator and the question whether it alone is cut off, for which a sample does (measured on further-grown:
-/// 24 -> 3 halves the bytes between zones and moves nothing else).
+/// Number of members that receive one notice. A sample suffices: coordinators keep exact counts, and notices serve
+/// daemons without a coordinator and the check for isolation from the store.
 pub(super) const NOTICE_FAN_OUT: usize = 3;
 
-/// Age of the own proof from which on this daemon asks whether it alone is cut off.
-pub(super) const ALONE_CUT_OFF_AFTER: Duration = Duration::from_millis(2_200);
+/// Age of the proof of contact from which a daemon checks whether it alone is cut off from the store.
+pub(super) const ISOLATION_PROOF_AGE: Duration = Duration::from_millis(2_200);
 
 impl Members {
-    /// Own counts, for some other members.
+    /// Returns the notices to send, each with its address.
     pub(super) fn notices(&self, state: &mut State) -> Vec<(String, Vec<u8>)> {
         if !self.policy.has(Mechanism::LoadNotices) {
             return Vec::new();
@@ -25,11 +24,11 @@
         if state.loads.expire(harrierward_clock::now()) {
             self.publish_loads(state);
         }
-        state.notices += 1;
+        state.notice_count += 1;
         let notice = LoadNotice {
             from: self.life.clone(),
-            number: state.notices,
-            counts: self.own_counts(),
+            number: state.notice_count,
+            counts: self.own_loads(),
             proof_age_ms: self.own_proof_age_ms(),
             evacuations: self.news.get().map(|news| news.evacuations()),
             configuration_version: self
@@ -43,15 +42,16 @@
         let bytes = encode(&datagram);
         let view = state.view.clone();
         let others = view.members.iter().filter(|member| member.id != self.life);
-        let told = others.choose_multiple(&mut rand::rng(), NOTICE_FAN_OUT);
-        told.into_iter()
+        let recipients = others.choose_multiple(&mut rand::rng(), NOTICE_FAN_OUT);
+        recipients
+            .into_iter()
             .filter_map(|member| state.core.udp_address(&member.id))
             .map(|address| (address, bytes.clone()))
             .collect()
     }
 
-    /// What this daemon has in progress, by replica.
-    fn own_counts(&self) -> Vec<ReplicaCount> {
+    /// Returns the number of this daemon's requests in progress, by replica.
+    fn own_loads(&self) -> Vec<ReplicaCount> {
         if self.replicas.is_idle() {
             return Vec::new();
         }
@@ -74,8 +74,8 @@
         })
     }
 
-    /// What a notice tells of the operator's rows.
-    pub(super) fn take_news(&self, state: &State, notice: &mut LoadNotice) {
+    /// Applies the operator's rows that a notice carries.
+    pub(super) fn apply_notice_updates(&self, state: &State, notice: &mut LoadNotice) {
         let Some(news) = self.news.get() else {
             return;
         };
@@ -88,10 +88,10 @@
         });
     }
 
-    pub(super) fn take_notice(&self, state: &mut State, mut notice: LoadNotice) {
-        self.take_news(state, &mut notice);
+    pub(super) fn handle_notice(&self, state: &mut State, mut notice: LoadNotice) {
+        self.apply_notice_updates(state, &mut notice);
         let is_new = state.loads.take(notice, harrierward_clock::now());
-        // In a large fleet notices come too often for that; the tick publishes them.
+        // In a large fleet notices arrive too often to publish each; the tick publishes them.
         if is_new && state.loads.heard() <= NOTICE_FAN_OUT {
             self.publish_loads(state);
         }
@@ -101,8 +101,8 @@
         let peers = state.view.members.len().saturating_sub(1);
         let view = self.replicas.view();
         let sums = state.loads.sums(peers);
-        // Of very many replicas peers have something at a few.
-        let before = std::mem::take(&mut state.published);
+        // Peers have load at only a few of the replicas, so that only those are updated.
+        let before = std::mem::take(&mut state.replicas_with_peer_load);
         for hash in before.iter().chain(sums.keys()) {
             let Some(replica) = view.by_hash(*hash) else {
                 continue;
@@ -112,20 +112,20 @@
                 replica.set_peers(sum.online, sum.batch);
             }
         }
-        state.published = sums.into_keys().collect();
+        state.replicas_with_peer_load = sums.into_keys().collect();
     }
 
-    pub(super) fn is_alone_without_proof_for(&self, state: &State, least: Duration) -> bool {
+    pub(super) fn is_isolated_for(&self, state: &State, min_proof_age: Duration) -> bool {
         let own = Duration::from_millis(u64::from(self.own_proof_age_ms()));
-        if own < least {
+        if own < min_proof_age {
             return false;
         }
-        let (mut reaching, mut all) = (0, 0);
+        let (mut connected, mut total) = (0, 0);
         for age_ms in state.loads.proof_ages_ms(harrierward_clock::now()) {
-            all += 1;
+            total += 1;
             let age = Duration::from_millis(u64::from(age_ms));
-            reaching += usize::from(age_ms > 0 && age < ALONE_CUT_OFF_AFTER);
+            connected += usize::from(age_ms > 0 && age < ISOLATION_PROOF_AGE);
         }
-        reaching * 2 > all
+        connected * 2 > total
     }
 }
--- a/crates/edge/src/members/peers.rs
+++ b/crates/edge/src/members/peers.rs
@@ -1,4 +1,4 @@
-//! What jobs ask of the other daemons: who may own them, and tokens of quotas.
+//! Peer operations of jobs: eligible owners, and requests for quota tokens.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -16,22 +16,21 @@
 
 use super::{LifeName, Members, udp_address};
 
-/// Bounds of a question for a job's tokens.
-const QUOTA_PATIENCE: CallPatience = CallPatience {
+const QUOTA_TIMEOUTS: CallPatience = CallPatience {
     again: Duration::from_millis(40),
     give_up: Duration::from_millis(100),
     longest: Duration::from_millis(200),
 };
 
-/// Time after the first sight of others in which the rest become known.
-const SETTLE: Duration = Duration::from_millis(1_200);
+/// Time after the first other member within which the remaining members become known.
+const VIEW_SETTLE_TIME: Duration = Duration::from_millis(1_200);
 
-/// Time after which a daemon that found nobody takes itself for the only one.
-const ALONE_AFTER: Duration = Duration::from_millis(2_500);
+/// Time after which a daemon without peers considers itself the only one.
+const SINGLE_DAEMON_AFTER: Duration = Duration::from_millis(2_500);
 
 impl Members {
-    /// A peer wants tokens for a job, or gives them back.
-    pub(super) fn take_quota_ask(&self, ask: &QuotaAsk, from: SocketAddr) {
+    /// Handles a peer's request for a job's tokens, or their return.
+    pub(super) fn handle_quota_ask(&self, ask: &QuotaAsk, from: SocketAddr) {
         let Some(jobs) = self.jobs.get() else {
             return;
         };
@@ -55,14 +54,14 @@
         self.send_to(node_datagram::Kind::QuotaAnswer(answer), from);
     }
 
-    /// Where a living member takes datagrams.
-    pub(super) fn address_of(&self, member: &str) -> Option<SocketAddr> {
+    /// Returns the datagram address of a live member.
+    pub(super) fn udp_address_of(&self, member: &str) -> Option<SocketAddr> {
         let state = self.lock();
         state.view.member(member)?;
         udp_address(&state.core, member)
     }
 
-    pub(super) fn quota_ask(&self, request: QuotaRequest<'_>) -> QuotaAsk {
+    pub(super) fn quota_message(&self, request: QuotaRequest<'_>) -> QuotaAsk {
         QuotaAsk {
             number: self.next_quota_call.fetch_add(1, Ordering::Relaxed),
             route: request.route.to_owned(),
@@ -75,8 +74,8 @@
     }
 }
 
-/// True if a daemon that is not in the view has been started again: another start at its machine is there, and a later one.
-fn has_later_start(view: &MembershipView, life: &str) -> bool {
+/// True if the view contains a later instance of a daemon whose instance `life` is not in it.
+fn has_later_instance(view: &MembershipView, life: &str) -> bool {
     let Some(gone) = LifeName::parse(life) else {
         return false;
     };
@@ -90,9 +89,9 @@
 impl Peers for Members {
     fn owners(&self) -> Option<Vec<String>> {
         let state = self.lock();
-        let settled = match state.others_since {
-            Some(since) => since.elapsed() >= SETTLE,
-            None => self.started.elapsed() >= ALONE_AFTER,
+        let settled = match state.first_peer_at {
+            Some(since) => since.elapsed() >= VIEW_SETTLE_TIME,
+            None => self.started.elapsed() >= SINGLE_DAEMON_AFTER,
         };
         if !settled {
             return None;
@@ -116,7 +115,7 @@
         match view.member(owner) {
             Some(member) if member.detached || member.leaving => OwnerStanding::Detached,
             Some(_) => OwnerStanding::Present,
-            None if has_later_start(&view, owner) => OwnerStanding::Succeeded,
+            None if has_later_instance(&view, owner) => OwnerStanding::Succeeded,
             None => OwnerStanding::Gone,
         }
     }
@@ -127,8 +126,8 @@
             return Vec::new();
         };
         let staying = state.view.staying();
-        let near = staying.filter(|member| !member.detached && member.region == region);
-        near.map(|member| member.id.clone()).collect()
+        let candidates = staying.filter(|member| !member.detached && member.region == region);
+        candidates.map(|member| member.id.clone()).collect()
     }
 
     async fn ask_quota(
@@ -136,26 +135,26 @@
         coordinator: &str,
         request: QuotaRequest<'_>,
     ) -> Option<(QuotaOutcome, u64)> {
-        let address = self.address_of(coordinator)?;
+        let address = self.udp_address_of(coordinator)?;
         let own = Location::new(&self.zone, &self.region);
         let view = self.view();
         let peer = view.member(coordinator);
         let peer = peer.map_or(own, |one| Location::new(&one.zone, &one.region));
         let place = PeerPlace::from(own, peer);
-        let ask = self.quota_ask(request);
+        let ask = self.quota_message(request);
         let send = || self.send_to(node_datagram::Kind::QuotaAsk(ask.clone()), address);
         let answer = self
             .quota_calls
-            .ask(ask.number, place, QUOTA_PATIENCE, send)
+            .ask(ask.number, place, QUOTA_TIMEOUTS, send)
             .await?;
         Some((answer.outcome(), answer.fence))
     }
 
     fn return_quota(&self, coordinator: &str, request: QuotaRequest<'_>) {
-        if let Some(address) = self.address_of(coordinator) {
+        if let Some(address) = self.udp_address_of(coordinator) {
             let ask = QuotaAsk {
                 returned: true,
-                ..self.quota_ask(request)
+                ..self.quota_message(request)
             };
             self.send_to(node_datagram::Kind::QuotaAsk(ask), address);
         }
--- a/crates/edge/src/figures.rs
+++ b/crates/edge/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The daemon's figures, on the settings' metrics address.
+//! Serves the daemon's metrics on the metrics address.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -9,20 +9,20 @@
 
 use crate::server::{HttpService, ResponseBody};
 
-/// Answers every request with all figures as text.
-pub struct Figures {
+/// Answers every request with all metrics in text format.
+pub struct MetricsService {
     log: DecisionLog,
 }
 
-impl Figures {
-    /// The figures behind this log.
+impl MetricsService {
+    /// Serves the metrics of this log.
     pub fn new(log: DecisionLog) -> Self {
         Self { log }
     }
 }
 
 #[async_trait]
-impl HttpService for Figures {
+impl HttpService for MetricsService {
     async fn call(&self, _request: Request<Incoming>) -> Response<ResponseBody> {
         let body = Full::new(Bytes::from(self.log.metrics_text()));
         Response::new(body.map_err(|never| match never {}).boxed_unsync())
--- a/crates/edge/src/peer_news.rs
+++ b/crates/edge/src/peer_news.rs
@@ -1,5 +1,5 @@
-//! What daemons tell each other of the operator's rows in passing, for those that the store turns away: evacuated zones
-//! whole, since they are few, and the version of the configuration, which is fetched from the peer that told of it.
+//! Exchange of the operator's rows between daemons, for those cut off from the store: evacuated zones in full, and
+//! the configuration's version, whose content is fetched from the peer that announced it.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,43 +12,42 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::discovery::Discovery;
-use crate::peer_rows::{PEER_TIMEOUT, ask_configuration, to_row};
+use crate::peer_rows::{PEER_TIMEOUT, fetch_configuration, to_row};
 use crate::pool::ConnectionPool;
 
-/// Pause between two looks whether a peer is ahead.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval at which a newer version announced by a peer is checked for.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long peers may be ahead before the store's feed counts as one that has passed over the change: twice what a feed in good
-/// order takes beside a slow store, and half of the time in which a configuration is to be in force. Whoever is not asked before
-/// costs nothing, since nearly all changes are heard of from the store within this time.
-const UNTOLD_FOR: Duration = Duration::from_millis(1_000);
+/// How long peers may be ahead before the store's feed counts as having skipped the change. Shorter would fetch from
+/// peers what the feed is about to deliver.
+const FEED_LAG_LIMIT: Duration = Duration::from_millis(1_000);
 
-/// Since when peers name versions that this daemon lacks.
+/// Since when peers have announced versions that this daemon lacks.
 #[derive(Debug, Clone, Copy)]
 struct Behind {
-    /// The version in force here.
+    /// Version in force in this daemon.
     version: u64,
     since: Instant,
 }
 
-/// What a peer has that this daemon lacks.
+/// A newer version held by a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Ahead {
+struct NewerVersion {
     version: u64,
-    /// Address at which it answers control calls.
+    /// The peer's address for control calls.
     address: String,
 }
 
-/// The news that passes between daemons.
+/// Sends and receives updates of the operator's rows between daemons.
 pub struct PeerNews {
     discovery: Arc<Discovery>,
-    ahead: Mutex<Option<Ahead>>,
+    ahead: Mutex<Option<NewerVersion>>,
     behind: Mutex<Option<Behind>>,
     log: DecisionLog,
 }
 
 impl PeerNews {
-    /// Nothing was heard yet.
+    /// Starts without updates from peers.
     pub fn new(discovery: Arc<Discovery>, log: DecisionLog) -> Self {
         Self {
             discovery,
@@ -58,43 +57,43 @@
         }
     }
 
-    fn ahead(&self) -> std::sync::MutexGuard<'_, Option<Ahead>> {
+    fn ahead(&self) -> std::sync::MutexGuard<'_, Option<NewerVersion>> {
         self.ahead.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What this daemon tells of evacuations.
+    /// Returns the evacuations to send to peers.
     pub fn evacuations(&self) -> Evacuations {
         evacuations_message(&self.discovery.evacuations())
     }
 
-    /// The version that it tells.
+    /// Returns the configuration version to announce to peers; 0 if there is none.
     pub fn configuration_version(&self) -> u64 {
         self.discovery.configuration_version()
     }
 
-    /// A peer told what it knows of evacuations.
-    pub fn take_evacuations(&self, told: Evacuations, peer: &str) {
+    /// Merges the evacuations received from a peer.
+    pub fn take_evacuations(&self, received: Evacuations, peer: &str) {
         self.discovery
-            .take_evacuations(&evacuation_news(told), peer);
+            .take_evacuations(&evacuation_news(received), peer);
     }
 
-    /// A peer has a configuration of this version; `address` is where it answers control calls. While the own proof is
-    /// good nobody is asked for a moment: a change that all hear of from the store would be fetched from peers by all. Then a peer
-    /// is, since a feed may pass over a change and prove its contact all the same.
+    /// Notes a version announced by a peer whose control address is `address`. It is fetched once this daemon's proof
+    /// is stale, or the peer has been ahead for long: a feed may skip a change and still prove contact. Until then
+    /// the store is expected to deliver it.
     pub fn take_version(&self, version: u64, address: impl FnOnce() -> Option<String>) {
         let own = self.discovery.configuration_version();
-        if version <= own || !(self.is_untold(own) || self.discovery.is_stale()) {
+        if version <= own || !(self.is_feed_lagging(own) || self.discovery.is_stale()) {
             return;
         }
         let mut ahead = self.ahead();
         if ahead.as_ref().is_some_and(|known| known.version >= version) {
             return;
         }
-        *ahead = address().map(|address| Ahead { version, address });
+        *ahead = address().map(|address| NewerVersion { version, address });
     }
 
-    /// True if peers have been ahead of the version in force here for longer than the store's feed takes.
-    fn is_untold(&self, own: u64) -> bool {
+    /// True if peers have been ahead of version `own` for longer than the store's feed takes.
+    fn is_feed_lagging(&self, own: u64) -> bool {
         let mut behind = self.behind.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
         let known = behind.filter(|known| known.version == own);
@@ -103,13 +102,13 @@
             version: own,
             since,
         });
-        now.saturating_duration_since(since) >= UNTOLD_FOR
+        now.saturating_duration_since(since) >= FEED_LAG_LIMIT
     }
 
-    /// Fetches newer configurations from peers, for as long as the process runs.
+    /// Fetches newer configurations from peers; never returns.
     pub async fn catch_up(self: Arc<Self>, pool: ConnectionPool) {
         loop {
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
             let ahead = self.ahead().take();
             if let Some(ahead) = ahead {
                 self.fetch(&pool, &ahead).await;
@@ -117,13 +116,13 @@
         }
     }
 
-    async fn fetch(&self, pool: &ConnectionPool, ahead: &Ahead) {
+    async fn fetch(&self, pool: &ConnectionPool, ahead: &NewerVersion) {
         if ahead.version <= self.discovery.configuration_version() {
             return;
         }
-        let answer = timeout(PEER_TIMEOUT, ask_configuration(pool, &ahead.address)).await;
-        // A peer that does not answer, or is busy with others, is named again by its next notice.
-        let configuration = answer.ok().flatten().and_then(|rows| rows.configuration);
+        let response = timeout(PEER_TIMEOUT, fetch_configuration(pool, &ahead.address)).await;
+        // A peer that is unresponsive or busy announces the version again in its next notice.
+        let configuration = response.ok().flatten().and_then(|rows| rows.configuration);
         let outcome = if configuration.is_some() {
             "answered"
         } else {
@@ -144,7 +143,7 @@
     }
 }
 
-/// The message that carries the news.
+/// Converts evacuations into their message.
 pub fn evacuations_message(news: &EvacuationNews) -> Evacuations {
     let zones = news.zones.iter().map(|(zone, mark)| EvacuatedZone {
         zone: zone.clone(),
@@ -157,14 +156,14 @@
     }
 }
 
-/// The news that a message carries.
+/// Converts a message into the evacuations that it carries.
 pub fn evacuation_news(message: Evacuations) -> EvacuationNews {
-    let zones = message.zones.into_iter().map(|told| {
+    let zones = message.zones.into_iter().map(|entry| {
         let mark = ZoneMark {
-            revision: told.revision,
-            is_over: told.is_over,
+            revision: entry.revision,
+            is_over: entry.is_over,
         };
-        (told.zone, mark)
+        (entry.zone, mark)
     });
     EvacuationNews {
         complete_at: message.complete_at,
--- a/crates/edge/src/peer_rows.rs
+++ b/crates/edge/src/peer_rows.rs
@@ -1,4 +1,5 @@
-//! A daemon that starts while the store cannot be read learns configuration and replicas from its peers.
+//! Bootstrap from peers: a daemon that starts while the store is unavailable fetches configuration and replicas from
+//! them.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -25,38 +26,35 @@
 use crate::pool::{ConnectionPool, PooledResponse};
 use crate::server::{HttpService, ResponseBody};
 
-/// Path of the question.
+/// Path of a request for all known rows.
 const PATH: &str = "/internal/known-rows";
 
-/// The same for the configuration alone: the replicas of a large fleet are a megabyte.
+/// Path of a request for the configuration alone, without the replicas' rows, which are many in a large fleet.
 const CONFIGURATION_PATH: &str = "/internal/known-rows?configuration";
 
-/// Time for the store to answer before peers are asked. A store that answers has told a starting daemon all within 0.11 s
-/// where 52 start at once; until then, each caller that comes is refused.
-const STORE_FIRST: Duration = Duration::from_millis(150);
+/// Time for the store to respond before peers are asked; callers are refused until then.
+const STORE_WAIT: Duration = Duration::from_millis(150);
 
-/// Pauses between rounds of questions. They grow: where all daemons start at once nobody knows anything, and the store
-/// is what they wait for.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_millis(600);
+/// Bounds of the backoff between rounds of requests. If all daemons start at once none has rows yet.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(600);
 
-/// After how long a silent peer is not waited for alone: it may have lost its power, too.
-const SILENT_FOR: Duration = Duration::from_millis(100);
+/// Delay after which the next peer is asked as well.
+const HEDGE_DELAY: Duration = Duration::from_millis(100);
 
-/// Peers asked in one round.
-const MOST_ASKED: usize = 4;
+const MAX_PEERS_PER_ROUND: usize = 4;
 
-/// Longest wait for one peer.
+/// Timeout of a request to one peer.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Answers peers.
+/// Serves known rows to peers.
 pub struct PeerRows {
     discovery: Arc<Discovery>,
     budget: Mutex<AnswerBudget>,
 }
 
 impl PeerRows {
-    /// Tells what this daemon knows.
+    /// Serves the rows known to `discovery`.
     pub fn new(discovery: Arc<Discovery>) -> Self {
         Self {
             discovery,
@@ -64,12 +62,12 @@
         }
     }
 
-    /// The rows, encoded; `None` while this daemon cannot serve itself, or has just answered others.
-    fn answer(&self, now: Instant, with_replicas: bool) -> Option<Bytes> {
+    /// Returns the encoded rows; `None` while this daemon is incomplete or its response budget is used up.
+    fn response_body(&self, now: Instant, with_replicas: bool) -> Option<Bytes> {
         if !self.discovery.is_complete() {
             return None;
         }
-        // Held while the rows are encoded: answers are made one at a time.
+        // Held while the rows are encoded: responses are built one at a time.
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
         if !budget.is_free(now) {
             return None;
@@ -97,7 +95,7 @@
     }
 }
 
-/// A row of a peer's message.
+/// Converts a row of a peer's message.
 pub fn to_row(row: KnownRow) -> Row {
     Row {
         key: row.key,
@@ -110,59 +108,63 @@
 impl HttpService for PeerRows {
     async fn call(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let with_replicas = request.uri().query().is_none();
-        let answer = self.answer(Instant::now(), with_replicas);
-        let status = if answer.is_some() {
+        let response = self.response_body(Instant::now(), with_replicas);
+        let status = if response.is_some() {
             StatusCode::OK
         } else {
-            // The asker goes to another peer.
+            // The requester tries another peer.
             StatusCode::SERVICE_UNAVAILABLE
         };
-        let body = Full::new(answer.unwrap_or_default());
+        let body = Full::new(response.unwrap_or_default());
         let mut response = Response::new(body.map_err(|never| match never {}).boxed_unsync());
         *response.status_mut() = status;
         response
     }
 }
 
-/// A peer that answers, before its rows are read.
-async fn ask(pool: ConnectionPool, address: String, path: &'static str) -> Option<PooledResponse> {
+/// Sends a request and returns the response of a peer that has rows, with its body unread.
+async fn request_rows(
+    pool: ConnectionPool,
+    address: String,
+    path: &'static str,
+) -> Option<PooledResponse> {
     let request = Request::builder()
         .uri(path)
         .header("host", &address)
         .body(Bytes::new())
         .ok()?;
-    let answer = timeout(PEER_TIMEOUT, pool.send(&address, request, true)).await;
-    let answer = answer.ok()?.ok()?;
-    (answer.head.status == StatusCode::OK).then_some(answer)
+    let response = timeout(PEER_TIMEOUT, pool.send(&address, request, true)).await;
+    let response = response.ok()?.ok()?;
+    (response.head.status == StatusCode::OK).then_some(response)
 }
 
-async fn read_rows(mut answer: PooledResponse) -> Option<KnownRows> {
+async fn read_rows(mut response: PooledResponse) -> Option<KnownRows> {
     let mut bytes = Vec::new();
-    while let Some(part) = answer.body.next().await {
+    while let Some(part) = response.body.next().await {
         bytes.extend_from_slice(&part.ok()?);
     }
     decode(&bytes)
 }
 
-/// Asks a peer for its configuration and the evacuated zones.
-pub async fn ask_configuration(pool: &ConnectionPool, address: &str) -> Option<KnownRows> {
-    let answer = ask(pool.clone(), address.to_owned(), CONFIGURATION_PATH).await?;
-    read_rows(answer).await
+/// Fetches the configuration and the evacuated zones from a peer.
+pub async fn fetch_configuration(pool: &ConnectionPool, address: &str) -> Option<KnownRows> {
+    let response = request_rows(pool.clone(), address.to_owned(), CONFIGURATION_PATH).await?;
+    read_rows(response).await
 }
 
-/// Asks near peers for their rows. Only one of them sends them.
-async fn ask_some(addresses: Vec<String>, pool: &ConnectionPool) -> Option<KnownRows> {
-    let asking = |address| ask(pool.clone(), address, PATH);
-    let answer = first_answer(addresses, SILENT_FOR, asking).await?;
-    timeout(PEER_TIMEOUT, read_rows(answer)).await.ok()?
+/// Fetches rows from one of several peers by hedged requests; only the first to respond sends its body.
+async fn fetch_rows(addresses: Vec<String>, pool: &ConnectionPool) -> Option<KnownRows> {
+    let request = |address| request_rows(pool.clone(), address, PATH);
+    let response = first_answer(addresses, HEDGE_DELAY, request).await?;
+    timeout(PEER_TIMEOUT, read_rows(response)).await.ok()?
 }
 
-fn take(discovery: &Discovery, rows: KnownRows) {
+fn apply_rows(discovery: &Discovery, rows: KnownRows) {
     let Some(configuration) = rows.configuration else {
         return;
     };
-    if let Some(told) = rows.evacuations {
-        discovery.take_evacuations(&evacuation_news(told), "peer");
+    if let Some(evacuations) = rows.evacuations {
+        discovery.take_evacuations(&evacuation_news(evacuations), "peer");
     }
     let update = SpaceUpdate {
         written: vec![to_row(configuration)],
@@ -173,24 +175,24 @@
     discovery.take_replicas_of_peer(&replicas);
 }
 
-/// Asks peers until this daemon can serve. What a peer says proves nothing: neither the configuration's age nor the
-/// jobs' headers, which only the store's own answers do.
-pub async fn learn(
+/// Fetches rows from peers until this daemon can serve. Rows from peers prove no contact with the store; only the
+/// store's own responses do.
+pub async fn bootstrap(
     discovery: Arc<Discovery>,
     members: Arc<Members>,
     relay: Arc<Relay>,
     pool: ConnectionPool,
     log: DecisionLog,
 ) {
-    sleep(STORE_FIRST).await;
+    sleep(STORE_WAIT).await;
     let began = Instant::now();
     let mut random = SmallRng::from_os_rng();
-    let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
-    // Along a zone's tree all that this brings comes with its proof.
+    let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
+    // A relay delivers the same rows together with their proof.
     while !discovery.is_complete() && !relay.is_relaying() {
-        let addresses = members.control_addresses(MOST_ASKED);
+        let addresses = members.control_addresses(MAX_PEERS_PER_ROUND);
         let peers = addresses.len();
-        let rows = ask_some(addresses, &pool).await;
+        let rows = fetch_rows(addresses, &pool).await;
         log.record(&Record::PeersAsked {
             peers,
             replicas: rows.as_ref().map_or(0, |rows| rows.replicas.len()),
@@ -198,10 +200,10 @@
             outcome: if rows.is_some() { "rows" } else { "none" },
         });
         if let Some(rows) = rows {
-            take(&discovery, rows);
+            apply_rows(&discovery, rows);
         }
         if !discovery.is_complete() {
-            sleep(FIRST_PAUSE / 2 + backoff.wait(&mut random)).await;
+            sleep(MIN_BACKOFF / 2 + backoff.wait(&mut random)).await;
         }
     }
 }
--- a/crates/edge/src/pool.rs
+++ b/crates/edge/src/pool.rs
@@ -1,7 +1,7 @@
-//! Connections to back ends: one request at a time on each, kept only after a whole and orderly exchange.
+//! HTTP/1 connection pool: one request at a time per connection, reused only after a complete exchange.
 //!
-//! Why not a pooled client of a library: a connection that carried a broken, early or foreign answer must never
-//! be used again, and one that is given up must be closed at once, so that the back end stops.
+//! A connection with a broken, early or unexpected response is never reused, and an abandoned one is closed at once,
+//! so that the backend stops its work.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -24,20 +24,20 @@
 
 use crate::silence::{SilenceWatch, set_probes};
 
-/// Bounds of the pool.
+/// Limits and timeouts of the pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolSettings {
-    /// Longest wait for a connection.
+    /// Timeout of connecting.
     pub connect_timeout: Duration,
-    /// How long unacknowledged bytes may wait before the connection counts as dead.
+    /// How long bytes may stay unacknowledged before the connection counts as dead.
     pub unacknowledged_timeout: Duration,
-    /// How long an idle connection is kept where the back end does not say.
+    /// How long an idle connection is kept if the backend announces no keep-alive timeout.
     pub idle: Duration,
-    /// How much sooner than the back end a connection is given up.
+    /// How much sooner than the backend's keep-alive timeout a connection is closed.
     pub idle_margin: Duration,
-    /// Idle connections kept to one address.
+    /// Maximum number of idle connections per address.
     pub idle_per_address: usize,
-    /// Silence in an exchange that was given up after which the connections kept since before it count as silent too.
+    /// Stall in an abandoned exchange after which all connections unused since before it are closed.
     pub silent_after: Duration,
 }
 
@@ -54,24 +54,24 @@
     }
 }
 
-/// Time within which a connection is closed whose other side has nobody to serve it.
-const CLOSED_AT_ONCE: Duration = Duration::from_millis(20);
+/// Time within which a proxy without a backend closes a new connection.
+const REFUSAL_WAIT: Duration = Duration::from_millis(20);
 
-/// A failed exchange.
+/// Failure of an exchange.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PoolError {
-    /// No connection: nothing was sent.
+    /// The connection failed before anything was sent.
     #[error("cannot connect: {0}")]
     NotSent(String),
-    /// The request may have been read.
+    /// The response was lost; the request may have been processed.
     #[error("answer lost: {0}")]
     Lost(String),
 }
 
-/// The request's body; tells when all of it was handed to the connection.
+/// Body of a request; records when it was handed to the connection.
 pub struct RequestBody {
     data: Option<Bytes>,
-    taken: Arc<AtomicBool>,
+    is_sent: Arc<AtomicBool>,
 }
 
 impl Body for RequestBody {
@@ -82,7 +82,7 @@
         mut self: Pin<&mut Self>,
         _context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
-        self.taken.store(true, Ordering::Relaxed);
+        self.is_sent.store(true, Ordering::Relaxed);
         Poll::Ready(self.data.take().map(|data| Ok(Frame::data(data))))
     }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// Ends the connection's task, and so closes the connection, when dropped.
+/// Aborts the connection's task when dropped, which closes the connection.
 #[derive(Debug)]
 struct Driver(AbortHandle);
 
@@ -110,15 +110,15 @@
     _driver: Driver,
 }
 
-/// A kept connection. Its times count suspensions, as the clock of the other side does.
-struct Idle {
+/// An idle connection. Its times count suspensions of the machine, as the backend's clock does.
+struct IdleConnection {
     connection: Connection,
-    until: Instant,
-    /// When its last exchange ended: it worked until then.
-    worked_at: Instant,
+    expires_at: Instant,
+    /// When its last exchange was completed.
+    last_used_at: Instant,
 }
 
-/// Connections to back ends; cheap to clone.
+/// Pool of connections to backends; cheap to clone.
 #[derive(Clone)]
 pub struct ConnectionPool {
     inner: Arc<Inner>,
@@ -127,20 +127,21 @@
 struct Inner {
     settings: PoolSettings,
     log: DecisionLog,
-    idle: Mutex<HashMap<String, Vec<Idle>>>,
+    idle: Mutex<HashMap<String, Vec<IdleConnection>>>,
 }
 
-/// An answer whose body is still to come.
+/// Response whose body has not been read.
 pub struct PooledResponse {
-    /// Status and headers.
+    /// Status line and headers.
     pub head: response::Parts,
-    /// The body.
+    /// Body, to be read to its end for the connection to be reused.
     pub body: PooledBody,
-    /// The connection carried nothing before.
+    /// Whether this is the first exchange on its connection.
     pub is_first_on_connection: bool,
 }
 
-/// Body of an answer. After its clean end the connection goes back to the pool; dropped before, it is closed.
+/// Body of a response. The connection returns to the pool after the body's end, and is closed if the body is dropped
+/// before.
 pub struct PooledBody {
     body: Incoming,
     lease: Option<Lease>,
@@ -151,11 +152,11 @@
     address: String,
     connection: Connection,
     keep_for: Option<Duration>,
-    silence: SilenceWatch,
+    stall_watch: SilenceWatch,
 }
 
 impl PooledBody {
-    /// The connection is not used again.
+    /// Marks the connection as not to be reused.
     pub fn discard_connection(&mut self) {
         if let Some(lease) = &mut self.lease {
             lease.keep_for = None;
@@ -178,7 +179,7 @@
             match frame {
                 Some(Ok(frame)) => {
                     if let Some(lease) = &mut self.lease {
-                        lease.silence.heard();
+                        lease.stall_watch.heard();
                     }
                     if let Ok(data) = frame.into_data() {
                         return Poll::Ready(Some(Ok(data)));
@@ -190,7 +191,7 @@
                 }
                 None => {
                     if let Some(lease) = self.lease.take() {
-                        lease.give_back();
+                        lease.release();
                     }
                     return Poll::Ready(None);
                 }
@@ -200,23 +201,23 @@
 }
 
 impl Lease {
-    fn give_back(mut self) {
-        self.silence.end();
+    fn release(mut self) {
+        self.stall_watch.end();
         let Some(keep_for) = self.keep_for else {
             return;
         };
         let now = harrierward_clock::now();
-        let idle = Idle {
+        let idle = IdleConnection {
             connection: self.connection,
-            until: now + keep_for,
-            worked_at: now,
+            expires_at: now + keep_for,
+            last_used_at: now,
         };
         self.pool.put(self.address, idle);
     }
 }
 
 impl ConnectionPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(settings: PoolSettings, log: DecisionLog) -> Self {
         let inner = Inner {
             settings,
@@ -228,76 +229,76 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<String, Vec<Idle>>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<String, Vec<IdleConnection>>> {
         self.inner
             .idle
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn put(&self, address: String, idle: Idle) {
+    fn put(&self, address: String, idle: IdleConnection) {
         let mut all = self.lock();
         let list = all.entry(address).or_default();
         let now = harrierward_clock::now();
-        list.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
+        list.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
         if list.len() < self.inner.settings.idle_per_address {
             list.push(idle);
         }
     }
 
-    /// The connection used last, so that the others may rest and be closed.
+    /// Takes the connection used last, so that surplus ones become idle and expire.
     fn take(&self, address: &str) -> Option<Connection> {
         let mut all = self.lock();
         let list = all.get_mut(address)?;
         let now = harrierward_clock::now();
         while let Some(idle) = list.pop() {
             let connection = idle.connection;
-            if idle.until > now && connection.sender.is_ready() {
+            if idle.expires_at > now && connection.sender.is_ready() {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Closes the connections to the address that have not worked since `heard_at`.
+    /// Closes the idle connections to the address that have not been used since `received_at`.
     ///
-    /// Connections can fall silent for good, all of one moment together, while new ones work. Each of them would cost
-    /// one more request its time-out.
-    pub(crate) fn distrust(&self, address: &str, heard_at: Instant) {
-        let closed = self.close_unheard(address, heard_at);
+    /// Connections can stall together while new ones work; each stalled one would cost another request its timeout.
+    pub(crate) fn close_stalled(&self, address: &str, received_at: Instant) {
+        let closed = self.close_unused_since(address, received_at);
         if closed == 0 {
             return;
         }
-        let silent = harrierward_clock::age(heard_at).as_millis();
+        let stalled_for = harrierward_clock::age(received_at).as_millis();
         self.inner.log.record(&Record::ConnectionsSilent {
             peer: address,
             closed,
-            silent_ms: u64::try_from(silent).unwrap_or(u64::MAX),
+            silent_ms: u64::try_from(stalled_for).unwrap_or(u64::MAX),
         });
     }
 
-    fn close_unheard(&self, address: &str, heard_at: Instant) -> usize {
+    fn close_unused_since(&self, address: &str, received_at: Instant) -> usize {
         let mut all = self.lock();
         let Some(list) = all.get_mut(address) else {
             return 0;
         };
         let before = list.len();
-        list.retain(|idle| idle.worked_at > heard_at);
+        list.retain(|idle| idle.last_used_at > received_at);
         before - list.len()
     }
 
-    /// True if a connection to the address is kept that a request could use.
+    /// True if an idle connection to the address can be reused.
     pub fn has_idle(&self, address: &str) -> bool {
         let all = self.lock();
         let now = harrierward_clock::now();
         all.get(address).is_some_and(|list| {
-            let usable = |idle: &Idle| idle.until > now && idle.connection.sender.is_ready();
-            list.iter().any(usable)
+            let is_usable =
+                |idle: &IdleConnection| idle.expires_at > now && idle.connection.sender.is_ready();
+            list.iter().any(is_usable)
         })
     }
 
-    /// True if nobody serves at the address: the connection is refused, or closed as soon as it is made, as by a proxy whose
-    /// back end is gone. One that stays open says nothing of that.
+    /// True if nothing serves at the address: the connection is refused, or closed at once, as by a proxy without its
+    /// backend. A connection that stays open proves nothing.
     pub async fn is_refused(&self, address: &str) -> bool {
         let connecting = TcpStream::connect(address.to_owned());
         let connected = timeout(self.inner.settings.connect_timeout, connecting).await;
@@ -306,8 +307,8 @@
             Ok(Err(error)) => return error.kind() == ErrorKind::ConnectionRefused,
             Ok(Ok(stream)) => stream,
         };
-        // Nothing was asked: bytes, an end or an error are all that readiness can mean.
-        timeout(CLOSED_AT_ONCE, stream.readable()).await.is_ok()
+        // Nothing was sent, so that readiness can only mean unexpected bytes, a close or an error.
+        timeout(REFUSAL_WAIT, stream.readable()).await.is_ok()
     }
 
     async fn connect(&self, address: &str) -> Result<Connection, PoolError> {
@@ -334,41 +335,42 @@
         })
     }
 
-    /// Sends a request and waits for the head of its answer. Dropping the future closes the connection.
+    /// Sends a request and waits for the header of its response; `fresh` forces a new connection. Dropping the future
+    /// closes the connection.
     pub async fn send(
         &self,
         address: &str,
         request: Request<Bytes>,
         fresh: bool,
     ) -> Result<PooledResponse, PoolError> {
-        let kept = if fresh { None } else { self.take(address) };
-        let is_first_on_connection = kept.is_none();
-        let mut connection = match kept {
+        let reused = if fresh { None } else { self.take(address) };
+        let is_first_on_connection = reused.is_none();
+        let mut connection = match reused {
             Some(connection) => connection,
             None => self.connect(address).await?,
         };
         let (head, body) = request.into_parts();
-        let taken = Arc::new(AtomicBool::new(body.is_empty()));
+        let is_sent = Arc::new(AtomicBool::new(body.is_empty()));
         let body = RequestBody {
             data: Some(body).filter(|body| !body.is_empty()),
-            taken: taken.clone(),
+            is_sent: is_sent.clone(),
         };
         let request = Request::from_parts(head, body);
-        let mut silence = SilenceWatch::begin(self, address);
-        let answer = connection.sender.send_request(request).await;
-        let (head, body) = answer
+        let mut stall_watch = SilenceWatch::begin(self, address);
+        let response = connection.sender.send_request(request).await;
+        let (head, body) = response
             .map_err(|error| PoolError::Lost(error.to_string()))?
             .into_parts();
-        silence.heard();
-        // An answer that came before the whole body was sent leaves the connection in doubt.
-        let orderly = taken.load(Ordering::Relaxed);
-        let keep_for = self.keep_for(&head.headers).filter(|_| orderly);
+        stall_watch.heard();
+        // A response that precedes the end of the request's body leaves the connection in an indeterminate state.
+        let is_fully_sent = is_sent.load(Ordering::Relaxed);
+        let keep_for = self.keep_for(&head.headers).filter(|_| is_fully_sent);
         let lease = Lease {
             pool: self.clone(),
             address: address.to_owned(),
             connection,
             keep_for,
-            silence,
+            stall_watch,
         };
         let body = PooledBody {
             body,
@@ -390,26 +392,27 @@
         if has_token(headers, "connection", "close") {
             return None;
         }
-        let told = headers
+        let announced = headers
             .get("keep-alive")
             .and_then(|value| value.to_str().ok())
             .and_then(keep_alive_timeout);
-        let Some(told) = told else {
+        let Some(announced) = announced else {
             return Some(settings.idle);
         };
-        told.checked_sub(settings.idle_margin)
+        announced
+            .checked_sub(settings.idle_margin)
             .filter(|left| !left.is_zero())
     }
 }
 
-/// True if a list header holds the token.
+/// True if a comma-separated header contains the token, ignoring case.
 pub fn has_token(headers: &HeaderMap, name: &str, token: &str) -> bool {
     headers
         .get_all(name)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
-        .any(|word| word.trim().eq_ignore_ascii_case(token))
+        .any(|item| item.trim().eq_ignore_ascii_case(token))
 }
 
 fn keep_alive_timeout(value: &str) -> Option<Duration> {
--- a/crates/edge/src/relay/asking.rs
+++ b/crates/edge/src/relay/client.rs
@@ -1,4 +1,4 @@
-//! A question to a peer for its copy of a space.
+//! Client of the relay: requests a peer's copy of a space.
 
 use std::time::Duration;
 
@@ -14,27 +14,27 @@
 use crate::pool::ConnectionPool;
 
 use super::content::Content;
-use super::replies::{FORMAT, PATH};
+use super::server::{FORMAT, PATH};
 
-/// How much longer than it may be held a question waits for its answer.
-const ANSWER_SLACK: Duration = Duration::from_millis(400);
+/// Time added to the hold time of a long poll to get its timeout.
+const HOLD_MARGIN: Duration = Duration::from_millis(400);
 
-/// Longest wait for the bytes of an answer: all rows of a large fleet over a small machine's link.
+/// Timeout of reading a response's body: all rows of a large fleet over a slow link.
 const CONTENT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Asks peers by HTTP.
+/// Requests copies from peers by HTTP.
 pub struct HttpPeers {
     pool: ConnectionPool,
 }
 
 impl HttpPeers {
-    /// Asks over the connections of this pool.
+    /// Sends requests over the connections of this pool.
     pub fn new(pool: ConnectionPool) -> Self {
         Self { pool }
     }
 }
 
-fn silent(cause: impl Into<String>) -> PeerAnswer {
+fn unresponsive(cause: impl Into<String>) -> PeerAnswer {
     PeerAnswer::Failed(SourceFailure::Silent, cause.into())
 }
 
@@ -45,8 +45,8 @@
 #[async_trait]
 impl PeerCopies for HttpPeers {
     async fn ask(&self, peer: &RelayPeer, ask: SpaceAsk) -> PeerAnswer {
-        let asked_at = harrierward_clock::now();
-        let question = SpaceQuestion {
+        let sent_at = harrierward_clock::now();
+        let query = SpaceQuestion {
             space: ask.space,
             after: ask.after,
             wait_ms: millis(ask.hold),
@@ -56,39 +56,39 @@
             .method("POST")
             .uri(PATH)
             .header("host", &peer.address)
-            .body(Bytes::from(encode(&question)));
+            .body(Bytes::from(encode(&query)));
         let request = match request {
             Ok(request) => request,
-            Err(error) => return silent(error.to_string()),
+            Err(error) => return unresponsive(error.to_string()),
         };
-        let sending = self.pool.send(&peer.address, request, false);
-        let mut response = match timeout(ask.hold + ANSWER_SLACK, sending).await {
-            Err(_) => return silent("no answer in time"),
-            Ok(Err(error)) => return silent(error.to_string()),
+        let exchange = self.pool.send(&peer.address, request, false);
+        let mut response = match timeout(ask.hold + HOLD_MARGIN, exchange).await {
+            Err(_) => return unresponsive("no answer in time"),
+            Ok(Err(error)) => return unresponsive(error.to_string()),
             Ok(Ok(response)) => response,
         };
         match response.head.status {
             StatusCode::OK => {}
             StatusCode::SERVICE_UNAVAILABLE => return PeerAnswer::NotReady,
-            status => return silent(format!("status {status}")),
+            status => return unresponsive(format!("status {status}")),
         }
-        let reading = async {
+        let read_body = async {
             let mut bytes = Vec::new();
             while let Some(part) = response.body.next().await {
                 bytes.extend_from_slice(&part.ok()?);
             }
             Some(bytes)
         };
-        let Ok(Some(bytes)) = timeout(CONTENT_TIMEOUT, reading).await else {
-            return silent("the answer broke off");
+        let Ok(Some(bytes)) = timeout(CONTENT_TIMEOUT, read_body).await else {
+            return unresponsive("the answer broke off");
         };
-        read(&bytes, asked_at)
+        parse_reply(&bytes, sent_at)
     }
 }
 
-/// Reads a reply to a question that was asked at `asked_at`. The proof lies its age before the moment of the answer, which lies at
-/// least as long after the question as this was held.
-fn read(bytes: &[u8], asked_at: Instant) -> PeerAnswer {
+/// Reads a reply to a request sent at `sent_at`. The proof's time is derived from the earliest possible moment of
+/// the reply, which is `sent_at` plus the time the request was held.
+fn parse_reply(bytes: &[u8], sent_at: Instant) -> PeerAnswer {
     let Some(reply) = decode::<SpaceReply>(bytes).filter(|reply| reply.format == FORMAT) else {
         let cause = "the answer is of another kind".to_owned();
         return PeerAnswer::Failed(SourceFailure::Unknowing, cause);
@@ -101,16 +101,16 @@
         is_compressed: reply.is_compressed,
     };
     let Some(changes) = content.rows() else {
-        return silent("the answer's rows cannot be read");
+        return unresponsive("the answer's rows cannot be read");
     };
     let held = Duration::from_millis(u64::from(reply.held_ms));
     let age = Duration::from_millis(u64::from(reply.proof_age_ms));
-    let proof = (asked_at + held).checked_sub(age).map(|as_of| CopyProof {
+    let proof = (sent_at + held).checked_sub(age).map(|as_of| CopyProof {
         as_of,
         digest: reply.digest,
     });
     let Some(proof) = proof else {
-        return silent("the answer's proof is older than this machine's clock");
+        return unresponsive("the answer's proof is older than this machine's clock");
     };
     PeerAnswer::Page(ChangePage {
         changes,
--- a/crates/edge/src/relay/content.rs
+++ b/crates/edge/src/relay/content.rs
@@ -1,4 +1,4 @@
-//! The rows of an answer as bytes, compressed where they are many.
+//! Encoding of a reply's rows, compressed above a size limit.
 
 use std::io::{Read, Write};
 
@@ -9,14 +9,13 @@
 use harrierward_external::RowChange;
 use harrierward_wire::{SpaceContent, SpaceRow, decode, encode};
 
-/// Bytes from which on content is compressed: the rows of thousands of replicas are much alike, and small machines have
-/// small links.
-const COMPRESS_FROM: usize = 8 * 1024;
+/// Size in bytes from which content is compressed: rows of replicas are similar and links may be slow.
+const MIN_COMPRESSED_BYTES: usize = 8 * 1024;
 
-/// Most bytes that compressed content may grow to: an answer that claims more is not read.
-const LARGEST_CONTENT: u64 = 256 * 1024 * 1024;
+/// Maximum size of decompressed content in bytes; longer content is rejected.
+const MAX_CONTENT_BYTES: u64 = 256 * 1024 * 1024;
 
-/// Encoded rows.
+/// Rows encoded for a reply.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Content {
     pub bytes: Bytes,
@@ -24,7 +23,7 @@
 }
 
 impl Content {
-    /// Encodes rows.
+    /// Encodes rows, compressed if they are large.
     pub fn of(changes: Vec<RowChange>) -> Self {
         let rows = changes.into_iter().map(|change| SpaceRow {
             key: change.key,
@@ -34,11 +33,11 @@
         let bytes = encode(&SpaceContent {
             rows: rows.collect(),
         });
-        if bytes.len() < COMPRESS_FROM {
+        if bytes.len() < MIN_COMPRESSED_BYTES {
             return Self::plain(bytes);
         }
         compress(&bytes).map_or_else(
-            // Writing to memory does not fail; if it did, the plain bytes serve as well.
+            // Compression into memory cannot fail; the uncompressed bytes serve as a fallback.
             |_| Self::plain(bytes),
             |compressed| Self {
                 bytes: compressed.into(),
@@ -54,12 +53,15 @@
         }
     }
 
-    /// The rows; `None` if the bytes cannot be read.
+    /// Decodes the rows; `None` if the bytes are invalid.
     pub fn rows(&self) -> Option<Vec<RowChange>> {
         let content: SpaceContent = if self.is_compressed {
             let mut plain = Vec::new();
             let decoder = ZlibDecoder::new(&self.bytes[..]);
-            decoder.take(LARGEST_CONTENT).read_to_end(&mut plain).ok()?;
+            decoder
+                .take(MAX_CONTENT_BYTES)
+                .read_to_end(&mut plain)
+                .ok()?;
             decode(&plain)?
         } else {
             decode(&self.bytes)?
--- a/crates/edge/src/relay/mod.rs
+++ b/crates/edge/src/relay/mod.rs
@@ -1,8 +1,8 @@
-//! Copies of the store's spaces between daemons, by HTTP on the control address.
+//! Relay of the store's spaces between daemons, by HTTP on the control address.
 
-mod asking;
+mod client;
 mod content;
-mod replies;
+mod server;
 
-pub use asking::HttpPeers;
-pub use replies::SpaceReplies;
+pub use client::HttpPeers;
+pub use server::SpaceReplies;
--- a/crates/edge/src/relay/replies.rs
+++ b/crates/edge/src/relay/server.rs
@@ -1,4 +1,4 @@
-//! Answers peers from this daemon's copies of the store's spaces.
+//! Server of the relay: replies to peers from this daemon's copies of the store's spaces.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -18,24 +18,24 @@
 
 use super::content::Content;
 
-/// Path of the question. Builds that do not know it answer what lies behind a query with the configuration alone.
+/// Path of relay requests. Older builds ignore the query's text and reply with the configuration alone.
 pub(super) const PATH: &str = "/internal/known-rows?space";
 
-/// Format of the answers.
+/// Format number of replies; a reply of another format is rejected.
 pub(super) const FORMAT: u32 = 1;
 
-/// Most bytes of a question.
-const LARGEST_QUESTION: usize = 1_024;
+/// Maximum size of a request's body in bytes.
+const MAX_REQUEST_BYTES: usize = 1_024;
 
-/// Questions held or being answered at most: many times those of a daemon's own followers.
-const MOST_QUESTIONS: usize = 256;
+/// Maximum number of concurrent requests, held ones included; far above the number of a daemon's followers.
+const MAX_CONCURRENT_REQUESTS: usize = 256;
 
-/// Answers peers; other requests go to `others`.
+/// Replies to relay requests; other requests go to `others`.
 pub struct SpaceReplies<S> {
     relay: Arc<Relay>,
     others: Arc<S>,
-    questions: AtomicUsize,
-    /// All rows of a space, encoded: followers that start together ask for the same.
+    open_requests: AtomicUsize,
+    /// Cached encoding of all rows of a space, for followers that start together.
     encoded: Mutex<HashMap<String, EncodedSpace>>,
 }
 
@@ -44,57 +44,52 @@
     content: Content,
 }
 
-/// Counts a question until it is dropped.
-struct Counted<'a>(&'a AtomicUsize);
+/// Counts a request until it is dropped.
+struct RequestGuard<'a>(&'a AtomicUsize);
 
-impl Drop for Counted<'_> {
+impl Drop for RequestGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl<S> SpaceReplies<S> {
-    /// Answers from these copies.
+    /// Replies from these copies.
     pub fn new(relay: Arc<Relay>, others: Arc<S>) -> Self {
         Self {
             relay,
             others,
-            questions: AtomicUsize::new(0),
+            open_requests: AtomicUsize::new(0),
             encoded: Mutex::default(),
         }
     }
 
-    fn count(&self) -> Option<Counted<'_>> {
-        let counted = Counted(&self.questions);
-        let before = self.questions.fetch_add(1, Ordering::Relaxed);
-        (before < MOST_QUESTIONS).then_some(counted)
+    fn admit(&self) -> Option<RequestGuard<'_>> {
+        let guard = RequestGuard(&self.open_requests);
+        let open = self.open_requests.fetch_add(1, Ordering::Relaxed);
+        (open < MAX_CONCURRENT_REQUESTS).then_some(guard)
     }
 
-    /// The reply; `None` if there is no copy to answer from, or too many ask.
-    async fn reply(&self, question: &SpaceQuestion) -> Option<SpaceReply> {
-        let _counted = self.count()?;
+    /// Returns the reply; `None` if there is no copy, or at the limit of concurrent requests.
+    async fn reply(&self, query: &SpaceQuestion) -> Option<SpaceReply> {
+        let _guard = self.admit()?;
         let ask = SpaceAsk {
-            space: question.space.clone(),
-            after: question.after,
-            hold: Duration::from_millis(u64::from(question.wait_ms)),
-            known_age: Some(Duration::from_millis(u64::from(question.known_age_ms))),
+            space: query.space.clone(),
+            after: query.after,
+            hold: Duration::from_millis(u64::from(query.wait_ms)),
+            known_age: Some(Duration::from_millis(u64::from(query.known_age_ms))),
         };
-        let space = self.relay.space(&question.space)?;
+        let space = self.relay.space(&query.space)?;
         let HeldAnswer {
             answer,
             proof_age,
             held,
         } = space.answer(&ask).await?;
-        let is_history_lost = answer.is_whole && question.after > 0;
+        let is_history_lost = answer.is_whole && query.after > 0;
         let content = if is_history_lost {
             Content::default()
         } else {
-            self.content(
-                &question.space,
-                answer.changes,
-                answer.is_whole,
-                answer.digest,
-            )
+            self.content(&query.space, answer.changes, answer.is_whole, answer.digest)
         };
         Some(SpaceReply {
             revision: answer.revision,
@@ -113,18 +108,18 @@
         if !is_whole {
             return Content::of(rows);
         }
-        // Held while the rows are encoded: they are encoded once.
+        // The lock is held during encoding, so that concurrent requests encode only once.
         let mut encoded = self.encoded.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = encoded.get(space).filter(|known| known.digest == digest);
-        if let Some(known) = known {
-            return known.content.clone();
+        let cached = encoded.get(space).filter(|cached| cached.digest == digest);
+        if let Some(cached) = cached {
+            return cached.content.clone();
         }
         let content = Content::of(rows);
-        let latest = EncodedSpace {
+        let entry = EncodedSpace {
             digest,
             content: content.clone(),
         };
-        encoded.insert(space.to_owned(), latest);
+        encoded.insert(space.to_owned(), entry);
         content
     }
 }
@@ -136,18 +131,18 @@
 #[async_trait]
 impl<S: HttpService> HttpService for SpaceReplies<S> {
     async fn call(&self, request: Request<Incoming>) -> Response<ResponseBody> {
-        let named = request.uri().path_and_query();
-        if named.is_none_or(|named| named.as_str() != PATH) {
+        let path = request.uri().path_and_query();
+        if path.is_none_or(|path| path.as_str() != PATH) {
             return self.others.call(request).await;
         }
-        let body = Limited::new(request.into_body(), LARGEST_QUESTION);
+        let body = Limited::new(request.into_body(), MAX_REQUEST_BYTES);
         let body = body.collect().await.map(|body| body.to_bytes()).ok();
-        let question = body.and_then(|body| decode::<SpaceQuestion>(&body));
-        let reply = match &question {
-            Some(question) => self.reply(question).await,
+        let query = body.and_then(|body| decode::<SpaceQuestion>(&body));
+        let reply = match &query {
+            Some(query) => self.reply(query).await,
             None => None,
         };
-        let status = match (&question, &reply) {
+        let status = match (&query, &reply) {
             (None, _) => StatusCode::BAD_REQUEST,
             (_, None) => StatusCode::SERVICE_UNAVAILABLE,
             _ => StatusCode::OK,
--- a/crates/edge/src/silence.rs
+++ b/crates/edge/src/silence.rs
@@ -61,7 +61,7 @@
             return;
         };
         if harrierward_clock::age(heard_at) >= self.pool.silent_after() {
-            self.pool.distrust(&self.address, heard_at);
+            self.pool.close_stalled(&self.address, heard_at);
         }
     }
 }
