--- a/crates/edge/tests/discovery.rs
+++ b/crates/edge/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! What a daemon believes only moves forward, whoever tells it.
+//! Guards against older configurations, replicas and evacuations replacing newer ones.
 
 mod support;
 
@@ -72,36 +72,36 @@
 }
 
 #[tokio::test]
-async fn a_configuration_never_goes_back() {
+async fn an_older_configuration_is_ignored() {
     let fixture = Fixture::new();
-    let take = |version: &str, revision| {
+    let apply = |version: &str, revision| {
         let update = written(vec![row("op", version, revision)]);
         fixture.discovery.take_configuration(&update, "test");
     };
-    take("7", 10);
-    // A late read of an older row, under whatever revision.
-    take("5", 11);
+    apply("7", 10);
+    // A late read of an older configuration, at a higher revision.
+    apply("5", 11);
     assert_eq!(fixture.version(), Some(7));
-    take("9", 12);
+    apply("9", 12);
     assert_eq!(fixture.version(), Some(9));
 }
 
 #[tokio::test]
-async fn the_stores_first_word_replaces_a_peers_replicas() {
+async fn the_first_read_of_the_store_replaces_replicas_from_a_peer() {
     let fixture = Fixture::new();
     let configuration = written(vec![row("op", "1", 1)]);
     fixture.discovery.take_configuration(&configuration, "peer");
-    let of_peer = [row("gone", "1:1", 3), row("stays", "1:2", 4)];
-    fixture.discovery.take_replicas_of_peer(&of_peer);
+    let from_peer = [row("gone", "1:1", 3), row("stays", "1:2", 4)];
+    fixture.discovery.take_replicas_of_peer(&from_peer);
     assert!(fixture.discovery.is_complete());
     assert_eq!(fixture.replica_ids(), ["gone", "stays"]);
 
-    let of_store = written(vec![row("stays", "1:2", 4), row("new", "1:3", 9)]);
-    fixture.discovery.take_replicas(&of_store);
+    let from_store = written(vec![row("stays", "1:2", 4), row("new", "1:3", 9)]);
+    fixture.discovery.take_replicas(&from_store);
     assert_eq!(fixture.replica_ids(), ["new", "stays"]);
 
-    // A peer's word that comes later changes nothing.
-    fixture.discovery.take_replicas_of_peer(&of_peer);
+    // Later rows of a peer change nothing.
+    fixture.discovery.take_replicas_of_peer(&from_peer);
     assert_eq!(fixture.replica_ids(), ["new", "stays"]);
 }
 
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_stale_whole_read_takes_nothing_back() {
+fn a_stale_full_read_reverts_nothing() {
     let mut copy = SpaceCopy::default();
     let first = snapshot(10, vec![row("a", "1", 8), row("b", "1", 9)]);
     assert!(copy.take_snapshot(first).is_some());
@@ -136,29 +136,29 @@
 }
 
 #[test]
-fn a_whole_read_brings_what_the_changes_left_out() {
+fn a_full_read_recovers_changes_that_the_feed_skipped() {
     let mut copy = SpaceCopy::default();
     copy.take_snapshot(snapshot(10, vec![row("a", "1", 8), row("b", "1", 9)]));
-    // The store told nothing of revision 11 and went on.
+    // The store's feed skipped revision 11.
     copy.take_changes(ChangePage {
         changes: Vec::new(),
         revision: 14,
         store_time_ms: 2,
         proof: None,
     });
-    let whole = snapshot(15, vec![row("a", "1", 8), row("c", "1", 11)]);
-    let update = copy.take_snapshot(whole).expect("the read is newer");
+    let full_read = snapshot(15, vec![row("a", "1", 8), row("c", "1", 11)]);
+    let update = copy.take_snapshot(full_read).expect("the read is newer");
     assert_eq!(update.removed, ["b"]);
     let keys: Vec<&str> = update.written.iter().map(|row| row.key.as_str()).collect();
     assert_eq!(keys, ["c"]);
 }
 
-/// A replica that is listed may turn cold again at any moment, also one whose row went and came back.
+/// A listed replica may turn cold at any time, also when its row was removed and written again.
 #[tokio::test]
-async fn the_newest_row_tells_whether_a_listed_replica_is_cold() {
+async fn the_newest_row_decides_whether_a_listed_replica_is_cold() {
     let fixture = Fixture::new();
     let configuration = written(vec![row("op", "1", 1)]);
-    let take = |value: &str, revision| {
+    let apply = |value: &str, revision| {
         let update = written(vec![row("one", value, revision)]);
         fixture.discovery.take_replicas(&update);
     };
@@ -166,48 +166,48 @@
         let view = fixture.replicas.view();
         view.get("one").expect("listed").is_cold(Instant::now())
     };
-    take("1:1", 2);
+    apply("1:1", 2);
     assert!(!is_cold());
     fixture.discovery.take_configuration(&configuration, "test");
     let view = fixture.replicas.view();
     let replica = view.get("one").expect("listed");
     assert_eq!(replica.service_warmup(), Some(WARMUP));
-    take("1:1 6000", 3);
+    apply("1:1 6000", 3);
     assert!(is_cold(), "it turned cold");
-    take("1:1 0", 4);
+    apply("1:1 0", 4);
     assert!(!is_cold(), "it is warm again");
     fixture.discovery.take_replicas(&SpaceUpdate {
         removed: vec!["one".to_owned()],
         ..SpaceUpdate::default()
     });
-    take("1:1 5900", 5);
+    apply("1:1 5900", 5);
     assert!(is_cold(), "it came back cold");
     let view = fixture.replicas.view();
     let replica = view.get("one").expect("listed");
     assert_eq!(replica.service_warmup(), Some(WARMUP));
 }
 
-/// Each row of a cold replica tells another time, and all daemons see all rows.
+/// Guards against a log line for each row of a cold replica, whose remaining warmup differs in each.
 #[tokio::test]
-async fn the_time_that_a_replica_stays_cold_is_no_line_of_its_own() {
+async fn a_change_of_the_warmup_time_alone_is_not_logged() {
     let fixture = Fixture::new();
-    let take = |value: &str, revision| {
+    let apply = |value: &str, revision| {
         let update = written(vec![row("one", value, revision)]);
         fixture.discovery.take_replicas(&update);
     };
-    take("1:1", 2);
+    apply("1:1", 2);
     let lines = fixture.log.held_lines();
-    take("1:1 6000", 3);
-    take("1:1 4800", 4);
+    apply("1:1 6000", 3);
+    apply("1:1 4800", 4);
     assert_eq!(fixture.log.held_lines(), lines);
-    take("1:2 3600", 5);
+    apply("1:2 3600", 5);
     assert_eq!(fixture.log.held_lines(), lines + 1, "its address is new");
 }
 
-/// A page of a whole read may be newer than the read as a whole, so that the next read may be older than a row in it.
+/// A page of a full read may be newer than the read's revision, so that the next read may be older than a row in it.
 #[tokio::test]
 async fn a_read_that_is_older_than_an_evacuation_does_not_end_it() {
-    let mut daemon = Evacuated::new();
+    let mut daemon = EvacuationFixture::new();
     daemon.read_all(10, vec![row("op", "1", 5), row(EVACUATION, "", 12)]);
     daemon.read_all(11, vec![row("op", "1", 5)]);
     assert!(daemon.is_evacuated());
@@ -215,8 +215,8 @@
     assert!(!daemon.is_evacuated());
 }
 
-/// Zones of which daemons keep something.
-const MOST_ZONES: usize = 64;
+/// Maximum number of zones whose evacuations a daemon keeps.
+const MAX_ZONES: usize = 64;
 
 const EVACUATION: &str = "evacuate/zone";
 
@@ -228,13 +228,13 @@
     }
 }
 
-/// A daemon with one replica, and its copy of the configuration's space.
-struct Evacuated {
+/// A daemon with one replica and a copy of the configuration's space.
+struct EvacuationFixture {
     fixture: Fixture,
     copy: SpaceCopy,
 }
 
-impl Evacuated {
+impl EvacuationFixture {
     fn new() -> Self {
         let fixture = Fixture::new();
         let replicas = written(vec![row("replica", "1:1", 3)]);
@@ -261,7 +261,7 @@
         self.fixture.discovery.take_configuration(&update, "store");
     }
 
-    fn hear(&self, peer: &Evacuated) {
+    fn receive_from(&self, peer: &EvacuationFixture) {
         let news = peer.fixture.discovery.evacuations();
         self.fixture.discovery.take_evacuations(&news, "peer");
     }
@@ -271,8 +271,8 @@
         view.all().all(|replica| replica.is_zone_evacuated())
     }
 
-    /// A figure on the metrics; `None` if it is not there.
-    fn figure(&self, name: &str) -> Option<String> {
+    /// Returns the value of a metric; `None` if it is absent.
+    fn metric(&self, name: &str) -> Option<String> {
         let text = String::from_utf8(self.fixture.log.metrics_text()).ok()?;
         let mut lines = text.lines().filter_map(|line| line.strip_prefix(name));
         lines.next().map(|value| value.trim().to_owned())
@@ -280,12 +280,12 @@
 }
 
 #[tokio::test]
-async fn an_evacuation_holds_through_stale_reads_and_lost_history_until_its_row_is_gone() {
-    let mut daemon = Evacuated::new();
+async fn an_evacuation_survives_stale_reads_and_lost_history_until_its_row_is_removed() {
+    let mut daemon = EvacuationFixture::new();
     daemon.read_all(10, vec![row("op", "1", 5)]);
     daemon.follow(12, vec![change(EVACUATION, Some(""), 12)]);
     assert!(daemon.is_evacuated());
-    // A read from before, after the history was lost.
+    // A read older than the evacuation, after the feed's history was lost.
     daemon.read_all(11, vec![row("op", "1", 5)]);
     assert!(daemon.is_evacuated());
     daemon.read_all(14, vec![row("op", "1", 5), row(EVACUATION, "", 12)]);
@@ -297,8 +297,8 @@
 }
 
 #[tokio::test]
-async fn a_row_that_goes_and_comes_back_within_one_page_is_there() {
-    let mut daemon = Evacuated::new();
+async fn the_last_change_of_a_row_within_one_page_is_applied() {
+    let mut daemon = EvacuationFixture::new();
     daemon.read_all(10, vec![row(EVACUATION, "", 9)]);
     let changes = vec![
         change(EVACUATION, None, 11),
@@ -315,57 +315,61 @@
 }
 
 #[tokio::test]
-async fn peers_tell_of_evacuations_and_their_end_and_an_older_word_undoes_neither() {
-    let (mut served, mut frozen, away) = (Evacuated::new(), Evacuated::new(), Evacuated::new());
-    served.read_all(10, vec![row(EVACUATION, "", 9)]);
-    frozen.read_all(10, vec![row(EVACUATION, "", 9)]);
-    away.hear(&served);
-    assert!(away.is_evacuated());
-    served.follow(12, vec![change(EVACUATION, None, 12)]);
-    away.hear(&served);
-    away.hear(&frozen);
-    assert!(!away.is_evacuated());
-    served.follow(15, vec![change(EVACUATION, Some(""), 15)]);
-    away.hear(&served);
-    assert!(away.is_evacuated());
-    // One that started in between has read that the old row is not there.
-    let mut young = Evacuated::new();
-    young.read_all(13, Vec::new());
-    young.hear(&frozen);
-    assert!(!young.is_evacuated());
-    // Whoever hears of it from that one knows as much.
-    let starting = Evacuated::new();
-    starting.hear(&young);
-    starting.hear(&frozen);
+async fn evacuations_and_their_ends_from_peers_are_not_reverted_by_older_updates() {
+    let (mut attached, mut stale, cut_off) = (
+        EvacuationFixture::new(),
+        EvacuationFixture::new(),
+        EvacuationFixture::new(),
+    );
+    attached.read_all(10, vec![row(EVACUATION, "", 9)]);
+    stale.read_all(10, vec![row(EVACUATION, "", 9)]);
+    cut_off.receive_from(&attached);
+    assert!(cut_off.is_evacuated());
+    attached.follow(12, vec![change(EVACUATION, None, 12)]);
+    cut_off.receive_from(&attached);
+    cut_off.receive_from(&stale);
+    assert!(!cut_off.is_evacuated());
+    attached.follow(15, vec![change(EVACUATION, Some(""), 15)]);
+    cut_off.receive_from(&attached);
+    assert!(cut_off.is_evacuated());
+    // This daemon has read the store after the old row was removed.
+    let mut new_daemon = EvacuationFixture::new();
+    new_daemon.read_all(13, Vec::new());
+    new_daemon.receive_from(&stale);
+    assert!(!new_daemon.is_evacuated());
+    // A daemon that merges its update has the same information.
+    let starting = EvacuationFixture::new();
+    starting.receive_from(&new_daemon);
+    starting.receive_from(&stale);
     assert!(!starting.is_evacuated());
 }
 
 #[tokio::test]
-async fn operators_see_each_zone_and_a_name_that_is_none_moves_nothing() {
-    let mut daemon = Evacuated::new();
+async fn the_metrics_list_each_evacuated_zone_and_unknown_zones_have_no_effect() {
+    let mut daemon = EvacuationFixture::new();
     daemon.read_all(10, vec![row("evacuate/nowhere", "", 9)]);
     assert!(!daemon.is_evacuated());
-    let of = |zone: &str| format!("harrierward_zone_evacuated{{zone=\"{zone}\"}}");
-    assert_eq!(daemon.figure(&of("nowhere")).as_deref(), Some("1"));
+    let metric_name = |zone: &str| format!("harrierward_zone_evacuated{{zone=\"{zone}\"}}");
+    assert_eq!(daemon.metric(&metric_name("nowhere")).as_deref(), Some("1"));
     daemon.follow(12, vec![change(EVACUATION, Some(""), 12)]);
-    assert_eq!(daemon.figure(&of("zone")).as_deref(), Some("1"));
+    assert_eq!(daemon.metric(&metric_name("zone")).as_deref(), Some("1"));
     daemon.follow(13, vec![change(EVACUATION, None, 13)]);
-    assert_eq!(daemon.figure(&of("zone")).as_deref(), Some("0"));
+    assert_eq!(daemon.metric(&metric_name("zone")).as_deref(), Some("0"));
 }
 
-/// So many rows with made-up names leave no room for a further zone, which must not stay unsaid.
+/// Guards against an evacuation that is ignored without a log line because the zone limit is reached.
 #[tokio::test]
-async fn operators_see_a_row_that_found_no_room() {
-    let mut daemon = Evacuated::new();
-    let made_up = (0..MOST_ZONES).map(|number| row(&format!("evacuate/z{number}"), "", 9));
-    daemon.read_all(10, made_up.collect());
+async fn an_evacuation_beyond_the_zone_limit_is_logged() {
+    let mut daemon = EvacuationFixture::new();
+    let unknown_zones = (0..MAX_ZONES).map(|number| row(&format!("evacuate/z{number}"), "", 9));
+    daemon.read_all(10, unknown_zones.collect());
     let lines = daemon.fixture.log.held_lines();
     daemon.follow(12, vec![change(EVACUATION, Some(""), 12)]);
     assert!(!daemon.is_evacuated());
     assert_eq!(daemon.fixture.log.held_lines(), lines + 1);
-    // Its zone is taken out of service as soon as there is room and all rows are read again.
+    // Its zone is evacuated once there is capacity and all rows are read again.
     daemon.follow(13, vec![change("evacuate/z0", None, 13)]);
-    let mut rows: Vec<Row> = (1..MOST_ZONES)
+    let mut rows: Vec<Row> = (1..MAX_ZONES)
         .map(|number| row(&format!("evacuate/z{number}"), "", 9))
         .collect();
     rows.push(row(EVACUATION, "", 12));
@@ -374,8 +378,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn operators_see_what_still_runs_in_an_evacuated_zone() {
-    let mut daemon = Evacuated::new();
+async fn the_metrics_count_requests_that_still_run_in_an_evacuated_zone() {
+    let mut daemon = EvacuationFixture::new();
     daemon.read_all(10, vec![row(EVACUATION, "", 9)]);
     let view = daemon.fixture.replicas.view();
     let replica = view.get("replica").expect("the replica");
@@ -383,16 +387,16 @@
     let name = "harrierward_evacuated_zone_requests{zone=\"zone\"}";
     let discovery = Arc::new(daemon.fixture.discovery);
     let log = daemon.fixture.log.clone();
-    let figure = || {
+    let metric = || {
         let text = String::from_utf8(log.metrics_text()).expect("text");
         let mut lines = text.lines().filter_map(|line| line.strip_prefix(name));
         lines.next().map(|value| value.trim().to_owned())
     };
-    let watching = tokio::spawn(discovery.watch_evacuated());
+    let reporting = tokio::spawn(discovery.watch_evacuated());
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert_eq!(figure().as_deref(), Some("1"));
+    assert_eq!(metric().as_deref(), Some("1"));
     drop(running);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert_eq!(figure().as_deref(), Some("0"));
-    watching.abort();
+    assert_eq!(metric().as_deref(), Some("0"));
+    reporting.abort();
 }
--- a/crates/edge/tests/hedged.rs
+++ b/crates/edge/tests/hedged.rs
@@ -1,4 +1,4 @@
-//! Peers that are silent cost a starting daemon little.
+//! Guards against a starting daemon waiting for the full timeout of each unresponsive peer.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -7,114 +7,117 @@
 use proptest::prelude::*;
 use tokio::time::{Instant, sleep};
 
-/// After how long the next peer is asked.
-const SILENT_FOR: Duration = Duration::from_millis(100);
+/// Delay after which the next peer is asked.
+const HEDGE_DELAY: Duration = Duration::from_millis(100);
 
-/// After how long a question to a silent peer is given up.
-const GIVEN_UP: Duration = Duration::from_millis(500);
+/// Timeout of a request to an unresponsive peer.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a peer does.
+/// How a peer reacts to a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Peer {
-    /// Answers after so many milliseconds.
-    Knows(u64),
-    /// Says after so many milliseconds that it does not know.
-    KnowsNothing(u64),
-    /// Says nothing.
-    Silent,
+    /// Responds after this many milliseconds.
+    Responds(u64),
+    /// Reports after this many milliseconds that it has no rows.
+    HasNoRows(u64),
+    /// Never responds.
+    Unresponsive,
 }
 
-/// The peer that answered, how long it took, and how many were asked.
-async fn ask(peers: &[Peer]) -> (Option<usize>, Duration, usize) {
+/// Returns the peer that responded, the elapsed time, and the number of peers asked.
+async fn send_hedged(peers: &[Peer]) -> (Option<usize>, Duration, usize) {
     let began = Instant::now();
     let asked = Mutex::new(0);
     let names = (0..peers.len()).map(|number| number.to_string()).collect();
-    let answer = first_answer(names, SILENT_FOR, |name: String| {
+    let response = first_answer(names, HEDGE_DELAY, |name: String| {
         *asked.lock().unwrap() += 1;
         async move {
             let number: usize = name.parse().unwrap();
             match peers[number] {
-                Peer::Knows(after) => {
+                Peer::Responds(after) => {
                     sleep(Duration::from_millis(after)).await;
                     Some(number)
                 }
-                Peer::KnowsNothing(after) => {
+                Peer::HasNoRows(after) => {
                     sleep(Duration::from_millis(after)).await;
                     None
                 }
-                Peer::Silent => {
-                    sleep(GIVEN_UP).await;
+                Peer::Unresponsive => {
+                    sleep(REQUEST_TIMEOUT).await;
                     None
                 }
             }
         }
     });
-    let answer = answer.await;
+    let response = response.await;
     let count = *asked.lock().unwrap();
-    (answer, began.elapsed(), count)
+    (response, began.elapsed(), count)
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_answers_is_the_only_one_asked() {
-    let (answer, took, asked) = ask(&[Peer::Knows(30), Peer::Knows(1), Peer::Knows(1)]).await;
-    assert_eq!((answer, asked), (Some(0), 1));
-    assert!(took < SILENT_FOR, "{took:?}");
+async fn a_peer_that_responds_in_time_is_the_only_one_asked() {
+    let (response, elapsed, asked) =
+        send_hedged(&[Peer::Responds(30), Peer::Responds(1), Peer::Responds(1)]).await;
+    assert_eq!((response, asked), (Some(0), 1));
+    assert!(elapsed < HEDGE_DELAY, "{elapsed:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn silent_peers_cost_a_moment_each_and_not_their_time_out() {
-    let (answer, took, _) = ask(&[Peer::Silent, Peer::Silent, Peer::Silent, Peer::Knows(10)]).await;
-    assert_eq!(answer, Some(3));
+async fn unresponsive_peers_cost_the_hedge_delay_and_not_their_timeout() {
+    let (response, elapsed, _) = send_hedged(&[
+        Peer::Unresponsive,
+        Peer::Unresponsive,
+        Peer::Unresponsive,
+        Peer::Responds(10),
+    ])
+    .await;
+    assert_eq!(response, Some(3));
     assert!(
-        took <= SILENT_FOR * 3 + Duration::from_millis(20),
-        "{took:?}"
+        elapsed <= HEDGE_DELAY * 3 + Duration::from_millis(20),
+        "{elapsed:?}"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_knows_nothing_costs_no_wait() {
-    let (answer, took, _) = ask(&[
-        Peer::KnowsNothing(5),
-        Peer::KnowsNothing(5),
-        Peer::Knows(10),
-    ])
-    .await;
-    assert_eq!(answer, Some(2));
-    assert!(took < SILENT_FOR, "{took:?}");
+async fn a_peer_without_rows_costs_no_delay() {
+    let (response, elapsed, _) =
+        send_hedged(&[Peer::HasNoRows(5), Peer::HasNoRows(5), Peer::Responds(10)]).await;
+    assert_eq!(response, Some(2));
+    assert!(elapsed < HEDGE_DELAY, "{elapsed:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn nobody_who_knows_is_told_as_soon_as_all_are_done() {
-    assert_eq!(ask(&[]).await.0, None);
-    let (answer, took, asked) = ask(&[Peer::KnowsNothing(5), Peer::Silent]).await;
-    assert_eq!((answer, asked), (None, 2));
-    assert!(took < GIVEN_UP + SILENT_FOR, "{took:?}");
+async fn the_call_fails_once_all_peers_have_failed() {
+    assert_eq!(send_hedged(&[]).await.0, None);
+    let (response, elapsed, asked) = send_hedged(&[Peer::HasNoRows(5), Peer::Unresponsive]).await;
+    assert_eq!((response, asked), (None, 2));
+    assert!(elapsed < REQUEST_TIMEOUT + HEDGE_DELAY, "{elapsed:?}");
 }
 
 fn any_peer() -> impl Strategy<Value = Peer> {
     prop_oneof![
-        (1u64..400).prop_map(Peer::Knows),
-        (1u64..400).prop_map(Peer::KnowsNothing),
-        Just(Peer::Silent),
+        (1u64..400).prop_map(Peer::Responds),
+        (1u64..400).prop_map(Peer::HasNoRows),
+        Just(Peer::Unresponsive),
     ]
 }
 
 proptest! {
     #[test]
-    fn an_answer_comes_whenever_a_peer_knows_and_in_time(peers in prop::collection::vec(any_peer(), 0..6)) {
+    fn any_peer_with_rows_yields_a_response_in_time(peers in prop::collection::vec(any_peer(), 0..6)) {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .start_paused(true)
             .build()
             .unwrap();
-        let (answer, took, _) = runtime.block_on(ask(&peers));
-        let first = peers.iter().position(|peer| matches!(peer, Peer::Knows(_)));
-        prop_assert_eq!(answer.is_some(), first.is_some());
+        let (response, elapsed, _) = runtime.block_on(send_hedged(&peers));
+        let first = peers.iter().position(|peer| matches!(peer, Peer::Responds(_)));
+        prop_assert_eq!(response.is_some(), first.is_some());
         if let Some(number) = first {
-            let Peer::Knows(after) = peers[number] else { unreachable!() };
+            let Peer::Responds(after) = peers[number] else { unreachable!() };
             let before = u32::try_from(number).unwrap();
-            let latest = SILENT_FOR * before + Duration::from_millis(after + 10);
-            prop_assert!(took <= latest, "{:?} for {:?}", took, peers);
+            let latest = HEDGE_DELAY * before + Duration::from_millis(after + 10);
+            prop_assert!(elapsed <= latest, "{:?} for {:?}", elapsed, peers);
         }
     }
 }
--- a/crates/edge/tests/peer_news.rs
+++ b/crates/edge/tests/peer_news.rs
@@ -1,9 +1,4 @@
-//! A daemon whose feed passes over a configuration takes it from a peer that names it.
-//!
-//! What happens: the store's feed answers, and tells nothing of a new version. The daemon's proof stays young, so it denied the new
-//! routes (404) for up to 10 s, though its peers named the version in five datagrams a second: their word was heard only
-//! beside an old proof. What shows it: no `configuration_in_force` at that daemon, and no `peer_asked`, while the others have
-//! the version.
+//! Guards against denying new routes when the store's feed skips a configuration that peers announce.
 
 mod support;
 
@@ -30,24 +25,24 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// Time within which a configuration is to be in force everywhere.
-const IN_FORCE: Duration = Duration::from_millis(2_000);
+/// Time within which a configuration must be in force everywhere.
+const IN_FORCE_WITHIN: Duration = Duration::from_millis(2_000);
 
-/// Time between two notices of a peer.
-const NOTICE: Duration = Duration::from_millis(200);
+/// Interval between notices of a peer.
+const NOTICE_INTERVAL: Duration = Duration::from_millis(200);
 
 const KEY: &str = "configuration";
 
-/// A peer that has this version, and counts who asks for it.
+/// A peer that serves this version and counts the requests for it.
 struct Peer {
     version: u64,
-    asked: AtomicUsize,
+    requests: AtomicUsize,
 }
 
 #[async_trait]
 impl HttpService for Peer {
     async fn call(&self, _request: Request<Incoming>) -> Response<ResponseBody> {
-        self.asked.fetch_add(1, Ordering::Relaxed);
+        self.requests.fetch_add(1, Ordering::Relaxed);
         let rows = KnownRows {
             configuration: Some(KnownRow {
                 key: KEY.to_owned(),
@@ -64,7 +59,7 @@
 async fn start_peer(version: u64) -> (Arc<Peer>, String) {
     let peer = Arc::new(Peer {
         version,
-        asked: AtomicUsize::new(0),
+        requests: AtomicUsize::new(0),
     });
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -73,7 +68,7 @@
     (peer, address)
 }
 
-/// A daemon with the first version in force.
+/// Returns a daemon with version 1 in force.
 fn daemon() -> (Arc<Discovery>, Arc<PeerNews>) {
     let log = DecisionLog::new(LogBounds::default());
     let discovery = Arc::new(Discovery::new(
@@ -84,15 +79,15 @@
         Arc::default(),
         log.clone(),
     ));
-    told(&discovery, Some(1));
+    apply_feed_response(&discovery, Some(1));
     let news = Arc::new(PeerNews::new(discovery.clone(), log.clone()));
     let pool = ConnectionPool::new(PoolSettings::default(), log);
     tokio::spawn(news.clone().catch_up(pool));
     (discovery, news)
 }
 
-/// An answer of the store's feed, with a version or without one.
-fn told(discovery: &Discovery, version: Option<u64>) {
+/// Applies a response of the store's feed, with or without a version.
+fn apply_feed_response(discovery: &Discovery, version: Option<u64>) {
     let row = |version: u64| Row {
         key: KEY.to_owned(),
         value: version.to_string().into(),
@@ -107,31 +102,31 @@
 }
 
 #[tokio::test]
-async fn a_version_that_the_feed_passes_over_is_taken_from_a_peer() {
+async fn a_version_that_the_feed_skips_is_fetched_from_a_peer() {
     let (peer, address) = start_peer(2).await;
     let (discovery, news) = daemon();
     let began = Instant::now();
-    while began.elapsed() < IN_FORCE && discovery.configuration_version() < 2 {
-        told(&discovery, None);
+    while began.elapsed() < IN_FORCE_WITHIN && discovery.configuration_version() < 2 {
+        apply_feed_response(&discovery, None);
         news.take_version(2, || Some(address.clone()));
-        sleep(NOTICE).await;
+        sleep(NOTICE_INTERVAL).await;
     }
     assert_eq!(discovery.configuration_version(), 2);
-    assert_eq!(peer.asked.load(Ordering::Relaxed), 1);
+    assert_eq!(peer.requests.load(Ordering::Relaxed), 1);
 }
 
 #[tokio::test]
-async fn a_version_that_the_feed_brings_in_time_is_not_asked_for() {
+async fn a_version_that_the_feed_delivers_in_time_is_not_fetched() {
     let (peer, address) = start_peer(2).await;
     let (discovery, news) = daemon();
     let began = Instant::now();
-    while began.elapsed() < IN_FORCE {
-        // A feed in good order, behind by a slow answer or two of the store.
-        let version = (began.elapsed() > 3 * NOTICE).then_some(2);
-        told(&discovery, version);
+    while began.elapsed() < IN_FORCE_WITHIN {
+        // A working feed, delayed by one or two slow responses of the store.
+        let version = (began.elapsed() > 3 * NOTICE_INTERVAL).then_some(2);
+        apply_feed_response(&discovery, version);
         news.take_version(2, || Some(address.clone()));
-        sleep(NOTICE).await;
+        sleep(NOTICE_INTERVAL).await;
     }
     assert_eq!(discovery.configuration_version(), 2);
-    assert_eq!(peer.asked.load(Ordering::Relaxed), 0);
+    assert_eq!(peer.requests.load(Ordering::Relaxed), 0);
 }
--- a/crates/edge/tests/server.rs
+++ b/crates/edge/tests/server.rs
@@ -1,4 +1,4 @@
-//! A planned stop of the server: what was read is answered whole, and nobody is let in at its end.
+//! Guards against lost requests and truncated responses in a planned stop of the server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nHost: example\r\n\r\n";
 
-/// Answers when it is told to.
+/// Responds once the gate is opened.
 struct Gate {
     opened: Notify,
 }
@@ -57,7 +57,7 @@
         stream
     }
 
-    async fn until_in_progress(&self, count: usize) {
+    async fn wait_for_in_progress(&self, count: usize) {
         while self.control.in_progress() != count {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -71,60 +71,60 @@
 }
 
 #[tokio::test]
-async fn a_draining_server_answers_whole_and_closes_each_connection() {
+async fn a_draining_server_completes_responses_and_closes_each_connection() {
     let fixture = Fixture::start().await;
     let stream = fixture.send().await;
-    fixture.until_in_progress(1).await;
+    fixture.wait_for_in_progress(1).await;
     fixture.control.set_stage(ServerStage::Draining);
     fixture.gate.opened.notify_one();
-    let answer = read_to_end(stream).await;
-    assert!(answer.contains("connection: close"), "{answer}");
-    assert!(answer.ends_with("whole"), "{answer}");
+    let response = read_to_end(stream).await;
+    assert!(response.contains("connection: close"), "{response}");
+    assert!(response.ends_with("whole"), "{response}");
 }
 
 #[tokio::test]
-async fn a_closing_server_lets_nobody_in_and_still_answers_what_it_read() {
+async fn a_closing_server_refuses_connections_and_completes_requests_already_read() {
     let fixture = Fixture::start().await;
     let stream = fixture.send().await;
-    fixture.until_in_progress(1).await;
+    fixture.wait_for_in_progress(1).await;
     fixture.control.set_stage(ServerStage::Closing);
     while TcpStream::connect(fixture.address).await.is_ok() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     fixture.gate.opened.notify_one();
-    let answer = read_to_end(stream).await;
-    assert!(answer.ends_with("whole"), "{answer}");
+    let response = read_to_end(stream).await;
+    assert!(response.ends_with("whole"), "{response}");
 }
 
 #[tokio::test]
-async fn a_request_whose_caller_left_is_dropped() {
+async fn a_request_is_dropped_when_its_caller_disconnects() {
     let fixture = Fixture::start().await;
     let stream = fixture.send().await;
-    fixture.until_in_progress(1).await;
+    fixture.wait_for_in_progress(1).await;
     drop(stream);
-    fixture.until_in_progress(0).await;
+    fixture.wait_for_in_progress(0).await;
 }
 
-/// Answers with one piece that is larger than the buffers of a connection.
-struct Large;
+/// Responds with one chunk that exceeds the buffers of a connection.
+struct LargeBody;
 
 const LARGE_BYTES: usize = 32 << 20;
 
 #[async_trait]
-impl HttpService for Large {
+impl HttpService for LargeBody {
     async fn call(&self, _request: Request<Incoming>) -> Response<ResponseBody> {
         let body = Full::new(Bytes::from(vec![b'x'; LARGE_BYTES]));
         Response::new(body.map_err(|never| match never {}).boxed_unsync())
     }
 }
 
-/// A stop that took the request for done would end the process, and with it what the caller has not taken yet.
+/// Guards against exiting while response bytes are still buffered for a slow caller.
 #[tokio::test]
-async fn an_answer_is_in_progress_until_its_last_byte_is_sent() {
+async fn a_response_is_in_progress_until_its_last_byte_is_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
     let control = Arc::new(ServerControl::default());
-    tokio::spawn(serve(listener, control.clone(), Arc::new(Large)));
+    tokio::spawn(serve(listener, control.clone(), Arc::new(LargeBody)));
     let mut stream = TcpStream::connect(address).await.expect("connect");
     stream.write_all(REQUEST).await.expect("write");
     let mut byte = [0];
@@ -139,31 +139,30 @@
     }
 }
 
-/// Answers at once.
-struct Prompt;
+struct Immediate;
 
 #[async_trait]
-impl HttpService for Prompt {
+impl HttpService for Immediate {
     async fn call(&self, _request: Request<Incoming>) -> Response<ResponseBody> {
         let body = Full::new(Bytes::from_static(b"prompt"));
         Response::new(body.map_err(|never| match never {}).boxed_unsync())
     }
 }
 
-/// A caller whose writes do not let the server run.
+/// A caller with blocking writes, during which the server's tasks do not run.
 struct BlockingCaller {
     stream: std::net::TcpStream,
 }
 
 impl BlockingCaller {
-    fn ask(address: std::net::SocketAddr) -> Self {
+    fn connect_and_send(address: std::net::SocketAddr) -> Self {
         let stream = std::net::TcpStream::connect(address).expect("connect");
         let mut caller = Self { stream };
-        caller.ask_again();
+        caller.send_request();
         caller
     }
 
-    fn ask_again(&mut self) {
+    fn send_request(&mut self) {
         std::io::Write::write_all(&mut self.stream, REQUEST).expect("write");
     }
 
@@ -173,86 +172,86 @@
     }
 }
 
-/// Closing the listener, or a connection that seems idle, would reset what has come and is not read yet.
+/// Guards against a close that resets connections with unread requests.
 #[tokio::test]
-async fn a_request_that_came_before_the_close_is_answered() {
+async fn a_request_that_arrived_before_the_close_is_answered() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
     let control = Arc::new(ServerControl::default());
-    tokio::spawn(serve(listener, control.clone(), Arc::new(Prompt)));
-    let mut kept = TcpStream::connect(address).await.expect("connect");
-    kept.write_all(REQUEST).await.expect("write");
-    let mut answer = vec![0; 1];
-    kept.read_exact(&mut answer).await.expect("an answer");
+    tokio::spawn(serve(listener, control.clone(), Arc::new(Immediate)));
+    let mut reused = TcpStream::connect(address).await.expect("connect");
+    reused.write_all(REQUEST).await.expect("write");
+    let mut response = vec![0; 1];
+    reused.read_exact(&mut response).await.expect("an answer");
     tokio::time::sleep(Duration::from_millis(20)).await;
-    let mut kept = BlockingCaller {
-        stream: kept.into_std().expect("stream"),
+    let mut reused = BlockingCaller {
+        stream: reused.into_std().expect("stream"),
     };
-    kept.stream.set_nonblocking(false).expect("blocking");
-    kept.ask_again();
-    let fresh = BlockingCaller::ask(address);
+    reused.stream.set_nonblocking(false).expect("blocking");
+    reused.send_request();
+    let fresh = BlockingCaller::connect_and_send(address);
     control.set_stage(ServerStage::Closing);
     let fresh = read_to_end(fresh.into_stream()).await;
     assert!(fresh.ends_with("prompt"), "{fresh}");
-    let kept = read_to_end(kept.into_stream()).await;
-    assert_eq!(kept.matches("prompt").count(), 2, "{kept}");
+    let reused = read_to_end(reused.into_stream()).await;
+    assert_eq!(reused.matches("prompt").count(), 2, "{reused}");
 }
 
-/// Bytes that the server does not read, more than its buffers hold.
+/// Bytes sent after the request, more than the server's buffers hold.
 const UNREAD_BYTES: usize = 1 << 20;
 
-/// A close with bytes unread is a reset, which would take the end of the answer with it.
+/// Guards against closing a socket with unread bytes: the reset would truncate the response.
 #[tokio::test]
-async fn bytes_behind_the_last_request_do_not_cut_its_answer() {
+async fn unread_bytes_after_the_last_request_do_not_truncate_its_response() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
     let control = Arc::new(ServerControl::default());
-    tokio::spawn(serve(listener, control.clone(), Arc::new(Large)));
+    tokio::spawn(serve(listener, control.clone(), Arc::new(LargeBody)));
     control.set_stage(ServerStage::Draining);
     let stream = TcpStream::connect(address).await.expect("connect");
     let (mut reading, mut writing) = stream.into_split();
-    let sending = tokio::spawn(async move {
+    let sender = tokio::spawn(async move {
         writing.write_all(REQUEST).await.expect("write");
-        // The server may close before it has taken all.
+        // The server may close before it has read all.
         let _ = writing.write_all(&[b'x'; UNREAD_BYTES]).await;
         writing
     });
-    let mut answer = Vec::new();
-    reading.read_to_end(&mut answer).await.expect("read");
-    assert!(answer.len() > LARGE_BYTES, "{} bytes", answer.len());
-    sending.await.expect("sender");
+    let mut response = Vec::new();
+    reading.read_to_end(&mut response).await.expect("read");
+    assert!(response.len() > LARGE_BYTES, "{} bytes", response.len());
+    sender.await.expect("sender");
 }
 
-/// Answers without an end.
-struct Endless;
+/// Responds with an endless body.
+struct EndlessBody;
 
 #[async_trait]
-impl HttpService for Endless {
+impl HttpService for EndlessBody {
     async fn call(&self, _request: Request<Incoming>) -> Response<ResponseBody> {
-        let piece = Bytes::from_static(&[0; 16_384]);
-        let pieces = futures::stream::repeat_with(move || Ok(Frame::data(piece.clone())));
-        Response::new(StreamBody::new(pieces).boxed_unsync())
+        let chunk = Bytes::from_static(&[0; 16_384]);
+        let chunks = futures::stream::repeat_with(move || Ok(Frame::data(chunk.clone())));
+        Response::new(StreamBody::new(chunks).boxed_unsync())
     }
 }
 
-/// Nothing but this ends the request of a caller that is silent for good while bytes wait for it.
+/// Guards against requests that never end because an unresponsive caller acknowledges no bytes.
 #[tokio::test]
-async fn a_caller_that_takes_nothing_has_gone_after_a_time() {
+async fn a_caller_that_acknowledges_nothing_is_disconnected() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
     let control = ServerControl::default().with_unacknowledged_timeout(Duration::from_secs(1));
     let control = Arc::new(control);
-    tokio::spawn(serve(listener, control.clone(), Arc::new(Endless)));
+    tokio::spawn(serve(listener, control.clone(), Arc::new(EndlessBody)));
     let mut stream = TcpStream::connect(address).await.expect("connect");
     stream.write_all(REQUEST).await.expect("write");
     let mut byte = [0];
     stream.read_exact(&mut byte).await.expect("a first byte");
     assert_eq!(control.in_progress(), 1);
-    let gone = async {
+    let completed = async {
         while control.in_progress() > 0 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let gone = tokio::time::timeout(Duration::from_secs(10), gone).await;
-    assert!(gone.is_ok(), "its request is still in progress");
+    let completed = tokio::time::timeout(Duration::from_secs(10), completed).await;
+    assert!(completed.is_ok(), "its request is still in progress");
 }
--- a/crates/edge/tests/support/mod.rs
+++ b/crates/edge/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A source of the store's rows that is plain text.
+//! A discovery source whose rows are plain text.
 
-// Each test program uses a part of it.
+// Each test binary uses a part of this module.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -9,14 +9,14 @@
 use harrierward_external::Row;
 use harrierward_serving::{ReplicaRecord, Service, ServingConfiguration, Warmup};
 
-/// How the service of the configuration warms up.
+/// Warmup parameters of the configured service.
 pub const WARMUP: Warmup = Warmup {
     lasts: Duration::from_secs(6),
     per_second: 2.0,
 };
 
-/// Rows whose content is a number: the version, or the address of the replica named by the key, and after a space for
-/// how many milliseconds it stays cold.
+/// Rows hold a number: the configuration's version, or the address of the replica named by the key, optionally
+/// followed by a space and the milliseconds for which it stays cold.
 pub struct PlainSource;
 
 impl DiscoverySource for PlainSource {
