--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -17,7 +17,7 @@
 
 use crate::discovery::{Discovery, DiscoverySource};
 use crate::fleet::SharedFleet;
-use crate::members::{Members, new_life};
+use crate::members::{Members, new_instance_id};
 use crate::metrics::MetricsService;
 use crate::peer_news::PeerNews;
 use crate::peer_rows::{PeerRows, bootstrap};
@@ -105,9 +105,9 @@
             pool,
             log,
         } = parts;
-        let life = new_life(&settings.member);
+        let instance_id = new_instance_id(&settings.member);
         log.record(&Record::Started {
-            member: &life,
+            member: &instance_id,
             zone: &settings.zone,
             version: env!("CARGO_PKG_VERSION"),
             format: FORMAT_LEVEL,
@@ -117,7 +117,7 @@
         let replicas = Arc::new(ReplicaSet::default());
         let control = Arc::new(ServerControl::default().with_log(log.clone()));
         let slots = Arc::new(SlotService::new(
-            life.clone(),
+            instance_id.clone(),
             Location::new(&settings.zone, &settings.region),
             replicas.clone(),
             settings.costs(),
@@ -131,17 +131,21 @@
             fleet: fleet.clone(),
         });
         let rates = Arc::new(RateService::new(
-            life.clone(),
+            instance_id.clone(),
             fleet,
             settings.rate_bounds,
             routes.clone(),
             log.clone(),
         ));
         let proof = Arc::new(ConfigurationProof::default());
-        let quarantine =
-            QuarantineService::new(life.clone(), replicas.clone(), pool.clone(), log.clone());
+        let quarantine = QuarantineService::new(
+            instance_id.clone(),
+            replicas.clone(),
+            pool.clone(),
+            log.clone(),
+        );
         let members = Members::new(
-            life.clone(),
+            instance_id.clone(),
             &settings,
             replicas.clone(),
             slots.clone(),
@@ -177,7 +181,7 @@
         let news = Arc::new(PeerNews::new(discovery.clone(), log.clone()));
         members.set_news(news.clone());
         let jobs = InlineJobs::new(JobParts {
-            life,
+            life: instance_id,
             table: table.clone(),
             objects,
             watched: watched.clone(),
@@ -196,8 +200,8 @@
         }));
         let spaces = [source.configuration_space(), source.replica_space(), HEADS];
         let peers = Arc::new(HttpPeers::new(pool.clone()));
-        let life = members.life();
-        let relay = Relay::new(life, watched, peers, &spaces, log.clone());
+        let instance_id = members.instance_id();
+        let relay = Relay::new(instance_id, watched, peers, &spaces, log.clone());
         let relay = Arc::new(relay);
         members.set_relay(relay.clone());
         let fleet = members.clone();
--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -59,7 +59,7 @@
 
 /// The daemon's membership and its communication with peers.
 pub struct Members {
-    life: String,
+    instance_id: String,
     zone: String,
     region: String,
     policy: Policy,
@@ -81,7 +81,7 @@
 }
 
 /// Returns a unique id for this daemon instance: `NAME@MILLISECONDS-RANDOM`, numbers in hexadecimal.
-pub fn new_life(member: &str) -> String {
+pub fn new_instance_id(member: &str) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = now.map_or(0, |time| time.as_millis());
     format!("{member}@{millis:x}-{:04x}", rand::random::<u16>())
@@ -89,18 +89,18 @@
 
 /// A parsed instance id.
 #[derive(Debug, PartialEq, Eq)]
-struct LifeName<'a> {
+struct InstanceId<'a> {
     /// Name of the daemon in its settings.
     member: &'a str,
     /// When the instance started by its machine's clock, milliseconds since the epoch.
     started_ms: u64,
 }
 
-impl<'a> LifeName<'a> {
+impl<'a> InstanceId<'a> {
     /// Parses an instance id; `None` if it has another format.
-    fn parse(life: &'a str) -> Option<Self> {
-        let (member, start) = life.rsplit_once('@')?;
-        let (millis, _) = start.split_once('-')?;
+    fn parse(instance_id: &'a str) -> Option<Self> {
+        let (member, instance) = instance_id.rsplit_once('@')?;
+        let (millis, _) = instance.split_once('-')?;
         let started_ms = u64::from_str_radix(millis, 16).ok()?;
         Some(Self { member, started_ms })
     }
@@ -109,7 +109,7 @@
 impl Members {
     /// Starts with this daemon as the only member.
     pub fn new(
-        life: String,
+        instance_id: String,
         settings: &EdgeSettings,
         replicas: Arc<ReplicaSet>,
         slots: Arc<SlotService>,
@@ -118,7 +118,7 @@
         log: DecisionLog,
     ) -> Self {
         let own = MemberRecord {
-            id: life.clone(),
+            id: instance_id.clone(),
             udp_address: settings.told_peer_address().to_owned(),
             peer_address: settings.told_control_address().to_owned(),
             zone: settings.zone.clone(),
@@ -143,7 +143,7 @@
             first_peer_at: None,
         };
         Self {
-            life,
+            instance_id,
             zone: settings.zone.clone(),
             region: settings.region.clone(),
             policy: settings.policy,
@@ -170,8 +170,12 @@
     /// Returns control addresses of other live members, nearest first.
     pub fn control_addresses(&self, limit: usize) -> Vec<String> {
         let view = self.view();
-        let others =
-            view.others_nearest_first(&self.life, &self.zone, &self.region, &mut rand::rng());
+        let others = view.others_nearest_first(
+            &self.instance_id,
+            &self.zone,
+            &self.region,
+            &mut rand::rng(),
+        );
         let addresses = others.into_iter().map(|one| one.peer_address.clone());
         addresses.take(limit).collect()
     }
@@ -191,8 +195,8 @@
     }
 
     /// Returns the id of this daemon instance.
-    pub fn life(&self) -> &str {
-        &self.life
+    pub fn instance_id(&self) -> &str {
+        &self.instance_id
     }
 
     /// Announces that this daemon leaves the membership.
--- a/crates/edge/src/members/notices.rs
+++ b/crates/edge/src/members/notices.rs
@@ -26,7 +26,7 @@
         }
         state.notice_count += 1;
         let notice = LoadNotice {
-            from: self.life.clone(),
+            from: self.instance_id.clone(),
             number: state.notice_count,
             counts: self.own_loads(),
             proof_age_ms: self.own_proof_age_ms(),
@@ -41,7 +41,10 @@
         };
         let bytes = encode(&datagram);
         let view = state.view.clone();
-        let others = view.members.iter().filter(|member| member.id != self.life);
+        let others = view
+            .members
+            .iter()
+            .filter(|member| member.id != self.instance_id);
         let recipients = others.choose_multiple(&mut rand::rng(), NOTICE_FAN_OUT);
         recipients
             .into_iter()
--- a/crates/edge/src/members/peers.rs
+++ b/crates/edge/src/members/peers.rs
@@ -14,7 +14,7 @@
 
 use crate::calls::{CallPatience, PeerPlace};
 
-use super::{LifeName, Members, udp_address};
+use super::{InstanceId, Members, udp_address};
 
 const QUOTA_TIMEOUTS: CallPatience = CallPatience {
     again: Duration::from_millis(40),
@@ -74,15 +74,15 @@
     }
 }
 
-/// True if the view contains a later instance of a daemon whose instance `life` is not in it.
-fn has_later_instance(view: &MembershipView, life: &str) -> bool {
-    let Some(gone) = LifeName::parse(life) else {
+/// True if the view contains a later instance of a daemon whose instance `instance_id` has departed.
+fn has_later_instance(view: &MembershipView, instance_id: &str) -> bool {
+    let Some(departed) = InstanceId::parse(instance_id) else {
         return false;
     };
-    let lives = view.members.iter().map(|member| member.id.as_str());
-    lives
-        .filter_map(LifeName::parse)
-        .any(|life| life.member == gone.member && life.started_ms > gone.started_ms)
+    let member_ids = view.members.iter().map(|member| member.id.as_str());
+    member_ids
+        .filter_map(InstanceId::parse)
+        .any(|other| other.member == departed.member && other.started_ms > departed.started_ms)
 }
 
 #[async_trait]
