--- a/crates/edge/src/calls.rs
+++ b/crates/edge/src/calls.rs
@@ -17,58 +17,58 @@
 
 /// Timeouts of one call to a peer with negligible RTT; the measured RTT is added.
 #[derive(Debug, Clone, Copy)]
-pub struct CallPatience {
+pub struct CallTimeouts {
     /// Time after which the request is sent again.
-    pub again: Duration,
+    pub resend_after: Duration,
     /// Time after which the call fails.
-    pub give_up: Duration,
+    pub timeout: Duration,
     /// Upper bound of the wait, whatever the RTT.
-    pub longest: Duration,
+    pub max_timeout: Duration,
 }
 
-impl CallPatience {
+impl CallTimeouts {
     /// Returns the timeouts for a peer with round-trip time `rtt`: a fixed timeout would make each more distant peer
     /// seem unresponsive.
     fn with_rtt(self, rtt: Duration) -> Self {
-        let give_up = self.clamp_timeout(self.give_up + rtt);
+        let timeout = self.clamp_timeout(self.timeout + rtt);
         Self {
-            again: (self.again + rtt).min(give_up),
-            give_up,
-            longest: self.longest,
+            resend_after: (self.resend_after + rtt).min(timeout),
+            timeout,
+            max_timeout: self.max_timeout,
         }
     }
 
     /// Returns the timeouts for a peer in another region without an RTT sample: the longest wait, with the resend
     /// halfway so that a lost request is not mistaken for a longer RTT.
     fn with_unknown_rtt(self) -> Self {
-        let give_up = self.clamp_timeout(self.longest);
+        let timeout = self.clamp_timeout(self.max_timeout);
         Self {
-            again: give_up / 2,
-            give_up,
-            longest: self.longest,
+            resend_after: timeout / 2,
+            timeout,
+            max_timeout: self.max_timeout,
         }
     }
 
-    fn clamp_timeout(self, give_up: Duration) -> Duration {
-        give_up.min(self.longest.max(self.give_up))
+    fn clamp_timeout(self, timeout: Duration) -> Duration {
+        timeout.min(self.max_timeout.max(self.timeout))
     }
 }
 
 /// Location of the peer of a call.
 #[derive(Debug, Clone, Copy)]
-pub struct PeerPlace {
+pub struct PeerLocation {
     /// Zone and region of the peer.
     pub location: Location,
     /// Whether the peer is in another region than this daemon: without an RTT sample its reply gets the longest wait.
-    pub is_far: bool,
+    pub is_remote_region: bool,
 }
 
-impl PeerPlace {
+impl PeerLocation {
     /// Returns the location of a peer relative to `own`.
     pub fn from(own: Location, peer: Location) -> Self {
         Self {
             location: peer,
-            is_far: own.region != peer.region,
+            is_remote_region: own.region != peer.region,
         }
     }
 }
@@ -77,7 +77,7 @@
 struct PendingCall<A> {
     location: Location,
     sent_at: Instant,
-    longest: Duration,
+    max_timeout: Duration,
     /// `None` once the call has timed out.
     caller: Option<oneshot::Sender<A>>,
 }
@@ -86,14 +86,14 @@
 #[derive(Debug)]
 pub struct DatagramCalls<A> {
     pending: Mutex<HashMap<u32, PendingCall<A>>>,
-    trips: RoundTrips,
+    round_trips: RoundTrips,
 }
 
 impl<A> Default for DatagramCalls<A> {
     fn default() -> Self {
         Self {
             pending: Mutex::default(),
-            trips: RoundTrips::default(),
+            round_trips: RoundTrips::default(),
         }
     }
 }
@@ -128,28 +128,28 @@
     }
 
     /// Returns the round-trip times measured from replies.
-    pub fn trips(&self) -> &RoundTrips {
-        &self.trips
+    pub fn round_trips(&self) -> &RoundTrips {
+        &self.round_trips
     }
 
     /// Sends a request by `send`, resends it once, and waits for the reply; `None` on timeout.
-    pub async fn ask(
+    pub async fn call(
         &self,
         number: u32,
-        peer: PeerPlace,
-        patience: CallPatience,
+        peer: PeerLocation,
+        timeouts: CallTimeouts,
         send: impl Fn(),
     ) -> Option<A> {
-        let patience = match self.trips.longest(peer.location) {
-            Some(rtt) => patience.with_rtt(rtt),
-            None if peer.is_far => patience.with_unknown_rtt(),
-            None => patience,
+        let timeouts = match self.round_trips.longest(peer.location) {
+            Some(rtt) => timeouts.with_rtt(rtt),
+            None if peer.is_remote_region => timeouts.with_unknown_rtt(),
+            None => timeouts,
         };
         let (sender, mut receiver) = oneshot::channel();
         let call = PendingCall {
             location: peer.location,
             sent_at: Instant::now(),
-            longest: patience.longest,
+            max_timeout: timeouts.max_timeout,
             caller: Some(sender),
         };
         self.lock().insert(number, call);
@@ -158,29 +158,29 @@
             number,
         };
         send();
-        if let Ok(reply) = timeout(patience.again, &mut receiver).await {
+        if let Ok(reply) = timeout(timeouts.resend_after, &mut receiver).await {
             return reply.ok();
         }
         send();
-        let remaining = patience.give_up.saturating_sub(patience.again);
+        let remaining = timeouts.timeout.saturating_sub(timeouts.resend_after);
         timeout(remaining, &mut receiver).await.ok()?.ok()
     }
 
-    /// Completes a call with its reply. A late reply only updates the RTT, so that a peer beyond the default timeout
+    /// Completes a call with its reply. A late reply still updates the RTT, so that a peer beyond the default timeout
     /// does not stay unresponsive forever. Returns true for a late reply that a known RTT would have made timely.
-    pub fn take(&self, number: u32, reply: A) -> bool {
+    pub fn complete(&self, number: u32, reply: A) -> bool {
         let Some(call) = self.lock().remove(&number) else {
             return false;
         };
         let elapsed = call.sent_at.elapsed();
         if elapsed < LATE_REPLY_WINDOW {
-            self.trips.note(call.location, elapsed);
+            self.round_trips.note(call.location, elapsed);
         }
         let is_late = match call.caller {
             // The caller may drop the call at this moment.
             Some(caller) => caller.send(reply).is_err(),
             None => true,
         };
-        is_late && elapsed < call.longest
+        is_late && elapsed < call.max_timeout
     }
 }
--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -306,7 +306,7 @@
             }
             Some(node_datagram::Kind::QuotaAnswer(answer)) => {
                 // A late reply needs no handling: a job requests its tokens again.
-                let _ = self.quota_calls.take(answer.number, answer);
+                let _ = self.quota_calls.complete(answer.number, answer);
                 Vec::new()
             }
             Some(node_datagram::Kind::LoadNotice(notice)) => {
--- a/crates/edge/src/members/peers.rs
+++ b/crates/edge/src/members/peers.rs
@@ -12,14 +12,14 @@
 use harrierward_tenants::AllowedRegions;
 use harrierward_wire::{QuotaAnswer, QuotaAsk, QuotaOutcome, node_datagram};
 
-use crate::calls::{CallPatience, PeerPlace};
+use crate::calls::{CallTimeouts, PeerLocation};
 
 use super::{InstanceId, Members, udp_address};
 
-const QUOTA_TIMEOUTS: CallPatience = CallPatience {
-    again: Duration::from_millis(40),
-    give_up: Duration::from_millis(100),
-    longest: Duration::from_millis(200),
+const QUOTA_TIMEOUTS: CallTimeouts = CallTimeouts {
+    resend_after: Duration::from_millis(40),
+    timeout: Duration::from_millis(100),
+    max_timeout: Duration::from_millis(200),
 };
 
 /// Time after the first other member within which the remaining members become known.
@@ -140,12 +140,12 @@
         let view = self.view();
         let peer = view.member(coordinator);
         let peer = peer.map_or(own, |one| Location::new(&one.zone, &one.region));
-        let place = PeerPlace::from(own, peer);
+        let place = PeerLocation::from(own, peer);
         let ask = self.quota_message(request);
         let send = || self.send_to(node_datagram::Kind::QuotaAsk(ask.clone()), address);
         let answer = self
             .quota_calls
-            .ask(ask.number, place, QUOTA_TIMEOUTS, send)
+            .call(ask.number, place, QUOTA_TIMEOUTS, send)
             .await?;
         Some((answer.outcome(), answer.fence))
     }
--- a/crates/edge/src/rates/asking.rs
+++ b/crates/edge/src/rates/asking.rs
@@ -10,16 +10,16 @@
 use tokio::time::Instant;
 
 use super::{MOST_STOCKS, RateService};
-use crate::calls::{CallPatience, PeerPlace};
+use crate::calls::{CallTimeouts, PeerLocation};
 use crate::order::first_two;
 use crate::slots::CoordinatorCandidate;
 
 /// Bounds of a question for tokens: what a busy peer takes to answer, and a whole wait under half of the shortest
 /// objective known (200 ms). The way to the peer is measured.
-const PATIENCE: CallPatience = CallPatience {
-    again: Duration::from_millis(18),
-    give_up: Duration::from_millis(45),
-    longest: Duration::from_millis(95),
+const PATIENCE: CallTimeouts = CallTimeouts {
+    resend_after: Duration::from_millis(18),
+    timeout: Duration::from_millis(45),
+    max_timeout: Duration::from_millis(95),
 };
 
 /// How long a coordinator that did not answer is passed over.
@@ -85,12 +85,12 @@
     }
 
     /// Where the member with this address is, as seen from here.
-    fn place_of(&self, address: SocketAddr) -> PeerPlace {
+    fn place_of(&self, address: SocketAddr) -> PeerLocation {
         let members = self.members.load();
         let own = members.iter().find(|one| one.id == self.life);
         let peer = members.iter().find(|one| one.address == Some(address));
         let peer = peer.map_or_else(Location::default, |peer| peer.location);
-        PeerPlace::from(own.map_or(peer, |own| own.location), peer)
+        PeerLocation::from(own.map_or(peer, |own| own.location), peer)
     }
 
     /// Asks a coordinator at an address, or the member that follows one which is `silent` here; keeps what it gives out
@@ -100,7 +100,7 @@
         let ask = self.question(tenant, silent, asked_at);
         let place = self.place_of(address);
         let send = || self.send(node_datagram::Kind::RateAsk(ask.clone()), address);
-        let Some(grant) = self.calls.ask(ask.number, place, PATIENCE, send).await else {
+        let Some(grant) = self.calls.call(ask.number, place, PATIENCE, send).await else {
             return Asked::Silent;
         };
         self.take_fleet(grant.fleet_members, grant.fleet_seen_ms_ago);
--- a/crates/edge/src/rates/mod.rs
+++ b/crates/edge/src/rates/mod.rs
@@ -168,7 +168,7 @@
                 None
             }
             node_datagram::Kind::RateGrant(grant) => {
-                if self.calls.take(grant.number, grant) {
+                if self.calls.complete(grant.number, grant) {
                     self.note_late(from);
                 }
                 None
--- a/crates/edge/src/slots/asking.rs
+++ b/crates/edge/src/slots/asking.rs
@@ -14,7 +14,7 @@
 };
 use tokio::time::Instant;
 
-use crate::calls::{CallPatience, PeerPlace};
+use crate::calls::{CallTimeouts, PeerLocation};
 
 use super::choosing_group::Target;
 use super::{Coordinator, CoordinatorCandidate, LONGEST_SLACK, SlotService, usage_of};
@@ -109,16 +109,16 @@
         ask.spilled = target.left == Some(LeftRegion::Full);
         let give_up = query.objective / GIVE_UP_PART;
         let give_up = give_up.clamp(LEAST_PATIENCE, MOST_PATIENCE);
-        let patience = CallPatience {
-            again: give_up * GIVE_UP_PART / ASK_AGAIN_PART,
-            give_up,
-            longest: query.objective / LONGEST_PART,
+        let patience = CallTimeouts {
+            resend_after: give_up * GIVE_UP_PART / ASK_AGAIN_PART,
+            timeout: give_up,
+            max_timeout: query.objective / LONGEST_PART,
         };
         let send = || self.send(Kind::SlotAsk(ask.clone()), address);
-        let mut place = PeerPlace::from(self.location, coordinator.location);
+        let mut place = PeerLocation::from(self.location, coordinator.location);
         // Not for a request that has a place at home: the late answer tells the next one how long the way is.
-        place.is_far &= !ask.spilled;
-        let Some(grant) = self.calls.ask(lease, place, patience, send).await else {
+        place.is_remote_region &= !ask.spilled;
+        let Some(grant) = self.calls.call(lease, place, patience, send).await else {
             drop(awaiting);
             self.note_silent(&coordinator.id);
             return SlotAnswer::NoCoordinator;
--- a/crates/edge/src/slots/choosing_group.rs
+++ b/crates/edge/src/slots/choosing_group.rs
@@ -276,7 +276,7 @@
         if self.is_silent(&peer.id) {
             return None;
         }
-        let trip = self.calls.trips().mean(peer.location);
+        let trip = self.calls.round_trips().mean(peer.location);
         Some(Crossing {
             // Before it was ever measured, no longer than an answer is waited for.
             way: trip.map_or(objective / LONGEST_PART, |trip| trip * ROUND_TRIPS),
--- a/crates/edge/src/slots/reports.rs
+++ b/crates/edge/src/slots/reports.rs
@@ -131,7 +131,7 @@
         match kind {
             Kind::SlotAsk(ask) => self.take_ask(&ask, from),
             Kind::SlotGrant(grant) => {
-                if self.calls.take(grant.lease, grant) {
+                if self.calls.complete(grant.lease, grant) {
                     self.note_late(from);
                 }
             }
