--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -124,7 +124,7 @@
             log.clone(),
         ));
         slots.set_connections(pool.clone());
-        let is_other = |seed: &String| *seed != settings.told_peer_address();
+        let is_other = |seed: &String| *seed != settings.advertised_peer_address();
         let fleet = Arc::new(SharedFleet::new(settings.seeds.iter().any(is_other)));
         slots.set_pacing(Pacing {
             bounds: settings.warmup_bounds,
--- a/crates/edge/src/hedged.rs
+++ b/crates/edge/src/hedged.rs
@@ -12,7 +12,7 @@
 
 /// Returns the first response; `None` once all peers have failed. `request` must have a timeout of its own.
 /// Outstanding requests are dropped.
-pub async fn first_answer<R, F, Response>(
+pub async fn first_response<R, F, Response>(
     peers: Vec<String>,
     delay: Duration,
     request: F,
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -30,7 +30,7 @@
 pub use discovery::{Discovery, DiscoverySource};
 pub use fleet::SharedFleet;
 pub use harrierward_wire::FORMAT_LEVEL;
-pub use hedged::first_answer;
+pub use hedged::first_response;
 pub use members::Members;
 pub use peer_loads::{PeerLoads, PeerSum};
 pub use peer_news::PeerNews;
--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -119,8 +119,8 @@
     ) -> Self {
         let own = MemberRecord {
             id: instance_id.clone(),
-            udp_address: settings.told_peer_address().to_owned(),
-            peer_address: settings.told_control_address().to_owned(),
+            udp_address: settings.advertised_peer_address().to_owned(),
+            peer_address: settings.advertised_control_address().to_owned(),
             zone: settings.zone.clone(),
             region: settings.region.clone(),
             incarnation: 1,
--- a/crates/edge/src/peer_rows.rs
+++ b/crates/edge/src/peer_rows.rs
@@ -20,7 +20,7 @@
 
 use crate::answer_budget::AnswerBudget;
 use crate::discovery::Discovery;
-use crate::hedged::first_answer;
+use crate::hedged::first_response;
 use crate::members::Members;
 use crate::peer_news::{evacuation_news, evacuations_message};
 use crate::pool::{ConnectionPool, PooledResponse};
@@ -155,7 +155,7 @@
 /// Fetches rows from one of several peers by hedged requests; only the first to respond sends its body.
 async fn fetch_rows(addresses: Vec<String>, pool: &ConnectionPool) -> Option<KnownRows> {
     let request = |address| request_rows(pool.clone(), address, PATH);
-    let response = first_answer(addresses, HEDGE_DELAY, request).await?;
+    let response = first_response(addresses, HEDGE_DELAY, request).await?;
     timeout(PEER_TIMEOUT, read_rows(response)).await.ok()?
 }
 
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -65,14 +65,14 @@
 
 impl EdgeSettings {
     /// Returns the address to which peers send datagrams.
-    pub fn told_peer_address(&self) -> &str {
+    pub fn advertised_peer_address(&self) -> &str {
         self.advertised.peer.as_ref().unwrap_or(&self.peer_address)
     }
 
     /// Returns the address to which peers send control calls; empty if there is none.
-    pub fn told_control_address(&self) -> &str {
-        let told = self.advertised.control.as_ref();
-        told.unwrap_or(&self.control_address)
+    pub fn advertised_control_address(&self) -> &str {
+        let advertised = self.advertised.control.as_ref();
+        advertised.unwrap_or(&self.control_address)
     }
 
     /// Returns the costs by which replicas are selected.
--- a/crates/edge/tests/hedged.rs
+++ b/crates/edge/tests/hedged.rs
@@ -3,7 +3,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use harrierward_edge::first_answer;
+use harrierward_edge::first_response;
 use proptest::prelude::*;
 use tokio::time::{Instant, sleep};
 
@@ -29,7 +29,7 @@
     let began = Instant::now();
     let asked = Mutex::new(0);
     let names = (0..peers.len()).map(|number| number.to_string()).collect();
-    let response = first_answer(names, HEDGE_DELAY, |name: String| {
+    let response = first_response(names, HEDGE_DELAY, |name: String| {
         *asked.lock().unwrap() += 1;
         async move {
             let number: usize = name.parse().unwrap();
