--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -19,8 +19,8 @@
 use crate::fleet::SharedFleet;
 use crate::members::{Members, new_instance_id};
 use crate::metrics::MetricsService;
-use crate::peer_news::PeerNews;
 use crate::peer_rows::{PeerRows, bootstrap};
+use crate::peer_updates::PeerUpdates;
 use crate::pool::ConnectionPool;
 use crate::quarantine::{HeldContents, QuarantineService};
 use crate::rates::RateService;
@@ -178,8 +178,8 @@
             proof,
             log.clone(),
         ));
-        let news = Arc::new(PeerNews::new(discovery.clone(), log.clone()));
-        members.set_news(news.clone());
+        let peer_updates = Arc::new(PeerUpdates::new(discovery.clone(), log.clone()));
+        members.set_peer_updates(peer_updates.clone());
         let jobs = InlineJobs::new(JobParts {
             life: instance_id,
             table: table.clone(),
@@ -215,7 +215,7 @@
         let store_now_ms = move || clock.view().store_now_ms();
         tokio::spawn(quarantine.clone().keep_stored(table, store_now_ms));
         tokio::spawn(jobs.clone().run());
-        tokio::spawn(news.catch_up(pool.clone()));
+        tokio::spawn(peer_updates.catch_up(pool.clone()));
         tokio::spawn(discovery.clone().watch_evacuated());
         let bootstrapping = bootstrap(
             discovery.clone(),
--- a/crates/edge/src/discovery/evacuations.rs
+++ b/crates/edge/src/discovery/evacuations.rs
@@ -35,17 +35,17 @@
             .iter()
             .filter_map(|key| zone_of(key))
             .collect();
-        let news = self
+        let evacuations = self
             .zones()
             .rows
             .take(written, &removed, update.complete_at);
-        self.take_evacuations(&news, origin);
-        self.log_ignored_zones(&news, origin);
+        self.take_evacuations(&evacuations, origin);
+        self.log_ignored_zones(&evacuations, origin);
     }
 
     /// Logs evacuations that are ignored because the zone limit is reached; repeated at each full read.
-    fn log_ignored_zones(&self, news: &EvacuationNews, origin: &str) {
-        let active = news.zones.iter().filter(|(_, mark)| !mark.is_over);
+    fn log_ignored_zones(&self, evacuations: &EvacuationNews, origin: &str) {
+        let active = evacuations.zones.iter().filter(|(_, mark)| !mark.is_over);
         for (zone, mark) in active {
             if self.zones().zones.is_kept(zone) {
                 continue;
@@ -55,10 +55,10 @@
     }
 
     /// Merges evacuations received from the store or from a peer.
-    pub fn take_evacuations(&self, news: &EvacuationNews, origin: &str) {
+    pub fn take_evacuations(&self, evacuations: &EvacuationNews, origin: &str) {
         // The lock is held until the replicas are updated: an older set must not overwrite a newer one.
         let mut known = self.zones();
-        let changes = known.zones.merge(news, harrierward_clock::now());
+        let changes = known.zones.merge(evacuations, harrierward_clock::now());
         if changes.is_empty() {
             return;
         }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -11,8 +11,8 @@
 mod metrics;
 mod order;
 mod peer_loads;
-mod peer_news;
 mod peer_rows;
+mod peer_updates;
 mod pool;
 mod quarantine;
 mod rates;
@@ -33,7 +33,7 @@
 pub use hedged::first_response;
 pub use members::Members;
 pub use peer_loads::{PeerLoads, PeerSum};
-pub use peer_news::PeerNews;
+pub use peer_updates::PeerUpdates;
 pub use pool::{
     ConnectionPool, PoolError, PoolSettings, PooledBody, PooledResponse, RequestBody, has_token,
 };
--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -26,7 +26,7 @@
 
 use crate::calls::DatagramCalls;
 use crate::peer_loads::PeerLoads;
-use crate::peer_news::PeerNews;
+use crate::peer_updates::PeerUpdates;
 use crate::quarantine::QuarantineService;
 use crate::rates::RateService;
 use crate::settings::EdgeSettings;
@@ -69,7 +69,7 @@
     replicas: Arc<ReplicaSet>,
     log: DecisionLog,
     jobs: OnceLock<InlineJobs>,
-    news: OnceLock<Arc<PeerNews>>,
+    peer_updates: OnceLock<Arc<PeerUpdates>>,
     relay: OnceLock<Arc<Relay>>,
     quota_calls: DatagramCalls<QuotaAnswer>,
     next_quota_call: AtomicU32,
@@ -151,7 +151,7 @@
             replicas,
             log,
             jobs: OnceLock::new(),
-            news: OnceLock::new(),
+            peer_updates: OnceLock::new(),
             relay: OnceLock::new(),
             quota_calls: DatagramCalls::default(),
             next_quota_call: AtomicU32::new(1),
@@ -394,8 +394,8 @@
     }
 
     /// Sets the updates of the operator's rows that notices carry; effective once.
-    pub fn set_news(&self, news: Arc<PeerNews>) {
-        let _ = self.news.set(news);
+    pub fn set_peer_updates(&self, peer_updates: Arc<PeerUpdates>) {
+        let _ = self.peer_updates.set(peer_updates);
     }
 }
 
--- a/crates/edge/src/members/notices.rs
+++ b/crates/edge/src/members/notices.rs
@@ -30,11 +30,14 @@
             number: state.notice_count,
             counts: self.own_loads(),
             proof_age_ms: self.own_proof_age_ms(),
-            evacuations: self.news.get().map(|news| news.evacuations()),
+            evacuations: self
+                .peer_updates
+                .get()
+                .map(|peer_updates| peer_updates.evacuations()),
             configuration_version: self
-                .news
+                .peer_updates
                 .get()
-                .map_or(0, |news| news.configuration_version()),
+                .map_or(0, |peer_updates| peer_updates.configuration_version()),
         };
         let datagram = NodeDatagram {
             kind: Some(node_datagram::Kind::LoadNotice(notice)),
@@ -79,13 +82,13 @@
 
     /// Applies the operator's rows that a notice carries.
     pub(super) fn apply_notice_updates(&self, state: &State, notice: &mut LoadNotice) {
-        let Some(news) = self.news.get() else {
+        let Some(peer_updates) = self.peer_updates.get() else {
             return;
         };
         if let Some(evacuations) = notice.evacuations.take() {
-            news.take_evacuations(evacuations, &notice.from);
+            peer_updates.take_evacuations(evacuations, &notice.from);
         }
-        news.take_version(notice.configuration_version, || {
+        peer_updates.take_version(notice.configuration_version, || {
             let member = state.view.member(&notice.from)?;
             Some(member.peer_address.clone())
         });
--- a/crates/edge/src/peer_rows.rs
+++ b/crates/edge/src/peer_rows.rs
@@ -22,7 +22,7 @@
 use crate::discovery::Discovery;
 use crate::hedged::first_response;
 use crate::members::Members;
-use crate::peer_news::{evacuation_news, evacuations_message};
+use crate::peer_updates::{evacuations_from_message, evacuations_to_message};
 use crate::pool::{ConnectionPool, PooledResponse};
 use crate::server::{HttpService, ResponseBody};
 
@@ -77,7 +77,7 @@
             replicas.clear();
         }
         let rows = KnownRows {
-            evacuations: Some(evacuations_message(&self.discovery.evacuations())),
+            evacuations: Some(evacuations_to_message(&self.discovery.evacuations())),
             configuration: configuration.as_ref().map(to_message),
             replicas: replicas.iter().map(to_message).collect(),
         };
@@ -164,7 +164,7 @@
         return;
     };
     if let Some(evacuations) = rows.evacuations {
-        discovery.take_evacuations(&evacuation_news(evacuations), "peer");
+        discovery.take_evacuations(&evacuations_from_message(evacuations), "peer");
     }
     let update = SpaceUpdate {
         written: vec![to_row(configuration)],
--- a/crates/edge/src/peer_news.rs
+++ b/crates/edge/src/peer_updates.rs
@@ -39,14 +39,14 @@
 }
 
 /// Sends and receives updates of the operator's rows between daemons.
-pub struct PeerNews {
+pub struct PeerUpdates {
     discovery: Arc<Discovery>,
     ahead: Mutex<Option<NewerVersion>>,
     behind: Mutex<Option<Behind>>,
     log: DecisionLog,
 }
 
-impl PeerNews {
+impl PeerUpdates {
     /// Starts without updates from peers.
     pub fn new(discovery: Arc<Discovery>, log: DecisionLog) -> Self {
         Self {
@@ -63,7 +63,7 @@
 
     /// Returns the evacuations to send to peers.
     pub fn evacuations(&self) -> Evacuations {
-        evacuations_message(&self.discovery.evacuations())
+        evacuations_to_message(&self.discovery.evacuations())
     }
 
     /// Returns the configuration version to announce to peers; 0 if there is none.
@@ -74,7 +74,7 @@
     /// Merges the evacuations received from a peer.
     pub fn take_evacuations(&self, received: Evacuations, peer: &str) {
         self.discovery
-            .take_evacuations(&evacuation_news(received), peer);
+            .take_evacuations(&evacuations_from_message(received), peer);
     }
 
     /// Notes a version announced by a peer whose control address is `address`. It is fetched once this daemon's proof
@@ -144,20 +144,20 @@
 }
 
 /// Converts evacuations into their message.
-pub fn evacuations_message(news: &EvacuationNews) -> Evacuations {
-    let zones = news.zones.iter().map(|(zone, mark)| EvacuatedZone {
+pub fn evacuations_to_message(evacuations: &EvacuationNews) -> Evacuations {
+    let zones = evacuations.zones.iter().map(|(zone, mark)| EvacuatedZone {
         zone: zone.clone(),
         revision: mark.revision,
         is_over: mark.is_over,
     });
     Evacuations {
-        complete_at: news.complete_at,
+        complete_at: evacuations.complete_at,
         zones: zones.collect(),
     }
 }
 
 /// Converts a message into the evacuations that it carries.
-pub fn evacuation_news(message: Evacuations) -> EvacuationNews {
+pub fn evacuations_from_message(message: Evacuations) -> EvacuationNews {
     let zones = message.zones.into_iter().map(|entry| {
         let mark = ZoneMark {
             revision: entry.revision,
--- a/crates/edge/tests/discovery.rs
+++ b/crates/edge/tests/discovery.rs
@@ -262,8 +262,10 @@
     }
 
     fn receive_from(&self, peer: &EvacuationFixture) {
-        let news = peer.fixture.discovery.evacuations();
-        self.fixture.discovery.take_evacuations(&news, "peer");
+        let evacuations = peer.fixture.discovery.evacuations();
+        self.fixture
+            .discovery
+            .take_evacuations(&evacuations, "peer");
     }
 
     fn is_evacuated(&self) -> bool {
--- a/crates/edge/tests/peer_news.rs
+++ b/crates/edge/tests/peer_updates.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_edge::{
-    ConnectionPool, Discovery, HttpService, PeerNews, PoolSettings, ResponseBody, ServerControl,
+    ConnectionPool, Discovery, HttpService, PeerUpdates, PoolSettings, ResponseBody, ServerControl,
     serve,
 };
 use harrierward_external::Row;
@@ -69,7 +69,7 @@
 }
 
 /// Returns a daemon with version 1 in force.
-fn daemon() -> (Arc<Discovery>, Arc<PeerNews>) {
+fn daemon() -> (Arc<Discovery>, Arc<PeerUpdates>) {
     let log = DecisionLog::new(LogBounds::default());
     let discovery = Arc::new(Discovery::new(
         Arc::new(PlainSource),
@@ -80,10 +80,10 @@
         log.clone(),
     ));
     apply_feed_response(&discovery, Some(1));
-    let news = Arc::new(PeerNews::new(discovery.clone(), log.clone()));
+    let peer_updates = Arc::new(PeerUpdates::new(discovery.clone(), log.clone()));
     let pool = ConnectionPool::new(PoolSettings::default(), log);
-    tokio::spawn(news.clone().catch_up(pool));
-    (discovery, news)
+    tokio::spawn(peer_updates.clone().catch_up(pool));
+    (discovery, peer_updates)
 }
 
 /// Applies a response of the store's feed, with or without a version.
@@ -104,11 +104,11 @@
 #[tokio::test]
 async fn a_version_that_the_feed_skips_is_fetched_from_a_peer() {
     let (peer, address) = start_peer(2).await;
-    let (discovery, news) = daemon();
+    let (discovery, peer_updates) = daemon();
     let began = Instant::now();
     while began.elapsed() < IN_FORCE_WITHIN && discovery.configuration_version() < 2 {
         apply_feed_response(&discovery, None);
-        news.take_version(2, || Some(address.clone()));
+        peer_updates.take_version(2, || Some(address.clone()));
         sleep(NOTICE_INTERVAL).await;
     }
     assert_eq!(discovery.configuration_version(), 2);
@@ -118,13 +118,13 @@
 #[tokio::test]
 async fn a_version_that_the_feed_delivers_in_time_is_not_fetched() {
     let (peer, address) = start_peer(2).await;
-    let (discovery, news) = daemon();
+    let (discovery, peer_updates) = daemon();
     let began = Instant::now();
     while began.elapsed() < IN_FORCE_WITHIN {
         // A working feed, delayed by one or two slow responses of the store.
         let version = (began.elapsed() > 3 * NOTICE_INTERVAL).then_some(2);
         apply_feed_response(&discovery, version);
-        news.take_version(2, || Some(address.clone()));
+        peer_updates.take_version(2, || Some(address.clone()));
         sleep(NOTICE_INTERVAL).await;
     }
     assert_eq!(discovery.configuration_version(), 2);
