--- a/crates/edge/src/slots/group_selection.rs
+++ b/crates/edge/src/slots/group_selection.rs
@@ -291,7 +291,7 @@
         if self.is_unresponsive(&peer.id) {
             return None;
         }
-        let round_trip = self.calls.trips().mean(peer.location);
+        let round_trip = self.calls.round_trips().mean(peer.location);
         Some(SpillCost {
             // Until a round trip is measured, the longest wait for a reply is assumed.
             network_delay: round_trip.map_or(objective / MAX_WAIT_DIVISOR, |round_trip| {
