--- a/crates/inline-jobs/src/adoption.rs
+++ b/crates/inline-jobs/src/adoption.rs
@@ -45,7 +45,7 @@
         let mut statuses: HashMap<&str, OwnerStanding> = HashMap::new();
         for known in &open {
             if self.owns(&known.header) {
-                self.answer_if_challenged(known);
+                self.refute_if_challenged(known);
                 continue;
             }
             let owner = known.header.owner.as_str();
@@ -82,8 +82,8 @@
         });
     }
 
-    /// Returns the daemons that may read a job's bodies and so adopt it; `None` if this one is not among
-    /// them. A job whose allowed regions have no live daemon waits.
+    /// Returns the daemons that may read a job's bodies and so adopt it; `None` if this one is not among them. A job
+    /// whose allowed regions have no live daemon waits.
     fn adopters_of<'a>(
         &self,
         known: &KnownHeader,
@@ -174,8 +174,8 @@
                 continue;
             };
             let retention = self.inner.settings.retention + RETENTION_MARGIN;
-            let keep_ms = u64::try_from(retention.as_millis()).unwrap_or(u64::MAX);
-            let before = self.inner.view.store_now_ms().saturating_sub(keep_ms);
+            let retention_ms = u64::try_from(retention.as_millis()).unwrap_or(u64::MAX);
+            let before = self.inner.view.store_now_ms().saturating_sub(retention_ms);
             for known in self.inner.view.closed_before(before) {
                 if adoption_rank(&known.header.job_id, &self.inner.instance_id, &owners) == 0 {
                     // A failed removal is retried in the next round.
--- a/crates/inline-jobs/src/adoption_order.rs
+++ b/crates/inline-jobs/src/adoption_order.rs
@@ -1,5 +1,5 @@
-//! Order in which daemons adopt a job without an owner, and the header changes of adoption, challenge and
-//! release. Pure functions.
+//! Order in which daemons adopt a job without an owner, and the header changes of adoption, challenge and release.
+//! Pure functions.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -8,8 +8,8 @@
 use harrierward_wire::JobHeaderRow;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long an owner must be missing before it is challenged: longer than a live member takes to refute a false
-/// death report.
+/// How long an owner must be missing before it is challenged; a live member refutes a false death report within about
+/// that time.
 const CHALLENGE_DELAY: Duration = Duration::from_millis(100);
 
 /// Additional delay of the daemon that released the job: it could not make progress with it.
@@ -65,10 +65,9 @@
     }
 }
 
-/// Returns how long the daemon `instance_id` waits before it adopts a released job, or challenges a missing
-/// owner. Each job has its own order of daemons, so that they do not all try at once. Daemons `near` its last
-/// owner come first: its clients and the replicas that cache its prompts are there. `owners` are all daemons that
-/// may adopt it.
+/// Returns how long the daemon `instance_id` waits before it adopts a released job, or challenges a missing owner.
+/// Each job has its own order of daemons, so that they do not all try at once. Daemons `near` its last owner come
+/// first: its clients and the replicas that cache its prompts are there. `owners` are all daemons that may adopt it.
 pub fn adoption_delay(
     header: &JobHeaderRow,
     instance_id: &str,
--- a/crates/inline-jobs/src/item.rs
+++ b/crates/inline-jobs/src/item.rs
@@ -67,10 +67,10 @@
     pub request: Arc<ServingRequest>,
     /// Output received so far.
     pub progress: SharedProgress,
-    /// Runs that a replica answered with a failure.
+    /// Runs that a replica ended with a failure response.
     pub failures: u32,
-    /// Failures that the job's header counts. The item only runs again once it counts all, so that a later
-    /// owner does not allow more attempts.
+    /// Failures that the job's header counts. The item only runs again once it counts all, so that a later owner does
+    /// not allow more attempts.
     pub recorded_failures: u32,
     /// Number of events in the last checkpoint.
     pub saved_events: usize,
--- a/crates/inline-jobs/src/keys.rs
+++ b/crates/inline-jobs/src/keys.rs
@@ -67,8 +67,7 @@
     partitions().into_iter().map(key).collect()
 }
 
-/// Prefix of the names of rows with daemons' crash updates in the space of the headers; no job id may contain
-/// `~`.
+/// Prefix of the names of rows with daemons' crash updates in the space of the headers; no job id may contain `~`.
 const CRASH_PREFIX: &str = "~crash.";
 
 /// Separates the member name, which is stable over restarts, from the rest of an instance id.
--- a/crates/inline-jobs/src/lib.rs
+++ b/crates/inline-jobs/src/lib.rs
@@ -1,9 +1,9 @@
 //! Batch jobs whose items are stored in the store's table: accepted in one transaction, run by the daemon that
 //! accepted or adopted them, and readable at any daemon.
 //!
-//! Only a job's header changes after acceptance, and each change is conditional on its revision. An owner that
-//! was suspended or partitioned can therefore list nothing after another daemon has taken over. Unlike jobs of
-//! the `batch` crate, these need no chunk objects, shard owners or pulls.
+//! Only a job's header changes after acceptance, and each change is conditional on its revision. An owner that was
+//! suspended or partitioned can therefore list nothing after another daemon has taken over. Unlike jobs of the
+//! `batch` crate, these need no chunk objects, shard owners or pulls.
 
 mod adoption;
 pub mod adoption_order;
@@ -34,7 +34,7 @@
     SubmittedJob,
 };
 pub use pacing::{RunLength, Urgency, slack, urgency};
-pub use quota_ledger::{QuotaDecision, QuotaLedger, QuotaRequest, RouteCount};
+pub use quota_ledger::{QuotaDecision, QuotaLedger, QuotaRequest, RouteUsage};
 pub use service::{InlineJobs, JobParts, JobSettings, Peers};
 pub use store::{FenceOutcome, JobStore, KnownFence, ListedResult, ReadResult, WriteOutcome};
 pub use view::{HeaderChange, JobView, KnownHeader};
--- a/crates/inline-jobs/src/listing.rs
+++ b/crates/inline-jobs/src/listing.rs
@@ -1,5 +1,5 @@
-//! Listing of results: a conditional write of the header fixes each result's position, marks its item as listed,
-//! and records the failures of items that are to run again.
+//! Listing of results: a conditional write of the header fixes each result's position, marks its item as listed, and
+//! records the failures of items that are to run again.
 
 use std::time::Duration;
 
@@ -34,8 +34,7 @@
 }
 
 impl InlineJobs {
-    /// Starts a listing task for each job that has results to list or failures to record, and no such task
-    /// yet.
+    /// Starts a listing task for each job that has results to list or failures to record, and no such task yet.
     pub(crate) fn start_listings(&self) {
         let mut registry = self.registry();
         for (job_id, job) in &mut registry.jobs {
--- a/crates/inline-jobs/src/lookup.rs
+++ b/crates/inline-jobs/src/lookup.rs
@@ -17,8 +17,8 @@
 /// cancellation replaces under its revision.
 const MAX_COPY_AGE: Duration = Duration::from_millis(1_300);
 
-/// Forces a read of the store. A recent watch response proves contact, not that all changes were delivered; only
-/// the row itself proves that nothing is listed.
+/// Forces a read of the store. A recent watch response proves contact, not that all changes were delivered; only the
+/// row itself proves that nothing is listed.
 const READ_STORE: Duration = Duration::ZERO;
 
 /// Age of the last proof up to which a long poll waits for the watch. Above it, the store is read at once.
@@ -41,8 +41,7 @@
         self.inner.view.proof_age().is_some_and(|age| age < max_age)
     }
 
-    /// Returns the header from the local copy if that was proven less than `max_age` ago, else from the
-    /// store.
+    /// Returns the header from the local copy if that was proven less than `max_age` ago, else from the store.
     async fn find(&self, job_id: &str, max_age: Duration) -> Lookup<KnownHeader> {
         let is_fresh = self.is_proven_within(max_age);
         match self.inner.view.get(job_id).filter(|_| is_fresh) {
@@ -51,8 +50,8 @@
         }
     }
 
-    /// Reads the header from the store. A reading older than the newest known revision proves neither that
-    /// the job is missing nor that a result is unlisted.
+    /// Reads the header from the store. A reading older than the newest known revision proves neither that the job is
+    /// missing nor that a result is unlisted.
     pub(crate) async fn read_header(&self, job_id: &str) -> Lookup<KnownHeader> {
         let view = &self.inner.view;
         let newest = view.newest_revision();
@@ -87,8 +86,8 @@
         }
     }
 
-    /// Returns the header of a job visible to the caller. Jobs without a tenant, accepted without tenants
-    /// configured or on a route that requires no key, are visible to all.
+    /// Returns the header of a job visible to the caller. Jobs without a tenant, accepted without tenants configured
+    /// or on a route that requires no key, are visible to all.
     async fn find_for(
         &self,
         caller: &JobCaller,
@@ -109,8 +108,8 @@
 
     /// Returns results from position `after` on; waits up to `wait` for one.
     ///
-    /// Results are append-only, so a stale header may prove that a result exists. An empty page requires a
-    /// read of the store's row that began after the request, unless the list is complete.
+    /// Results are append-only, so a stale header may prove that a result exists. An empty page requires a read of
+    /// the store's row that began after the request, unless the list is complete.
     pub async fn results(
         &self,
         caller: &JobCaller,
@@ -206,8 +205,7 @@
         let Ok(read) = read else {
             return Lookup::Unavailable;
         };
-        // Rows may be newer than the header, or a stale read older; only results present in both are
-        // returned.
+        // Rows may be newer than the header, or a stale read older; only results present in both are returned.
         let items = header.listed.iter().skip(after as usize);
         let results: Vec<JobResult> = items
             .zip(read)
--- a/crates/inline-jobs/src/model.rs
+++ b/crates/inline-jobs/src/model.rs
@@ -55,8 +55,8 @@
     Refused(RefusalCause),
 }
 
-/// Returns the id under which a job is stored. Ids are scoped by tenant, so that tenants can neither collide in
-/// them nor detect each other's jobs.
+/// Returns the id under which a job is stored. Ids are scoped by tenant, so that tenants can neither collide in them
+/// nor detect each other's jobs.
 pub fn scoped_id(tenant: Option<&str>, id: &str) -> String {
     tenant.map_or_else(
         || id.to_owned(),
--- a/crates/inline-jobs/src/no_capacity.rs
+++ b/crates/inline-jobs/src/no_capacity.rs
@@ -1,5 +1,5 @@
-//! Records where placements found no free slot, by service and allowed regions, so that full replicas only delay
-//! the items that depend on them.
+//! Records where placements found no free slot, by service and allowed regions, so that full replicas only delay the
+//! items that depend on them.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 /// Pause before the next placement attempt at the same service and regions.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// How long items are started after all others once a placement failed. More than twice the longest start
-/// interval, so that unplaceable older items do not use every start.
+/// How long items are started after all others once a placement failed. More than twice the longest start interval,
+/// so that unplaceable older items do not use every start.
 const DEFERRAL_DURATION: Duration = Duration::from_millis(250);
 
 /// Recent failed placements.
--- a/crates/inline-jobs/src/owned_job.rs
+++ b/crates/inline-jobs/src/owned_job.rs
@@ -167,8 +167,8 @@
             .collect()
     }
 
-    /// Returns the progress of items whose failures the header does not count yet. Builds without failure
-    /// counts in headers drop these counts when they rewrite a header, and read these rows instead.
+    /// Returns the progress of items whose failures the header does not count yet. Builds without failure counts in
+    /// headers drop these counts when they rewrite a header, and read these rows instead.
     pub fn failed_progress_rows(&self, to_list: &[ListedResult]) -> Vec<(u32, ItemProgressRow)> {
         let items = (0..).zip(&self.items);
         let failed = items.filter(|(number, item)| {
@@ -178,17 +178,17 @@
         rows.collect()
     }
 
-    /// True if runs were tried within `timeout`, but none of them progressed and no result was listed. Items
-    /// that wait for slots are not stuck.
+    /// True if runs were tried within `timeout`, but none of them progressed and no result was listed. Items that
+    /// wait for slots are not stuck.
     pub fn is_stuck(&self, timeout: Duration) -> bool {
         let is_recent = |at: Instant| at.elapsed() < timeout;
         let has_progressed = |item: &Item| {
-            let is_young = match item.phase {
+            let is_active = match item.phase {
                 ItemPhase::Running { since, .. } => is_recent(since),
                 ItemPhase::Done { .. } => true,
                 ItemPhase::Waiting { .. } | ItemPhase::Listed => false,
             };
-            is_young || lock(&item.progress).last_event_at.is_some_and(is_recent)
+            is_active || lock(&item.progress).last_event_at.is_some_and(is_recent)
         };
         let has_tried = self.broken_run_at.is_some_and(is_recent);
         let has_listed = self.listed_at.is_some_and(is_recent);
--- a/crates/inline-jobs/src/pacing.rs
+++ b/crates/inline-jobs/src/pacing.rs
@@ -1,8 +1,7 @@
 //! Urgency of items and the rate at which they are started, as low as their jobs' targets allow.
 //!
-//! An online request without a free slot preempts an item, which resumes elsewhere at the cost of reading its
-//! prompt again. Starts are spread because prefill of an item's prompt delays the tokens of all requests in the
-//! same batch.
+//! An online request without a free slot preempts an item, which resumes elsewhere at the cost of reading its prompt
+//! again. Starts are spread because prefill of an item's prompt delays the tokens of all requests in the same batch.
 
 use std::time::Duration;
 
@@ -44,8 +43,8 @@
 
 impl RunLength {
     /// Adds a full run to the averages.
-    pub fn observe(&mut self, took: Duration, events: usize) {
-        self.seconds += (took.as_secs_f64() - self.seconds) * RUN_WEIGHT;
+    pub fn observe(&mut self, duration: Duration, events: usize) {
+        self.seconds += (duration.as_secs_f64() - self.seconds) * RUN_WEIGHT;
         #[allow(clippy::cast_precision_loss)]
         let events = events as f64;
         self.events += (events - self.events) * RUN_WEIGHT;
--- a/crates/inline-jobs/src/quota.rs
+++ b/crates/inline-jobs/src/quota.rs
@@ -1,9 +1,8 @@
 //! Reservation of a job's tokens at the coordinator of its route's quota.
 //!
-//! A fence row in the store names the coordinator. If it does not respond, this daemon writes a new fence and
-//! becomes the coordinator itself. The transaction that stores a job is conditional on the fence, so two
-//! coordinators cannot exceed the quota together, and jobs of one route do not contend for a counter in the
-//! store.
+//! A fence row in the store names the coordinator. If it does not respond, this daemon writes a new fence and becomes
+//! the coordinator itself. The transaction that stores a job is conditional on the fence, so two coordinators cannot
+//! exceed the quota together, and jobs of one route do not contend for a counter in the store.
 
 use std::time::Duration;
 
@@ -13,7 +12,7 @@
 use rand::Rng;
 use tokio::time::{Instant, sleep};
 
-use crate::quota_ledger::{QuotaDecision, QuotaRequest, RouteCount};
+use crate::quota_ledger::{QuotaDecision, QuotaRequest, RouteUsage};
 use crate::service::InlineJobs;
 use crate::store::{FenceOutcome, KnownFence};
 
@@ -54,7 +53,7 @@
         if limit_of(route) == 0 {
             return Reservation::Granted { fence: None };
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         while Instant::now() < until {
             let fence = self.inner.view.fence(request.route);
             let outcome = match &fence {
@@ -81,7 +80,7 @@
             };
             match outcome {
                 QuotaOutcome::Full => return Reservation::Full,
-                QuotaOutcome::Wait if began.elapsed() < LEDGER_LOAD_TIMEOUT => {}
+                QuotaOutcome::Wait if started_at.elapsed() < LEDGER_LOAD_TIMEOUT => {}
                 _ if self.is_within_min_tenure(request.route, fence.as_ref()) => {}
                 _ => self.become_coordinator(request.route, fence, until).await,
             }
@@ -91,9 +90,8 @@
         Reservation::Unreachable
     }
 
-    /// True if another daemon wrote the fence so recently that it must not be replaced yet. Otherwise,
-    /// daemons that cannot reach each other would replace each other's fences before any of them has stored a
-    /// job.
+    /// True if another daemon wrote the fence so recently that it must not be replaced yet. Otherwise, daemons that
+    /// cannot reach each other would replace each other's fences before any of them has stored a job.
     fn is_within_min_tenure(&self, route: &str, fence: Option<&KnownFence>) -> bool {
         let is_of_other = fence.is_some_and(|fence| fence.coordinator != self.inner.instance_id);
         let age = self.inner.view.fence_age(route);
@@ -119,12 +117,12 @@
         if ledger.fence(request.route) != Some(own.revision) {
             return (QuotaOutcome::Wait, 0);
         }
-        let count = RouteCount {
+        let usage = RouteUsage {
             limit: limit_of(route),
             waiting: view.waiting_tokens(request.route, request.tenant),
             is_known: &|job| view.get(job).is_some(),
         };
-        match ledger.decide(request, count, harrierward_clock::now()) {
+        match ledger.decide(request, usage, harrierward_clock::now()) {
             QuotaDecision::Granted { fence } => (QuotaOutcome::Granted, fence),
             QuotaDecision::Full => (QuotaOutcome::Full, 0),
             QuotaDecision::FenceRequired => (QuotaOutcome::NotCoordinator, 0),
@@ -148,7 +146,7 @@
 
     /// Makes this daemon the coordinator of a route's quota, unless the fence has changed since `known`.
     async fn become_coordinator(&self, route: &str, known: Option<KnownFence>, until: Instant) {
-        let _one_at_a_time = self.inner.fencing.lock().await;
+        let _guard = self.inner.fencing.lock().await;
         let newest = self.inner.view.fence(route);
         if newest.as_ref().map(|fence| fence.revision) != known.as_ref().map(|fence| fence.revision)
         {
--- a/crates/inline-jobs/src/quota_ledger.rs
+++ b/crates/inline-jobs/src/quota_ledger.rs
@@ -1,9 +1,9 @@
-//! Ledger of the quotas that this daemon coordinates: grants whose jobs are not visible in the store yet. Pure.
-//! Each tenant has the route's full limit; one fence serves all tenants of a route.
+//! Ledger of the quotas that this daemon coordinates: grants whose jobs are not visible in the store yet. Pure. Each
+//! tenant has the route's full limit; one fence serves all tenants of a route.
 //!
-//! The count is exact: a job is only stored under the revision of its route's fence, so every job that can still
-//! be stored under it was granted here. Usage is the sum of the headers, read in full after the fence was
-//! written, and of these grants.
+//! The count is exact: a job is only stored under the revision of its route's fence, so every job that can still be
+//! stored under it was granted here. Usage is the sum of the headers, read in full after the fence was written, and
+//! of these grants.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -40,14 +40,14 @@
     pub job: &'a str,
     /// Sum of the tokens of its items.
     pub tokens: u64,
-    /// Random number of the submission, the same in all its requests: a client without a response sends the
-    /// same job to another daemon.
+    /// Random number of the submission, the same in all its requests: a client without a response sends the same job
+    /// to another daemon.
     pub submission: u64,
 }
 
 /// Usage of a route as the job headers show it.
 #[derive(Clone, Copy)]
-pub struct RouteCount<'a> {
+pub struct RouteUsage<'a> {
     /// Tokens that each tenant may have queued.
     pub limit: u64,
     /// Tokens that the tenant has queued, by all known headers.
@@ -77,8 +77,8 @@
 }
 
 impl QuotaLedger {
-    /// Starts coordinating a route: the fence was written at revision `fence`, and all headers up to it are
-    /// known. Drops grants under earlier fences, which can no longer be stored.
+    /// Starts coordinating a route: the fence was written at revision `fence`, and all headers up to it are known.
+    /// Drops grants under earlier fences, which can no longer be stored.
     pub fn begin(&mut self, route: &str, fence: u64) {
         let quota = RouteQuota {
             fence,
@@ -101,20 +101,20 @@
     pub fn decide(
         &mut self,
         request: QuotaRequest<'_>,
-        count: RouteCount<'_>,
+        usage: RouteUsage<'_>,
         now: Instant,
     ) -> QuotaDecision {
         let Some(quota) = self.routes.get_mut(request.route) else {
             return QuotaDecision::FenceRequired;
         };
-        quota.grants.retain(|job, _| !(count.is_known)(job));
+        quota.grants.retain(|job, _| !(usage.is_known)(job));
         let is_overdue =
             |grant: &Grant| now.saturating_duration_since(grant.granted_at) >= GRANT_TTL;
         if quota.grants.values().any(is_overdue) {
             return QuotaDecision::FenceRequired;
         }
         let fence = quota.fence;
-        if (count.is_known)(request.job) {
+        if (usage.is_known)(request.job) {
             return QuotaDecision::Granted { fence };
         }
         // Another submission may bring other items under the same id, and either may be stored.
@@ -126,7 +126,7 @@
         let tenant = xxh3_64(request.tenant.as_bytes());
         let tenant_grants = quota.grants.values().filter(|grant| grant.tenant == tenant);
         let granted: u64 = tenant_grants.map(|grant| grant.tokens).sum();
-        if additional > 0 && count.waiting + granted + additional > count.limit {
+        if additional > 0 && usage.waiting + granted + additional > usage.limit {
             return QuotaDecision::Full;
         }
         if let Some(grant) = quota.grants.get_mut(request.job) {
@@ -144,8 +144,8 @@
         QuotaDecision::Granted { fence }
     }
 
-    /// Releases the grant of a submission that will certainly not store its job. The tokens are free once no
-    /// other submission of the job is pending.
+    /// Releases the grant of a submission that will certainly not store its job. The tokens are free once no other
+    /// submission of the job is pending.
     pub fn release(&mut self, route: &str, job: &str, submission: u64) {
         let Some(quota) = self.routes.get_mut(route) else {
             return;
--- a/crates/inline-jobs/src/registry.rs
+++ b/crates/inline-jobs/src/registry.rs
@@ -27,7 +27,7 @@
     pub started_fresh: bool,
     /// Hash of the replica instance at which it last ran; `None` if it has not run at this daemon.
     pub last_replica_instance: Option<u32>,
-    /// Runs that a replica answered with a failure.
+    /// Runs that a replica ended with a failure response.
     pub failures: u32,
     /// The request to send to a replica.
     pub request: Arc<ServingRequest>,
@@ -41,7 +41,7 @@
     /// When an item was last started; `None` before the first.
     pub last_start: Option<Instant>,
     /// Placement requests in flight.
-    pub placing: usize,
+    pub placements_in_flight: usize,
     /// Where placements recently found no free slot.
     pub no_capacity: NoCapacity,
     /// Mean length of item runs, for the urgency of items.
@@ -81,8 +81,8 @@
         startable
     }
 
-    /// Records which jobs' routes are missing from the configuration, and fails the items of a route that has
-    /// been missing for `grace_period`.
+    /// Records which jobs' routes are missing from the configuration, and fails the items of a route that has been
+    /// missing for `grace_period`.
     pub fn fail_items_without_route(
         &mut self,
         is_known: impl Fn(&str) -> bool,
--- a/crates/inline-jobs/src/runner.rs
+++ b/crates/inline-jobs/src/runner.rs
@@ -1,5 +1,5 @@
-//! Starts items on free replica slots, records the outcomes of runs, and preempts runs when online requests need
-//! the slots.
+//! Starts items on free replica slots, records the outcomes of runs, and preempts runs when online requests need the
+//! slots.
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
 const PREEMPTION_PAUSE: Duration = Duration::from_millis(800);
 
 /// Placement requests in flight at a daemon.
-const MAX_PLACING: usize = 3;
+const MAX_PLACEMENTS: usize = 3;
 
 /// Time limit of an item's placement request; no caller waits for it.
 const PLACEMENT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -191,19 +191,19 @@
     fn start_item(&self, ready: &ReadyItem) -> bool {
         let item = &ready.item;
         let mut registry = self.registry();
-        if registry.placing >= MAX_PLACING {
+        if registry.placements_in_flight >= MAX_PLACEMENTS {
             return false;
         }
         if registry.item(&item.job, item.number).is_none() {
             return true;
         }
-        registry.placing += 1;
+        registry.placements_in_flight += 1;
         registry.last_start = Some(Instant::now());
-        let placing = PlacingGuard { jobs: self.clone() };
+        let placement_guard = PlacementGuard { jobs: self.clone() };
         let jobs = self.clone();
         let started = ready.clone();
         // The task cannot finish before its phase is set: it needs the lock that is held here.
-        let task = tokio::spawn(async move { jobs.place_item(started, placing).await });
+        let task = tokio::spawn(async move { jobs.place_item(started, placement_guard).await });
         if let Some(entry) = registry.item(&item.job, item.number) {
             entry.phase = ItemPhase::Running {
                 at: None,
@@ -214,7 +214,7 @@
         true
     }
 
-    async fn place_item(&self, ready: ReadyItem, placing: PlacingGuard) {
+    async fn place_item(&self, ready: ReadyItem, placement_guard: PlacementGuard) {
         let ReadyItem {
             item,
             service,
@@ -231,7 +231,7 @@
                 Some(item_slack),
             )
             .await;
-        drop(placing);
+        drop(placement_guard);
         let Some(mut placement) = placement else {
             self.note_no_capacity(&item, &service);
             return;
@@ -425,12 +425,12 @@
 }
 
 /// Decrements the count of placements in flight when dropped.
-struct PlacingGuard {
+struct PlacementGuard {
     jobs: InlineJobs,
 }
 
-impl Drop for PlacingGuard {
+impl Drop for PlacementGuard {
     fn drop(&mut self) {
-        self.jobs.registry().placing -= 1;
+        self.jobs.registry().placements_in_flight -= 1;
     }
 }
--- a/crates/inline-jobs/src/service.rs
+++ b/crates/inline-jobs/src/service.rs
@@ -27,12 +27,12 @@
 /// The other daemons of the fleet, as the membership protocol shows them.
 #[async_trait]
 pub trait Peers: Send + Sync {
-    /// Returns the instance ids of the daemons that may own jobs, this one included; `None` until the
-    /// membership has settled.
+    /// Returns the instance ids of the daemons that may own jobs, this one included; `None` until the membership has
+    /// settled.
     fn owners(&self) -> Option<Vec<String>>;
 
-    /// Returns those of [`Self::owners`] in one of these regions, which may read the bodies of jobs
-    /// restricted to them.
+    /// Returns those of [`Self::owners`] in one of these regions, which may read the bodies of jobs restricted to
+    /// them.
     fn owners_in(&self, regions: &AllowedRegions) -> Option<Vec<String>> {
         match regions {
             AllowedRegions::Any => self.owners(),
@@ -43,12 +43,12 @@
     /// Returns this daemon's view of the owner of a job.
     fn owner_status(&self, owner: &str) -> OwnerStanding;
 
-    /// Returns the daemons that may own jobs in the region of `owner`, which may be dead; empty if its region
-    /// is unknown.
+    /// Returns the daemons that may own jobs in the region of `owner`, which may be dead; empty if its region is
+    /// unknown.
     fn owners_near(&self, owner: &str) -> Vec<String>;
 
-    /// Requests a job's tokens from the coordinator of its route's quota. Returns the outcome and the fence
-    /// of a grant; `None` without a reply.
+    /// Requests a job's tokens from the coordinator of its route's quota. Returns the outcome and the fence of a
+    /// grant; `None` without a reply.
     async fn request_quota(
         &self,
         coordinator: &str,
@@ -160,8 +160,8 @@
         self.inner.stopping.load(Ordering::Relaxed)
     }
 
-    /// True if the local copy is recent enough that no cancellation acknowledged longer than the bound ago
-    /// can be missing.
+    /// True if the local copy is recent enough that no cancellation acknowledged longer than the bound ago can be
+    /// missing.
     pub(crate) fn may_start_runs(&self) -> bool {
         let bound = self.inner.settings.cancel_within;
         let bound = bound.saturating_sub(CANCEL_MARGIN);
@@ -169,8 +169,7 @@
         !self.is_stopping() && age.is_some_and(|age| age < bound)
     }
 
-    /// Returns the regions in which a job's items may run and its bodies be read; `None` without a
-    /// configuration.
+    /// Returns the regions in which a job's items may run and its bodies be read; `None` without a configuration.
     pub(crate) fn regions_of(&self, route: &str, tenant: &str) -> Option<AllowedRegions> {
         let routes = self.inner.forwarder.routes()?;
         Some(routes.configuration.allowed_regions(route, tenant))
@@ -329,9 +328,9 @@
         }
         let handovers = released_jobs
             .into_iter()
-            .map(|(known, left)| self.hand_over(known, left, "stopping", until));
-        // A write without a response lasts beyond `until`; the other daemons then adopt the job once this
-        // one has departed.
+            .map(|(known, state)| self.hand_over(known, state, "stopping", until));
+        // A write without a response lasts beyond `until`; the other daemons then adopt the job once this one has
+        // departed.
         let finished = timeout_at(until, futures::future::join_all(handovers)).await;
         if finished.is_err() {
             self.inner.log.record(&Record::DependencyLost {
--- a/crates/inline-jobs/src/store.rs
+++ b/crates/inline-jobs/src/store.rs
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Creates a job: its header and all items in one transaction. Requires that the id is unused and, if the
-    /// route has a fence, that `fence` is its present revision.
+    /// Creates a job: its header and all items in one transaction. Requires that the id is unused and, if the route
+    /// has a fence, that `fence` is its present revision.
     pub async fn create(
         &self,
         mut header: JobHeaderRow,
--- a/crates/inline-jobs/src/store/reads.rs
+++ b/crates/inline-jobs/src/store/reads.rs
@@ -101,8 +101,7 @@
         Ok(rows.iter().filter_map(read).collect())
     }
 
-    /// Reads results from `position` on, in order and without gaps: about `bytes` of text at most, but at
-    /// least one.
+    /// Reads results from `position` on, in order and without gaps: about `bytes` of text at most, but at least one.
     pub async fn read_results(
         &self,
         job_id: &str,
@@ -133,10 +132,10 @@
                 if pieces.len() < pieces[0].pieces as usize {
                     continue;
                 }
-                let whole: String = pieces.iter().map(|piece| piece.text.as_str()).collect();
+                let joined: String = pieces.iter().map(|piece| piece.text.as_str()).collect();
                 results.push(ReadResult {
                     failed: pieces[0].failed,
-                    text: whole,
+                    text: joined,
                 });
                 pieces.clear();
                 if read_bytes >= bytes {
--- a/crates/inline-jobs/src/submit.rs
+++ b/crates/inline-jobs/src/submit.rs
@@ -30,7 +30,7 @@
 const MAX_PROOF_AGE: Duration = Duration::from_millis(2_800);
 
 /// How long a submission waits for the first read of the headers, and the interval of its polls.
-const FIRST_READ_WAIT: Duration = Duration::from_millis(800);
+const FIRST_READ_TIMEOUT: Duration = Duration::from_millis(800);
 const FIRST_READ_POLL: Duration = Duration::from_millis(10);
 
 /// Retry delay given to the caller of a job that exceeds the quota.
@@ -120,8 +120,7 @@
                     self.note_header(*current);
                     return SubmitOutcome::Accepted;
                 }
-                // The grant is void under the new fence; the next iteration requests the tokens
-                // from its coordinator.
+                // The grant is void under the new fence; the next iteration requests the tokens from its coordinator.
                 WriteOutcome::Fenced { current } => {
                     if let Some(current) = current {
                         self.inner.view.update_fence(&route.name, current);
@@ -140,11 +139,11 @@
         }
     }
 
-    /// True if the local copy is recent enough to count what is queued. Waits briefly for the first read
-    /// after the daemon's start.
+    /// True if the local copy is recent enough to count what is queued. Waits briefly for the first read after the
+    /// daemon's start.
     async fn is_view_fresh(&self, arrived_at: Instant) -> bool {
         let view = &self.inner.view;
-        while view.proof_age().is_none() && arrived_at.elapsed() < FIRST_READ_WAIT {
+        while view.proof_age().is_none() && arrived_at.elapsed() < FIRST_READ_TIMEOUT {
             sleep(FIRST_READ_POLL).await;
         }
         view.proof_age().is_some_and(|age| age <= MAX_PROOF_AGE)
--- a/crates/inline-jobs/src/takeover.rs
+++ b/crates/inline-jobs/src/takeover.rs
@@ -1,5 +1,5 @@
-//! Takeover of jobs whose owners are missing: a daemon challenges the owner in the job's header, and an owner
-//! that is alive refutes the challenge and keeps the job.
+//! Takeover of jobs whose owners are missing: a daemon challenges the owner in the job's header, and an owner that is
+//! alive refutes the challenge and keeps the job.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{MutexGuard, PoisonError};
@@ -16,12 +16,12 @@
 use crate::store::WriteOutcome;
 use crate::view::{HeaderChange, KnownHeader};
 
-/// A challenged owner whose job has made no progress for this long releases it instead of refuting: it reaches
-/// the store, but possibly no replica.
+/// A challenged owner whose job has made no progress for this long releases it instead of refuting: it reaches the
+/// store, but possibly no replica.
 const STUCK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Header writes of takeovers in flight at once. A daemon that is partitioned from all other owners must not fill
-/// the store's queues, which also carry their refutations.
+/// Header writes of takeovers in flight at once. A daemon that is partitioned from all other owners must not fill the
+/// store's queues, which also carry their refutations.
 const MAX_CONCURRENT_WRITES: usize = 8;
 
 /// Takeover state of this daemon. Its clock includes time during which the process was suspended.
@@ -50,9 +50,8 @@
         harrierward_clock::age(self.origin)
     }
 
-    /// Returns the step due for a job. Any step but [`Step::Wait`] counts as in flight until
-    /// [`Self::end_write`]. `delay` is the time for which this daemon defers to others, `None` if it may not
-    /// adopt the job.
+    /// Returns the step due for a job. Any step but [`Step::Wait`] counts as in flight until [`Self::end_write`].
+    /// `delay` is the time for which this daemon defers to others, `None` if it may not adopt the job.
     pub fn step(
         &mut self,
         known: &KnownHeader,
@@ -165,13 +164,13 @@
                 .note_change(claim(before), claim(known), is_present, now);
         }
         if self.owns(&known.header) && known.is_open() {
-            self.answer_if_challenged(known);
+            self.refute_if_challenged(known);
         }
     }
 
-    /// Answers a challenge of a job of this daemon. Repeated while the challenge stands, because a write may
-    /// be lost.
-    pub(crate) fn answer_if_challenged(&self, known: &KnownHeader) {
+    /// Responds to a challenge of a job of this daemon. Repeated while the challenge stands, because a write may be
+    /// lost.
+    pub(crate) fn refute_if_challenged(&self, known: &KnownHeader) {
         let job_id = &known.header.job_id;
         let is_challenged = !known.header.challenger.is_empty() && !self.is_stopping();
         if !is_challenged || !self.takeovers().begin_write(job_id) {
@@ -179,7 +178,7 @@
         }
         let known = known.clone();
         self.spawn_write(known, |jobs, known| async move {
-            jobs.answer_challenge(&known).await;
+            jobs.respond_to_challenge(&known).await;
         });
     }
 
@@ -208,7 +207,7 @@
 
     async fn challenge(&self, known: &KnownHeader, status: OwnerStanding) {
         let header = challenged(&known.header, &self.inner.instance_id);
-        let origin = harrierward_clock::now();
+        let started_at = harrierward_clock::now();
         let until = Instant::now() + HEADER_WRITE_TIMEOUT;
         let store = &self.inner.store;
         let current = match store.replace_header(known.revision, &header, until).await {
@@ -219,20 +218,19 @@
             // The next check retries.
             _ => return,
         };
-        // The current header may also carry this daemon's challenge, from a write whose response was
-        // lost.
+        // The current header may also carry this daemon's challenge, from a write whose response was lost.
         if current.header.challenger == self.inner.instance_id {
             self.log_ownership(&known.header, &current.header, "challenged", status.name());
             let mut takeovers = self.takeovers();
             let now = takeovers.now();
-            let elapsed = harrierward_clock::age(origin);
+            let elapsed = harrierward_clock::age(started_at);
             takeovers.core.challenged(claim(&current), elapsed, now);
         }
         self.note_header(current);
     }
 
     /// Refutes a challenge, or releases the job if it is stuck here.
-    async fn answer_challenge(&self, known: &KnownHeader) {
+    async fn respond_to_challenge(&self, known: &KnownHeader) {
         let until = Instant::now() + HEADER_WRITE_TIMEOUT;
         if let Some(state) = self.stop_if_stuck(&known.header.job_id) {
             let reason = "challenged while it got nowhere";
@@ -246,8 +244,7 @@
                 self.log_ownership(&known.header, &header, "refuted", &known.header.challenger);
                 self.note_header(KnownHeader { header, revision });
             }
-            // The conflicting write of this daemon, such as a listing, has refuted the challenge as
-            // well.
+            // The conflicting write of this daemon, such as a listing, has refuted the challenge as well.
             WriteOutcome::Conflict {
                 current: Some(current),
             } => self.note_header(*current),
@@ -256,8 +253,8 @@
         }
     }
 
-    /// Stops a stuck job and returns its state for the handover; `None` if the job progresses or only waits
-    /// for slots.
+    /// Stops a stuck job and returns its state for the handover; `None` if the job progresses or only waits for
+    /// slots.
     fn stop_if_stuck(&self, job_id: &str) -> Option<HandoverState> {
         if self.takeovers().has_been_loading_for(job_id, STUCK_TIMEOUT) {
             return Some(HandoverState::default());
--- a/crates/inline-jobs/src/view.rs
+++ b/crates/inline-jobs/src/view.rs
@@ -109,8 +109,8 @@
         state.newest_revision = state.newest_revision.max(revision);
     }
 
-    /// Returns the newest store revision seen, from the watch and from this daemon's own reads and commits. A
-    /// later read at a lower revision is outdated.
+    /// Returns the newest store revision seen, from the watch and from this daemon's own reads and commits. A later
+    /// read at a lower revision is outdated.
     pub fn newest_revision(&self) -> u64 {
         self.lock().newest_revision
     }
@@ -175,8 +175,7 @@
         state.fences.get(route).map(|seen| seen.fence.clone())
     }
 
-    /// Returns the time since a route's fence was first seen; `None` if it predates the first proof of
-    /// contact.
+    /// Returns the time since a route's fence was first seen; `None` if it predates the first proof of contact.
     pub fn fence_age(&self, route: &str) -> Option<Duration> {
         let state = self.lock();
         let first_seen_at = state.fences.get(route)?.first_seen_at?;
--- a/crates/inline-jobs/tests/quota_ledger.rs
+++ b/crates/inline-jobs/tests/quota_ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
-use harrierward_inline_jobs::{QuotaDecision, QuotaLedger, QuotaRequest, RouteCount};
+use harrierward_inline_jobs::{QuotaDecision, QuotaLedger, QuotaRequest, RouteUsage};
 use proptest::prelude::*;
 use tokio::time::Instant;
 
@@ -106,7 +106,7 @@
     submission: u64,
 ) -> QuotaDecision {
     let known: HashSet<String> = headers.keys().map(|job| name(*job)).collect();
-    let count = RouteCount {
+    let usage = RouteUsage {
         limit: LIMIT,
         waiting: headers.values().sum(),
         is_known: &|job| known.contains(job),
@@ -118,12 +118,11 @@
         tokens,
         submission,
     };
-    ledger.decide(request, count, now)
+    ledger.decide(request, usage, now)
 }
 
 proptest! {
-    // Many cases, since a job submitted twice, released once and stored by the other submission is a rare
-    // sequence.
+    // Many cases, since a job submitted twice, released once and stored by the other submission is a rare sequence.
     #![proptest_config(ProptestConfig::with_cases(4_000))]
 
     #[test]
--- a/crates/inline-jobs/tests/rows_of_headers.rs
+++ b/crates/inline-jobs/tests/rows_of_headers.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 const JOB: &str = "job-1";
-const LIFE: &str = "node@1";
+const INSTANCE_ID: &str = "node@1";
 const HEADER_KEY: &str = "jobheads/p0/job-1";
 const FENCE_KEY: &str = "jobheads/p0/~quota.0000000000000001";
 
@@ -23,7 +23,10 @@
 fn a_row_kind_follows_from_its_key() {
     assert_eq!(row_kind(HEADER_KEY), RowKind::Header);
     assert_eq!(row_kind(FENCE_KEY), RowKind::Fence);
-    assert_eq!(row_kind(&crash_updates_key(LIFE)), RowKind::CrashUpdates);
+    assert_eq!(
+        row_kind(&crash_updates_key(INSTANCE_ID)),
+        RowKind::CrashUpdates
+    );
 }
 
 /// The number of rows must not grow with restarts.
@@ -31,7 +34,7 @@
 fn a_restarted_daemon_reuses_its_crash_updates_row() {
     assert_eq!(crash_updates_key("node@1"), crash_updates_key("node@2-ab"));
     assert_ne!(crash_updates_key("node-1@1"), crash_updates_key("node-2@1"));
-    let key = crash_updates_key(LIFE);
+    let key = crash_updates_key(INSTANCE_ID);
     let partition = key.split('/').nth(1).expect("a partition");
     assert!(partitions().iter().any(|one| one == partition), "{key}");
 }
@@ -50,14 +53,14 @@
             route: "route".to_owned(),
             ..QuotaFenceRow::default()
         };
-        let news = CrashNewsRow {
-            life: LIFE.to_owned(),
+        let updates = CrashNewsRow {
+            life: INSTANCE_ID.to_owned(),
             ..CrashNewsRow::default()
         };
         let rows = [
             (HEADER_KEY.to_owned(), encode(&header)),
             (FENCE_KEY.to_owned(), encode(&fence)),
-            (crash_updates_key(LIFE), encode(&news)),
+            (crash_updates_key(INSTANCE_ID), encode(&updates)),
         ];
         let is_here = |key: &str| key.split('/').nth(1) == Some(start.partition);
         let rows = rows.into_iter().filter(|(key, _)| is_here(key));
