--- a/crates/edge/src/slots/reports.rs
+++ b/crates/edge/src/slots/reports.rs
@@ -15,7 +15,7 @@
 impl SlotService {
     /// Takes into account how long requests that have ended held their slots.
     pub(super) fn observe_ended(&self, state: &mut State) {
-        let ended = state.ledger.take_ended();
+        let ended = state.ledger.take_released();
         let view = self.replicas.view();
         for lease in ended {
             let Some(replica) = view.by_hash(lease.replica) else {
@@ -34,7 +34,7 @@
             let mut state = self.lock();
             state
                 .ledger
-                .take_report(report, from, harrierward_clock::now());
+                .apply_report(report, from, harrierward_clock::now());
             self.observe_ended(&mut state);
         }
         self.take_outcomes(report);
@@ -59,7 +59,7 @@
                 .by_hash(hash)
                 .filter(|replica| self.coordinates(replica))
             {
-                replica.set_peers(counts.online, counts.batch);
+                replica.set_peer_counts(counts.online, counts.batch);
             }
         }
     }
@@ -104,7 +104,7 @@
             }
             for (address, replicas) in held_with {
                 let holds = |replica| replicas.contains(&replica);
-                let report = state.held.whole_report(self.holder, now, holds);
+                let report = state.held.full_report(self.holder, now, holds);
                 if !report.held.is_empty() {
                     state.reported.insert(address);
                 }
--- a/crates/edge/src/slots/room.rs
+++ b/crates/edge/src/slots/room.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use harrierward_serving::{SlotAnswer, SlotQuery, expected_wait_ms};
-use harrierward_slots::{GroupId, Room};
+use harrierward_serving::{SlotQuery, SlotReply, expected_wait_ms};
+use harrierward_slots::{FreeCapacity, GroupId};
 use harrierward_wire::SlotGrant;
 use tokio::time::Instant;
 
@@ -19,20 +19,20 @@
 /// What a coordinator told of the room in its group.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ToldRoom {
-    room: Room,
+    room: FreeCapacity,
     at: Instant,
 }
 
 impl SlotService {
     /// What a group's coordinator told lately.
-    pub(super) fn told_room(&self, service: u32, group: GroupId) -> Option<Room> {
+    pub(super) fn told_room(&self, service: u32, group: GroupId) -> Option<FreeCapacity> {
         let state = self.lock();
         let told = state.rooms.get(&(service, group))?;
         (harrierward_clock::age(told.at) < ROOM_LASTS).then_some(told.room)
     }
 
-    pub(super) fn room(&self, service: u32, group: GroupId) -> Room {
-        self.told_room(service, group).unwrap_or(Room {
+    pub(super) fn room(&self, service: u32, group: GroupId) -> FreeCapacity {
+        self.told_room(service, group).unwrap_or(FreeCapacity {
             free_permille: UNTOLD_PERMILLE,
             wait: Duration::ZERO,
         })
@@ -57,7 +57,7 @@
             let slots = view.by_hash(grant.replica).map(|replica| replica.slots());
             slots.map_or(Duration::ZERO, |slots| self.queue(grant.load, slots))
         };
-        let room = Room {
+        let room = FreeCapacity {
             free_permille: grant.free_permille,
             wait,
         };
@@ -71,7 +71,7 @@
     }
 
     /// Takes what is known of a group's room.
-    pub(super) fn set_room(&self, service: u32, group: GroupId, room: Room) {
+    pub(super) fn set_room(&self, service: u32, group: GroupId, room: FreeCapacity) {
         let told = ToldRoom {
             room,
             at: harrierward_clock::now(),
@@ -85,19 +85,19 @@
         query: &SlotQuery<'_>,
         service: u32,
         group: GroupId,
-        answer: &SlotAnswer,
+        answer: &SlotReply,
     ) {
         let (free_permille, wait) = match answer {
             // The replica that is tried is empty, whatever its group is.
-            SlotAnswer::Given { choice, .. } if choice.is_probe => return,
-            SlotAnswer::Given { choice, .. } => {
+            SlotReply::Granted { choice, .. } if choice.is_probe => return,
+            SlotReply::Granted { choice, .. } => {
                 let slots = choice.replica.slots();
                 (choice.free_permille, self.queue(choice.load, slots))
             }
-            SlotAnswer::ComeBack { .. } => (0, query.objective),
-            SlotAnswer::NoRoom | SlotAnswer::NoCoordinator | SlotAnswer::AllCold => return,
+            SlotReply::RetryLater { .. } => (0, query.objective),
+            SlotReply::NoCapacity | SlotReply::NoCoordinator | SlotReply::AllCold => return,
         };
-        let room = Room {
+        let room = FreeCapacity {
             free_permille,
             wait,
         };
--- a/crates/inline-jobs/src/adoption.rs
+++ b/crates/inline-jobs/src/adoption.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use harrierward_ownership::{OwnerStanding, Step};
+use harrierward_ownership::{OwnerStatus, Step};
 use harrierward_tenants::AllowedRegions;
 use tokio::time::{Instant, sleep};
 
@@ -42,7 +42,7 @@
     /// Steps the takeover of each open job of another daemon. `owners` are the daemons that may own jobs.
     fn check_orphans(&self, owners: &[String]) {
         let open = self.inner.view.open_jobs();
-        let mut statuses: HashMap<&str, OwnerStanding> = HashMap::new();
+        let mut statuses: HashMap<&str, OwnerStatus> = HashMap::new();
         for known in &open {
             if self.owns(&known.header) {
                 self.refute_if_challenged(known);
@@ -61,7 +61,7 @@
     }
 
     /// Does the takeover step due for a job that this daemon does not own.
-    fn step_takeover(&self, known: &KnownHeader, status: OwnerStanding, owners: &[String]) {
+    fn step_takeover(&self, known: &KnownHeader, status: OwnerStatus, owners: &[String]) {
         let delay = || {
             let adopters = self.adopters_of(known, owners)?;
             let near = self.inner.peers.owners_near(last_owner(&known.header));
@@ -72,11 +72,11 @@
         match step {
             Step::Wait => {}
             Step::Challenge => self.start_challenge(known.clone(), status),
-            Step::Take => self.start_adoption(known.clone(), status),
+            Step::TakeOver => self.start_adoption(known.clone(), status),
         }
     }
 
-    fn start_adoption(&self, known: KnownHeader, status: OwnerStanding) {
+    fn start_adoption(&self, known: KnownHeader, status: OwnerStatus) {
         self.spawn_write(known, move |jobs, known| async move {
             jobs.adopt_job(&known, status).await;
         });
@@ -99,7 +99,7 @@
             .then_some(adopters)
     }
 
-    async fn adopt_job(&self, known: &KnownHeader, status: OwnerStanding) {
+    async fn adopt_job(&self, known: &KnownHeader, status: OwnerStatus) {
         let header = adopted(&known.header, &self.inner.instance_id);
         let until = Instant::now() + HEADER_WRITE_TIMEOUT;
         let written = self
--- a/crates/inline-jobs/src/ready.rs
+++ b/crates/inline-jobs/src/ready.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use harrierward_serving::{ItemRoom, ServingRequest};
+use harrierward_serving::{ItemSlack, ServingRequest};
 use harrierward_tenants::AllowedRegions;
 
 use crate::registry::StartableItem;
@@ -15,7 +15,7 @@
     /// Name of the service that runs it.
     pub service: String,
     /// How long it may wait and still be in time.
-    pub item_slack: ItemRoom,
+    pub item_slack: ItemSlack,
     /// True if similar items recently found no free slot, so that all others go first.
     pub is_deferred: bool,
 }
--- a/crates/inline-jobs/src/runner.rs
+++ b/crates/inline-jobs/src/runner.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use harrierward_decisions::Record;
-use harrierward_serving::{ItemRoom, Mechanism, Placement, Route, RouteTable, WorkClass};
+use harrierward_serving::{ItemSlack, Mechanism, Placement, Route, RouteTable, WorkClass};
 use tokio::time::{Instant, sleep};
 
 use crate::item::{ItemPhase, RunSlot};
@@ -68,11 +68,11 @@
             if !self.is_due(urgency) {
                 return;
             }
-            if self.inner.forwarder.bars_item(&item.request) {
+            if self.inner.forwarder.is_item_quarantined(&item.request) {
                 self.fail_expired_quarantined(&routes, &item);
                 continue;
             }
-            let item_slack = ItemRoom { slack };
+            let item_slack = ItemSlack { slack };
             let Some(ready) = self.ready(&routes, item, item_slack) else {
                 // An item that cannot be placed must not block the others.
                 continue;
@@ -117,7 +117,7 @@
         &self,
         routes: &RouteTable,
         item: StartableItem,
-        item_slack: ItemRoom,
+        item_slack: ItemSlack,
     ) -> Option<ReadyItem> {
         let route = routes.configuration.route(&item.route)?;
         let entry = routes.find(&route.host, &route.prefix);
@@ -239,11 +239,11 @@
         if let Some(earlier) = item.last_replica_instance {
             let view = forwarder.replicas().view();
             let policy = self.inner.forwarder.policy();
-            placement.choice.copy_from_earlier(&view, earlier, policy);
+            placement.choice.copy_from_previous(&view, earlier, policy);
         }
         let at = RunSlot {
             replica: placement.choice.replica.record.id.clone(),
-            slot: placement.in_progress.place().unwrap_or_default(),
+            slot: placement.in_progress.lease().unwrap_or_default(),
         };
         if let Some(entry) = self.registry().item(&item.job, item.number) {
             entry.last_replica_instance = Some(placement.choice.replica.hash);
@@ -352,9 +352,9 @@
     /// Preempts runs at overcommitted replicas whose slots have no coordinator.
     fn preempt_for_online(&self) {
         let view = self.inner.forwarder.replicas().view();
-        let places = self.inner.forwarder.places();
+        let places = self.inner.forwarder.leases();
         for replica in view.all() {
-            let own = replica.own(WorkClass::Batch);
+            let own = replica.own_in_progress(WorkClass::Batch);
             if own == 0 {
                 continue;
             }
--- a/crates/inline-jobs/src/service.rs
+++ b/crates/inline-jobs/src/service.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use harrierward_decisions::{DecisionLog, Record};
 use harrierward_external::{ObjectStore, Table, WatchedTable};
-use harrierward_ownership::OwnerStanding;
+use harrierward_ownership::OwnerStatus;
 use harrierward_serving::Forwarder;
 use harrierward_tenants::AllowedRegions;
 use harrierward_wire::{JobHeaderRow, QuotaOutcome, decode_job_header};
@@ -41,7 +41,7 @@
     }
 
     /// Returns this daemon's view of the owner of a job.
-    fn owner_status(&self, owner: &str) -> OwnerStanding;
+    fn owner_status(&self, owner: &str) -> OwnerStatus;
 
     /// Returns the daemons that may own jobs in the region of `owner`, which may be dead; empty if its region is
     /// unknown.
--- a/crates/inline-jobs/src/takeover.rs
+++ b/crates/inline-jobs/src/takeover.rs
@@ -5,7 +5,7 @@
 use std::sync::{MutexGuard, PoisonError};
 use std::time::Duration;
 
-use harrierward_ownership::{Claim, OwnerStanding, Step, TakeoverBounds, Takeovers};
+use harrierward_ownership::{OwnerStatus, OwnershipRecord, Step, TakeoverBounds, Takeovers};
 use harrierward_wire::JobHeaderRow;
 use tokio::time::Instant;
 
@@ -55,7 +55,7 @@
     pub fn step(
         &mut self,
         known: &KnownHeader,
-        status: OwnerStanding,
+        status: OwnerStatus,
         delay: impl FnOnce() -> Option<Duration>,
     ) -> Step {
         let job_id = &known.header.job_id;
@@ -110,10 +110,10 @@
 /// Delay of a daemon that may not read the job's bodies and so must not adopt it; longer than any job stays open.
 const INELIGIBLE_DELAY: Duration = Duration::from_secs(1_000_000);
 
-fn claim(known: &KnownHeader) -> Claim<'_> {
+fn claim(known: &KnownHeader) -> OwnershipRecord<'_> {
     let header = &known.header;
-    Claim {
-        asset: &header.job_id,
+    OwnershipRecord {
+        resource: &header.job_id,
         owner: &header.owner,
         challenger: &header.challenger,
         epoch: header.epoch,
@@ -142,11 +142,11 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn owner_status(&self, header: &JobHeaderRow) -> OwnerStanding {
+    pub(crate) fn owner_status(&self, header: &JobHeaderRow) -> OwnerStatus {
         if header.owner.is_empty() {
-            OwnerStanding::GivenUp
+            OwnerStatus::Unowned
         } else if self.owns(header) {
-            OwnerStanding::Present
+            OwnerStatus::Present
         } else {
             self.inner.peers.owner_status(&header.owner)
         }
@@ -156,7 +156,7 @@
     pub(crate) fn note_owners(&self, change: &HeaderChange) {
         let HeaderChange { before, known } = change;
         if let Some(before) = before {
-            let is_present = self.owner_status(&before.header) == OwnerStanding::Present;
+            let is_present = self.owner_status(&before.header) == OwnerStatus::Present;
             let mut takeovers = self.takeovers();
             let now = takeovers.now();
             takeovers
@@ -199,13 +199,13 @@
         });
     }
 
-    pub(crate) fn start_challenge(&self, known: KnownHeader, status: OwnerStanding) {
+    pub(crate) fn start_challenge(&self, known: KnownHeader, status: OwnerStatus) {
         self.spawn_write(known, move |jobs, known| async move {
             jobs.challenge(&known, status).await;
         });
     }
 
-    async fn challenge(&self, known: &KnownHeader, status: OwnerStanding) {
+    async fn challenge(&self, known: &KnownHeader, status: OwnerStatus) {
         let header = challenged(&known.header, &self.inner.instance_id);
         let started_at = harrierward_clock::now();
         let until = Instant::now() + HEADER_WRITE_TIMEOUT;
@@ -224,7 +224,7 @@
             let mut takeovers = self.takeovers();
             let now = takeovers.now();
             let elapsed = harrierward_clock::age(started_at);
-            takeovers.core.challenged(claim(&current), elapsed, now);
+            takeovers.core.note_challenge(claim(&current), elapsed, now);
         }
         self.note_header(current);
     }
--- a/crates/serving/src/attempt.rs
+++ b/crates/serving/src/attempt.rs
@@ -7,31 +7,31 @@
 use harrierward_execution::Execution;
 use tokio::time::{Instant, timeout};
 
-use crate::choice::{LeftRegion, Placement, ROOMY_PERMILLE};
-use crate::exchange::{ExchangeError, ReplicaAnswer, ReplicaRequest, ServingRequest};
+use crate::choice::{CrossRegionReason, MIN_FREE_PERMILLE, Placement};
+use crate::exchange::{ExchangeError, ReplicaRequest, ReplicaResponse, ServingRequest};
 use crate::forwarder::Forwarder;
-use crate::gate::{Passage, barred, may_give_copy};
+use crate::gate::{GateRequest, check_gate, may_give_copy};
 use crate::in_progress::InProgress;
-use crate::outcome::{Evidence, Verdict};
-use crate::placing::NoPlace;
+use crate::outcome::{AttemptOutcome, Evidence};
+use crate::placement::NoPlace;
 use crate::policy::Mechanism;
 use crate::replica::{Replica, WorkClass};
 use crate::request_state::RequestState;
 
 /// Bounds of one attempt.
 #[derive(Debug, Clone, Copy)]
-pub struct AttemptTimes {
+pub struct AttemptTimeouts {
     /// Time left to the replica.
     pub time_left: Option<Duration>,
     /// Silence after which a replica that is silent to everybody is given up.
-    pub dark: Duration,
+    pub stall_timeout: Duration,
     /// Silence after which any replica is given up.
-    pub longest: Duration,
+    pub max_wait: Duration,
 }
 
 /// How an attempt is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Sending {
+pub struct AttemptOptions {
     /// Last event that is already there.
     pub resume_after: Option<u64>,
     /// Use a connection that carried nothing before.
@@ -48,7 +48,7 @@
     /// No replica takes the work.
     NoReplica,
     /// It would be late, and its caller is to come back.
-    ComeBack {
+    RetryLater {
         /// After so long.
         after: Duration,
     },
@@ -76,14 +76,14 @@
     /// What it shows of the request's execution.
     pub fn execution(&self) -> Execution {
         match self {
-            Self::NoReplica | Self::ComeBack { .. } | Self::NotRun { .. } => Execution::NotRun,
+            Self::NoReplica | Self::RetryLater { .. } | Self::NotRun { .. } => Execution::NotRun,
             Self::Unattributed { .. } | Self::MayHaveRun { .. } => Execution::Unknown,
         }
     }
 
     fn cause(&self) -> &str {
         match self {
-            Self::NoReplica | Self::ComeBack { .. } => "no replica",
+            Self::NoReplica | Self::RetryLater { .. } => "no replica",
             Self::NotRun { cause, .. }
             | Self::Unattributed { cause }
             | Self::MayHaveRun { cause } => cause,
@@ -94,7 +94,7 @@
 /// An answer that has begun.
 pub struct Attempt {
     /// The answer.
-    pub answer: ReplicaAnswer,
+    pub response: ReplicaResponse,
     /// Keeps the request counted.
     pub in_progress: InProgress,
 }
@@ -130,7 +130,7 @@
             return Some(done);
         }
         let waited = began.elapsed();
-        if waited < longest && (waited < dark || replica.silent_for() < dark) {
+        if waited < longest && (waited < dark || replica.time_since_progress() < dark) {
             look = (dark / LOOKS_A_SILENCE).min(longest - waited);
             continue;
         }
@@ -169,8 +169,8 @@
     pub(crate) async fn attempt(
         &self,
         state: &RequestState,
-        times: impl FnOnce() -> AttemptTimes,
-        sending: Sending,
+        times: impl FnOnce() -> AttemptTimeouts,
+        sending: AttemptOptions,
     ) -> (Option<String>, Result<Attempt, AttemptFailure>) {
         let request = &state.request;
         let objective = state.route.objective;
@@ -184,16 +184,22 @@
                 .await
                 .ok_or(NoPlace::NoReplica)
         } else {
-            let may_return = state.may_return();
+            let max_retry_after = state.max_retry_after();
             let may_repeat = state.route.may_repeat() && state.route.attempts > 1;
-            self.place_newcomer(request, &state.service, objective, may_repeat, may_return)
-                .await
+            self.place_newcomer(
+                request,
+                &state.service,
+                objective,
+                may_repeat,
+                max_retry_after,
+            )
+            .await
         };
         let placement = match placement {
             Ok(placement) => placement,
             Err(NoPlace::NoReplica) => return (None, Err(AttemptFailure::NoReplica)),
-            Err(NoPlace::ComeBack { after }) => {
-                return (None, Err(AttemptFailure::ComeBack { after }));
+            Err(NoPlace::RetryLater { after }) => {
+                return (None, Err(AttemptFailure::RetryLater { after }));
             }
         };
         let replica_id = placement.in_progress.replica().record.id.clone();
@@ -208,19 +214,19 @@
         &self,
         request: &ServingRequest,
         placement: Placement,
-        times: AttemptTimes,
-        sending: Sending,
+        times: AttemptTimeouts,
+        sending: AttemptOptions,
     ) -> Result<Attempt, AttemptFailure> {
         let Placement {
             mut in_progress,
             choice,
         } = placement;
         let replica = choice.replica;
-        let passage = Passage {
+        let passage = GateRequest {
             regions: &request.regions,
             cold_until: choice.cold_until,
         };
-        if let Some(reason) = barred(&replica, &passage, harrierward_clock::now()) {
+        if let Some(reason) = check_gate(&replica, &passage, harrierward_clock::now()) {
             let cause = format!("barred: {}", reason.name());
             let failure = AttemptFailure::NotRun { cause, full: false };
             self.log_failure(request, &replica, &failure, Duration::ZERO);
@@ -229,7 +235,7 @@
         let content = request.content();
         let is_barred = match in_progress.class() {
             WorkClass::Online => self.is_held(content),
-            WorkClass::Batch => self.bars_item(request),
+            WorkClass::Batch => self.is_item_quarantined(request),
         };
         if is_barred {
             // It may have waited for its slot meanwhile.
@@ -249,7 +255,7 @@
             replica: &replica.record.id,
             chosen_by: choice.by.name(),
             region: &replica.record.region,
-            left_region: choice.left_region.map(LeftRegion::name),
+            left_region: choice.left_region.map(CrossRegionReason::name),
             load: choice.load,
             slots: replica.slots(),
             free_permille: choice.free_permille,
@@ -262,7 +268,7 @@
         });
         replica.note_prompt(&request.prompt);
         // Where all slots are taken a request waits for one, and sending it once more adds to the queue.
-        let is_queue = choice.free_permille < ROOMY_PERMILLE;
+        let is_queue = choice.free_permille < MIN_FREE_PERMILLE;
         if let Some(evidence) = in_progress.evidence() {
             let has_room = !is_queue && choice.load < replica.slots();
             evidence.note_sent(has_room, self.prefill_time(request));
@@ -278,17 +284,17 @@
             copy_from: copy_from.map(|source| source.address.as_str()),
         });
         let dark = if is_queue && self.policy().has(Mechanism::QueuePatience) {
-            times.longest
+            times.max_wait
         } else {
-            times.dark
+            times.stall_timeout
         };
-        let answer = wait_for_progress(exchange, &replica, dark, times.longest).await;
+        let answer = wait_for_progress(exchange, &replica, dark, times.max_wait).await;
         let result = self.judge(request, &in_progress, answer, sending.failed_before);
         if let Err(failure) = &result {
             self.log_failure(request, &replica, failure, started.elapsed());
         }
         result.map(|answer| Attempt {
-            answer,
+            response: answer,
             in_progress,
         })
     }
@@ -309,17 +315,17 @@
         &self,
         request: &ServingRequest,
         in_progress: &InProgress,
-        answer: Option<Result<ReplicaAnswer, ExchangeError>>,
+        answer: Option<Result<ReplicaResponse, ExchangeError>>,
         failed_before: bool,
-    ) -> Result<ReplicaAnswer, AttemptFailure> {
+    ) -> Result<ReplicaResponse, AttemptFailure> {
         let replica = in_progress.replica();
         let answer = match answer {
             None => {
                 let evidence = in_progress.evidence();
-                if evidence.is_none_or(Evidence::was_patient) {
+                if evidence.is_none_or(Evidence::waited_long_enough) {
                     self.suspect(replica);
                 }
-                in_progress.conclude(Verdict::Silent);
+                in_progress.conclude(AttemptOutcome::Unresponsive);
                 let cause = "no answer in time".to_owned();
                 return Err(AttemptFailure::MayHaveRun { cause });
             }
@@ -327,10 +333,10 @@
                 self.suspect(replica);
                 let cause = error.to_string();
                 if error.is_not_run() {
-                    in_progress.conclude(Verdict::Cut);
+                    in_progress.conclude(AttemptOutcome::Disconnected);
                     return Err(AttemptFailure::NotRun { cause, full: false });
                 }
-                in_progress.break_off();
+                in_progress.note_disconnect();
                 return Err(AttemptFailure::MayHaveRun { cause });
             }
             Some(Ok(answer)) => answer,
@@ -339,7 +345,7 @@
         if is_own_failure {
             // Progress would clear the suspicion, and a replica that fails at once has the least load of all.
             self.suspect(replica);
-            in_progress.conclude(Verdict::Failed);
+            in_progress.conclude(AttemptOutcome::Failed);
         } else {
             replica.note_progress();
         }
@@ -347,12 +353,16 @@
             replica.note_load(word);
         }
         // Whose answer it is comes first: a refusal that is left over from an earlier request says nothing of this one.
-        if answer.answers.as_deref().is_some_and(|id| id != request.id) {
-            in_progress.conclude(Verdict::Spoilt);
+        if answer
+            .request_id
+            .as_deref()
+            .is_some_and(|id| id != request.id)
+        {
+            in_progress.conclude(AttemptOutcome::Corrupt);
             let cause = "the answer belongs to another request".to_owned();
             return Err(AttemptFailure::MayHaveRun { cause });
         }
-        let is_attributed = answer.answers.is_some() || answer.is_first_on_connection;
+        let is_attributed = answer.request_id.is_some() || answer.is_first_on_connection;
         if answer.other_replica {
             replica.set_draining();
             let cause = "another replica has the address".to_owned();
@@ -360,12 +370,12 @@
         }
         if answer.not_run {
             replica.note_full();
-            in_progress.conclude(Verdict::NotRun);
+            in_progress.conclude(AttemptOutcome::NotRun);
             let cause = format!("refused with status {}", answer.status);
             return Err(refused(cause, true, is_attributed));
         }
-        if answer.answers.is_none() {
-            in_progress.conclude(Verdict::Spoilt);
+        if answer.request_id.is_none() {
+            in_progress.conclude(AttemptOutcome::Corrupt);
             let cause = format!("an answer without id, status {}", answer.status);
             return Err(AttemptFailure::MayHaveRun { cause });
         }
--- a/crates/serving/src/forwarder.rs
+++ b/crates/serving/src/forwarder.rs
@@ -7,11 +7,11 @@
 use futures::StreamExt;
 use harrierward_decisions::{DecisionLog, Record};
 use harrierward_execution::{Execution, promises_not_run};
-use harrierward_quarantine::{ContentId, Hold, Standing};
+use harrierward_quarantine::{ContentId, ContentStatus, QuarantinePeriod};
 use tokio::time::Instant;
 
-use crate::admission::{ConfigurationProof, KeyTrust, RateAnswer, RateLimits, caller_of};
-use crate::attempt::{Attempt, AttemptFailure, Sending};
+use crate::admission::{ConfigurationProof, KeyTrust, RateLimits, RateStatus, caller_of};
+use crate::attempt::{Attempt, AttemptFailure, AttemptOptions};
 use crate::exchange::{ReplicaClient, ServingRequest};
 use crate::leases::SlotLeases;
 use crate::policy::{Mechanism, Policy};
@@ -20,8 +20,8 @@
 use crate::relay::Relay;
 use crate::replica::Replica;
 use crate::replica_set::ReplicaSet;
-use crate::reply::{CallerAnswer, Refusal, RefusalCause, Reply};
 use crate::request_state::{RequestClock, RequestState};
+use crate::response::{CallerResponse, Refusal, RefusalCause, Reply};
 use crate::routes::{RouteEntry, RouteTable};
 use crate::selection::SelectionCosts;
 
@@ -56,7 +56,7 @@
     /// Their protocol.
     pub client: Arc<dyn ReplicaClient>,
     /// SlotLeases at the replicas.
-    pub places: Arc<dyn SlotLeases>,
+    pub leases: Arc<dyn SlotLeases>,
     /// Rates of tenants.
     pub rates: Arc<dyn RateLimits>,
     /// Contents that are held back.
@@ -100,8 +100,8 @@
     }
 
     /// Who grants slots.
-    pub fn places(&self) -> &Arc<dyn SlotLeases> {
-        &self.parts.places
+    pub fn leases(&self) -> &Arc<dyn SlotLeases> {
+        &self.parts.leases
     }
 
     pub(crate) fn log(&self) -> &DecisionLog {
@@ -120,14 +120,14 @@
         &self.parts.quarantine
     }
 
-    pub(crate) async fn has_ended(&self, replica: &Arc<Replica>) -> bool {
-        self.parts.quarantine.has_ended(replica).await
+    pub(crate) async fn has_crashed(&self, replica: &Arc<Replica>) -> bool {
+        self.parts.quarantine.has_crashed(replica).await
     }
 
-    fn hold(&self, content: ContentId) -> Option<Hold> {
-        match self.parts.quarantine.standing(content) {
-            Standing::Held(hold) => Some(hold),
-            Standing::Clear | Standing::Suspect { .. } => None,
+    fn hold(&self, content: ContentId) -> Option<QuarantinePeriod> {
+        match self.parts.quarantine.status(content) {
+            ContentStatus::Quarantined(hold) => Some(hold),
+            ContentStatus::Clear | ContentStatus::Suspect { .. } => None,
         }
     }
 
@@ -138,8 +138,8 @@
 
     /// True if an item must not run now since replicas have ended under its content. One that may have been there by chance
     /// gets one trial; its caller does not wait, and it is lost for nothing otherwise.
-    pub fn bars_item(&self, request: &ServingRequest) -> bool {
-        if !self.parts.quarantine.holds_any() {
+    pub fn is_item_quarantined(&self, request: &ServingRequest) -> bool {
+        if !self.parts.quarantine.has_quarantined() {
             return false;
         }
         let hold = self.hold(request.content());
@@ -169,7 +169,7 @@
         };
         let request = Arc::new(request);
         match self.serve(&request, &entry, arrived).await {
-            Ok(answer) => Reply::Answer(answer),
+            Ok(answer) => Reply::Response(answer),
             Err(refusal) => self.refuse(&request, refusal, arrived),
         }
     }
@@ -202,12 +202,12 @@
             return Ok(entry);
         }
         match self.parts.rates.admit(&tenant, &request.id).await {
-            RateAnswer::Within => Ok(entry),
-            RateAnswer::Over { retry_after } => {
+            RateStatus::Within => Ok(entry),
+            RateStatus::Over { retry_after } => {
                 let cause = RefusalCause::RateLimited;
                 Err(Refusal::not_run(cause, Some(retry_after)))
             }
-            RateAnswer::Unknown => Err(refuse_unsent(RefusalCause::RateUnknown)),
+            RateStatus::Unknown => Err(refuse_unsent(RefusalCause::RateUnknown)),
         }
     }
 
@@ -244,11 +244,11 @@
         request: &Arc<ServingRequest>,
         entry: &RouteEntry,
         arrived: Instant,
-    ) -> Result<CallerAnswer, Refusal> {
+    ) -> Result<CallerResponse, Refusal> {
         let service = entry
             .next_service()
             .ok_or_else(|| refuse_unsent(RefusalCause::NoReplica))?;
-        let is_return = entry.is_overdue(request.patience);
+        let is_return = entry.is_overdue(request.timeout);
         let mut state = RequestState {
             request: request.clone(),
             content: request.content(),
@@ -283,7 +283,7 @@
             };
             state.execution.learn(failure.execution());
             match failure {
-                AttemptFailure::ComeBack { after } => {
+                AttemptFailure::RetryLater { after } => {
                     let cause = RefusalCause::Overloaded;
                     return Err(Refusal::new(cause, state.execution, Some(after)));
                 }
@@ -314,7 +314,7 @@
         let Some(replica) = self.last_tried(state) else {
             return;
         };
-        if is_last && state.route.may_repeat() && self.has_ended(&replica).await {
+        if is_last && state.route.may_repeat() && self.has_crashed(&replica).await {
             state.forgive();
         }
     }
@@ -331,7 +331,7 @@
     ) -> (Option<String>, Result<Attempt, AttemptFailure>) {
         // A connection that was used before may carry a late answer, or be closing: an attempt that cannot be
         // repeated takes a new one. So does one that follows a lost answer: kept connections fall silent together.
-        let sending = Sending {
+        let sending = AttemptOptions {
             resume_after: state.request.resume_after,
             fresh_connection: !state.route.may_repeat() || state.sends > 1,
             number: state.sends,
@@ -344,13 +344,13 @@
     /// True for a failure of the replica that another one may make good.
     fn shall_repeat(&self, attempt: &Attempt, state: &RequestState) -> bool {
         let route = &state.route;
-        attempt.answer.status >= 500 && route.may_repeat() && state.sends < route.attempts
+        attempt.response.status >= 500 && route.may_repeat() && state.sends < route.attempts
     }
 }
 
 /// The refusal of a request of which nothing was sent; the cause tells whether its caller may come back.
 fn refuse_unsent(cause: RefusalCause) -> Refusal {
-    Refusal::not_run(cause, cause.is_passing().then_some(RETRY_AFTER))
+    Refusal::not_run(cause, cause.is_transient().then_some(RETRY_AFTER))
 }
 
 /// The refusal of a request that is given up, by what its attempts have shown.
@@ -365,27 +365,27 @@
 }
 
 /// The refusal of a request under whose content replicas have ended. To come back earlier is of no use.
-fn held_back(hold: &Hold, state: &RequestState) -> Refusal {
+fn held_back(hold: &QuarantinePeriod, state: &RequestState) -> Refusal {
     let left = hold
         .until
         .saturating_duration_since(harrierward_clock::now());
-    Refusal::new(RefusalCause::HeldBack, state.execution, Some(left))
+    Refusal::new(RefusalCause::Quarantined, state.execution, Some(left))
 }
 
 fn answer(
     forwarder: &Forwarder,
     mut state: RequestState,
     attempt: Attempt,
-) -> Result<CallerAnswer, Refusal> {
+) -> Result<CallerResponse, Refusal> {
     state.execution.learn(Execution::Ran);
-    let status = attempt.answer.status;
+    let status = attempt.response.status;
     if promises_not_run(status) {
         // The replica did not say that it has not run the request, so neither may this daemon.
         return Err(Refusal::new(RefusalCause::Broken, state.execution, None));
     }
-    let headers = attempt.answer.headers.clone();
+    let headers = attempt.response.headers.clone();
     let relay = Relay::new(forwarder.clone(), state, attempt);
-    Ok(CallerAnswer {
+    Ok(CallerResponse {
         status,
         headers,
         body: relay.into_stream().boxed(),
