--- a/crates/inline-jobs/src/item.rs
+++ b/crates/inline-jobs/src/item.rs
@@ -35,8 +35,8 @@
     },
     /// Runs at a replica, or is being placed.
     Running {
-        /// Slot of the run; `None` until the item is placed.
-        at: Option<RunSlot>,
+        /// Slot lease of the run; `None` until the item is placed.
+        lease: Option<RunLease>,
         /// Handle that aborts the run.
         task: AbortHandle,
         /// Start of the placement, then of the run.
@@ -51,13 +51,13 @@
     Listed,
 }
 
-/// Replica and slot of a run.
+/// Replica and slot lease of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RunSlot {
+pub struct RunLease {
     /// Id of the replica.
     pub replica: String,
     /// Number of the slot lease, 0 if there is none.
-    pub slot: u32,
+    pub lease: u32,
 }
 
 /// One item of a job that this daemon owns.
--- a/crates/inline-jobs/src/item_run.rs
+++ b/crates/inline-jobs/src/item_run.rs
@@ -45,19 +45,19 @@
     failed_before: bool,
 ) -> RunOutcome {
     let resume_after = lock(progress).last_event;
-    let times = AttemptTimeouts {
+    let timeouts = AttemptTimeouts {
         time_left: None,
         stall_timeout: UNRESPONSIVE_TIMEOUT,
         max_wait: MAX_STALL,
     };
-    let sending = AttemptOptions {
+    let options = AttemptOptions {
         resume_after,
         fresh_connection: false,
         number: 1,
         failed_before,
     };
     let attempt = forwarder
-        .attempt_at(request, placement, times, sending)
+        .attempt_at(request, placement, timeouts, options)
         .await;
     let attempt = match attempt {
         Ok(attempt) => attempt,
--- a/crates/inline-jobs/src/registry.rs
+++ b/crates/inline-jobs/src/registry.rs
@@ -7,7 +7,7 @@
 use harrierward_serving::ServingRequest;
 use tokio::time::Instant;
 
-use crate::item::{Item, ItemPhase, RunSlot, SharedProgress, abort_run, lock};
+use crate::item::{Item, ItemPhase, RunLease, SharedProgress, abort_run, lock};
 use crate::no_capacity::NoCapacity;
 use crate::owned_job::OwnedJob;
 use crate::pacing::RunLength;
@@ -132,31 +132,33 @@
         count: usize,
         pause: Duration,
     ) -> Vec<PreemptedItem> {
-        let mut runs = self.runs_where(|at| at.replica == replica);
+        let mut runs = self.runs_where(|lease| lease.replica == replica);
         runs.sort_by_key(|run| std::cmp::Reverse(run.since));
         let selected = runs.into_iter().take(count);
         selected.map(|run| run.preempt(pause)).collect()
     }
 
-    /// Aborts the run that holds a slot; its item waits for `pause`. Returns the item.
-    pub fn preempt_lease(&mut self, slot: u32, pause: Duration) -> Option<PreemptedItem> {
-        let run = self.runs_where(|at| at.slot == slot).pop()?;
+    /// Aborts the run that holds a lease; its item waits for `pause`. Returns the item.
+    pub fn preempt_lease(&mut self, lease: u32, pause: Duration) -> Option<PreemptedItem> {
+        let run = self
+            .runs_where(|run_lease| run_lease.lease == lease)
+            .pop()?;
         Some(run.preempt(pause))
     }
 
-    fn runs_where(&mut self, is_selected: impl Fn(&RunSlot) -> bool) -> Vec<RunInProgress<'_>> {
+    fn runs_where(&mut self, is_selected: impl Fn(&RunLease) -> bool) -> Vec<RunInProgress<'_>> {
         let mut runs = Vec::new();
         for job in self.jobs.values_mut() {
             for item in &mut job.items {
                 let ItemPhase::Running {
-                    at: Some(at),
+                    lease: Some(run_lease),
                     since,
                     ..
                 } = &item.phase
                 else {
                     continue;
                 };
-                if !is_selected(at) {
+                if !is_selected(run_lease) {
                     continue;
                 }
                 runs.push(RunInProgress {
@@ -164,7 +166,7 @@
                     preempted: PreemptedItem {
                         job: job.known.header.job_id.clone(),
                         item: item.request.id.clone(),
-                        replica: at.replica.clone(),
+                        replica: run_lease.replica.clone(),
                         events: lock(&item.progress).last_event.unwrap_or_default(),
                     },
                     phase: &mut item.phase,
--- a/crates/inline-jobs/src/runner.rs
+++ b/crates/inline-jobs/src/runner.rs
@@ -7,7 +7,7 @@
 use harrierward_serving::{ItemSlack, Mechanism, Placement, Route, RouteTable, WorkClass};
 use tokio::time::{Instant, sleep};
 
-use crate::item::{ItemPhase, RunSlot};
+use crate::item::{ItemPhase, RunLease};
 use crate::item_run::{self, RunOutcome};
 use crate::pacing::{RunLength, Urgency, slack, urgency};
 use crate::ready::{ReadyItem, restrict_to_regions};
@@ -206,7 +206,7 @@
         let task = tokio::spawn(async move { jobs.place_item(started, placement_guard).await });
         if let Some(entry) = registry.item(&item.job, item.number) {
             entry.phase = ItemPhase::Running {
-                at: None,
+                lease: None,
                 task: task.abort_handle(),
                 since: Instant::now(),
             };
@@ -236,22 +236,24 @@
             self.note_no_capacity(&item, &service);
             return;
         };
-        if let Some(earlier) = item.last_replica_instance {
+        if let Some(previous) = item.last_replica_instance {
             let view = forwarder.replicas().view();
             let policy = self.inner.forwarder.policy();
-            placement.choice.copy_from_previous(&view, earlier, policy);
+            placement.choice.copy_from_previous(&view, previous, policy);
         }
-        let at = RunSlot {
+        let run_lease = RunLease {
             replica: placement.choice.replica.record.id.clone(),
-            slot: placement.in_progress.lease().unwrap_or_default(),
+            lease: placement.in_progress.lease().unwrap_or_default(),
         };
         if let Some(entry) = self.registry().item(&item.job, item.number) {
             entry.last_replica_instance = Some(placement.choice.replica.hash);
             if let ItemPhase::Running {
-                at: known, since, ..
+                lease: known,
+                since,
+                ..
             } = &mut entry.phase
             {
-                *known = Some(at);
+                *known = Some(run_lease);
                 *since = Instant::now();
             }
         }
@@ -352,7 +354,7 @@
     /// Preempts runs at overcommitted replicas whose slots have no coordinator.
     fn preempt_for_online(&self) {
         let view = self.inner.forwarder.replicas().view();
-        let places = self.inner.forwarder.leases();
+        let leases = self.inner.forwarder.leases();
         for replica in view.all() {
             let own = replica.own_in_progress(WorkClass::Batch);
             if own == 0 {
@@ -360,7 +362,7 @@
             }
             let in_use = replica.online() + replica.batch();
             let slots = replica.slots();
-            if in_use <= slots + slots / 2 || places.is_coordinated(replica) {
+            if in_use <= slots + slots / 2 || leases.is_coordinated(replica) {
                 continue;
             }
             if !self.may_preempt_at(&replica.record.id) {
@@ -378,9 +380,9 @@
         self.preempt_runs_at(replica, slots as usize);
     }
 
-    /// Preempts the run that holds a slot.
-    pub fn preempt_lease(&self, slot: u32) {
-        let preempted_items = self.registry().preempt_lease(slot, PREEMPTION_PAUSE);
+    /// Preempts the run that holds a slot lease.
+    pub fn preempt_lease(&self, lease: u32) {
+        let preempted_items = self.registry().preempt_lease(lease, PREEMPTION_PAUSE);
         self.log_preempted(preempted_items);
     }
 
--- a/crates/inline-jobs/src/takeover.rs
+++ b/crates/inline-jobs/src/takeover.rs
@@ -64,7 +64,7 @@
         }
         let now = self.now();
         let delay = || delay().unwrap_or(INELIGIBLE_DELAY);
-        let step = self.core.step(claim(known), status, delay, now);
+        let step = self.core.step(ownership_record(known), status, delay, now);
         if step != Step::Wait {
             self.writing.insert(job_id.clone());
         }
@@ -110,7 +110,7 @@
 /// Delay of a daemon that may not read the job's bodies and so must not adopt it; longer than any job stays open.
 const INELIGIBLE_DELAY: Duration = Duration::from_secs(1_000_000);
 
-fn claim(known: &KnownHeader) -> OwnershipRecord<'_> {
+fn ownership_record(known: &KnownHeader) -> OwnershipRecord<'_> {
     let header = &known.header;
     OwnershipRecord {
         resource: &header.job_id,
@@ -159,9 +159,12 @@
             let is_present = self.owner_status(&before.header) == OwnerStatus::Present;
             let mut takeovers = self.takeovers();
             let now = takeovers.now();
-            takeovers
-                .core
-                .note_change(claim(before), claim(known), is_present, now);
+            takeovers.core.note_change(
+                ownership_record(before),
+                ownership_record(known),
+                is_present,
+                now,
+            );
         }
         if self.owns(&known.header) && known.is_open() {
             self.refute_if_challenged(known);
@@ -224,7 +227,9 @@
             let mut takeovers = self.takeovers();
             let now = takeovers.now();
             let elapsed = harrierward_clock::age(started_at);
-            takeovers.core.note_challenge(claim(&current), elapsed, now);
+            takeovers
+                .core
+                .note_challenge(ownership_record(&current), elapsed, now);
         }
         self.note_header(current);
     }
--- a/crates/inline-jobs/tests/stale_listing.rs
+++ b/crates/inline-jobs/tests/stale_listing.rs
@@ -187,7 +187,7 @@
         1
     }
 
-    fn release(&self, _place: u32, _end: ReleaseReport) {}
+    fn release(&self, _lease: u32, _report: ReleaseReport) {}
 
     fn is_coordinated(&self, _replica: &Replica) -> bool {
         false
