--- /dev/null
+++ b/crates/edge/src/stall.rs
@@ -0,0 +1,67 @@
+//! Detection of connections that stall without a reset while new ones to the same address work.
+
+use std::time::Duration;
+
+use socket2::{SockRef, TcpKeepalive};
+use tokio::net::TcpStream;
+use tokio::time::Instant;
+
+use crate::pool::ConnectionPool;
+
+/// Keepalive probes within the time after which a connection counts as dead.
+const PROBES: u32 = 3;
+
+/// Smallest keepalive interval that operating systems accept.
+const MIN_PROBE_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Makes the operating system close a connection whose peer acknowledges neither data nor keepalive probes for
+/// `unacknowledged`.
+pub(crate) fn set_probes(stream: &TcpStream, unacknowledged: Duration) {
+    let socket = SockRef::from(stream);
+    let interval = (unacknowledged / PROBES).max(MIN_PROBE_INTERVAL);
+    let probes = TcpKeepalive::new()
+        .with_time(interval)
+        .with_interval(interval);
+    // Some systems lack these options; the exchanges' own timeouts apply regardless.
+    let _ = socket.set_tcp_keepalive(&probes);
+    let _ = socket.set_tcp_user_timeout(Some(unacknowledged));
+}
+
+/// Detects a stall of one exchange. If the exchange is dropped while stalled, for whatever reason, the pool stops reusing
+/// connections to the address that were idle since before the stall.
+pub(crate) struct SilenceWatch {
+    pool: ConnectionPool,
+    address: String,
+    last_received_at: Option<Instant>,
+}
+
+impl SilenceWatch {
+    pub(crate) fn begin(pool: &ConnectionPool, address: &str) -> Self {
+        Self {
+            pool: pool.clone(),
+            address: address.to_owned(),
+            last_received_at: Some(harrierward_clock::now()),
+        }
+    }
+
+    /// Records that bytes were received.
+    pub(crate) fn heard(&mut self) {
+        self.last_received_at = Some(harrierward_clock::now());
+    }
+
+    /// Records the regular completion of the exchange.
+    pub(crate) fn end(&mut self) {
+        self.last_received_at = None;
+    }
+}
+
+impl Drop for SilenceWatch {
+    fn drop(&mut self) {
+        let Some(last_received_at) = self.last_received_at else {
+            return;
+        };
+        if harrierward_clock::age(last_received_at) >= self.pool.silent_after() {
+            self.pool.distrust(&self.address, last_received_at);
+        }
+    }
+}
