--- a/crates/inline-jobs/src/item.rs
+++ b/crates/inline-jobs/src/item.rs
@@ -72,7 +72,7 @@
     /// Failures that the job's header counts. The item only runs again once it counts all, so that a later owner does
     /// not allow more attempts.
     pub recorded_failures: u32,
-    /// Number of events in the last checkpoint.
+    /// Number of events that the store holds.
     pub saved_events: usize,
     /// Hash of the replica instance at which it last ran, whose prefix cache may still hold its prompt.
     pub last_replica_instance: Option<u32>,
--- a/crates/inline-jobs/src/item_run.rs
+++ b/crates/inline-jobs/src/item_run.rs
@@ -24,7 +24,7 @@
     Finished,
     /// The replica responded with a failure.
     Failed,
-    /// The replica rejected the item for good.
+    /// The replica rejected the item; a retry cannot succeed.
     Impossible,
     /// The replica did not run the item, for this cause.
     NotRun(String),
--- a/crates/inline-jobs/src/runner.rs
+++ b/crates/inline-jobs/src/runner.rs
@@ -29,7 +29,7 @@
 /// Pause before a preempted item is started again.
 const PREEMPTION_PAUSE: Duration = Duration::from_millis(800);
 
-/// Placement requests in flight at a daemon.
+/// Bound of the placement requests in flight at a daemon.
 const MAX_PLACEMENTS: usize = 3;
 
 /// Time limit of an item's placement request; no caller waits for it.
