--- a/crates/inline-jobs/src/item.rs
+++ b/crates/inline-jobs/src/item.rs
@@ -35,8 +35,8 @@
     },
     /// Runs at a replica, or is being placed.
     Running {
-        /// Slot of the run; `None` until the item is placed.
-        at: Option<RunSlot>,
+        /// Slot lease of the run; `None` until the item is placed.
+        lease: Option<RunLease>,
         /// Handle that aborts the run.
         task: AbortHandle,
         /// Start of the placement, then of the run.
@@ -51,13 +51,13 @@
     Listed,
 }
 
-/// Replica and slot of a run.
+/// Replica and slot lease of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RunSlot {
+pub struct RunLease {
     /// Id of the replica.
     pub replica: String,
     /// Number of the slot lease, 0 if there is none.
-    pub slot: u32,
+    pub lease: u32,
 }
 
 /// One item of a job that this daemon owns.
@@ -67,12 +67,12 @@
     pub request: Arc<ServingRequest>,
     /// Output received so far.
     pub progress: SharedProgress,
-    /// Runs that a replica answered with a failure.
+    /// Runs that a replica ended with a failure response.
     pub failures: u32,
-    /// Failures that the job's header counts. The item only runs again once it counts all, so that a later
-    /// owner does not allow more attempts.
+    /// Failures that the job's header counts. The item only runs again once it counts all, so that a later owner does
+    /// not allow more attempts.
     pub recorded_failures: u32,
-    /// Number of events in the last checkpoint.
+    /// Number of events that the store holds.
     pub saved_events: usize,
     /// Hash of the replica instance at which it last ran, whose prefix cache may still hold its prompt.
     pub last_replica_instance: Option<u32>,
