--- a/crates/inline-jobs/src/adoption_order.rs
+++ b/crates/inline-jobs/src/adoption_order.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use harrierward_serving::preference_weight;
-use harrierward_wire::JobHeaderRow;
+use harrierward_wire::JobHeadRow;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// How long an owner must be missing before it is challenged; a live member refutes a false death report within about
@@ -19,8 +19,8 @@
 const RANK_DELAY: Duration = Duration::from_millis(400);
 
 /// Returns the header of a job that its owner releases.
-pub fn released(header: &JobHeaderRow) -> JobHeaderRow {
-    JobHeaderRow {
+pub fn released(header: &JobHeadRow) -> JobHeadRow {
+    JobHeadRow {
         owner: String::new(),
         last_owner: header.owner.clone(),
         challenger: String::new(),
@@ -29,8 +29,8 @@
 }
 
 /// Returns the header of a job that the daemon `instance_id` adopts, under a new epoch.
-pub fn adopted(header: &JobHeaderRow, instance_id: &str) -> JobHeaderRow {
-    JobHeaderRow {
+pub fn adopted(header: &JobHeadRow, instance_id: &str) -> JobHeadRow {
+    JobHeadRow {
         owner: instance_id.to_owned(),
         last_owner: String::new(),
         challenger: String::new(),
@@ -41,23 +41,23 @@
 }
 
 /// Returns the header of a job whose owner the daemon `instance_id` considers missing.
-pub fn challenged(header: &JobHeaderRow, instance_id: &str) -> JobHeaderRow {
-    JobHeaderRow {
+pub fn challenged(header: &JobHeadRow, instance_id: &str) -> JobHeadRow {
+    JobHeadRow {
         challenger: instance_id.to_owned(),
         ..header.clone()
     }
 }
 
 /// Returns the header without a challenge, as its owner writes it.
-pub fn refuted(header: &JobHeaderRow) -> JobHeaderRow {
-    JobHeaderRow {
+pub fn refuted(header: &JobHeadRow) -> JobHeadRow {
+    JobHeadRow {
         challenger: String::new(),
         ..header.clone()
     }
 }
 
 /// Returns the instance id of the daemon that owns a job or owned it last.
-pub fn last_owner(header: &JobHeaderRow) -> &str {
+pub fn last_owner(header: &JobHeadRow) -> &str {
     if header.owner.is_empty() {
         &header.last_owner
     } else {
@@ -69,7 +69,7 @@
 /// Each job has its own order of daemons, so that they do not all try at once. Daemons `near` its last owner come
 /// first: its clients and the replicas that cache its prompts are there. `owners` are all daemons that may adopt it.
 pub fn adoption_delay(
-    header: &JobHeaderRow,
+    header: &JobHeadRow,
     instance_id: &str,
     owners: &[String],
     near: &[String],
--- a/crates/inline-jobs/src/listing.rs
+++ b/crates/inline-jobs/src/listing.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use harrierward_decisions::Record;
-use harrierward_wire::{ItemFailuresRow, ItemProgressRow, JobHeaderRow};
+use harrierward_wire::{ItemFailuresRow, ItemProgressRow, JobHeadRow};
 use tokio::time::{Instant, sleep};
 
 use crate::adoption_order::refuted;
@@ -146,7 +146,7 @@
 
 /// Returns the outcome for a conflict; a header that already lists the results is an own write whose response was
 /// lost.
-fn conflict_name(current: &JobHeaderRow, wanted: &JobHeaderRow) -> &'static str {
+fn conflict_name(current: &JobHeadRow, wanted: &JobHeadRow) -> &'static str {
     if current.listed == wanted.listed && current.failures == wanted.failures {
         "committed before"
     } else {
--- a/crates/inline-jobs/src/model.rs
+++ b/crates/inline-jobs/src/model.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use harrierward_serving::{Prompt, PromptPart, RefusalCause, ServingRequest};
 use harrierward_tenants::{AllowedRegions, ApiKey};
-use harrierward_wire::{HeaderRow, ItemBodyRow, JobHeaderRow, PromptPartRow};
+use harrierward_wire::{HeaderRow, ItemBodyRow, JobHeadRow, PromptPartRow};
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -168,7 +168,7 @@
 }
 
 /// Decodes the request that runs an item of the job with this header.
-pub fn item_request(row: ItemBodyRow, header: &JobHeaderRow) -> ServingRequest {
+pub fn item_request(row: ItemBodyRow, header: &JobHeadRow) -> ServingRequest {
     let mut headers = HeaderMap::new();
     for header in row.headers {
         let name = HeaderName::from_bytes(header.name.as_bytes());
--- a/crates/inline-jobs/src/service.rs
+++ b/crates/inline-jobs/src/service.rs
@@ -11,7 +11,7 @@
 use harrierward_ownership::OwnerStatus;
 use harrierward_serving::Forwarder;
 use harrierward_tenants::AllowedRegions;
-use harrierward_wire::{JobHeaderRow, QuotaOutcome, decode_job_header};
+use harrierward_wire::{JobHeadRow, QuotaOutcome, decode_job_header};
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
@@ -175,7 +175,7 @@
         Some(routes.configuration.allowed_regions(route, tenant))
     }
 
-    pub(crate) fn owns(&self, header: &JobHeaderRow) -> bool {
+    pub(crate) fn owns(&self, header: &JobHeadRow) -> bool {
         header.owner == self.inner.instance_id
     }
 
@@ -235,8 +235,8 @@
 
     pub(crate) fn log_ownership(
         &self,
-        before: &JobHeaderRow,
-        header: &JobHeaderRow,
+        before: &JobHeadRow,
+        header: &JobHeadRow,
         outcome: &str,
         reason: &str,
     ) {
--- a/crates/inline-jobs/src/store.rs
+++ b/crates/inline-jobs/src/store.rs
@@ -11,7 +11,7 @@
     Condition, ObjectStore, PlatformError, RequestClass, Row, Table, Transaction, WatchedTable,
 };
 use harrierward_wire::{
-    ItemProgressRow, JobHeaderRow, JobItemsRow, QuotaFenceRow, decode, decode_job_header, encode,
+    ItemProgressRow, JobHeadRow, JobItemsRow, QuotaFenceRow, decode, decode_job_header, encode,
     encode_job_header,
 };
 use tokio::time::Instant;
@@ -138,7 +138,7 @@
     /// has a fence, that `fence` is its present revision.
     pub async fn create(
         &self,
-        mut header: JobHeaderRow,
+        mut header: JobHeadRow,
         items: &JobItemsRow,
         fence: Option<u64>,
         until: Instant,
@@ -212,7 +212,7 @@
     pub async fn replace_header(
         &self,
         revision: u64,
-        header: &JobHeaderRow,
+        header: &JobHeadRow,
         until: Instant,
     ) -> WriteOutcome {
         let transaction = header_change(revision, header);
@@ -224,7 +224,7 @@
     pub async fn list(
         &self,
         revision: u64,
-        header: &JobHeaderRow,
+        header: &JobHeadRow,
         (position, results): (u32, &[ListedResult]),
         progress: &[(u32, ItemProgressRow)],
         until: Instant,
@@ -238,7 +238,7 @@
     pub async fn hand_over(
         &self,
         revision: u64,
-        header: &JobHeaderRow,
+        header: &JobHeadRow,
         (position, results): (u32, &[ListedResult]),
         progress: &[(u32, ItemProgressRow)],
         until: Instant,
--- a/crates/inline-jobs/src/store/reads.rs
+++ b/crates/inline-jobs/src/store/reads.rs
@@ -3,7 +3,7 @@
 use harrierward_external::{
     Condition, PlatformError, PlatformErrorKind, RequestClass, Row, Transaction,
 };
-use harrierward_wire::{ItemProgressRow, JobHeaderRow, JobItemsRow, ResultPieceRow, decode};
+use harrierward_wire::{ItemProgressRow, JobHeadRow, JobItemsRow, ResultPieceRow, decode};
 use tokio::time::{Instant, sleep};
 
 use super::settling::MAX_PAUSE;
@@ -69,7 +69,7 @@
     }
 
     /// Reads a job's items.
-    pub async fn read_items(&self, header: &JobHeaderRow) -> Result<JobItemsRow, PlatformError> {
+    pub async fn read_items(&self, header: &JobHeadRow) -> Result<JobItemsRow, PlatformError> {
         const STEP: &str = "jobs.read_items";
         let content = if header.item_object.is_empty() {
             let rows = self.read_all(&keys::items_prefix(&header.job_id)).await?;
--- a/crates/inline-jobs/src/store/transactions.rs
+++ b/crates/inline-jobs/src/store/transactions.rs
@@ -1,7 +1,7 @@
 //! Transactions that change a job's rows, within the limits of the store.
 
 use harrierward_external::{Condition, Transaction, Write};
-use harrierward_wire::{ItemProgressRow, JobHeaderRow, ResultPieceRow, encode, encode_job_header};
+use harrierward_wire::{ItemProgressRow, JobHeadRow, ResultPieceRow, encode, encode_job_header};
 
 use super::ListedResult;
 use crate::keys;
@@ -35,7 +35,7 @@
 /// Returns the transaction that replaces a header and lists results from `position` on.
 pub(super) fn listing(
     revision: u64,
-    header: &JobHeaderRow,
+    header: &JobHeadRow,
     position: u32,
     results: &[ListedResult],
 ) -> Transaction {
@@ -82,7 +82,7 @@
     transaction
 }
 
-pub(super) fn header_change(revision: u64, header: &JobHeaderRow) -> Transaction {
+pub(super) fn header_change(revision: u64, header: &JobHeadRow) -> Transaction {
     let key = keys::header(&header.job_id);
     Transaction::default()
         .require(Condition::AtRevision {
--- a/crates/inline-jobs/src/submit.rs
+++ b/crates/inline-jobs/src/submit.rs
@@ -4,7 +4,7 @@
 
 use harrierward_decisions::Record;
 use harrierward_serving::{Route, caller_of};
-use harrierward_wire::{ItemHeadRow, JobHeaderRow, JobItemsRow};
+use harrierward_wire::{ItemHeadRow, JobHeadRow, JobItemsRow};
 use tokio::time::{Instant, sleep};
 
 use crate::adoption_order::released;
@@ -149,7 +149,7 @@
         view.proof_age().is_some_and(|age| age <= MAX_PROOF_AGE)
     }
 
-    fn new_header(&self, job: &SubmittedJob, route: &Route, tenant: &str) -> JobHeaderRow {
+    fn new_header(&self, job: &SubmittedJob, route: &Route, tenant: &str) -> JobHeadRow {
         let items = job
             .items
             .iter()
@@ -158,7 +158,7 @@
                 tokens: item.tokens,
             })
             .collect();
-        let header = JobHeaderRow {
+        let header = JobHeadRow {
             job_id: job.id.clone(),
             route: route.name.clone(),
             host: route.host.clone(),
@@ -185,7 +185,7 @@
     }
 
     /// Registers a stored job, unless it was released to other daemons.
-    fn register_stored(&self, header: JobHeaderRow, rows: JobItemsRow, revision: u64) {
+    fn register_stored(&self, header: JobHeadRow, rows: JobItemsRow, revision: u64) {
         let is_owned = self.owns(&header);
         let known = KnownHeader { header, revision };
         // The watch may have delivered the header already and started the load of the items.
--- a/crates/inline-jobs/src/takeover.rs
+++ b/crates/inline-jobs/src/takeover.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use harrierward_ownership::{OwnerStatus, OwnershipRecord, Step, TakeoverBounds, Takeovers};
-use harrierward_wire::JobHeaderRow;
+use harrierward_wire::JobHeadRow;
 use tokio::time::Instant;
 
 use crate::adoption::HEADER_WRITE_TIMEOUT;
@@ -142,7 +142,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn owner_status(&self, header: &JobHeaderRow) -> OwnerStatus {
+    pub(crate) fn owner_status(&self, header: &JobHeadRow) -> OwnerStatus {
         if header.owner.is_empty() {
             OwnerStatus::Unowned
         } else if self.owns(header) {
--- a/crates/inline-jobs/src/view.rs
+++ b/crates/inline-jobs/src/view.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use harrierward_wire::{JobHeaderRow, QuotaFenceRow, decode};
+use harrierward_wire::{JobHeadRow, QuotaFenceRow, decode};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct KnownHeader {
     /// The decoded row.
-    pub header: JobHeaderRow,
+    pub header: JobHeadRow,
     /// Store revision of the row.
     pub revision: u64,
 }
--- a/crates/inline-jobs/tests/adoption_order.rs
+++ b/crates/inline-jobs/tests/adoption_order.rs
@@ -4,18 +4,18 @@
 use std::time::Duration;
 
 use harrierward_inline_jobs::adoption_order::{adopted, adoption_delay, last_owner, released};
-use harrierward_wire::JobHeaderRow;
+use harrierward_wire::JobHeadRow;
 
 fn owners() -> Vec<String> {
     (0..12).map(|number| format!("daemon-{number}")).collect()
 }
 
-fn header() -> JobHeaderRow {
-    JobHeaderRow {
+fn header() -> JobHeadRow {
+    JobHeadRow {
         job_id: "job-1".to_owned(),
         owner: "gone".to_owned(),
         epoch: 4,
-        ..JobHeaderRow::default()
+        ..JobHeadRow::default()
     }
 }
 
--- a/crates/inline-jobs/tests/rows_of_headers.rs
+++ b/crates/inline-jobs/tests/rows_of_headers.rs
@@ -10,7 +10,7 @@
     ChangePage, PageStart, PlatformError, Row, RowReading, SpacePage, WatchedTable,
 };
 use harrierward_inline_jobs::{JobStore, RowKind, crash_updates_key, partitions, row_kind};
-use harrierward_wire::{CrashNewsRow, JobHeaderRow, QuotaFenceRow, encode};
+use harrierward_wire::{CrashNewsRow, JobHeadRow, QuotaFenceRow, encode};
 use support::{UnavailableStore, unavailable};
 use tokio::time::Instant;
 
@@ -45,9 +45,9 @@
 #[async_trait]
 impl WatchedTable for AllKindsStore {
     async fn read_page(&self, _: &str, start: PageStart<'_>) -> Result<SpacePage, PlatformError> {
-        let header = JobHeaderRow {
+        let header = JobHeadRow {
             job_id: JOB.to_owned(),
-            ..JobHeaderRow::default()
+            ..JobHeadRow::default()
         };
         let fence = QuotaFenceRow {
             route: "route".to_owned(),
--- a/crates/inline-jobs/tests/stale_listing.rs
+++ b/crates/inline-jobs/tests/stale_listing.rs
@@ -27,7 +27,7 @@
     ReplicaSet, SelectionCosts, SlotLeases, SlotQuery, SlotReply,
 };
 use harrierward_tenants::Tenant;
-use harrierward_wire::{ItemHeadRow, JobHeaderRow, QuotaOutcome, ResultPieceRow, encode};
+use harrierward_wire::{ItemHeadRow, JobHeadRow, QuotaOutcome, ResultPieceRow, encode};
 use support::{UnavailableStore, unavailable};
 use tokio::time::{Instant, advance};
 
@@ -49,8 +49,8 @@
     is_missing: bool,
 }
 
-fn header(listed: u32) -> JobHeaderRow {
-    JobHeaderRow {
+fn header(listed: u32) -> JobHeadRow {
+    JobHeadRow {
         job_id: JOB.to_owned(),
         items: (0..3)
             .map(|number| ItemHeadRow {
@@ -61,7 +61,7 @@
         listed: (0..listed).collect(),
         owner: "another-daemon".to_owned(),
         epoch: 1,
-        ..JobHeaderRow::default()
+        ..JobHeadRow::default()
     }
 }
 
--- a/crates/inline-jobs/tests/stuck.rs
+++ b/crates/inline-jobs/tests/stuck.rs
@@ -4,7 +4,7 @@
 
 use harrierward_inline_jobs::KnownHeader;
 use harrierward_inline_jobs::owned_job::OwnedJob;
-use harrierward_wire::{ItemHeadRow, JobHeaderRow};
+use harrierward_wire::{ItemHeadRow, JobHeadRow};
 use tokio::time::{Instant, advance};
 
 const TIMEOUT: Duration = Duration::from_secs(5);
@@ -15,13 +15,13 @@
         tokens: 10,
     });
     KnownHeader {
-        header: JobHeaderRow {
+        header: JobHeadRow {
             job_id: "job-1".to_owned(),
             items: items.collect(),
             listed: listed.to_vec(),
             owner: "this-daemon".to_owned(),
             epoch: 1,
-            ..JobHeaderRow::default()
+            ..JobHeadRow::default()
         },
         revision: 10 + listed.len() as u64,
     }
--- a/crates/wire/src/inline_job.rs
+++ b/crates/wire/src/inline_job.rs
@@ -73,7 +73,7 @@
 
 /// The job's head: small, watched by every daemon, changed only under its revision.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct JobHeaderRow {
+pub struct JobHeadRow {
     /// Job id.
     #[prost(string, tag = "1")]
     pub job_id: String,
@@ -132,18 +132,18 @@
 const HEAD_FIELDS: RangeInclusive<u32> = 1..=16;
 
 /// Reads a job's head, with whatever a later build has added to it; `None` if the bytes are not one.
-pub fn decode_job_header(bytes: &[u8]) -> Option<JobHeaderRow> {
-    let mut head: JobHeaderRow = decode(bytes)?;
+pub fn decode_job_header(bytes: &[u8]) -> Option<JobHeadRow> {
+    let mut head: JobHeadRow = decode(bytes)?;
     head.later_fields = later_fields(bytes, &HEAD_FIELDS)?;
     Some(head)
 }
 
 /// Bytes of a job's head, with whatever a later build has added to it.
-pub fn encode_job_header(head: &JobHeaderRow) -> Vec<u8> {
+pub fn encode_job_header(head: &JobHeadRow) -> Vec<u8> {
     if head.later_fields.is_empty() {
         return encode(head);
     }
-    let own = JobHeaderRow {
+    let own = JobHeadRow {
         later_fields: Vec::new(),
         ..head.clone()
     };
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -25,8 +25,8 @@
 pub use configuration::{ConfigChange, ConfigHead, ConfigLogEntry, ConfigObjectRow};
 pub use evacuation::{EvacuatedZone, Evacuations};
 pub use inline_job::{
-    HeaderRow, ItemBodyRow, ItemFailuresRow, ItemHeadRow, ItemProgressRow, JobHeaderRow,
-    JobItemsRow, PromptPartRow, ResultPieceRow, decode_job_header, encode_job_header,
+    HeaderRow, ItemBodyRow, ItemFailuresRow, ItemHeadRow, ItemProgressRow, JobHeadRow, JobItemsRow,
+    PromptPartRow, ResultPieceRow, decode_job_header, encode_job_header,
 };
 pub use known_rows::{KnownRow, KnownRows};
 pub use later_fields::later_fields;
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -41,8 +41,8 @@
     assert_eq!(encode(&read), *bytes, "{name}");
 }
 
-fn earliest_head() -> JobHeaderRow {
-    JobHeaderRow {
+fn earliest_head() -> JobHeadRow {
+    JobHeadRow {
         job_id: "job-1".into(),
         route: "lots".into(),
         host: "host".into(),
@@ -65,12 +65,12 @@
         item_object: "object".into(),
         tenant: "tenant".into(),
         last_owner: "node-2@1a2b-0002".into(),
-        ..JobHeaderRow::default()
+        ..JobHeadRow::default()
     }
 }
 
-fn head() -> JobHeaderRow {
-    JobHeaderRow {
+fn head() -> JobHeadRow {
+    JobHeadRow {
         challenger: "node-3@1a2b-0003".into(),
         failures: vec![ItemFailuresRow { item: 1, count: 2 }],
         takeovers: 3,
@@ -310,11 +310,11 @@
     ) {
         let bytes = [before.concat(), encode(&head()), after.concat()].concat();
         let read = decode_job_header(&bytes).expect("a head");
-        let rewritten = encode_job_header(&JobHeaderRow { epoch, ..read });
+        let rewritten = encode_job_header(&JobHeadRow { epoch, ..read });
         let read_again = decode_job_header(&rewritten).expect("a head");
         prop_assert_eq!(&read_again.later_fields, &[before.concat(), after.concat()].concat());
-        let own = JobHeaderRow { later_fields: Vec::new(), ..read_again };
-        prop_assert_eq!(own, JobHeaderRow { epoch, ..head() });
+        let own = JobHeadRow { later_fields: Vec::new(), ..read_again };
+        prop_assert_eq!(own, JobHeadRow { epoch, ..head() });
     }
 
     /// Bytes of any kind are a head or none; nothing panics.
