--- a/crates/edge/tests/stored_news.rs
+++ b/crates/edge/tests/stored_news.rs
@@ -11,8 +11,8 @@
     PlatformError, PlatformErrorKind, RequestClass, Row, Table, Transaction, TransactionOutcome,
     Write,
 };
-use harrierward_inline_jobs::crash_news;
-use harrierward_quarantine::{ContentId, Standing};
+use harrierward_inline_jobs::crash_updates_key;
+use harrierward_quarantine::{ContentId, ContentStatus};
 use harrierward_serving::{Quarantine, ReplicaSet};
 use harrierward_wire::{
     CrashNews, CrashNewsRow, CrashedContent, ReplicaEnd, decode, encode, node_datagram::Kind,
@@ -45,7 +45,11 @@
 impl Rows {
     fn written(&self) -> Vec<CrashNewsRow> {
         let written = self.written.lock().expect("rows");
-        assert!(written.iter().all(|(key, _)| *key == crash_news(LIFE)));
+        assert!(
+            written
+                .iter()
+                .all(|(key, _)| *key == crash_updates_key(LIFE))
+        );
         let rows = written.iter().map(|(_, value)| decode(value));
         rows.map(|row| row.expect("a row of news")).collect()
     }
@@ -131,7 +135,7 @@
         news: Some(news),
     };
     Row {
-        key: crash_news(life),
+        key: crash_updates_key(life),
         value: encode(&row).into(),
         revision,
     }
@@ -143,11 +147,11 @@
 
 fn left(quarantine: &QuarantineService) -> Option<Duration> {
     match quarantine.status(CONTENT) {
-        Standing::Held(hold) => Some(
+        ContentStatus::Quarantined(hold) => Some(
             hold.until
                 .saturating_duration_since(harrierward_clock::now()),
         ),
-        Standing::Clear | Standing::Suspect { .. } => None,
+        ContentStatus::Clear | ContentStatus::Suspect { .. } => None,
     }
 }
 
@@ -172,7 +176,7 @@
     for age_ms in [END_LIFETIME_MS, NOW_MS] {
         let quarantine = quarantine();
         quarantine.take_stored(&row(NOW_MS - age_ms), NOW_MS);
-        assert_eq!(quarantine.status(CONTENT), Standing::Clear);
+        assert_eq!(quarantine.status(CONTENT), ContentStatus::Clear);
         assert!(!quarantine.has_quarantined(), "{age_ms} ms old");
     }
 }
@@ -227,7 +231,7 @@
         for one in order {
             later.take_stored(one, read_at_ms);
         }
-        assert_eq!(later.status(CONTENT), Standing::Clear);
+        assert_eq!(later.status(CONTENT), ContentStatus::Clear);
     }
 }
 
--- a/crates/inline-jobs/src/checkpoint.rs
+++ b/crates/inline-jobs/src/checkpoint.rs
@@ -1,6 +1,6 @@
-//! Progress of running items is saved now and then, so that a job whose owner dies goes on where it was.
+//! Checkpoints of running items' progress, so that a job resumes where it was when its owner crashes.
 //!
-//! The rows are hints: an older one only means that more is run again. So they are written without condition.
+//! The rows are hints: an outdated one only repeats work. They are therefore written unconditionally.
 
 use std::time::Duration;
 
@@ -12,31 +12,31 @@
 use crate::owned_job::OwnedJob;
 use crate::service::InlineJobs;
 
-/// Least time between two checkpoints of a job.
-const CHECKPOINT_EVERY: Duration = Duration::from_millis(1_500);
+/// Minimum time between two checkpoints of a job.
+const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Events that an item must have gained since its last checkpoint.
-const LEAST_EVENTS: usize = 30;
+/// Events that an item must have received since its last checkpoint.
+const MIN_NEW_EVENTS: usize = 30;
 
-/// Most items in one checkpoint.
-const MOST_ITEMS: usize = 40;
+/// Items per checkpoint.
+const MAX_ITEMS: usize = 40;
 
-/// Age of the last proof of contact from which on no checkpoints are tried.
-const STORE_AWAY_AFTER: Duration = Duration::from_millis(1_500);
+/// Age of the last proof of contact above which the store is considered unreachable.
+const MAX_PROOF_AGE: Duration = Duration::from_millis(1_500);
 
 impl InlineJobs {
-    /// Starts a write for each job whose items have gained enough.
+    /// Starts a checkpoint of each job whose items have received enough events.
     pub(crate) fn start_checkpoints(&self) {
         let age = self.inner.view.proof_age();
-        if age.is_none_or(|age| age > STORE_AWAY_AFTER) || self.is_stopping() {
+        if age.is_none_or(|age| age > MAX_PROOF_AGE) || self.is_stopping() {
             return;
         }
         if !self.inner.forwarder.policy().has(Mechanism::SavedProgress) {
             return;
         }
-        let mut book = self.book();
-        for job in book.jobs.values_mut() {
-            if job.checkpoint_at.elapsed() < CHECKPOINT_EVERY {
+        let mut registry = self.registry();
+        for job in registry.jobs.values_mut() {
+            if job.checkpoint_at.elapsed() < CHECKPOINT_INTERVAL {
                 continue;
             }
             let rows = rows_to_save(job);
@@ -45,9 +45,9 @@
             }
             job.checkpoint_at = Instant::now();
             let store = self.inner.store.clone();
-            let job_id = job.known.head.job_id.clone();
+            let job_id = job.known.header.job_id.clone();
             tokio::spawn(async move {
-                // What is not saved now is saved with the next checkpoint.
+                // The next checkpoint saves what this one fails to save.
                 let _ = store.save_progress(&job_id, &rows).await;
             });
         }
@@ -57,12 +57,12 @@
 fn rows_to_save(job: &mut OwnedJob) -> Vec<(u32, ItemProgressRow)> {
     let mut rows = Vec::new();
     for (number, item) in (0..).zip(&mut job.items) {
-        if !matches!(item.phase, ItemPhase::Running { .. }) || rows.len() >= MOST_ITEMS {
+        if !matches!(item.phase, ItemPhase::Running { .. }) || rows.len() >= MAX_ITEMS {
             continue;
         }
         let progress = lock(&item.progress);
         let (events, last) = (progress.texts.len(), progress.last_event);
-        let Some(last_event) = last.filter(|_| events >= item.saved_events + LEAST_EVENTS) else {
+        let Some(last_event) = last.filter(|_| events >= item.saved_events + MIN_NEW_EVENTS) else {
             continue;
         };
         item.saved_events = events;
--- a/crates/inline-jobs/src/lib.rs
+++ b/crates/inline-jobs/src/lib.rs
@@ -1,13 +1,12 @@
-//! Batch jobs whose items are kept in the store's table: accepted in one transaction, run by the daemon that
-//! accepted them or adopted them, listed under the revision of the job's head, readable at any daemon.
+//! Batch jobs whose items are stored in the store's table: accepted in one transaction, run by the daemon that
+//! accepted or adopted them, and readable at any daemon.
 //!
-//! Why beside `batch`: jobs of a few items need no chunk objects, shard owners or pulls. The head of each job is
-//! the only row that changes; every change of it is conditional, so an owner that was frozen or cut off can list
-//! nothing after another took over.
+//! Only a job's header changes after acceptance, and each change is conditional on its revision. An owner that was
+//! suspended or partitioned can therefore list nothing after another daemon has taken over. Unlike jobs of the
+//! `batch` crate, these need no chunk objects, shard owners or pulls.
 
 mod adoption;
 pub mod adoption_order;
-mod book;
 mod checkpoint;
 pub mod item;
 mod item_run;
@@ -15,12 +14,13 @@
 mod listing;
 mod lookup;
 mod model;
-mod no_room;
+mod no_capacity;
 pub mod owned_job;
 mod pacing;
 mod quota;
-mod quota_book;
+mod quota_ledger;
 mod ready;
+mod registry;
 mod runner;
 mod service;
 mod store;
@@ -28,13 +28,13 @@
 mod takeover;
 mod view;
 
-pub use keys::{HEADS, RowKind, crash_news, partitions, row_kind};
+pub use keys::{JOB_HEADERS, RowKind, crash_updates_key, partitions, row_kind};
 pub use model::{
-    EndOutcome, JobCaller, JobResult, Lookup, ResultPage, SubmitOutcome, SubmittedItem,
+    CancelOutcome, JobCaller, JobResult, Lookup, ResultPage, SubmitOutcome, SubmittedItem,
     SubmittedJob,
 };
 pub use pacing::{RunLength, Urgency, slack, urgency};
-pub use quota_book::{QuotaBook, QuotaDecision, QuotaRequest, RouteCount};
+pub use quota_ledger::{QuotaDecision, QuotaLedger, QuotaRequest, RouteUsage};
 pub use service::{InlineJobs, JobParts, JobSettings, Peers};
 pub use store::{FenceOutcome, JobStore, KnownFence, ListedResult, ReadResult, WriteOutcome};
-pub use view::{HeadChange, JobView, KnownHead};
+pub use view::{HeaderChange, JobView, KnownHeader};
--- a/crates/inline-jobs/src/store/transactions.rs
+++ b/crates/inline-jobs/src/store/transactions.rs
@@ -1,26 +1,26 @@
-//! The transactions that change a job's rows, within the bounds of the store.
+//! Transactions that change a job's rows, within the limits of the store.
 
 use harrierward_external::{Condition, Transaction, Write};
-use harrierward_wire::{ItemProgressRow, JobHeadRow, ResultPieceRow, encode, encode_head};
+use harrierward_wire::{ItemProgressRow, JobHeadRow, ResultPieceRow, encode, encode_job_header};
 
 use super::ListedResult;
 use crate::keys;
 
-/// Largest content of a row, bytes; base64 makes it a third longer.
-pub(super) const ROW_BYTES: usize = 45_000;
+/// Content of a row, in bytes; base64 adds a third.
+pub(super) const MAX_ROW_BYTES: usize = 45_000;
 
-/// Largest content of a transaction that is kept in rows, bytes.
-pub(super) const TRANSACTION_BYTES: usize = 600_000;
+/// Content of the items or progress in one transaction, in bytes.
+pub(super) const MAX_TRANSACTION_BYTES: usize = 600_000;
 
-/// Most entries of a transaction, conditions included: what the users' store takes.
-const TRANSACTION_ENTRIES: usize = 100;
+/// Entries of a transaction, conditions included, as the store allows.
+const MAX_TRANSACTION_ENTRIES: usize = 100;
 
-/// Splits a text at character boundaries.
+/// Splits a text into pieces of a row each, at character boundaries.
 fn pieces_of(text: &str) -> Vec<&str> {
     let mut rest = text;
     let mut pieces = Vec::new();
-    while rest.len() > ROW_BYTES {
-        let mut end = ROW_BYTES;
+    while rest.len() > MAX_ROW_BYTES {
+        let mut end = MAX_ROW_BYTES;
         while !rest.is_char_boundary(end) {
             end -= 1;
         }
@@ -32,14 +32,14 @@
     pieces
 }
 
-/// The change of a head that lists results from `position` on.
+/// Returns the transaction that replaces a header and lists results from `position` on.
 pub(super) fn listing(
     revision: u64,
-    head: &JobHeadRow,
+    header: &JobHeadRow,
     position: u32,
     results: &[ListedResult],
 ) -> Transaction {
-    let mut transaction = head_change(revision, head);
+    let mut transaction = header_change(revision, header);
     for (position, result) in (position..).zip(results) {
         let pieces = pieces_of(&result.text);
         let count = u32::try_from(pieces.len()).unwrap_or(u32::MAX);
@@ -49,14 +49,14 @@
                 pieces: count,
                 text: text.to_owned(),
             };
-            let key = keys::result(&head.job_id, position, number);
+            let key = keys::result(&header.job_id, position, number);
             transaction = transaction.put(key, encode(&row));
         }
     }
     transaction
 }
 
-/// Adds rows of progress within the bounds of one transaction.
+/// Adds progress rows as far as the transaction has capacity.
 pub(super) fn add_progress(
     mut transaction: Transaction,
     job_id: &str,
@@ -68,26 +68,26 @@
     });
     let mut bytes: usize = puts.sum();
     let entries = transaction.conditions.len() + transaction.writes.len();
-    let mut room = TRANSACTION_ENTRIES.saturating_sub(entries);
+    let mut free_entries = MAX_TRANSACTION_ENTRIES.saturating_sub(entries);
     for (item, row) in progress {
         let content = encode(row);
-        let fits = content.len() <= ROW_BYTES && bytes + content.len() <= TRANSACTION_BYTES;
-        if room == 0 || !fits {
+        let fits = content.len() <= MAX_ROW_BYTES && bytes + content.len() <= MAX_TRANSACTION_BYTES;
+        if free_entries == 0 || !fits {
             continue;
         }
-        room -= 1;
+        free_entries -= 1;
         bytes += content.len();
         transaction = transaction.put(keys::progress(job_id, *item), content);
     }
     transaction
 }
 
-pub(super) fn head_change(revision: u64, head: &JobHeadRow) -> Transaction {
-    let key = keys::head(&head.job_id);
+pub(super) fn header_change(revision: u64, header: &JobHeadRow) -> Transaction {
+    let key = keys::header(&header.job_id);
     Transaction::default()
         .require(Condition::AtRevision {
             key: key.clone(),
             revision,
         })
-        .put(key, encode_head(head))
+        .put(key, encode_job_header(header))
 }
--- a/crates/inline-jobs/src/takeover.rs
+++ b/crates/inline-jobs/src/takeover.rs
@@ -1,35 +1,36 @@
-//! Owners that are held for gone are challenged in the job's head; an owner that lives refutes that, and keeps the job.
+//! Takeover of jobs whose owners are missing: a daemon challenges the owner in the job's header, and an owner that is
+//! alive refutes the challenge and keeps the job.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{MutexGuard, PoisonError};
 use std::time::Duration;
 
-use harrierward_ownership::{Claim, OwnerStanding, Step, TakeoverBounds, Takeovers};
+use harrierward_ownership::{OwnerStatus, OwnershipRecord, Step, TakeoverBounds, Takeovers};
 use harrierward_wire::JobHeadRow;
 use tokio::time::Instant;
 
-use crate::adoption::ADOPT_HOLD;
+use crate::adoption::HEADER_WRITE_TIMEOUT;
 use crate::adoption_order::{challenged, refuted};
-use crate::owned_job::LeftWork;
+use crate::owned_job::HandoverState;
 use crate::service::InlineJobs;
 use crate::store::WriteOutcome;
-use crate::view::{HeadChange, KnownHead};
+use crate::view::{HeaderChange, KnownHeader};
 
-/// An owner that is challenged and whose job came to nothing for so long gives it up instead of refuting: it reaches the
-/// store, and perhaps no replica.
-const STUCK_AFTER: Duration = Duration::from_secs(5);
+/// A challenged owner whose job has made no progress for this long releases it instead of refuting: it reaches the
+/// store, but possibly no replica.
+const STUCK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Most heads that this daemon writes at once for takeovers: a cut that makes all other owners missing shall not fill the
-/// queues of the store, through which their refutations go.
-const MOST_WRITES: usize = 8;
+/// Header writes of takeovers in flight at once. A daemon that is partitioned from all other owners must not fill the
+/// store's queues, which also carry their refutations.
+const MAX_CONCURRENT_WRITES: usize = 8;
 
-/// The takeovers of this daemon, on a clock that counts suspensions.
+/// Takeover state of this daemon. Its clock includes time during which the process was suspended.
 pub(crate) struct JobTakeovers {
     core: Takeovers,
-    began: Instant,
-    /// Jobs whose head this daemon is writing.
+    origin: Instant,
+    /// Jobs with a header write in flight.
     writing: HashSet<String>,
-    /// Jobs whose items this daemon is reading, and since when.
+    /// Jobs whose items are being read, with the start of the read.
     loading: HashMap<String, Instant>,
 }
 
@@ -37,7 +38,7 @@
     fn default() -> Self {
         Self {
             core: Takeovers::new(TakeoverBounds::default(), rand::random()),
-            began: harrierward_clock::now(),
+            origin: harrierward_clock::now(),
             writing: HashSet::new(),
             loading: HashMap::new(),
         }
@@ -46,41 +47,40 @@
 
 impl JobTakeovers {
     fn now(&self) -> Duration {
-        harrierward_clock::age(self.began)
+        harrierward_clock::age(self.origin)
     }
 
-    /// What to do about a job now; what is not to wait is under way until [`Self::written`]. `delay` is how long this daemon lets
-    /// others go first, `None` if the job is not for it.
+    /// Returns the step due for a job. Any step but [`Step::Wait`] counts as in flight until [`Self::end_write`].
+    /// `delay` is the time for which this daemon defers to others, `None` if it may not adopt the job.
     pub fn step(
         &mut self,
-        known: &KnownHead,
-        standing: OwnerStanding,
+        known: &KnownHeader,
+        status: OwnerStatus,
         delay: impl FnOnce() -> Option<Duration>,
     ) -> Step {
-        let job_id = &known.head.job_id;
-        if self.writing.len() >= MOST_WRITES || self.writing.contains(job_id) {
+        let job_id = &known.header.job_id;
+        if self.writing.len() >= MAX_CONCURRENT_WRITES || self.writing.contains(job_id) {
             return Step::Wait;
         }
         let now = self.now();
-        let delay = || delay().unwrap_or(NOT_FOR_THIS_DAEMON);
-        let step = self.core.step(claim(known), standing, delay, now);
+        let delay = || delay().unwrap_or(INELIGIBLE_DELAY);
+        let step = self.core.step(ownership_record(known), status, delay, now);
         if step != Step::Wait {
             self.writing.insert(job_id.clone());
         }
         step
     }
 
-    /// Begins the write of a job's head; false if one is under way.
+    /// Marks a header write as in flight; false if one already is.
     fn begin_write(&mut self, job_id: &str) -> bool {
         self.writing.insert(job_id.to_owned())
     }
 
-    /// The write of a job's head has ended.
-    pub fn written(&mut self, job_id: &str) {
+    pub fn end_write(&mut self, job_id: &str) {
         self.writing.remove(job_id);
     }
 
-    /// Begins the reading of a job's items; false if that is under way.
+    /// Marks the read of a job's items as in flight; false if it already is.
     pub fn begin_load(&mut self, job_id: &str) -> bool {
         if self.loading.contains_key(job_id) {
             return false;
@@ -89,48 +89,48 @@
         true
     }
 
-    /// A job's items were read, or need not be.
-    pub fn loaded(&mut self, job_id: &str) {
+    /// Marks the read of a job's items as finished or cancelled.
+    pub fn end_load(&mut self, job_id: &str) {
         self.loading.remove(job_id);
     }
 
-    /// True if a job's items could not be read for so long.
-    fn has_loaded_for(&self, job_id: &str, patience: Duration) -> bool {
+    /// True if the read of a job's items has been in flight for at least `timeout`.
+    fn has_been_loading_for(&self, job_id: &str, timeout: Duration) -> bool {
         let since = self.loading.get(job_id);
-        since.is_some_and(|since| since.elapsed() >= patience)
+        since.is_some_and(|since| since.elapsed() >= timeout)
     }
 
-    /// Forgets jobs that are not open any more.
+    /// Drops the state of jobs that are no longer open.
     pub fn retain(&mut self, is_open: impl Fn(&str) -> bool) {
         let now = self.now();
         self.core.retain(is_open, now);
     }
 }
 
-/// Delay of a daemon that must not adopt a job, since it may not read its bodies: longer than any job is open.
-const NOT_FOR_THIS_DAEMON: Duration = Duration::from_secs(1_000_000);
+/// Delay of a daemon that may not read the job's bodies and so must not adopt it; longer than any job stays open.
+const INELIGIBLE_DELAY: Duration = Duration::from_secs(1_000_000);
 
-fn claim(known: &KnownHead) -> Claim<'_> {
-    let head = &known.head;
-    Claim {
-        asset: &head.job_id,
-        owner: &head.owner,
-        challenger: &head.challenger,
-        epoch: head.epoch,
-        takeovers: head.takeovers,
+fn ownership_record(known: &KnownHeader) -> OwnershipRecord<'_> {
+    let header = &known.header;
+    OwnershipRecord {
+        resource: &header.job_id,
+        owner: &header.owner,
+        challenger: &header.challenger,
+        epoch: header.epoch,
+        takeovers: header.takeovers,
         revision: known.revision,
     }
 }
 
-/// A write of a job's head that is under way.
-struct EnteredWrite {
+/// Marks the job's header write as finished when dropped.
+struct WriteGuard {
     jobs: InlineJobs,
     job_id: String,
 }
 
-impl Drop for EnteredWrite {
+impl Drop for WriteGuard {
     fn drop(&mut self) {
-        self.jobs.takeovers().written(&self.job_id);
+        self.jobs.takeovers().end_write(&self.job_id);
     }
 }
 
@@ -142,124 +142,130 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How this daemon sees the owner of a job.
-    pub(crate) fn owner_standing(&self, head: &JobHeadRow) -> OwnerStanding {
-        if head.owner.is_empty() {
-            OwnerStanding::GivenUp
-        } else if self.owns(head) {
-            OwnerStanding::Present
+    pub(crate) fn owner_status(&self, header: &JobHeadRow) -> OwnerStatus {
+        if header.owner.is_empty() {
+            OwnerStatus::Unowned
+        } else if self.owns(header) {
+            OwnerStatus::Present
         } else {
-            self.inner.peers.standing(&head.owner)
+            self.inner.peers.owner_status(&header.owner)
         }
     }
 
-    /// What a change of a head shows of owners, and an answer to whoever challenges this one.
-    pub(crate) fn note_owners(&self, change: &HeadChange) {
-        let HeadChange { before, known } = change;
+    /// Passes a header change to the takeover logic, and refutes a challenge of a job that this daemon owns.
+    pub(crate) fn note_owners(&self, change: &HeaderChange) {
+        let HeaderChange { before, known } = change;
         if let Some(before) = before {
-            let is_present = self.owner_standing(&before.head) == OwnerStanding::Present;
+            let is_present = self.owner_status(&before.header) == OwnerStatus::Present;
             let mut takeovers = self.takeovers();
             let now = takeovers.now();
-            takeovers
-                .core
-                .note_change(claim(before), claim(known), is_present, now);
+            takeovers.core.note_change(
+                ownership_record(before),
+                ownership_record(known),
+                is_present,
+                now,
+            );
         }
-        if self.owns(&known.head) && known.is_open() {
-            self.answer_if_challenged(known);
+        if self.owns(&known.header) && known.is_open() {
+            self.refute_if_challenged(known);
         }
     }
 
-    /// Answers a challenge of a job of this daemon. Called again and again while it stands: an answer may be lost on its way.
-    pub(crate) fn answer_if_challenged(&self, known: &KnownHead) {
-        let job_id = &known.head.job_id;
-        let is_challenged = !known.head.challenger.is_empty() && !self.is_stopping();
+    /// Responds to a challenge of a job of this daemon. Repeated while the challenge stands, because a write may be
+    /// lost.
+    pub(crate) fn refute_if_challenged(&self, known: &KnownHeader) {
+        let job_id = &known.header.job_id;
+        let is_challenged = !known.header.challenger.is_empty() && !self.is_stopping();
         if !is_challenged || !self.takeovers().begin_write(job_id) {
             return;
         }
         let known = known.clone();
         self.spawn_write(known, |jobs, known| async move {
-            jobs.answer_challenge(&known).await;
+            jobs.respond_to_challenge(&known).await;
         });
     }
 
-    /// Runs the write of a job's head that has been entered as under way; it is taken off however the write ends.
+    /// Spawns a header write that is already marked as in flight; the mark is removed however the task ends.
     pub(crate) fn spawn_write<F: Future<Output = ()> + Send>(
         &self,
-        known: KnownHead,
-        write: impl FnOnce(Self, KnownHead) -> F + Send + 'static,
+        known: KnownHeader,
+        write: impl FnOnce(Self, KnownHeader) -> F + Send + 'static,
     ) {
-        let entered = EnteredWrite {
+        let guard = WriteGuard {
             jobs: self.clone(),
-            job_id: known.head.job_id.clone(),
+            job_id: known.header.job_id.clone(),
         };
         let jobs = self.clone();
         tokio::spawn(async move {
-            let _entered = entered;
+            let _guard = guard;
             write(jobs, known).await;
         });
     }
 
-    pub(crate) fn start_challenge(&self, known: KnownHead, standing: OwnerStanding) {
+    pub(crate) fn start_challenge(&self, known: KnownHeader, status: OwnerStatus) {
         self.spawn_write(known, move |jobs, known| async move {
-            jobs.challenge(&known, standing).await;
+            jobs.challenge(&known, status).await;
         });
     }
 
-    async fn challenge(&self, known: &KnownHead, standing: OwnerStanding) {
-        let head = challenged(&known.head, &self.inner.life);
-        let began = harrierward_clock::now();
-        let until = Instant::now() + ADOPT_HOLD;
+    async fn challenge(&self, known: &KnownHeader, status: OwnerStatus) {
+        let header = challenged(&known.header, &self.inner.instance_id);
+        let started_at = harrierward_clock::now();
+        let until = Instant::now() + HEADER_WRITE_TIMEOUT;
         let store = &self.inner.store;
-        let current = match store.replace_head(known.revision, &head, until).await {
-            WriteOutcome::Committed { revision } => KnownHead { head, revision },
+        let current = match store.replace_header(known.revision, &header, until).await {
+            WriteOutcome::Committed { revision } => KnownHeader { header, revision },
             WriteOutcome::Conflict {
                 current: Some(current),
             } => *current,
-            // The next look decides anew.
+            // The next check retries.
             _ => return,
         };
-        // A write whose answer was lost is met here too.
-        if current.head.challenger == self.inner.life {
-            self.log_ownership(&known.head, &current.head, "challenged", standing.name());
+        // The current header may also carry this daemon's challenge, from a write whose response was lost.
+        if current.header.challenger == self.inner.instance_id {
+            self.log_ownership(&known.header, &current.header, "challenged", status.name());
             let mut takeovers = self.takeovers();
             let now = takeovers.now();
-            let took = harrierward_clock::age(began);
-            takeovers.core.challenged(claim(&current), took, now);
+            let elapsed = harrierward_clock::age(started_at);
+            takeovers
+                .core
+                .note_challenge(ownership_record(&current), elapsed, now);
         }
-        self.learn(current);
+        self.note_header(current);
     }
 
-    /// Another daemon holds this one for gone.
-    async fn answer_challenge(&self, known: &KnownHead) {
-        let until = Instant::now() + ADOPT_HOLD;
-        if let Some(left) = self.take_stuck(&known.head.job_id) {
+    /// Refutes a challenge, or releases the job if it is stuck here.
+    async fn respond_to_challenge(&self, known: &KnownHeader) {
+        let until = Instant::now() + HEADER_WRITE_TIMEOUT;
+        if let Some(state) = self.stop_if_stuck(&known.header.job_id) {
             let reason = "challenged while it got nowhere";
-            self.hand_over(known.clone(), left, reason, until).await;
+            self.hand_over(known.clone(), state, reason, until).await;
             return;
         }
-        let head = refuted(&known.head);
+        let header = refuted(&known.header);
         let store = &self.inner.store;
-        match store.replace_head(known.revision, &head, until).await {
+        match store.replace_header(known.revision, &header, until).await {
             WriteOutcome::Committed { revision } => {
-                self.log_ownership(&known.head, &head, "refuted", &known.head.challenger);
-                self.learn(KnownHead { head, revision });
+                self.log_ownership(&known.header, &header, "refuted", &known.header.challenger);
+                self.note_header(KnownHeader { header, revision });
             }
-            // Listed results refute it as well, and so does what else this daemon has written meanwhile.
+            // The conflicting write of this daemon, such as a listing, has refuted the challenge as well.
             WriteOutcome::Conflict {
                 current: Some(current),
-            } => self.learn(*current),
-            // It is taken over if the store keeps this daemon away for longer.
+            } => self.note_header(*current),
+            // The challenger takes the job over if the store stays unreachable for this daemon.
             _ => {}
         }
     }
 
-    /// What is left of a job of this daemon that gets nowhere here; `None` for one that moves or waits for slots.
-    fn take_stuck(&self, job_id: &str) -> Option<LeftWork> {
-        if self.takeovers().has_loaded_for(job_id, STUCK_AFTER) {
-            return Some(LeftWork::default());
+    /// Stops a stuck job and returns its state for the handover; `None` if the job progresses or only waits for
+    /// slots.
+    fn stop_if_stuck(&self, job_id: &str) -> Option<HandoverState> {
+        if self.takeovers().has_been_loading_for(job_id, STUCK_TIMEOUT) {
+            return Some(HandoverState::default());
         }
-        let mut book = self.book();
-        let job = book.jobs.get_mut(job_id)?;
-        job.is_stuck(STUCK_AFTER).then(|| job.left_work())
+        let mut registry = self.registry();
+        let job = registry.jobs.get_mut(job_id)?;
+        job.is_stuck(STUCK_TIMEOUT).then(|| job.stop_for_handover())
     }
 }
--- a/crates/inline-jobs/tests/stuck.rs
+++ b/crates/inline-jobs/tests/stuck.rs
@@ -1,21 +1,21 @@
-//! Which jobs get nowhere at their owner, so that it gives them up when it is challenged.
+//! Guards against refuting a challenge for a job that does not progress, and against releasing one that does.
 
 use std::time::Duration;
 
-use harrierward_inline_jobs::KnownHead;
+use harrierward_inline_jobs::KnownHeader;
 use harrierward_inline_jobs::owned_job::OwnedJob;
 use harrierward_wire::{ItemHeadRow, JobHeadRow};
 use tokio::time::{Instant, advance};
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-fn known(listed: &[u32]) -> KnownHead {
+fn known(listed: &[u32]) -> KnownHeader {
     let items = (0..3).map(|number| ItemHeadRow {
         id: format!("item-{number}"),
         tokens: 10,
     });
-    KnownHead {
-        head: JobHeadRow {
+    KnownHeader {
+        header: JobHeadRow {
             job_id: "job-1".to_owned(),
             items: items.collect(),
             listed: listed.to_vec(),
@@ -27,7 +27,7 @@
     }
 }
 
-/// A job that was entered more than the patience ago, and of which a run has just failed to reach a replica.
+/// Returns a job registered longer ago than the timeout, with a run that has just broken.
 async fn job_with_a_broken_run() -> OwnedJob {
     let mut job = OwnedJob::new(known(&[]), Vec::new(), Vec::new());
     advance(Duration::from_secs(20)).await;
@@ -36,34 +36,34 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_whose_runs_come_to_nothing_is_stuck() {
+async fn a_job_whose_runs_break_is_stuck() {
     let job = job_with_a_broken_run().await;
-    assert!(job.is_stuck(PATIENCE));
+    assert!(job.is_stuck(TIMEOUT));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_job_that_waits_for_slots_is_not_stuck() {
     let job = OwnedJob::new(known(&[]), Vec::new(), Vec::new());
     advance(Duration::from_secs(20)).await;
-    assert!(!job.is_stuck(PATIENCE));
+    assert!(!job.is_stuck(TIMEOUT));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_that_has_just_been_entered_is_not_stuck() {
+async fn a_newly_registered_job_is_not_stuck() {
     let mut job = OwnedJob::new(known(&[]), Vec::new(), Vec::new());
     job.broken_run_at = Some(Instant::now());
-    assert!(!job.is_stuck(PATIENCE));
+    assert!(!job.is_stuck(TIMEOUT));
 }
 
-/// The progress of items is dropped when they are listed; the listing itself is what has moved.
+/// Listing an item drops its progress, so the listing itself must count as progress.
 #[tokio::test(start_paused = true)]
-async fn a_job_of_which_a_result_was_listed_lately_is_not_stuck() {
+async fn a_job_with_a_recently_listed_result_is_not_stuck() {
     let mut job = job_with_a_broken_run().await;
-    job.take_head(known(&[0]));
+    job.update_header(known(&[0]));
     advance(Duration::from_millis(2_800)).await;
     job.broken_run_at = Some(Instant::now());
-    assert!(!job.is_stuck(PATIENCE));
+    assert!(!job.is_stuck(TIMEOUT));
     advance(Duration::from_millis(2_200)).await;
     job.broken_run_at = Some(Instant::now());
-    assert!(job.is_stuck(PATIENCE));
+    assert!(job.is_stuck(TIMEOUT));
 }
--- a/crates/serving/src/forwarder.rs
+++ b/crates/serving/src/forwarder.rs
@@ -7,7 +7,7 @@
 use futures::StreamExt;
 use harrierward_decisions::{DecisionLog, Record};
 use harrierward_execution::{Execution, promises_not_run};
-use harrierward_quarantine::{ContentId, Hold, Standing};
+use harrierward_quarantine::{ContentId, ContentStatus, QuarantinePeriod};
 use tokio::time::Instant;
 
 use crate::admission::{ConfigurationProof, KeyTrust, RateLimits, RateStatus, caller_of};
@@ -124,10 +124,10 @@
         self.parts.quarantine.has_crashed(replica).await
     }
 
-    fn quarantine_of(&self, content: ContentId) -> Option<Hold> {
+    fn quarantine_of(&self, content: ContentId) -> Option<QuarantinePeriod> {
         match self.parts.quarantine.status(content) {
-            Standing::Held(active) => Some(active),
-            Standing::Clear | Standing::Suspect { .. } => None,
+            ContentStatus::Quarantined(active) => Some(active),
+            ContentStatus::Clear | ContentStatus::Suspect { .. } => None,
         }
     }
 
@@ -365,7 +365,7 @@
 }
 
 /// Refusal of a request with quarantined content; an earlier retry would be refused as well.
-fn refuse_quarantined(active: &Hold, state: &RequestState) -> Refusal {
+fn refuse_quarantined(active: &QuarantinePeriod, state: &RequestState) -> Refusal {
     let remaining = active
         .until
         .saturating_duration_since(harrierward_clock::now());
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use async_trait::async_trait;
-use harrierward_quarantine::{ContentId, Standing};
+use harrierward_quarantine::{ContentId, ContentStatus};
 
 use crate::replica::Replica;
 
@@ -14,7 +14,7 @@
     fn has_quarantined(&self) -> bool;
 
     /// Returns the status of a content. Takes no lock.
-    fn status(&self, content: ContentId) -> Standing;
+    fn status(&self, content: ContentId) -> ContentStatus;
 
     /// Records that the connection broke while the content was in progress at the replica. Does not block.
     fn note_disconnect(&self, content: ContentId, replica: &Arc<Replica>);
@@ -35,8 +35,8 @@
         false
     }
 
-    fn status(&self, _content: ContentId) -> Standing {
-        Standing::Clear
+    fn status(&self, _content: ContentId) -> ContentStatus {
+        ContentStatus::Clear
     }
 
     fn note_disconnect(&self, _content: ContentId, _replica: &Arc<Replica>) {}
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -271,7 +271,7 @@
 #[test]
 fn news_of_ends_are_no_head() {
     let later = samples(include_str!("formats/862e326.txt"));
-    assert_eq!(decode_head(&later["crash_news_row"]), None);
+    assert_eq!(decode_job_header(&later["crash_news_row"]), None);
 }
 
 /// A field as a later build may write it: a number above all that are known here, of any kind.
@@ -309,9 +309,9 @@
         epoch in any::<u64>(),
     ) {
         let bytes = [before.concat(), encode(&head()), after.concat()].concat();
-        let read = decode_head(&bytes).expect("a head");
-        let rewritten = encode_head(&JobHeadRow { epoch, ..read });
-        let read_again = decode_head(&rewritten).expect("a head");
+        let read = decode_job_header(&bytes).expect("a head");
+        let rewritten = encode_job_header(&JobHeadRow { epoch, ..read });
+        let read_again = decode_job_header(&rewritten).expect("a head");
         prop_assert_eq!(&read_again.later_fields, &[before.concat(), after.concat()].concat());
         let own = JobHeadRow { later_fields: Vec::new(), ..read_again };
         prop_assert_eq!(own, JobHeadRow { epoch, ..head() });
@@ -320,7 +320,7 @@
     /// Bytes of any kind are a head or none; nothing panics.
     #[test]
     fn arbitrary_bytes_are_read_or_not(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let _ = decode_head(&bytes);
+        let _ = decode_job_header(&bytes);
         let _ = decode::<NodeDatagram>(&bytes);
         let _ = decode::<KnownRows>(&bytes);
     }
@@ -336,7 +336,7 @@
 /// All numbers that a head knows are among those that a rewrite takes for its own.
 #[test]
 fn a_head_of_this_build_has_no_later_fields() {
-    let read = decode_head(&encode(&head())).expect("a head");
+    let read = decode_job_header(&encode(&head())).expect("a head");
     assert_eq!(read, head());
 }
 
