--- a/crates/serving/src/choice.rs
+++ b/crates/serving/src/choice.rs
@@ -79,7 +79,7 @@
 }
 
 impl Choice {
-    /// Copies the prefix cache from the replica with the hash `previous`, where the work ran before.
+    /// Sets the replica with the hash `previous`, where the work ran before, as the source of the prefix cache.
     pub fn copy_from_previous(&mut self, view: &ReplicaView, previous: u32, policy: Policy) {
         let source = view.by_hash(previous);
         let source = source.filter(|_| policy.has(Mechanism::PromptCopies));
@@ -106,8 +106,8 @@
     pub choice: Choice,
 }
 
-/// Minimum share of free slots, in thousandths, above which an unresponsive replica is considered faulty rather than
-/// queueing, and prefix affinity decides on the group.
+/// Minimum share of free slots, in thousandths. Below it an unresponsive replica is more likely queueing than faulty,
+/// and a group is not preferred for prefix affinity.
 pub const MIN_FREE_PERMILLE: u32 = 150;
 
 /// Minimum number of shared tokens to copy; fewer are prefilled as fast.
--- a/crates/serving/src/outcome.rs
+++ b/crates/serving/src/outcome.rs
@@ -75,7 +75,7 @@
         observations.prefill = prefill;
     }
 
-    /// Records the first event; later calls have no effect.
+    /// Records the first event if the replica had free capacity; later calls have no effect.
     pub fn note_event(&self) {
         let mut observations = self.lock();
         if !observations.has_capacity || observations.report.first_event.is_some() {
--- a/crates/serving/src/policy.rs
+++ b/crates/serving/src/policy.rs
@@ -44,7 +44,7 @@
     OverdueLast,
     /// Replicas with an open connection from the requester cost less.
     KeptConnections,
-    /// An online request that would miss its objective is refused at once, and its caller asked to retry.
+    /// An online request that would miss its objective is refused at once with a retry interval.
     Admission,
     /// A replica that fails or is slow compared to its group gets less work or none.
     Ejection,
@@ -116,7 +116,7 @@
 
 /// Error for an unknown mechanism.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("policy: {name:?} is none of {known}")]
+#[error("unknown policy mechanism {name:?}; known mechanisms: {known}")]
 pub struct UnknownMechanism {
     /// Name that was not found.
     pub name: String,
--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -20,7 +20,7 @@
 
 /// The response can't be completed; the caller's connection must be aborted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("answer cut: {cause}")]
+#[error("response aborted: {cause}")]
 pub struct ResponseAborted {
     /// Cause, for the log.
     pub cause: String,
--- a/crates/serving/src/replica.rs
+++ b/crates/serving/src/replica.rs
@@ -99,9 +99,9 @@
     draining: AtomicBool,
     zone_evacuated: AtomicBool,
     is_unlisted: AtomicBool,
-    /// Time until which it counts as crashed, after `started`; 0 if it doesn't.
+    /// Milliseconds after `started` until which it counts as crashed; 0 if it doesn't.
     crashed_until_ms: AtomicU64,
-    /// End of the warmup, after `started`; a copy of `warmth` for the request path, which takes no lock.
+    /// End of the warmup, milliseconds after `started`; a copy of `warmth` for the request path, which takes no lock.
     cold_until_ms: AtomicU64,
     warmth: Mutex<Warmth>,
     own_online: AtomicU32,
@@ -111,7 +111,7 @@
     peers_online: AtomicU32,
     peers_batch: AtomicU32,
     peers_reported_at_ms: AtomicU64,
-    /// Origin of all stored times, on the clock that includes suspensions.
+    /// Origin of all times but those of progress, on the clock that includes suspensions.
     started: Instant,
     /// Origin of progress times, on the clock that excludes suspensions, during which no data can be received.
     receiving_since: Instant,
@@ -236,7 +236,7 @@
         self.change_warmth(|warmth| warmth.extend(until));
     }
 
-    /// Applies a row seen at `seen_at`: `remaining` is the remaining warmup, zero if the replica is warm.
+    /// Applies a row, seen at `seen_at`, that states the `remaining` warmup; zero if the replica is warm.
     pub fn note_row_warmup(&self, remaining: Duration, seen_at: Instant) {
         self.change_warmth(|warmth| warmth.apply_row(remaining, seen_at));
     }
--- a/crates/serving/src/warmth.rs
+++ b/crates/serving/src/warmth.rs
@@ -33,9 +33,8 @@
         self.service = warmup;
     }
 
-    /// Applies a row seen at `seen_at`; `remaining` is the remaining warmup, zero if the replica is warm. It counts from when
-    /// the row was seen, so a delay only prolongs it. Shortly after an assumption the row can't shorten the warmup,
-    /// since it may be older.
+    /// Applies a row that states the `remaining` warmup, zero if the replica is warm. It counts from `seen_at`, so a
+    /// delayed row only prolongs it. Shortly after an assumption a row can't shorten it, since it may be older.
     pub fn apply_row(&mut self, remaining: Duration, seen_at: Instant) {
         let until = (!remaining.is_zero()).then(|| seen_at + remaining.min(MAX_WARMUP));
         let may_be_older = |assumed: Instant| seen_at < assumed + ROW_LAG;
