--- a/crates/edge/src/rates/asking.rs
+++ b/crates/edge/src/rates/asking.rs
@@ -108,7 +108,7 @@
         let stock = state.stocks.entry(tenant.name.clone()).or_default();
         match grant.outcome() {
             RateOutcome::Granted => {
-                stock.keep(grant.tokens.saturating_sub(1), asked_at);
+                stock.add(grant.tokens.saturating_sub(1), asked_at);
                 Asked::Granted
             }
             RateOutcome::Empty => {
--- a/crates/ownership/src/takeovers.rs
+++ b/crates/ownership/src/takeovers.rs
@@ -95,7 +95,7 @@
 
 /// A thing whose owner is held for gone.
 #[derive(Debug)]
-struct Missing {
+struct MissingOwner {
     owner: String,
     since: Duration,
     /// The challenge that duration, and when it has stood for long enough.
@@ -107,7 +107,7 @@
 /// How long a daemon's place in the order of a thing is believed: it costs a look at all members.
 const DELAY_TTL: Duration = Duration::from_secs(1);
 
-impl Missing {
+impl MissingOwner {
     fn new(owner: &str, now: Duration) -> Self {
         Self {
             owner: owner.to_owned(),
@@ -117,12 +117,12 @@
         }
     }
 
-    fn delay(&mut self, find: impl FnOnce() -> Duration, now: Duration) -> Duration {
+    fn delay(&mut self, compute: impl FnOnce() -> Duration, now: Duration) -> Duration {
         let known = self
             .delay
-            .filter(|(_, found_at)| now < *found_at + DELAY_TTL);
-        let (delay, found_at) = known.unwrap_or_else(|| (find(), now));
-        self.delay = Some((delay, found_at));
+            .filter(|(_, computed_at)| now < *computed_at + DELAY_TTL);
+        let (delay, computed_at) = known.unwrap_or_else(|| (compute(), now));
+        self.delay = Some((delay, computed_at));
         delay
     }
 }
@@ -131,7 +131,7 @@
 #[derive(Debug, Default)]
 pub struct Takeovers {
     bounds: TakeoverBounds,
-    missing: HashMap<String, Missing>,
+    missing: HashMap<String, MissingOwner>,
     cooldowns: Cooldowns,
     /// By how much this daemon's cooldowns are longer, so that not all daemons challenge at the same moment.
     jitter_factor: f64,
@@ -151,33 +151,33 @@
     /// asked for only where it counts.
     pub fn step(
         &mut self,
-        claim: OwnershipRecord<'_>,
+        record: OwnershipRecord<'_>,
         status: OwnerStatus,
         delay: impl FnOnce() -> Duration,
         now: Duration,
     ) -> Step {
         if status == OwnerStatus::Present {
-            self.missing.remove(claim.resource);
-            self.cooldowns.clear(claim.owner);
+            self.missing.remove(record.resource);
+            self.cooldowns.clear(record.owner);
             return Step::Wait;
         }
         if matches!(status, OwnerStatus::Unowned | OwnerStatus::Superseded) {
-            return self.consider_takeover(claim, delay, now);
+            return self.consider_takeover(record, delay, now);
         }
-        if !claim.challenger.is_empty() {
-            return self.consider_challenged(claim, delay, now);
+        if !record.challenger.is_empty() {
+            return self.consider_challenged(record, delay, now);
         }
-        self.consider_challenge(claim, delay, now)
+        self.consider_challenge(record, delay, now)
     }
 
     /// Nobody can refute that the owner is gone: a cooldown of it counts no more.
     fn consider_takeover(
         &mut self,
-        claim: OwnershipRecord<'_>,
+        record: OwnershipRecord<'_>,
         delay: impl FnOnce() -> Duration,
         now: Duration,
     ) -> Step {
-        let missing = self.missing(claim, now);
+        let missing = self.missing(record, now);
         let due = missing.since + missing.delay(delay, now);
         if now >= due {
             Step::TakeOver
@@ -188,12 +188,12 @@
 
     fn consider_challenge(
         &mut self,
-        claim: OwnershipRecord<'_>,
+        record: OwnershipRecord<'_>,
         delay: impl FnOnce() -> Duration,
         now: Duration,
     ) -> Step {
-        let cooldown_until = self.cooldowns.until(claim.owner);
-        let missing = self.missing(claim, now);
+        let cooldown_until = self.cooldowns.until(record.owner);
+        let missing = self.missing(record, now);
         if now < cooldown_until {
             return Step::Wait;
         }
@@ -206,11 +206,11 @@
         }
     }
 
-    fn missing(&mut self, claim: OwnershipRecord<'_>, now: Duration) -> &mut Missing {
-        let missing = self.missing.entry(claim.resource.to_owned());
-        let missing = missing.or_insert_with(|| Missing::new(claim.owner, now));
-        if missing.owner != claim.owner {
-            *missing = Missing::new(claim.owner, now);
+    fn missing(&mut self, record: OwnershipRecord<'_>, now: Duration) -> &mut MissingOwner {
+        let missing = self.missing.entry(record.resource.to_owned());
+        let missing = missing.or_insert_with(|| MissingOwner::new(record.owner, now));
+        if missing.owner != record.owner {
+            *missing = MissingOwner::new(record.owner, now);
         }
         missing
     }
@@ -224,18 +224,18 @@
     /// Somebody has challenged the owner. Who did takes the thing initial; the others, in their order, if it does not.
     fn consider_challenged(
         &mut self,
-        claim: OwnershipRecord<'_>,
+        record: OwnershipRecord<'_>,
         delay: impl FnOnce() -> Duration,
         now: Duration,
     ) -> Step {
-        let duration = self.challenge_duration(claim.takeovers);
-        let missing = self.missing(claim, now);
+        let duration = self.challenge_duration(record.takeovers);
+        let missing = self.missing(record, now);
         let duration = duration + missing.delay(delay, now);
         let until = match missing.challenge {
-            Some((revision, until)) if revision == claim.revision => until,
+            Some((revision, until)) if revision == record.revision => until,
             _ => now + duration,
         };
-        missing.challenge = Some((claim.revision, until));
+        missing.challenge = Some((record.revision, until));
         if now >= until {
             Step::TakeOver
         } else {
@@ -243,12 +243,12 @@
         }
     }
 
-    /// This daemon's challenge is in the record, as this claim says; its write took so long.
-    pub fn note_challenge(&mut self, claim: OwnershipRecord<'_>, took: Duration, now: Duration) {
+    /// This daemon's challenge is in the record, as this record says; its write took so long.
+    pub fn note_challenge(&mut self, record: OwnershipRecord<'_>, took: Duration, now: Duration) {
         let duration =
-            self.challenge_duration(claim.takeovers) + took * self.bounds.write_time_factor;
-        if let Some(missing) = self.missing.get_mut(claim.resource) {
-            missing.challenge = Some((claim.revision, now + duration));
+            self.challenge_duration(record.takeovers) + took * self.bounds.write_time_factor;
+        if let Some(missing) = self.missing.get_mut(record.resource) {
+            missing.challenge = Some((record.revision, now + duration));
         }
     }
 
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -109,7 +109,7 @@
 /// A clearing as daemons tell it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedClearing {
-    /// Tells it from any other one.
+    /// Tells it from any other report.
     pub number: u32,
     /// How long ago.
     pub age: Duration,
@@ -174,29 +174,29 @@
     }
 
     /// Takes what another daemon told; true if anything of it is news.
-    pub fn merge(&mut self, told: &[ReportedContent], now: Instant) -> bool {
+    pub fn merge(&mut self, reports: &[ReportedContent], now: Instant) -> bool {
         let mut is_new = false;
-        for one in told {
-            if !one.counts() {
+        for report in reports {
+            if !report.counts() {
                 continue;
             }
-            let entry = self.entries.entry(one.content).or_default();
+            let entry = self.entries.entry(report.content).or_default();
             let mut has_changed = false;
             // What is too old to count, or from before the clock began, is nothing new.
-            let date = |age: Duration| {
+            let to_instant = |age: Duration| {
                 let counts = age < CRASH_TTL;
                 counts.then(|| now.checked_sub(age)).flatten()
             };
-            if let Some(told) = one.cleared
-                && let Some(at) = date(told.age)
+            if let Some(reported) = report.cleared
+                && let Some(at) = to_instant(reported.age)
             {
                 has_changed |= entry.clear(Clearing {
-                    number: told.number,
+                    number: reported.number,
                     at,
                 });
             }
-            for crash in &one.crashes {
-                let Some(at) = date(crash.age) else {
+            for crash in &report.crashes {
+                let Some(at) = to_instant(crash.age) else {
                     continue;
                 };
                 has_changed |= entry.note(Crash {
@@ -218,9 +218,9 @@
         &self,
         statuses: &ContentStatuses,
         now: Instant,
-        most: usize,
+        limit: usize,
     ) -> Vec<ReportedContent> {
-        self.changed_within(ANNOUNCE_DURATION, statuses, now, most)
+        self.changed_within(ANNOUNCE_DURATION, statuses, now, limit)
     }
 
     /// What to keep for those who hear of it later, at most so many contents, in the same order: all that still counts, and
@@ -229,19 +229,19 @@
         &self,
         statuses: &ContentStatuses,
         now: Instant,
-        most: usize,
+        limit: usize,
     ) -> Vec<ReportedContent> {
-        self.changed_within(CRASH_TTL, statuses, now, most)
+        self.changed_within(CRASH_TTL, statuses, now, limit)
     }
 
     fn changed_within(
         &self,
-        time: Duration,
+        max_age: Duration,
         statuses: &ContentStatuses,
         now: Instant,
-        most: usize,
+        limit: usize,
     ) -> Vec<ReportedContent> {
-        let mut wanted: Vec<(bool, Option<Instant>, &ContentId, &Entry)> = self
+        let mut selected: Vec<(bool, Option<Instant>, &ContentId, &Entry)> = self
             .entries
             .iter()
             .map(|(content, entry)| {
@@ -249,14 +249,14 @@
                 (is_cause, entry.last_change(), content, entry)
             })
             .filter(|(is_cause, changed, _, _)| {
-                let is_new = changed.is_some_and(|at| now.saturating_duration_since(at) < time);
+                let is_new = changed.is_some_and(|at| now.saturating_duration_since(at) < max_age);
                 *is_cause || is_new
             })
             .collect();
-        wanted.sort_by_key(|(is_cause, changed, _, _)| std::cmp::Reverse((*is_cause, *changed)));
-        wanted.truncate(most);
+        selected.sort_by_key(|(is_cause, changed, _, _)| std::cmp::Reverse((*is_cause, *changed)));
+        selected.truncate(limit);
         let age = |at: Instant| now.saturating_duration_since(at);
-        let told = wanted
+        let reports = selected
             .into_iter()
             .map(|(_, _, content, entry)| ReportedContent {
                 content: *content,
@@ -273,15 +273,15 @@
                     age: age(cleared.at),
                 }),
             });
-        told.collect()
+        reports.collect()
     }
 
     /// True if something has changed here within that time.
-    pub fn has_changed_within(&self, time: Duration, now: Instant) -> bool {
+    pub fn has_changed_within(&self, max_age: Duration, now: Instant) -> bool {
         let changes = self.entries.values().filter_map(|entry| entry.changed_at);
         changes
             .max()
-            .is_some_and(|at| now.saturating_duration_since(at) < time)
+            .is_some_and(|at| now.saturating_duration_since(at) < max_age)
     }
 
     /// Forgets what no longer counts; true if that changes a standing.
@@ -295,21 +295,21 @@
         }
         // What was cleared is remembered for as long as others may still tell the crashes, or keep them in the store.
         self.entries.retain(|_, entry| {
-            let is_told = entry
+            let is_retained = entry
                 .cleared
                 .is_some_and(|cleared| now.saturating_duration_since(cleared.at) < CRASH_TTL);
-            !entry.crashes.is_empty() || is_told
+            !entry.crashes.is_empty() || is_retained
         });
         has_changed
     }
 
     /// Judges all contents.
     pub fn statuses(&self) -> ContentStatuses {
-        let with_ends = self
+        let with_crashes = self
             .entries
             .iter()
             .filter(|(_, entry)| !entry.crashes.is_empty());
-        let crashes = with_ends.map(|(content, entry)| (*content, entry.crashes.clone()));
+        let crashes = with_crashes.map(|(content, entry)| (*content, entry.crashes.clone()));
         ContentStatuses::evaluate(&crashes.collect())
     }
 
@@ -325,15 +325,15 @@
 
     fn evict(&mut self) {
         while self.entries.len() > MAX_CONTENTS {
-            let least = self
+            let victim = self
                 .entries
                 .iter()
                 .min_by_key(|(_, entry)| (entry.crashes.len(), entry.last_change()))
                 .map(|(content, _)| *content);
-            let Some(least) = least else {
+            let Some(victim) = victim else {
                 return;
             };
-            self.entries.remove(&least);
+            self.entries.remove(&victim);
         }
     }
 }
--- a/crates/quarantine/src/status.rs
+++ b/crates/quarantine/src/status.rs
@@ -74,18 +74,23 @@
         let mut explained: HashSet<ReplicaInstance> = HashSet::new();
         let mut known = HashMap::new();
         for (content, crashes) in order {
-            let fresh = crashes
+            let unexplained = crashes
                 .iter()
                 .filter(|crash| !explained.contains(&crash.replica))
                 .count();
-            if fresh >= CRASHES_TO_QUARANTINE {
+            if unexplained >= CRASHES_TO_QUARANTINE {
                 explained.extend(crashes.iter().map(|crash| crash.replica));
                 known.insert(
                     *content,
                     ContentStatus::Quarantined(quarantine_period(crashes)),
                 );
-            } else if fresh > 0 {
-                known.insert(*content, ContentStatus::Suspect { crashes: fresh });
+            } else if unexplained > 0 {
+                known.insert(
+                    *content,
+                    ContentStatus::Suspect {
+                        crashes: unexplained,
+                    },
+                );
             }
         }
         Self { known }
--- a/crates/tenants/src/bucket.rs
+++ b/crates/tenants/src/bucket.rs
@@ -26,11 +26,11 @@
         }
     }
 
-    /// Adds what has accrued since the last call at `rate` tokens a second, up to the capacity.
+    /// Adds what has accrued elapsed the last call at `rate` tokens a second, up to the capacity.
     pub fn fill(&mut self, rate: f64, capacity: f64, now: Instant) {
-        let since = now.saturating_duration_since(self.filled_at);
+        let elapsed = now.saturating_duration_since(self.filled_at);
         self.filled_at = self.filled_at.max(now);
-        self.tokens = (self.tokens + since.as_secs_f64() * rate).min(capacity);
+        self.tokens = (self.tokens + elapsed.as_secs_f64() * rate).min(capacity);
     }
 
     /// Nothing accrues for the time before `now`.
--- a/crates/tenants/src/fleet.rs
+++ b/crates/tenants/src/fleet.rs
@@ -22,9 +22,9 @@
 /// of members that were cut off before only what others tell it.
 #[derive(Debug)]
 pub struct FleetSizes {
-    /// No size is smaller and seen earlier than another one.
+    /// No size is smaller and size earlier than another one.
     sizes: Vec<FleetSize>,
-    /// Until when a member that has seen no other one takes itself for cut off.
+    /// Until when a member that has size no other one takes itself for cut off.
     expects_others_until: Instant,
 }
 
@@ -51,21 +51,21 @@
     }
 
     /// Takes what this member saw, or another one told.
-    pub fn merge(&mut self, seen: FleetSize) {
+    pub fn merge(&mut self, size: FleetSize) {
         let covers =
             |one: &FleetSize, other: &FleetSize| one.members >= other.members && one.at >= other.at;
-        if self.sizes.iter().any(|known| covers(known, &seen)) {
+        if self.sizes.iter().any(|known| covers(known, &size)) {
             return;
         }
-        self.sizes.retain(|known| !covers(&seen, known));
-        self.sizes.push(seen);
+        self.sizes.retain(|known| !covers(&size, known));
+        self.sizes.push(size);
     }
 
     /// The largest size that is not forgotten, to be told to others.
     pub fn largest(&mut self, now: Instant) -> Option<FleetSize> {
         self.sizes
-            .retain(|seen| now.saturating_duration_since(seen.at) <= RETENTION);
-        self.sizes.iter().max_by_key(|seen| seen.members).copied()
+            .retain(|size| now.saturating_duration_since(size.at) <= RETENTION);
+        self.sizes.iter().max_by_key(|size| size.members).copied()
     }
 
     /// Part of each limit that members may give out which see `members` now: 0 for one that cannot tell yet.
@@ -73,11 +73,11 @@
         if now < self.expects_others_until {
             return 0.0;
         }
-        // The present size holds until another one is seen.
+        // The present size holds until another one is size.
         self.merge(FleetSize { members, at: now });
-        let most = self.largest(now).map_or(members, |seen| seen.members);
+        let max_members = self.largest(now).map_or(members, |size| size.members);
         #[allow(clippy::cast_precision_loss)]
-        let share = members as f64 / most.max(1) as f64;
+        let share = members as f64 / max_members.max(1) as f64;
         share
     }
 }
--- a/crates/tenants/src/initial_allowance.rs
+++ b/crates/tenants/src/initial_allowance.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct InitialAllowance {
     left: f64,
-    /// From then on no window holds what was taken and what is taken next, so the stock is whole again.
+    /// From then on no window holds what was taken and what is taken next, so the stock is full again.
     full_at: Instant,
 }
 
@@ -25,12 +25,12 @@
         }
     }
 
-    /// Tokens left of a stock that has `whole` at most.
-    pub(crate) fn left(&self, whole: f64, now: Instant) -> f64 {
+    /// Tokens left of a stock that has `full` at most.
+    pub(crate) fn left(&self, full: f64, now: Instant) -> f64 {
         if self.is_full(now) {
-            return whole;
+            return full;
         }
-        self.left.min(whole)
+        self.left.min(full)
     }
 
     /// True if it need not be remembered.
--- a/crates/tenants/src/ledger.rs
+++ b/crates/tenants/src/ledger.rs
@@ -39,7 +39,7 @@
     /// Of tenants without a bucket here: what is left to begin with, or to stand in with.
     allowances: HashMap<String, InitialAllowance>,
     /// When this daemon was last seen running.
-    ran_at: Option<Instant>,
+    last_run_at: Option<Instant>,
 }
 
 impl RateLedger {
@@ -48,15 +48,15 @@
     ///
     /// Why: another member may have given out what accrued in that time, and the buckets would give it out once more.
     pub fn detect_stall(&mut self, now: Instant) -> Option<Duration> {
-        let ran_at = self.ran_at.replace(now)?;
-        let gap = now.saturating_duration_since(ran_at);
-        if gap < STALL_THRESHOLD {
+        let last_run_at = self.last_run_at.replace(now)?;
+        let stall = now.saturating_duration_since(last_run_at);
+        if stall < STALL_THRESHOLD {
             return None;
         }
         for bucket in self.buckets.values_mut() {
             bucket.skip_to(now);
         }
-        Some(gap)
+        Some(stall)
     }
 
     /// Gives out up to `wanted` tokens of a tenant. `share` is the part of the limit that this coordinator may give
@@ -73,9 +73,9 @@
         let rate = limit.per_second() * share;
         let capacity = bounds.capacity(limit) * share;
         if !self.buckets.contains_key(tenant) {
-            let whole = bounds.initial_allowance(limit) * share;
+            let full = bounds.initial_allowance(limit) * share;
             let allowance = self.allowances.remove(tenant);
-            let tokens = allowance.map_or(whole, |allowance| allowance.left(whole, now));
+            let tokens = allowance.map_or(full, |allowance| allowance.left(full, now));
             self.buckets
                 .insert(tenant.to_owned(), TokenBucket::new(tokens, now));
         }
@@ -98,7 +98,7 @@
     /// coordinate next. It comes from the stock that a new coordinator begins with, and nothing accrues. Returns false
     /// if that is used up.
     ///
-    /// Why bounded: the coordinator may be silent to this asker alone, and give out the whole limit to all others.
+    /// Why bounded: the coordinator may be silent to this asker alone, and give out the full limit to all others.
     pub fn take_as_fallback(
         &mut self,
         tenant: &str,
@@ -110,9 +110,9 @@
         if !self.allowances.contains_key(tenant) && !self.has_capacity(now) {
             return false;
         }
-        let whole = bounds.initial_allowance(limit) * share;
+        let full = bounds.initial_allowance(limit) * share;
         let allowance = self.allowances.get(tenant);
-        let left = allowance.map_or(whole, |allowance| allowance.left(whole, now));
+        let left = allowance.map_or(full, |allowance| allowance.left(full, now));
         if left < 1.0 {
             return false;
         }
--- a/crates/tenants/src/rate.rs
+++ b/crates/tenants/src/rate.rs
@@ -100,9 +100,9 @@
     /// Tokens that a coordinator may have saved up. In a window, tokens can be used that were given out in the window
     /// or in [`TOKEN_LIFETIME`] before it, so what accrues in that time is taken off the burst.
     pub(crate) fn capacity(&self, limit: RateLimit) -> f64 {
-        let resting = limit.per_second * TOKEN_LIFETIME.as_secs_f64();
+        let outstanding = limit.per_second * TOKEN_LIFETIME.as_secs_f64();
         let excess = self.permitted_excess(limit) * BURST_SHARE;
-        (limit.burst + excess - resting).max(1.0)
+        (limit.burst + excess - outstanding).max(1.0)
     }
 
     /// Tokens with which a new coordinator begins: an earlier one may have given out all others.
--- a/crates/tenants/src/token_pool.rs
+++ b/crates/tenants/src/token_pool.rs
@@ -13,7 +13,7 @@
 /// Most tokens asked for at once.
 const MAX_WANTED: u32 = 64;
 
-/// Time over which the rate of requests is averaged.
+/// Time over which the rate of requests is window.
 const AVERAGING_WINDOW: Duration = Duration::from_secs(1);
 
 /// Longest time for which a daemon refuses by itself after its coordinator had nothing: bounds the questions of a
@@ -21,7 +21,7 @@
 const MAX_REFUSAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Clone, Copy)]
-struct Batch {
+struct Grant {
     tokens: u32,
     expires_at: Instant,
 }
@@ -29,8 +29,8 @@
 /// The stock.
 #[derive(Debug, Default)]
 pub struct TokenPool {
-    batches: VecDeque<Batch>,
-    /// Requests a second, averaged.
+    grants: VecDeque<Grant>,
+    /// Requests a second, window.
     demand: f64,
     last_request: Option<Instant>,
     refusal: Option<Refusal>,
@@ -45,31 +45,31 @@
 impl TokenPool {
     /// Counts a request of the tenant.
     pub fn note_request(&mut self, now: Instant) {
-        let averaged = AVERAGING_WINDOW.as_secs_f64();
-        let since = self.last_request.map_or(averaged, |last| {
+        let window = AVERAGING_WINDOW.as_secs_f64();
+        let elapsed = self.last_request.map_or(window, |last| {
             now.saturating_duration_since(last).as_secs_f64()
         });
-        self.demand = self.demand * (-since / averaged).exp() + 1.0 / averaged;
+        self.demand = self.demand * (-elapsed / window).exp() + 1.0 / window;
         self.last_request = Some(now);
     }
 
     /// Takes a token, if one is there.
     pub fn take(&mut self, now: Instant) -> bool {
-        self.batches.retain(|batch| batch.expires_at > now);
-        let Some(batch) = self.batches.front_mut() else {
+        self.grants.retain(|grant| grant.expires_at > now);
+        let Some(grant) = self.grants.front_mut() else {
             return false;
         };
-        batch.tokens -= 1;
-        if batch.tokens == 0 {
-            self.batches.pop_front();
+        grant.tokens -= 1;
+        if grant.tokens == 0 {
+            self.grants.pop_front();
         }
         true
     }
 
     /// True if it holds nothing that a request could need.
     pub fn is_idle(&self, now: Instant) -> bool {
-        let lapsed = self.batches.iter().all(|batch| batch.expires_at <= now);
-        lapsed && self.refusal(now).is_none()
+        let expired = self.grants.iter().all(|grant| grant.expires_at <= now);
+        expired && self.refusal(now).is_none()
     }
 
     /// Tokens to ask for: those of the next requests, one at least.
@@ -79,12 +79,12 @@
         (expected as u32).clamp(1, MAX_WANTED)
     }
 
-    /// Keeps tokens that were asked for at `asked_at`; they lapse a fixed time after that, however late they come.
-    pub fn keep(&mut self, tokens: u32, asked_at: Instant) {
+    /// Keeps tokens that were asked for at `requested_at`; they lapse a fixed time after that, however late they come.
+    pub fn add(&mut self, tokens: u32, requested_at: Instant) {
         if tokens > 0 {
-            self.batches.push_back(Batch {
+            self.grants.push_back(Grant {
                 tokens,
-                expires_at: asked_at + TOKEN_LIFETIME,
+                expires_at: requested_at + TOKEN_LIFETIME,
             });
         }
     }
--- a/crates/tenants/tests/rates.rs
+++ b/crates/tenants/tests/rates.rs
@@ -339,7 +339,7 @@
             }
             match self.give_out(ask.to, wanted) {
                 RateDecision::Granted { tokens, .. } => {
-                    self.daemons[ask.from].stock.keep(tokens - 1, ask.asked_at);
+                    self.daemons[ask.from].stock.add(tokens - 1, ask.asked_at);
                     self.admit();
                 }
                 RateDecision::Exhausted { retry_after } => {
@@ -705,11 +705,11 @@
 fn tokens_lapse_from_the_moment_of_the_question_however_late_the_answer_comes() {
     let asked_at = Instant::now();
     let mut stock = TokenPool::default();
-    stock.keep(3, asked_at);
+    stock.add(3, asked_at);
     assert!(stock.take(asked_at + TOKEN_LIFETIME - STEP));
     assert!(!stock.take(asked_at + TOKEN_LIFETIME));
     // A daemon that stood still takes the answer to a question of long ago.
-    stock.keep(3, asked_at);
+    stock.add(3, asked_at);
     assert!(!stock.take(asked_at + Duration::from_secs(4)));
 }
 
