--- a/crates/quarantine/src/content.rs
+++ b/crates/quarantine/src/content.rs
@@ -1,15 +1,16 @@
-//! What makes two requests the same one.
+//! Identity of a request by its content.
 
 use std::fmt;
 
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Digest of a request's path, caller and body. Its id, its deadline and the headers that concern one try are not part of it.
+/// Digest of a request's path, caller and body. Request id, deadline and headers of a single attempt aren't part of
+/// it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ContentId(pub u64);
 
 impl ContentId {
-    /// The digest of these parts, each told from the next by its length.
+    /// Computes the digest of these parts; each is prefixed with its length.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = Xxh3Default::new();
         for part in parts {
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -1,4 +1,5 @@
-//! Which contents were in progress at replicas when these ended, as this daemon saw it and as others told.
+//! Ledger of the contents that were in progress at replicas when these crashed, as observed here and reported by
+//! others.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,39 +9,39 @@
 use crate::content::ContentId;
 use crate::status::ContentStatuses;
 
-/// Most contents kept. One entry takes about 200 bytes; what was there at the fewest crashes goes first.
+/// Maximum number of contents; the one with the fewest crashes is evicted first.
 const MAX_CONTENTS: usize = 2_048;
 
-/// Most crashes kept of one content, the newest.
+/// Maximum number of crashes per content; the newest are kept.
 const MAX_CRASHES: usize = 16;
 
-/// How long an crash counts, and how long a clearing is remembered. A request that comes back every quarter of an hour is found within an hour.
+/// How long a crash counts and a clearing is remembered. Long enough to find a request that recurs every 15 minutes.
 const CRASH_TTL: Duration = Duration::from_secs(3_600);
 
-/// How much later than it happened an crash may be dated, where it was told from daemon to daemon. A whole answer later than
-/// the crash must clear it all the same.
+/// How much later than it happened a reported crash may be dated. A complete response after the crash must still
+/// clear it.
 const TIMESTAMP_TOLERANCE: Duration = Duration::from_secs(1);
 
-/// How long others are told of a content that is not to blame: all hear of it within a second.
+/// How long a content that isn't a cause is announced to others after its last change.
 const ANNOUNCE_DURATION: Duration = Duration::from_secs(30);
 
-/// One start of a replica: another start is another replica.
+/// Identifies one instance of a replica process; a restarted replica is another instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaInstance(pub u32);
 
-/// A replica that ended while a content was in progress there.
+/// A crash of a replica while a content was in progress there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Crash {
-    /// The replica.
+    /// Instance that crashed.
     pub replica: ReplicaInstance,
-    /// When.
+    /// Time of the crash.
     pub at: Instant,
 }
 
-/// A whole answer, or a release by an operator: earlier crashes do not count.
+/// A complete response, or a release by an operator: earlier crashes don't count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Clearing {
-    /// Tells it from any other one, whatever daemons date it.
+    /// Random number that identifies the clearing; daemons date it differently.
     number: u32,
     at: Instant,
 }
@@ -49,7 +50,7 @@
 struct Entry {
     crashes: Vec<Crash>,
     cleared: Option<Clearing>,
-    /// When anything of this last changed here.
+    /// Time of the last change on this daemon.
     changed_at: Option<Instant>,
 }
 
@@ -59,8 +60,8 @@
             .is_some_and(|cleared| at <= cleared.at + TIMESTAMP_TOLERANCE)
     }
 
-    /// Takes a clearing; true if it is new. The later one counts. What is known already keeps its date: told again it would move
-    /// by the time on the way, each time.
+    /// Applies a clearing; true if it is new. Of two the later one counts. A known one keeps its time, which would
+    /// otherwise advance by the network delay with each report.
     fn clear(&mut self, clearing: Clearing) -> bool {
         let is_known = self
             .cleared
@@ -74,7 +75,7 @@
         true
     }
 
-    /// Notes an crash; true if it is new.
+    /// Records a crash; true if it is new and not cleared.
     fn note(&mut self, crash: Crash) -> bool {
         let is_known = self
             .crashes
@@ -97,37 +98,37 @@
     }
 }
 
-/// An crash as daemons tell it.
+/// A crash as daemons report it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedCrash {
-    /// The replica.
+    /// Instance that crashed.
     pub replica: ReplicaInstance,
-    /// How long ago.
+    /// Time since the crash.
     pub age: Duration,
 }
 
-/// A clearing as daemons tell it.
+/// A clearing as daemons report it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedClearing {
-    /// Tells it from any other report.
+    /// Random number that identifies the clearing.
     pub number: u32,
-    /// How long ago.
+    /// Time since the clearing.
     pub age: Duration,
 }
 
-/// What daemons tell of one content.
+/// What daemons report about one content.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReportedContent {
-    /// The content.
+    /// Digest of the request.
     pub content: ContentId,
-    /// Its crashes.
+    /// Crashes while the content was in progress; at most 16.
     pub crashes: Vec<ReportedCrash>,
-    /// Its last whole answer or release.
+    /// The latest complete response or release; `None` if there was none.
     pub cleared: Option<ReportedClearing>,
 }
 
 impl ReportedContent {
-    /// True if anything of it is young enough to count.
+    /// True if anything reported hasn't expired.
     fn counts(&self) -> bool {
         let cleared = self.cleared.iter().map(|cleared| cleared.age);
         let mut ages = self.crashes.iter().map(|crash| crash.age).chain(cleared);
@@ -135,14 +136,15 @@
     }
 }
 
-/// The crashes that this daemon knows of.
+/// Known crashes and clearings by content. Merging is commutative and idempotent, so that the ledgers of all daemons
+/// converge.
 #[derive(Debug, Clone, Default)]
 pub struct CrashLedger {
     entries: BTreeMap<ContentId, Entry>,
 }
 
 impl CrashLedger {
-    /// A replica ended while the content was in progress there at `at`, as this daemon knows `now`; true if that is news.
+    /// Records that a replica crashed at `at` while the content was in progress there. True if that is new.
     pub fn note_crash(
         &mut self,
         content: ContentId,
@@ -159,8 +161,8 @@
         is_new
     }
 
-    /// The content came to a whole answer, or an operator lets it run again: its crashes so far do not count. `number` tells this
-    /// clearing from all others. True if anything was known against it.
+    /// Clears a content after a complete response or a release by an operator: its crashes so far don't count.
+    /// `number` identifies the clearing. True if there were crashes to clear.
     pub fn clear(&mut self, content: ContentId, number: u32, at: Instant) -> bool {
         let Some(entry) = self.entries.get_mut(&content) else {
             return false;
@@ -173,7 +175,7 @@
         false
     }
 
-    /// Takes what another daemon told; true if anything of it is news.
+    /// Merges the report of another daemon; true if it contained anything new.
     pub fn merge(&mut self, reports: &[ReportedContent], now: Instant) -> bool {
         let mut is_new = false;
         for report in reports {
@@ -182,7 +184,7 @@
             }
             let entry = self.entries.entry(report.content).or_default();
             let mut has_changed = false;
-            // What is too old to count, or from before the clock began, is nothing new.
+            // `None` for what has expired or precedes the epoch of the clock.
             let to_instant = |age: Duration| {
                 let counts = age < CRASH_TTL;
                 counts.then(|| now.checked_sub(age)).flatten()
@@ -213,7 +215,8 @@
         is_new
     }
 
-    /// What to tell others, at most so many contents: those to blame first, then the newest.
+    /// Returns what is to be announced to other daemons, at most `limit` contents: causes first, then the latest
+    /// changes.
     pub fn to_announce(
         &self,
         statuses: &ContentStatuses,
@@ -223,8 +226,8 @@
         self.changed_within(ANNOUNCE_DURATION, statuses, now, limit)
     }
 
-    /// What to keep for those who hear of it later, at most so many contents, in the same order: all that still counts, and
-    /// what was cleared, since others may keep its crashes.
+    /// Returns what is to be stored for daemons that start later, in the same order: all that hasn't expired,
+    /// including clearings, since others may still store the crashes.
     pub fn to_store(
         &self,
         statuses: &ContentStatuses,
@@ -276,7 +279,7 @@
         reports.collect()
     }
 
-    /// True if something has changed here within that time.
+    /// True if anything has changed on this daemon within `max_age`.
     pub fn has_changed_within(&self, max_age: Duration, now: Instant) -> bool {
         let changes = self.entries.values().filter_map(|entry| entry.changed_at);
         changes
@@ -284,7 +287,7 @@
             .is_some_and(|at| now.saturating_duration_since(at) < max_age)
     }
 
-    /// Forgets what no longer counts; true if that changes a standing.
+    /// Removes what has expired; true if a status may have changed.
     pub fn expire(&mut self, now: Instant) -> bool {
         let is_old = |at: Instant| now.saturating_duration_since(at) >= CRASH_TTL;
         let mut has_changed = false;
@@ -293,7 +296,7 @@
             entry.crashes.retain(|crash| !is_old(crash.at));
             has_changed |= entry.crashes.len() < before;
         }
-        // What was cleared is remembered for as long as others may still tell the crashes, or keep them in the store.
+        // Clearings are kept for as long as other daemons or the store may still report the crashes.
         self.entries.retain(|_, entry| {
             let is_retained = entry
                 .cleared
@@ -303,7 +306,7 @@
         has_changed
     }
 
-    /// Judges all contents.
+    /// Evaluates the statuses of all contents with crashes.
     pub fn statuses(&self) -> ContentStatuses {
         let with_crashes = self
             .entries
@@ -313,12 +316,12 @@
         ContentStatuses::evaluate(&crashes.collect())
     }
 
-    /// Contents kept.
+    /// Returns the number of contents.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// True if nothing is known against any content.
+    /// True if there are neither crashes nor clearings.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,10 +1,7 @@
-//! Requests under which replicas crash: which content was there at each crash, and what is held back for it.
+//! Quarantine of contents under which replicas crash. Pure: callers do the I/O.
 //!
-//! Why by content: such a request comes again under another id, at another daemon, and as an item of a batch job it has no
-//! caller that gives up. What stays the same is its path, its caller and its body.
-//!
-//! Everything here is pure. Daemons tell each other what they saw; the ledgers of all come to the same, in whatever order and
-//! however often the news arrives.
+//! Such a request recurs under other ids and at other daemons, so it is identified by its path, caller and body.
+//! Daemons exchange the crashes that they observe; their ledgers converge in any order of the reports.
 
 mod content;
 mod ledger;
--- a/crates/quarantine/src/status.rs
+++ b/crates/quarantine/src/status.rs
@@ -1,4 +1,4 @@
-//! Which of the contents that were there when replicas ended is to blame, and for how long it is held back.
+//! Evaluates which contents caused crashes, and for how long these are quarantined.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -8,68 +8,68 @@
 use crate::content::ContentId;
 use crate::ledger::{Crash, ReplicaInstance};
 
-/// Ends that no other content explains from which on a content is held back. Two are not rare for a harmless request: what
-/// ran beside the one to blame is sent on at the same moment, and may meet it again.
+/// Crashes without another explanation from which a content is quarantined. Two aren't rare for a harmless request,
+/// which may be retried on the same replica as the cause.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
 
-/// How long a content is held back after its last crash: replicas' software is mended in minutes at the least.
+/// Duration of the quarantine after the last crash.
 const INITIAL_QUARANTINE: Duration = Duration::from_secs(600);
 
-/// Most times that the hold doubles, once for each further crash: 5 hours 20 minutes at the longest.
+/// Maximum number of doublings of the quarantine, one for each further crash.
 const MAX_DOUBLINGS: usize = 5;
 
-/// Time after the third crash after which an item may run once more: one that was there by chance is done by it, at the price of
-/// one more replica for one that was not. Three retries are allowed in all.
+/// Time after the last crash from which an item may run once more: this clears a harmless one, at the cost of at most
+/// one more replica.
 const TRIAL_DELAY: Duration = Duration::from_secs(5);
 
-/// Why a content is held back.
+/// A content's quarantine and the evidence for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantinePeriod {
-    /// Replicas that ended under it.
+    /// Number of crashes while the content was in progress.
     pub crashes: usize,
-    /// First of these crashes.
+    /// Time of the first of these crashes.
     pub since: Instant,
-    /// Last of these crashes.
+    /// Time of the last of these crashes.
     pub last_crash: Instant,
-    /// When it may run again.
+    /// End of the quarantine.
     pub until: Instant,
 }
 
 impl QuarantinePeriod {
-    /// True if an item of this content may run once, to show whether it was there by chance.
+    /// True if an item of this content may run once as a trial.
     pub fn allows_trial(&self, now: Instant) -> bool {
         self.crashes == CRASHES_TO_QUARANTINE && now >= self.last_crash + TRIAL_DELAY
     }
 }
 
-/// What is thought of a content.
+/// Quarantine status of a content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ContentStatus {
-    /// Nothing is known against it.
+    /// No crashes are known that count against it.
     Clear,
-    /// Replicas have ended under it that nothing else explains.
+    /// There were crashes without another explanation, too few for a quarantine.
     Suspect {
-        /// So many.
+        /// Number of these crashes.
         crashes: usize,
     },
-    /// It is not sent to any replica.
+    /// It isn't sent to any replica.
     Quarantined(QuarantinePeriod),
 }
 
-/// The statuses of all contents that were there when a replica ended; a snapshot for the request path.
+/// Statuses of all contents with crashes; an immutable snapshot for the request path.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ContentStatuses {
     known: HashMap<ContentId, ContentStatus>,
 }
 
 impl ContentStatuses {
-    /// Judges all contents by their crashes.
+    /// Evaluates all contents by their crashes.
     ///
-    /// The content with the most crashes explains them; what else was there is a bystander, and its other crashes count alone. So a
-    /// harmless request is acquitted by the one to blame, not by its luck.
+    /// The content with the most crashes explains them; contents that ran next to it are only judged by their other
+    /// crashes, so that a harmless request isn't quarantined by coincidence.
     pub fn evaluate(crashes: &BTreeMap<ContentId, Vec<Crash>>) -> Self {
         let mut order: Vec<(&ContentId, &Vec<Crash>)> = crashes.iter().collect();
-        // Not by their dates, which daemons see differently: all must hold back the same.
+        // Not ordered by time, which differs between daemons: all must come to the same result.
         order.sort_by_key(|(content, crashes)| (std::cmp::Reverse(crashes.len()), **content));
         let mut explained: HashSet<ReplicaInstance> = HashSet::new();
         let mut known = HashMap::new();
@@ -96,33 +96,35 @@
         Self { known }
     }
 
-    /// What is thought of a content now.
+    /// Returns the status of a content; an expired quarantine counts as [`ContentStatus::Suspect`].
     pub fn of(&self, content: ContentId, now: Instant) -> ContentStatus {
         match self.known.get(&content) {
             None => ContentStatus::Clear,
-            Some(ContentStatus::Quarantined(hold)) if now >= hold.until => ContentStatus::Suspect {
-                crashes: hold.crashes,
-            },
-            Some(standing) => *standing,
+            Some(ContentStatus::Quarantined(period)) if now >= period.until => {
+                ContentStatus::Suspect {
+                    crashes: period.crashes,
+                }
+            }
+            Some(status) => *status,
         }
     }
 
-    /// True if nothing is known against any content.
+    /// True if no content is suspect or quarantined.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// What is held back.
+    /// Returns the quarantined contents, including those whose quarantine has expired.
     pub fn quarantined(&self) -> impl Iterator<Item = (ContentId, QuarantinePeriod)> {
         self.known
             .iter()
-            .filter_map(|(content, standing)| match standing {
-                ContentStatus::Quarantined(hold) => Some((*content, *hold)),
+            .filter_map(|(content, status)| match status {
+                ContentStatus::Quarantined(period) => Some((*content, *period)),
                 ContentStatus::Clear | ContentStatus::Suspect { .. } => None,
             })
     }
 
-    /// True if the content is held back, or was until its time was over.
+    /// True if the content is quarantined, or was until its quarantine expired.
     pub fn is_cause(&self, content: ContentId) -> bool {
         matches!(
             self.known.get(&content),
@@ -133,7 +135,7 @@
 
 fn quarantine_period(crashes: &[Crash]) -> QuarantinePeriod {
     let times = || crashes.iter().map(|crash| crash.at);
-    // Judged only with crashes; the fallback is never taken.
+    // Never empty when called; the fallback isn't reached.
     let since = times().min().unwrap_or_else(Instant::now);
     let last_crash = times().max().unwrap_or(since);
     let doublings = crashes
