--- a/crates/ownership/src/cooldowns.rs
+++ b/crates/ownership/src/cooldowns.rs
@@ -1,9 +1,9 @@
-//! Owners that turned out to live though they were held for gone: they are left alone for a while.
+//! Cooldowns of owners that refuted a challenge: they aren't challenged again for a while.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Cooldowns of one daemon, by owner. All times are those of its own clock.
+/// Cooldowns of one daemon by owner. All times are those of its own clock.
 #[derive(Debug, Default)]
 pub struct Cooldowns {
     owners: HashMap<String, Cooldown>,
@@ -16,8 +16,8 @@
 }
 
 impl Cooldowns {
-    /// An owner has just shown that it lives: it cooldowns for `initial`, or twice as long as the last time, `max` at most. What
-    /// several records show in the same cooldown is one proof.
+    /// Starts a cooldown of an owner that was shown to be alive: of `initial`, or of twice the last duration up to
+    /// `max`. Has no effect during a cooldown, as several records may show the same.
     pub fn start(&mut self, owner: &str, initial: Duration, max: Duration, now: Duration) {
         let cooldown = self.owners.get(owner);
         if cooldown.is_some_and(|cooldown| now < cooldown.until) {
@@ -29,8 +29,8 @@
             .insert(owner.to_owned(), Cooldown { duration, until });
     }
 
-    /// The same, but a cooldown that lasts begins anew, no longer than before: where several daemons cooldown for the same owner, none
-    /// acts shortly after another has.
+    /// Like [`Self::start`], but a cooldown in progress starts again with its duration: among daemons with a cooldown
+    /// for the same owner, none acts shortly after another.
     pub fn restart(&mut self, owner: &str, initial: Duration, max: Duration, now: Duration) {
         match self.owners.get_mut(owner) {
             Some(cooldown) if now < cooldown.until => cooldown.until = now + cooldown.duration,
@@ -38,18 +38,18 @@
         }
     }
 
-    /// An owner is in the own view: if it is missing later, that is news.
+    /// Removes the cooldown of an owner that is present in the view.
     pub fn clear(&mut self, owner: &str) {
         self.owners.remove(owner);
     }
 
-    /// Until when an owner is left alone; zero for one that never cooldown_until.
+    /// Returns the end of an owner's cooldown; zero if there was none.
     pub fn until(&self, owner: &str) -> Duration {
         let cooldown = self.owners.get(owner);
         cooldown.map_or(Duration::ZERO, |cooldown| cooldown.until)
     }
 
-    /// Forgets owners that have been left alone for the last time long ago.
+    /// Removes cooldowns that ended more than twice `max` ago; later ones start with the initial duration.
     pub fn expire(&mut self, max: Duration, now: Duration) {
         self.owners
             .retain(|_, cooldown| now < cooldown.until + max * 2);
--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -1,11 +1,12 @@
-//! Who may take over what another daemon owns: pure, so that the protocol can be run on a clock of its own.
+//! Protocol for taking over resources that another daemon owns. Pure, so that it can run on a simulated clock.
 //!
-//! A thing (a job) has a record in the store that changes only under its revision and that every daemon watches. Views of the
-//! fleet differ in cuts and in stalls, so a view alone takes nothing from its owner: who holds an owner for gone challenges it in
-//! the record, and an owner that lives and reaches the store refutes that by writing the record. Only a challenge that duration is
-//! followed by a takeover, under the challenge's revision. A calm fleet writes nothing.
+//! A resource (a job) has a record in the store that is written under its revision and watched by all daemons. Views
+//! of the fleet differ during partitions and stalls, so an absent owner is first challenged in the record; a live
+//! owner that reaches the store refutes that by writing it. A challenge that isn't refuted in time is followed by a
+//! takeover under its revision. Without absent owners nothing is written.
 //!
-//! What nobody watches (shards, replicas) cannot be challenged soon: there [`Cooldowns`] alone bound the turns.
+//! Resources whose records aren't watched (shards, replicas) can't be challenged in time; there only [`Cooldowns`]
+//! bound the rate of takeovers.
 
 mod cooldowns;
 mod takeovers;
--- a/crates/ownership/src/takeovers.rs
+++ b/crates/ownership/src/takeovers.rs
@@ -1,59 +1,58 @@
-//! What one daemon does about things whose owners it holds for gone.
+//! State machine of one daemon for the takeover of resources whose owners are absent.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::cooldowns::Cooldowns;
 
-/// How long a challenge must stand, and how long an owner that refuted one is left alone.
+/// Duration of challenges and cooldowns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TakeoverBounds {
-    /// Time from the answer to the challenge's write to the takeover.
+    /// Time from the reply to the challenge's write to the takeover; must exceed the lag of watches.
     pub challenge_duration: Duration,
-    /// Part of the challenge's write, of its own duration, for which it duration in addition: a store that is slow for the
-    /// challenger is as slow for the owner, which must hear of the challenge and write once.
+    /// Multiple of the challenge's write time that is added: a store that is slow for the challenger is as slow for
+    /// the owner, which must read the challenge and write once.
     pub write_time_factor: u32,
-    /// How long an owner is left alone after its initial refutation.
+    /// Cooldown of an owner after its first refutation.
     pub initial_cooldown: Duration,
-    /// How long at most; each refutation doubles it.
+    /// Maximum cooldown; each refutation doubles it.
     pub max_cooldown: Duration,
-    /// Doublings at most of the time for which a challenge duration; each takeover under a challenge doubles it.
+    /// Maximum number of doublings of a challenge's duration; each takeover under a challenge doubles it.
     pub max_doublings: u32,
 }
 
 impl Default for TakeoverBounds {
     fn default() -> Self {
         Self {
-            // A watch of the largest fleets gathers changes for 0.8 s, and two writes take some milliseconds.
+            // Watches in large fleets coalesce changes for 0.8 s; the rest covers two writes.
             challenge_duration: Duration::from_millis(1_100),
             write_time_factor: 2,
             initial_cooldown: Duration::from_secs(2),
-            // 260 owners beyond a cut: a challenge, a refutation and a take that comes too late in each cooldown, 39 writes a second
-            // of the 800 that a store takes.
+            // Bounds the writes during a partition: each absent owner costs up to three per cooldown and daemon.
             max_cooldown: Duration::from_secs(20),
-            // 4.4 s: an owner whose watch lags by more than that hears of no end of a job in time either.
+            // Owners whose watches lag by more than 4.4 s miss other changes of their jobs as well.
             max_doublings: 2,
         }
     }
 }
 
-/// How a daemon sees the owner of a thing.
+/// Status of a resource's owner in this daemon's view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnerStatus {
-    /// It is there and may own things.
+    /// In the view and able to own resources.
     Present,
-    /// Nobody owns the thing: its owner gave it up.
+    /// The resource has no owner: it was released.
     Unowned,
-    /// The owner's machine runs a later start of the daemon.
+    /// A later instance of the daemon runs on the owner's machine.
     Superseded,
-    /// It is not in the view.
+    /// Not in the view.
     Absent,
-    /// It is in the view and says that it cannot reach the store, or that it leaves.
+    /// In the view, but without access to the store, or leaving.
     Detached,
 }
 
 impl OwnerStatus {
-    /// For lines and figures.
+    /// Returns the text for decision records.
     pub fn name(self) -> &'static str {
         match self {
             Self::Present => "present",
@@ -65,46 +64,45 @@
     }
 }
 
-/// The record of a thing, as far as its ownership goes.
+/// The part of a resource's record that concerns its ownership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnershipRecord<'a> {
-    /// The thing.
+    /// Key of the resource.
     pub resource: &'a str,
-    /// Its owner; empty if nobody owns it.
+    /// Owner's instance id; empty if nobody owns the resource.
     pub owner: &'a str,
-    /// Who challenged the owner; empty if nobody did since the owner last wrote the record.
+    /// Daemon that challenged the owner; empty if none did since the owner's last write.
     pub challenger: &'a str,
-    /// Raised with each change of the owner.
+    /// Incremented with each change of the owner.
     pub epoch: u64,
-    /// Takeovers under a challenge so far: of owners that had died, or whose watch lagged too much.
+    /// Number of takeovers under a challenge: the owner had crashed, or its watch lagged.
     pub takeovers: u32,
-    /// Revision of the record.
+    /// Revision of the record, the condition of the next write.
     pub revision: u64,
 }
 
-/// What to do now.
+/// What the daemon must do now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing.
+    /// Nothing is due.
     Wait,
-    /// Write the own name into the record, under its revision.
+    /// Write the own id into the record as the challenger, under its revision.
     Challenge,
     /// Become the owner, under the record's revision.
     TakeOver,
 }
 
-/// A thing whose owner is held for gone.
 #[derive(Debug)]
 struct MissingOwner {
     owner: String,
     since: Duration,
-    /// The challenge that duration, and when it has stood for long enough.
+    /// Revision of the current challenge, and when its duration has elapsed.
     challenge: Option<(u64, Duration)>,
-    /// How long this daemon lets others go initial, and when that was found out.
+    /// Delay of this daemon in the order of all, and when it was computed.
     delay: Option<(Duration, Duration)>,
 }
 
-/// How long a daemon's place in the order of a thing is believed: it costs a look at all members.
+/// How long a computed delay is cached; it depends on all members.
 const DELAY_TTL: Duration = Duration::from_secs(1);
 
 impl MissingOwner {
@@ -127,18 +125,18 @@
     }
 }
 
-/// The state of one daemon. All times are those of its own clock, which counts suspensions.
+/// The takeover state of one daemon. All times are those of its own clock, which includes suspensions.
 #[derive(Debug, Default)]
 pub struct Takeovers {
     bounds: TakeoverBounds,
     missing: HashMap<String, MissingOwner>,
     cooldowns: Cooldowns,
-    /// By how much this daemon's cooldowns are longer, so that not all daemons challenge at the same moment.
+    /// Factor on this daemon's cooldowns, so that daemons don't challenge at the same time.
     jitter_factor: f64,
 }
 
 impl Takeovers {
-    /// Knows nothing yet. `draw`, from 0 to 1, is each daemon's own.
+    /// Creates an empty state. `draw`, a random number from 0 to 1, spreads the cooldowns of the daemons.
     pub fn new(bounds: TakeoverBounds, draw: f64) -> Self {
         Self {
             bounds,
@@ -147,8 +145,8 @@
         }
     }
 
-    /// What to do about a thing, whose owner has this status. Daemons act one after the other: this one after `delay`, which is
-    /// asked for only where it counts.
+    /// Returns what to do about a resource whose owner has this status. `delay` returns for how long this daemon lets
+    /// others act first; it is only called if needed.
     pub fn step(
         &mut self,
         record: OwnershipRecord<'_>,
@@ -170,7 +168,7 @@
         self.consider_challenge(record, delay, now)
     }
 
-    /// Nobody can refute that the owner is gone: a cooldown of it counts no more.
+    /// The owner can't refute that it is gone: its cooldown doesn't apply.
     fn consider_takeover(
         &mut self,
         record: OwnershipRecord<'_>,
@@ -197,7 +195,7 @@
         if now < cooldown_until {
             return Step::Wait;
         }
-        // After a cooldown daemons act in their order again, or all would write at its end.
+        // After a cooldown the order applies again, or all daemons would write at its end.
         let due = missing.since.max(cooldown_until) + missing.delay(delay, now);
         if now >= due {
             Step::Challenge
@@ -215,13 +213,13 @@
         missing
     }
 
-    /// How long a challenge of a thing must stand.
+    /// Returns for how long a challenge must stay unrefuted.
     fn challenge_duration(&self, takeovers: u32) -> Duration {
         let doublings = takeovers.min(self.bounds.max_doublings);
         self.bounds.challenge_duration * 2_u32.pow(doublings)
     }
 
-    /// Somebody has challenged the owner. Who did takes the thing initial; the others, in their order, if it does not.
+    /// The challenger takes over first; other daemons follow in order if it doesn't.
     fn consider_challenged(
         &mut self,
         record: OwnershipRecord<'_>,
@@ -243,7 +241,8 @@
         }
     }
 
-    /// This daemon's challenge is in the record, as this record says; its write took so long.
+    /// Records that this daemon's challenge was written: `record` holds its revision, `took` the duration of the
+    /// write.
     pub fn note_challenge(&mut self, record: OwnershipRecord<'_>, took: Duration, now: Duration) {
         let duration =
             self.challenge_duration(record.takeovers) + took * self.bounds.write_time_factor;
@@ -252,8 +251,8 @@
         }
     }
 
-    /// Takes what a change of a record shows of its owners. `is_present` tells whether the earlier owner is in the own
-    /// view, or is this daemon.
+    /// Records a change of a record and starts a cooldown if it shows that an absent owner is alive. `is_present` is
+    /// whether the former owner is in the view or is this daemon.
     pub fn note_change(
         &mut self,
         before: OwnershipRecord<'_>,
@@ -261,13 +260,13 @@
         is_present: bool,
         now: Duration,
     ) {
-        // Who hears the owner had no doubt of it, and follows it at once if it is missing later.
+        // Only for absent owners: one that is in the view and disappears later is challenged without a cooldown.
         let has_refuted = !is_present
             && !before.challenger.is_empty()
             && after.challenger.is_empty()
             && before.owner == after.owner
             && before.epoch == after.epoch;
-        // Whoever takes from an owner that this daemon hears is one that does not hear what this daemon hears.
+        // A daemon that takes over from an owner which is present here has a different view.
         let took_from_present = is_present
             && !before.owner.is_empty()
             && !after.owner.is_empty()
@@ -279,7 +278,7 @@
         }
     }
 
-    /// Forgets things that `is_open` does not name, and owners that were left alone long ago.
+    /// Removes resources for which `is_open` is false, and cooldowns that have expired.
     pub fn retain(&mut self, is_open: impl Fn(&str) -> bool, now: Duration) {
         self.missing.retain(|resource, _| is_open(resource));
         let max = self.bounds.max_cooldown.mul_f64(self.jitter_factor);
