--- a/crates/tenants/src/bucket.rs
+++ b/crates/tenants/src/bucket.rs
@@ -1,23 +1,23 @@
-//! A bucket of tokens: what a coordinator gives out of a rate, be it that of a tenant or that which a cold replica bears.
+//! Token bucket for the rate of a tenant or of a cold replica.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Longest time after which a caller is told to come back.
+/// Maximum retry delay of a refused caller.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// The bucket. Its rate and capacity come with each call, as they follow the configuration and the fleet.
+/// Token bucket whose rate and capacity are passed with each call, since they depend on configuration and fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
     tokens: f64,
     filled_at: Instant,
-    /// Callers that were refusal have been told to come back at moments up to this one.
+    /// Latest retry scheduled for a refused caller.
     scheduled_until: Instant,
 }
 
 impl TokenBucket {
-    /// One that holds so many tokens.
+    /// Creates a bucket with this number of tokens.
     pub fn new(tokens: f64, now: Instant) -> Self {
         Self {
             tokens,
@@ -26,37 +26,37 @@
         }
     }
 
-    /// Adds what has accrued elapsed the last call at `rate` tokens a second, up to the capacity.
+    /// Adds the tokens accrued since the last call at `rate` per second, up to the capacity.
     pub fn fill(&mut self, rate: f64, capacity: f64, now: Instant) {
         let elapsed = now.saturating_duration_since(self.filled_at);
         self.filled_at = self.filled_at.max(now);
         self.tokens = (self.tokens + elapsed.as_secs_f64() * rate).min(capacity);
     }
 
-    /// Nothing accrues for the time before `now`.
+    /// Discards what would accrue for the time before `now`.
     pub fn skip_to(&mut self, now: Instant) {
         self.filled_at = self.filled_at.max(now);
     }
 
-    /// When it was last brought up to date.
+    /// Returns when the bucket was last filled.
     pub fn filled_at(&self) -> Instant {
         self.filled_at
     }
 
-    /// Tokens that it holds.
+    /// Returns the number of tokens, including fractions.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Takes up to `wanted` whole tokens. Returns how many.
+    /// Takes up to `wanted` whole tokens and returns their number.
     pub fn take(&mut self, wanted: u32) -> u32 {
         let tokens = whole(self.tokens).min(wanted);
         self.tokens -= f64::from(tokens);
         tokens
     }
 
-    /// The moment at which the next refusal caller finds a token. Each one is told another moment, so that those who
-    /// come back do not meet at one token.
+    /// Returns the delay after which the next refused caller should retry. Each caller gets a different time, so that
+    /// retries don't compete for one token.
     pub fn schedule_retry(&mut self, rate: f64, now: Instant) -> Duration {
         if rate <= 0.0 {
             return MAX_RETRY_AFTER;
--- a/crates/tenants/src/directory.rs
+++ b/crates/tenants/src/directory.rs
@@ -1,4 +1,4 @@
-//! Which tenant a key belongs to.
+//! The directory of tenants and their API keys.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,51 +10,51 @@
 /// A tenant as configured.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TenantSpec {
-    /// Name; unique.
+    /// Unique among all tenants.
     pub name: String,
-    /// Its keys.
+    /// API keys that authenticate the tenant; may be empty.
     pub keys: Vec<ApiKey>,
-    /// Rank of its requests, in place of the route's; 0 is the highest. `None` leaves the route's.
+    /// Priority of its requests, which overrides the route's; 0 is the highest. `None` keeps the route's.
     pub priority: Option<u32>,
-    /// Limit on the rate of its requests.
+    /// Rate limit over the whole fleet.
     pub rate: RateLimit,
-    /// Regions in which its requests may be served and kept.
+    /// Regions in which its requests may run and its data may be stored.
     pub allowed_regions: AllowedRegions,
 }
 
-/// A tenant.
+/// A tenant as the request path uses it; without its keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tenant {
-    /// Name.
+    /// Unique among all tenants.
     pub name: Arc<str>,
-    /// Rank of its requests, in place of the route's; 0 is the highest. `None` leaves the route's.
+    /// Priority of its requests, which overrides the route's; 0 is the highest. `None` keeps the route's.
     pub priority: Option<u32>,
-    /// Limit on the rate of its requests.
+    /// Rate limit over the whole fleet.
     pub rate: RateLimit,
-    /// Regions in which its requests may be served and kept.
+    /// Regions in which its requests may run and its data may be stored.
     pub allowed_regions: AllowedRegions,
 }
 
-/// A directory that cannot be meant. Keys are not named.
+/// Why a configuration of tenants is invalid. Messages don't contain keys.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DirectoryError {
     /// Two tenants have the same name.
     #[error("tenants: {name} is there twice")]
     DuplicateName {
-        /// The name.
+        /// Name that occurs twice.
         name: String,
     },
     /// Two tenants have the same key.
     #[error("tenants: {first} and {second} have the same key")]
     SharedKey {
-        /// One tenant.
+        /// Name of the tenant that is listed first.
         first: String,
-        /// The other one.
+        /// Name of the other tenant.
         second: String,
     },
 }
 
-/// All tenants and their keys. Replaced as a whole with each configuration, so a look-up takes no lock.
+/// All tenants, by name and by key. Immutable and replaced with each configuration, so that look-ups need no lock.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TenantDirectory {
     by_name: HashMap<Arc<str>, Arc<Tenant>>,
@@ -62,10 +62,10 @@
 }
 
 impl TenantDirectory {
-    /// A directory of these tenants.
+    /// Builds the directory.
     ///
     /// # Errors
-    /// A name or a key is there twice.
+    /// A name occurs twice, or two tenants share a key.
     pub fn new(specs: &[TenantSpec]) -> Result<Self, DirectoryError> {
         let mut directory = Self::default();
         for spec in specs {
@@ -83,7 +83,7 @@
             }
             for key in &spec.keys {
                 let other = directory.by_key.insert(key.digest(), tenant.clone());
-                // A tenant that lists a key twice still has it once.
+                // A key that one tenant lists twice is accepted.
                 if let Some(other) = other.filter(|other| other.name != tenant.name) {
                     return Err(DirectoryError::SharedKey {
                         first: other.name.to_string(),
@@ -95,12 +95,12 @@
         Ok(directory)
     }
 
-    /// The tenant that holds a key.
+    /// Returns the tenant that a key belongs to; `None` if the key is unknown.
     pub fn holder(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
         self.by_key.get(&key.digest())
     }
 
-    /// A tenant by name.
+    /// Returns a tenant by name.
     pub fn tenant(&self, name: &str) -> Option<&Arc<Tenant>> {
         self.by_name.get(name)
     }
--- a/crates/tenants/src/fleet.rs
+++ b/crates/tenants/src/fleet.rs
@@ -1,35 +1,35 @@
-//! How many members the fleet had lately: what a coordinator that sees fewer of them may give out.
+//! Recent sizes of the fleet, which bound what a coordinator may grant during a partition.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// How long members that are departed keep their share of each limit. They may be cut off and serve on, and each side of a
-/// cut would else give out the whole limit. After this time they count as lost, so that a fleet that really shrank has
-/// its limits again; a cut that lasts longer lets each side give out the whole.
+/// How long departed members keep their share of each limit: they may be partitioned and still serve. Afterwards each
+/// side of a partition grants the full limit, as does a fleet that has shrunk.
 const RETENTION: Duration = Duration::from_secs(20);
 
-/// A size that the fleet had.
+/// A size of the fleet at one time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Members.
+    /// Number of members.
     pub members: usize,
-    /// Last moment at which it had them.
+    /// Last time at which the fleet had this size.
     pub at: Instant,
 }
 
-/// The sizes of the fleet as one member saw them, or was told of them by others. A member that has just started knows
-/// of members that were cut off before only what others tell it.
+/// Sizes of the fleet, observed by this member or reported by others. A new member knows earlier sizes only from
+/// reports.
 #[derive(Debug)]
 pub struct FleetSizes {
-    /// No size is smaller and size earlier than another one.
+    /// Pareto front: no size is both smaller and older than another one.
     sizes: Vec<FleetSize>,
-    /// Until when a member that has size no other one takes itself for cut off.
+    /// Until when a member without any other in its view is considered partitioned.
     expects_others_until: Instant,
 }
 
 impl FleetSizes {
-    /// A member that starts at `now`. One that `expects_others` and does not find them may have started behind a cut.
+    /// Creates the state of a member that starts at `now`. With `expects_others` it is considered partitioned until
+    /// it finds other members or the time for that has elapsed.
     pub fn new(expects_others: bool, now: Instant) -> Self {
         let timeout = if expects_others {
             RETENTION
@@ -42,7 +42,7 @@
         }
     }
 
-    /// So many members, this one among them, are known now.
+    /// Records the present number of members, this one included.
     pub fn observe(&mut self, members: usize, now: Instant) {
         if members > 1 {
             self.expects_others_until = now;
@@ -50,7 +50,7 @@
         self.merge(FleetSize { members, at: now });
     }
 
-    /// Takes what this member saw, or another one told.
+    /// Merges a size that was observed here or reported by another member.
     pub fn merge(&mut self, size: FleetSize) {
         let covers =
             |one: &FleetSize, other: &FleetSize| one.members >= other.members && one.at >= other.at;
@@ -61,19 +61,20 @@
         self.sizes.push(size);
     }
 
-    /// The largest size that is not forgotten, to be told to others.
+    /// Returns the largest recent size, which is reported to other members.
     pub fn largest(&mut self, now: Instant) -> Option<FleetSize> {
         self.sizes
             .retain(|size| now.saturating_duration_since(size.at) <= RETENTION);
         self.sizes.iter().max_by_key(|size| size.members).copied()
     }
 
-    /// Part of each limit that members may give out which see `members` now: 0 for one that cannot tell yet.
+    /// Returns the share of each limit that a side with `members` members may grant; 0 while it is considered
+    /// partitioned.
     pub fn share(&mut self, members: usize, now: Instant) -> f64 {
         if now < self.expects_others_until {
             return 0.0;
         }
-        // The present size holds until another one is size.
+        // The present size stays valid until another one is observed.
         self.merge(FleetSize { members, at: now });
         let max_members = self.largest(now).map_or(members, |size| size.members);
         #[allow(clippy::cast_precision_loss)]
--- a/crates/tenants/src/initial_allowance.rs
+++ b/crates/tenants/src/initial_allowance.rs
@@ -1,23 +1,23 @@
-//! The stock from which a member gives out a tenant's tokens where it does not know what others gave out lately: as a
-//! new coordinator, and in the place of a coordinator that does not answer.
+//! Tokens that a member may grant without knowing what others granted recently: as a new coordinator, or as the
+//! fallback for an unresponsive one.
 //!
-//! Why one stock for both: a coordinator's burst leaves room in the permitted excess for two such stocks in a window. A
-//! member that stood in for a silent coordinator and then follows it must not begin with a second one.
+//! The permitted excess covers two allowances in a window. Both uses share one, so that a fallback which becomes the
+//! coordinator doesn't grant a second one.
 
 use tokio::time::Instant;
 
 use crate::rate::RateBounds;
 
-/// What is left of the stock of one tenant.
+/// What remains of one tenant's allowance.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct InitialAllowance {
     left: f64,
-    /// From then on no window holds what was taken and what is taken next, so the stock is full again.
+    /// When all grants from the allowance have left the accounting period.
     full_at: Instant,
 }
 
 impl InitialAllowance {
-    /// One of which so many tokens are left at `now`.
+    /// Creates an allowance with this number of tokens left at `now`.
     pub(crate) fn new(left: f64, bounds: &RateBounds, now: Instant) -> Self {
         Self {
             left,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Tokens left of a stock that has `full` at most.
+    /// Returns the tokens left of an allowance of at most `full`.
     pub(crate) fn left(&self, full: f64, now: Instant) -> f64 {
         if self.is_full(now) {
             return full;
@@ -33,7 +33,7 @@
         self.left.min(full)
     }
 
-    /// True if it need not be remembered.
+    /// True if the allowance is full again and needs no state.
     pub(crate) fn is_full(&self, now: Instant) -> bool {
         now >= self.full_at
     }
--- a/crates/tenants/src/key.rs
+++ b/crates/tenants/src/key.rs
@@ -1,21 +1,21 @@
-//! API keys.
+//! API keys and their digests.
 
 use std::fmt;
 
 use sha2::{Digest, Sha256};
 
-/// An API key as its holder sends it. It is never printed, and never compared byte by byte: the directory looks for
-/// its digest, so the time of a look-up tells nothing of the keys that exist.
+/// An API key as received. It is never printed. Look-ups use its digest, so that their timing reveals nothing about
+/// existing keys.
 #[derive(Clone, PartialEq, Eq)]
 pub struct ApiKey(String);
 
 impl ApiKey {
-    /// A key of this text.
+    /// Wraps the text of a key.
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
 
-    /// Tells keys apart without telling the key: the first bytes of its digest.
+    /// Returns the first bytes of the digest: identifies the key without revealing it.
     pub fn fingerprint(&self) -> [u8; 8] {
         let KeyDigest([a, b, c, d, e, f, g, h, ..]) = self.digest();
         [a, b, c, d, e, f, g, h]
@@ -32,7 +32,6 @@
     }
 }
 
-/// SHA-256 of a key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct KeyDigest([u8; 32]);
 
--- a/crates/tenants/src/ledger.rs
+++ b/crates/tenants/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The coordinator's count of its tenants' tokens.
+//! Token accounting of a coordinator.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,44 +9,43 @@
 use crate::initial_allowance::InitialAllowance;
 use crate::rate::{RateBounds, RateLimit};
 
-/// Most tenants for which this daemon remembers what it gave out without being their coordinator; 48 bytes and a name
-/// each. Beyond it stands in for no further ones.
+/// Maximum number of tenants with a partly used allowance; no grants as the fallback for further ones.
 const MAX_ALLOWANCES: usize = 1_024;
 
-/// A daemon that did not run for so long stood still. Longer than its ticks are apart on a busy machine, and shorter
-/// than the time after which members take one for dead.
+/// Time between two calls after which this daemon is considered stalled. Longer than ticks on a busy machine, shorter
+/// than the time after which members consider a daemon dead.
 const STALL_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// What becomes of a question for tokens.
+/// Result of a request for tokens.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RateDecision {
-    /// So many requests may run, one at least.
+    /// This number of requests may run, at least one.
     Granted {
-        /// Tokens.
+        /// Number of granted tokens.
         tokens: u32,
     },
     /// The tenant is at its limit.
     Exhausted {
-        /// When a token will be there for this caller.
+        /// Delay after which the caller may retry.
         retry_after: Duration,
     },
 }
 
-/// Tokens of the tenants that this daemon coordinates, or stands in for the coordinator of.
+/// Tokens of the tenants that this daemon coordinates or has acted for as fallback coordinator.
 #[derive(Debug, Default)]
 pub struct RateLedger {
     buckets: HashMap<String, TokenBucket>,
-    /// Of tenants without a bucket here: what is left to begin with, or to stand in with.
+    /// Partly used allowances of tenants without a bucket.
     allowances: HashMap<String, InitialAllowance>,
-    /// When this daemon was last seen running.
+    /// Last call of [`Self::detect_stall`].
     last_run_at: Option<Instant>,
 }
 
 impl RateLedger {
-    /// This daemon runs; to be called ten times a second at least, and before tokens are given out. Returns for how
-    /// long it stood still, if it did.
+    /// Detects whether this daemon has stalled since the last call, and for how long; to be called at least ten times
+    /// a second, and before tokens are granted.
     ///
-    /// Why: another member may have given out what accrued in that time, and the buckets would give it out once more.
+    /// Nothing accrues for the time of a stall, since another member may have granted it.
     pub fn detect_stall(&mut self, now: Instant) -> Option<Duration> {
         let last_run_at = self.last_run_at.replace(now)?;
         let stall = now.saturating_duration_since(last_run_at);
@@ -59,8 +58,8 @@
         Some(stall)
     }
 
-    /// Gives out up to `wanted` tokens of a tenant. `share` is the part of the limit that this coordinator may give
-    /// out, 0 to 1: members that may be cut off from it have the rest.
+    /// Grants up to `wanted` tokens of a tenant. `share`, 0 to 1, is the part of the limit that this coordinator may
+    /// grant; members that may be partitioned from it have the rest.
     pub fn take(
         &mut self,
         tenant: &str,
@@ -94,11 +93,10 @@
         RateDecision::Granted { tokens }
     }
 
-    /// Gives out one token of a tenant whose coordinator does not answer the asker, and which this daemon would
-    /// coordinate next. It comes from the stock that a new coordinator begins with, and nothing accrues. Returns false
-    /// if that is used up.
+    /// Grants one token as the fallback for a coordinator that doesn't reply to the requester. False if the initial
+    /// allowance is used up; it is refilled an accounting period after the last grant.
     ///
-    /// Why bounded: the coordinator may be silent to this asker alone, and give out the full limit to all others.
+    /// Bounded, since the coordinator may be unresponsive to this requester only and grant the full limit to others.
     pub fn take_as_fallback(
         &mut self,
         tenant: &str,
@@ -129,9 +127,8 @@
         self.allowances.len() < MAX_ALLOWANCES
     }
 
-    /// Forgets the counts of tenants that this daemon does not coordinate any more: should it coordinate them again,
-    /// another one may have given out their tokens meanwhile. It then begins anew, with no more than was left.
-    /// Returns how many those are.
+    /// Removes the buckets of tenants that this daemon doesn't coordinate any more and returns their number. What is
+    /// left is carried over to their allowances, as another coordinator may grant tokens in the meantime.
     pub fn retain(
         &mut self,
         bounds: &RateBounds,
--- a/crates/tenants/src/lib.rs
+++ b/crates/tenants/src/lib.rs
@@ -1,7 +1,7 @@
-//! Tenants: API keys, the directory that names a key's tenant, and rate limits that hold for a whole fleet.
+//! Tenants: API keys, the directory of tenants, and rate limits that hold over the whole fleet.
 //!
-//! Pure: the callers bring the time. A tenant's rate is counted by one daemon, its coordinator ([`RateLedger`]), which
-//! gives out tokens for single requests; the daemons that take the requests keep them for a moment ([`TokenPool`]).
+//! Pure: callers supply the time. One daemon, the coordinator, accounts for a tenant's rate ([`RateLedger`]) and
+//! grants tokens for single requests; the other daemons hold them for a short time ([`TokenPool`]).
 
 mod bucket;
 mod directory;
--- a/crates/tenants/src/regions.rs
+++ b/crates/tenants/src/regions.rs
@@ -1,19 +1,19 @@
-//! Regions in which requests may be served, and what is kept of them may lie.
+//! Regions in which requests may run and their data may be stored.
 
 use std::sync::Arc;
 
-/// The regions that a route or a tenant allows.
+/// Regions allowed by a route or a tenant.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum AllowedRegions {
-    /// All of them: nothing is said.
+    /// No restriction.
     #[default]
     Any,
-    /// These only, in order, each once. An empty list allows none.
+    /// Only these, sorted and distinct; an empty list allows none.
     Only(Arc<[String]>),
 }
 
 impl AllowedRegions {
-    /// Only these regions.
+    /// Creates a restriction to these regions, in any order.
     pub fn only(regions: impl IntoIterator<Item = String>) -> Self {
         let mut regions: Vec<String> = regions.into_iter().collect();
         regions.sort_unstable();
@@ -21,7 +21,7 @@
         Self::Only(regions.into())
     }
 
-    /// True if the region is allowed. A region that nobody knows (an empty name) is allowed only where all are.
+    /// True if the region is allowed. An unknown region (empty name) is only allowed without restriction.
     pub fn allows(&self, region: &str) -> bool {
         match self {
             Self::Any => true,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// What both allow: those of a request whose route and whose tenant both say something.
+    /// Returns the intersection: the regions allowed by both a route and a tenant.
     #[must_use]
     pub fn and(&self, other: &Self) -> Self {
         match (self, other) {
--- a/crates/tenants/src/succession.rs
+++ b/crates/tenants/src/succession.rs
@@ -1,20 +1,21 @@
-//! Members that went lately: what a member must know of before it stands in for a silent coordinator.
+//! Recently departed members, which a fallback coordinator must take into account.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// The ids of members that went lately, beside those that are there.
+/// Recently departed members, in addition to the present ones.
 #[derive(Debug)]
 pub struct Succession {
-    /// How long a member that went counts, and how long this one must have run to stand in.
+    /// How long a departed member counts, and how long this one must have run to act as fallback coordinator.
     accounting_period: Duration,
     started_at: Instant,
     departed: Vec<(String, Instant)>,
 }
 
 impl Succession {
-    /// Of a member that starts at `now`. Tokens that were given out `accounting_period` ago do not count any more.
+    /// Creates the state of a member that starts at `now`. Tokens granted more than `accounting_period` ago don't
+    /// count.
     pub fn new(accounting_period: Duration, now: Instant) -> Self {
         Self {
             accounting_period,
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Members went or came at `now`: those that went, and a test for those that are there.
+    /// Records a change of the members: those that departed, and a test for those that are present.
     pub fn note_change(
         &mut self,
         departed: impl IntoIterator<Item = String>,
@@ -38,12 +39,11 @@
             .extend(departed.into_iter().map(|id| (id, now)));
     }
 
-    /// The members that went while tokens which they gave out may still be in use; `None` if this one has not run long
-    /// enough to know them.
+    /// Returns the members whose grants may still count; `None` if this member hasn't run long enough to know them.
     ///
-    /// A member stands in for a silent coordinator only if these two come first also among the members and those. Why:
-    /// each that begins anew, or stands in, does so with a stock of its own; members that die one after another must
-    /// not add up faster by standing in than they did by following each other.
+    /// A member acts as fallback only if it and the unresponsive coordinator rank first among the present and these
+    /// members. Each new or fallback coordinator grants an allowance of its own, so members that crash in succession
+    /// must not add up to more allowances than takeovers alone would.
     pub fn departed(&self, now: Instant) -> Option<impl Iterator<Item = &str>> {
         if now.saturating_duration_since(self.started_at) < self.accounting_period {
             return None;
--- a/crates/tenants/src/token_pool.rs
+++ b/crates/tenants/src/token_pool.rs
@@ -1,4 +1,4 @@
-//! Tokens that a daemon holds for one tenant's next requests.
+//! Tokens that a daemon holds for the next requests of one tenant.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,17 +7,17 @@
 
 use crate::rate::TOKEN_LIFETIME;
 
-/// Time ahead for which tokens are asked. Half of their lifetime, so that few of them lapse unused.
+/// Time ahead for which tokens are requested; half of their lifetime, so that few expire unused.
 const LOOKAHEAD: Duration = Duration::from_millis(250);
 
-/// Most tokens asked for at once.
+/// Maximum number of tokens per request to the coordinator.
 const MAX_WANTED: u32 = 64;
 
-/// Time over which the rate of requests is window.
+/// Averaging window of the request rate.
 const AVERAGING_WINDOW: Duration = Duration::from_secs(1);
 
-/// Longest time for which a daemon refuses by itself after its coordinator had nothing: bounds the questions of a
-/// tenant far above its limit.
+/// How long a daemon refuses without asking the coordinator again; bounds the queries for a tenant far above its
+/// limit.
 const MAX_REFUSAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Clone, Copy)]
@@ -26,11 +26,11 @@
     expires_at: Instant,
 }
 
-/// The stock.
+/// Unexpired tokens of one tenant, its request rate, and the last refusal by the coordinator.
 #[derive(Debug, Default)]
 pub struct TokenPool {
     grants: VecDeque<Grant>,
-    /// Requests a second, window.
+    /// Mean request rate, per second.
     demand: f64,
     last_request: Option<Instant>,
     refusal: Option<Refusal>,
@@ -43,7 +43,7 @@
 }
 
 impl TokenPool {
-    /// Counts a request of the tenant.
+    /// Records a request of the tenant in its rate.
     pub fn note_request(&mut self, now: Instant) {
         let window = AVERAGING_WINDOW.as_secs_f64();
         let elapsed = self.last_request.map_or(window, |last| {
@@ -53,7 +53,7 @@
         self.last_request = Some(now);
     }
 
-    /// Takes a token, if one is there.
+    /// Takes a token; false if there is none.
     pub fn take(&mut self, now: Instant) -> bool {
         self.grants.retain(|grant| grant.expires_at > now);
         let Some(grant) = self.grants.front_mut() else {
@@ -66,20 +66,20 @@
         true
     }
 
-    /// True if it holds nothing that a request could need.
+    /// True if the pool has neither tokens nor a refusal in force and can be dropped.
     pub fn is_idle(&self, now: Instant) -> bool {
         let expired = self.grants.iter().all(|grant| grant.expires_at <= now);
         expired && self.refusal(now).is_none()
     }
 
-    /// Tokens to ask for: those of the next requests, one at least.
+    /// Returns the number of tokens to request: those expected to be needed soon, at least one.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn wanted(&self) -> u32 {
         let expected = (self.demand * LOOKAHEAD.as_secs_f64()).floor();
         (expected as u32).clamp(1, MAX_WANTED)
     }
 
-    /// Keeps tokens that were asked for at `requested_at`; they lapse a fixed time after that, however late they come.
+    /// Adds tokens that were requested at `requested_at`; their lifetime starts then, however late they arrive.
     pub fn add(&mut self, tokens: u32, requested_at: Instant) {
         if tokens > 0 {
             self.grants.push_back(Grant {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The coordinator had nothing; a caller may come back after `retry_after`.
+    /// Records that the coordinator had no tokens; callers may retry after `retry_after`.
     pub fn note_refusal(&mut self, retry_after: Duration, now: Instant) {
         self.refusal = Some(Refusal {
             until: now + retry_after.min(MAX_REFUSAL),
@@ -97,7 +97,7 @@
         });
     }
 
-    /// When a caller may come back, while this daemon need not ask to know that there is nothing.
+    /// Returns the retry delay while callers are refused without asking the coordinator; otherwise `None`.
     pub fn refusal(&self, now: Instant) -> Option<Duration> {
         let refusal = self.refusal.filter(|refusal| now < refusal.until)?;
         Some(refusal.retry_at.saturating_duration_since(now))
