--- a/crates/ownership/src/takeovers.rs
+++ b/crates/ownership/src/takeovers.rs
@@ -168,7 +168,7 @@
         self.consider_challenge(record, delay, now)
     }
 
-    /// The owner can't refute that it is gone: its cooldown doesn't apply.
+    /// The owner can't refute the takeover, so its cooldown doesn't apply.
     fn consider_takeover(
         &mut self,
         record: OwnershipRecord<'_>,
--- a/crates/ownership/tests/cooldowns.rs
+++ b/crates/ownership/tests/cooldowns.rs
@@ -1,4 +1,4 @@
-//! Owners that turned out to live are left alone, longer each time, and forgotten in the end.
+//! Cooldowns of owners that refuted a challenge: duration, doubling and expiry.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 }
 
 #[test]
-fn an_owner_that_never_showed_that_it_lives_is_not_left_alone() {
+fn an_owner_without_a_refutation_has_no_cooldown() {
     let mut cooldowns = Cooldowns::default();
     cooldowns.start("daemon-3", INITIAL, MAX, seconds(1));
     assert_eq!(cooldowns.until(OWNER), Duration::ZERO);
 }
 
 #[test]
-fn each_rest_is_twice_as_long_as_the_last_up_to_the_longest() {
+fn each_cooldown_doubles_up_to_the_maximum() {
     let mut cooldowns = Cooldowns::default();
     let mut now = seconds(1);
     for expected in [4, 8, 16, 32, 64, 64, 64] {
@@ -30,9 +30,9 @@
     }
 }
 
-/// An owner that takes a hundred things at once has shown once that it lives.
+/// An owner that writes many resources at once must not extend its cooldown with each of them.
 #[test]
-fn what_is_shown_within_a_rest_does_not_make_it_longer() {
+fn a_refutation_within_a_cooldown_does_not_extend_it() {
     let mut cooldowns = Cooldowns::default();
     for millis in 0..100 {
         cooldowns.start(OWNER, INITIAL, MAX, Duration::from_millis(millis));
@@ -40,9 +40,9 @@
     assert_eq!(cooldowns.until(OWNER), INITIAL);
 }
 
-/// Members come and go for as long as a daemon runs.
+/// Guards against unbounded memory, as members come and go.
 #[test]
-fn owners_are_forgotten_long_after_their_rest() {
+fn owners_expire_long_after_their_cooldown() {
     let mut cooldowns = Cooldowns::default();
     cooldowns.start(OWNER, INITIAL, MAX, seconds(0));
     cooldowns.expire(MAX, seconds(131));
--- a/crates/ownership/tests/takeovers.rs
+++ b/crates/ownership/tests/takeovers.rs
@@ -1,15 +1,15 @@
-//! Daemons that own things before one store, on a clock of the test's own: views differ, owners die and stop, and the store is
-//! slow. A model of the driver: it sees the record after the watch's lag, and writes after the store's.
+//! Simulation of daemons that own resources in one store, with partitions, crashes, pauses and slow writes. Daemons
+//! see a record after the lag of their watch.
 
 use std::time::Duration;
 
 use harrierward_ownership::{OwnerStatus, OwnershipRecord, Step, TakeoverBounds, Takeovers};
 use proptest::prelude::*;
 
-/// Granularity of the simulation: how often a daemon looks for things without an owner.
+/// Granularity of the simulation: interval at which daemons poll for resources to take over.
 const STEP: Duration = Duration::from_millis(50);
 
-/// How much longer each further daemon waits.
+/// Additional delay of each further daemon in the order.
 const RANK_DELAY: Duration = Duration::from_millis(400);
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -29,31 +29,31 @@
     record: Record,
 }
 
-/// How the daemons and the store are.
+/// Conditions of the daemons and the store.
 #[derive(Debug, Clone)]
-struct World {
+struct Scenario {
     daemons: usize,
-    /// Part of the fleet that each daemon is in; daemons hear their own part only.
-    parts: Vec<usize>,
-    /// Time from a write to its sight by each daemon.
+    /// Partition of each daemon; daemons only see members of their own.
+    partitions: Vec<usize>,
+    /// Time until each daemon's watch reports a write.
     watch_lags: Vec<Duration>,
-    /// Time that a write takes.
-    write_takes: Duration,
-    /// A daemon that is stopped for this time.
-    stopped: Option<(usize, Duration, Duration)>,
-    /// A daemon that dies then, and how long its peers need to hold it for gone.
-    dies: Option<(usize, Duration, Duration)>,
+    /// Latency of writes.
+    write_latency: Duration,
+    /// A paused daemon, with the start and the end of the pause.
+    paused: Option<(usize, Duration, Duration)>,
+    /// A daemon that crashes, the time of the crash, and the time until others detect it.
+    crash: Option<(usize, Duration, Duration)>,
 }
 
 #[derive(Debug, Default)]
 struct Outcome {
-    /// When the owner changed, and to whom.
+    /// Changes of the owner: when, and to which daemon.
     takeovers: Vec<(Duration, usize)>,
     writes: usize,
 }
 
-struct Run {
-    world: World,
+struct Simulation {
+    scenario: Scenario,
     cores: Vec<Takeovers>,
     history: Vec<(Duration, Record)>,
     seen: Vec<Record>,
@@ -61,7 +61,7 @@
     outcome: Outcome,
 }
 
-/// A draw of each daemon's own.
+/// Returns a distinct, fixed draw for each daemon.
 fn draw(daemon: usize) -> f64 {
     (daemon * 7 % 10) as f64 / 10.0
 }
@@ -70,50 +70,50 @@
     format!("daemon-{daemon}")
 }
 
-impl Run {
-    fn new(world: World) -> Self {
+impl Simulation {
+    fn new(scenario: Scenario) -> Self {
         let first = Record {
             epoch: 1,
             revision: 1,
             ..Record::default()
         };
         Self {
-            cores: (0..world.daemons)
+            cores: (0..scenario.daemons)
                 .map(|daemon| Takeovers::new(TakeoverBounds::default(), draw(daemon)))
                 .collect(),
             history: vec![(Duration::ZERO, first.clone())],
-            seen: vec![first; world.daemons],
+            seen: vec![first; scenario.daemons],
             writes: Vec::new(),
             outcome: Outcome::default(),
-            world,
+            scenario,
         }
     }
 
-    fn acts(&self, daemon: usize, now: Duration) -> bool {
-        let is_stopped = self
-            .world
-            .stopped
+    fn is_running(&self, daemon: usize, now: Duration) -> bool {
+        let is_paused = self
+            .scenario
+            .paused
             .is_some_and(|(one, from, until)| one == daemon && (from..until).contains(&now));
-        let is_dead = self
-            .world
-            .dies
+        let has_crashed = self
+            .scenario
+            .crash
             .is_some_and(|(one, at, _)| one == daemon && now >= at);
-        !is_stopped && !is_dead
+        !is_paused && !has_crashed
     }
 
     fn status(&self, of: usize, at: usize, now: Duration) -> OwnerStatus {
-        let is_held_for_dead = self
-            .world
-            .dies
-            .is_some_and(|(one, when, noticed)| one == of && now >= when + noticed);
-        if is_held_for_dead || self.world.parts[of] != self.world.parts[at] {
+        let is_detected = self
+            .scenario
+            .crash
+            .is_some_and(|(one, when, detection_delay)| one == of && now >= when + detection_delay);
+        if is_detected || self.scenario.partitions[of] != self.scenario.partitions[at] {
             OwnerStatus::Absent
         } else {
             OwnerStatus::Present
         }
     }
 
-    fn settle_writes(&mut self, now: Duration) {
+    fn complete_writes(&mut self, now: Duration) {
         let (due, rest) = std::mem::take(&mut self.writes)
             .into_iter()
             .partition(|write| write.arrives <= now);
@@ -122,8 +122,8 @@
         for write in due {
             let current = self.history.last().expect("a record").1.clone();
             if write.record.revision != current.revision {
-                // The refusal holds the record as it stands.
-                self.take(write.by, current, now);
+                // A rejected write returns the current record.
+                self.observe(write.by, current, now);
                 continue;
             }
             let revision = current.revision + 1;
@@ -137,19 +137,19 @@
                     ..write.record.clone()
                 };
                 let names = Names::of(&record);
-                self.cores[write.by].note_challenge(names.claim(&record), took, now);
+                self.cores[write.by].note_challenge(names.ownership(&record), took, now);
             }
             let record = Record {
                 revision,
                 ..write.record
             };
             self.history.push((now, record.clone()));
-            self.take(write.by, record, now);
+            self.observe(write.by, record, now);
         }
     }
 
-    fn look(&mut self, daemon: usize, now: Duration) {
-        let lag = self.world.watch_lags[daemon];
+    fn poll_watch(&mut self, daemon: usize, now: Duration) {
+        let lag = self.scenario.watch_lags[daemon];
         let newest = self
             .history
             .iter()
@@ -157,13 +157,13 @@
             .find(|(at, _)| *at + lag <= now)
             .map(|(_, record)| record.clone());
         if let Some(newest) = newest {
-            self.take(daemon, newest, now);
+            self.observe(daemon, newest, now);
         }
     }
 
-    /// A daemon learns of a record, from its watch or from the answer to a write.
-    fn take(&mut self, daemon: usize, newest: Record, now: Duration) {
-        if newest.revision <= self.seen[daemon].revision || !self.acts(daemon, now) {
+    /// Applies a record that a daemon receives from its watch or in the reply to a write.
+    fn observe(&mut self, daemon: usize, newest: Record, now: Duration) {
+        if newest.revision <= self.seen[daemon].revision || !self.is_running(daemon, now) {
             return;
         }
         let before = std::mem::replace(&mut self.seen[daemon], newest.clone());
@@ -171,7 +171,12 @@
             || self.status(before.owner, daemon, now) == OwnerStatus::Present;
         let names = Names::of(&before);
         let after = Names::of(&newest);
-        self.cores[daemon].note_change(names.claim(&before), after.claim(&newest), is_present, now);
+        self.cores[daemon].note_change(
+            names.ownership(&before),
+            after.ownership(&newest),
+            is_present,
+            now,
+        );
     }
 
     fn act(&mut self, daemon: usize, now: Duration) {
@@ -193,15 +198,15 @@
             }
             return;
         }
-        // A daemon knows its own part only, and is the first in order where it is alone.
-        let parts = &self.world.parts;
-        let before = (0..daemon).filter(|other| parts[*other] == parts[daemon]);
+        // Daemons are ordered among the members of their partition.
+        let partitions = &self.scenario.partitions;
+        let before = (0..daemon).filter(|other| partitions[*other] == partitions[daemon]);
         let before = before.filter(|other| *other != record.owner);
         let rank = u32::try_from(before.count()).expect("a small number");
         let status = self.status(record.owner, daemon, now);
         let names = Names::of(&record);
         let delay = || RANK_DELAY * rank;
-        let step = self.cores[daemon].step(names.claim(&record), status, delay, now);
+        let step = self.cores[daemon].step(names.ownership(&record), status, delay, now);
         match step {
             Step::Wait => {}
             Step::Challenge => self.send(
@@ -229,7 +234,7 @@
     fn send(&mut self, by: usize, now: Duration, record: Record) {
         self.outcome.writes += 1;
         self.writes.push(Write {
-            arrives: now + self.world.write_takes,
+            arrives: now + self.scenario.write_latency,
             by,
             sent: now,
             record,
@@ -240,10 +245,10 @@
         let mut now = Duration::ZERO;
         while now < end {
             now += STEP;
-            self.settle_writes(now);
-            for daemon in 0..self.world.daemons {
-                if self.acts(daemon, now) {
-                    self.look(daemon, now);
+            self.complete_writes(now);
+            for daemon in 0..self.scenario.daemons {
+                if self.is_running(daemon, now) {
+                    self.poll_watch(daemon, now);
                     self.act(daemon, now);
                 }
             }
@@ -265,7 +270,7 @@
         }
     }
 
-    fn claim(&self, record: &Record) -> OwnershipRecord<'_> {
+    fn ownership(&self, record: &Record) -> OwnershipRecord<'_> {
         OwnershipRecord {
             resource: "thing",
             owner: &self.owner,
@@ -277,163 +282,163 @@
     }
 }
 
-fn calm(daemons: usize) -> World {
-    World {
+fn healthy(daemons: usize) -> Scenario {
+    Scenario {
         daemons,
-        parts: vec![0; daemons],
+        partitions: vec![0; daemons],
         watch_lags: vec![Duration::from_millis(600); daemons],
-        write_takes: Duration::from_millis(10),
-        stopped: None,
-        dies: None,
+        write_latency: Duration::from_millis(10),
+        paused: None,
+        crash: None,
     }
 }
 
-/// Longest lag of a watch: changes are gathered for so long in the largest fleets.
-const LONGEST_LAG: Duration = Duration::from_millis(800);
+/// Maximum lag of watches.
+const MAX_WATCH_LAG: Duration = Duration::from_millis(800);
 
-const WATCHED: Duration = Duration::from_secs(300);
+const SIMULATED_TIME: Duration = Duration::from_secs(300);
 
 #[test]
-fn a_calm_fleet_writes_nothing() {
-    let outcome = Run::new(calm(8)).until(WATCHED);
+fn a_healthy_fleet_writes_nothing() {
+    let outcome = Simulation::new(healthy(8)).until(SIMULATED_TIME);
     assert_eq!(outcome.writes, 0);
 }
 
 #[test]
-fn a_live_owner_that_half_the_fleet_does_not_hear_keeps_what_it_owns() {
-    let world = World {
-        parts: vec![0, 1, 0, 1, 0, 1],
-        watch_lags: vec![LONGEST_LAG; 6],
-        ..calm(6)
+fn a_live_owner_keeps_ownership_in_a_partition() {
+    let scenario = Scenario {
+        partitions: vec![0, 1, 0, 1, 0, 1],
+        watch_lags: vec![MAX_WATCH_LAG; 6],
+        ..healthy(6)
     };
-    let outcome = Run::new(world).until(WATCHED);
+    let outcome = Simulation::new(scenario).until(SIMULATED_TIME);
     assert_eq!(outcome.takeovers, Vec::new());
-    // One challenge and one refutation a rest of 16 s, after four shorter ones.
+    // One challenge and one refutation per cooldown of 16 s, after four shorter ones.
     assert!(outcome.writes <= 60, "{} writes", outcome.writes);
 }
 
 #[test]
-fn a_dead_owner_is_followed_within_a_second_of_what_a_view_alone_would_take() {
-    let noticed = Duration::from_millis(1_800);
-    let died = Duration::from_secs(10);
-    let world = World {
-        dies: Some((0, died, noticed)),
-        ..calm(6)
+fn a_crashed_owner_is_replaced_within_a_second_of_a_takeover_by_view() {
+    let detection_delay = Duration::from_millis(1_800);
+    let crashed_at = Duration::from_secs(10);
+    let scenario = Scenario {
+        crash: Some((0, crashed_at, detection_delay)),
+        ..healthy(6)
     };
-    let outcome = Run::new(world).until(Duration::from_secs(40));
+    let outcome = Simulation::new(scenario).until(Duration::from_secs(40));
     let [(at, by)] = outcome.takeovers[..] else {
         panic!("{outcome:?}");
     };
     assert_eq!(by, 1);
-    // A view alone: 0.3 s after it notices, and 0.4 s for the second daemon in the order.
-    let by_view = died + noticed + Duration::from_millis(300) + RANK_DELAY;
+    // Takeover by view alone: 0.3 s after the detection, plus the delay of the second daemon.
+    let by_view = crashed_at + detection_delay + Duration::from_millis(300) + RANK_DELAY;
     assert!(at <= by_view + Duration::from_secs(1), "at {at:?}");
 }
 
 #[test]
-fn the_next_follows_where_a_challenger_stops() {
-    let died = Duration::from_secs(10);
-    let world = World {
-        dies: Some((0, died, Duration::from_millis(1_800))),
-        stopped: Some((1, Duration::from_secs(13), Duration::from_secs(60))),
-        ..calm(6)
+fn the_next_daemon_takes_over_if_the_challenger_pauses() {
+    let crashed_at = Duration::from_secs(10);
+    let scenario = Scenario {
+        crash: Some((0, crashed_at, Duration::from_millis(1_800))),
+        paused: Some((1, Duration::from_secs(13), Duration::from_secs(60))),
+        ..healthy(6)
     };
-    let outcome = Run::new(world).until(Duration::from_secs(20));
+    let outcome = Simulation::new(scenario).until(Duration::from_secs(20));
     let [(at, by)] = outcome.takeovers[..] else {
         panic!("{outcome:?}");
     };
     assert_eq!(by, 2);
-    assert!(at <= died + Duration::from_secs(6), "at {at:?}");
+    assert!(at <= crashed_at + Duration::from_secs(6), "at {at:?}");
 }
 
 proptest! {
-    /// Whoever lives and reaches the store is taken over from once at most, however the fleet is cut, the store slow, and one
-    /// daemon stopped.
+    /// A live owner that reaches the store must lose ownership at most once, in spite of partitions, slow writes and
+    /// a pause.
     #[test]
-    fn a_live_owner_is_taken_over_from_once_at_most(
-        parts in proptest::collection::vec(0_usize..3, 6),
+    fn a_live_owner_loses_ownership_at_most_once(
+        partitions in proptest::collection::vec(0_usize..3, 6),
         lags_ms in proptest::collection::vec(0_u64..=800, 6),
         write_ms in 1_u64..=4_000,
-        stopped in 0_usize..6,
-        stop_at_ms in 1_000_u64..60_000,
-        stop_ms in 0_u64..8_000,
+        paused in 0_usize..6,
+        pause_at_ms in 1_000_u64..60_000,
+        pause_ms in 0_u64..8_000,
     ) {
-        let from = Duration::from_millis(stop_at_ms);
-        let world = World {
-            parts,
+        let from = Duration::from_millis(pause_at_ms);
+        let scenario = Scenario {
+            partitions,
             watch_lags: lags_ms.iter().map(|lag| Duration::from_millis(*lag)).collect(),
-            write_takes: Duration::from_millis(write_ms),
-            stopped: Some((stopped, from, from + Duration::from_millis(stop_ms))),
-            ..calm(6)
+            write_latency: Duration::from_millis(write_ms),
+            paused: Some((paused, from, from + Duration::from_millis(pause_ms))),
+            ..healthy(6)
         };
-        let outcome = Run::new(world).until(WATCHED);
+        let outcome = Simulation::new(scenario).until(SIMULATED_TIME);
         prop_assert!(outcome.takeovers.len() <= 1, "{outcome:?}");
     }
 
-    /// An owner that dies is followed soon by those that heard it, whatever others beyond a cut have made of it before.
+    /// A crashed owner must be replaced soon by members of its partition, whatever other partitions did before.
     #[test]
-    fn a_dead_owner_is_followed_soon_in_any_cut(
-        mut parts in proptest::collection::vec(0_usize..3, 6),
+    fn a_crashed_owner_is_replaced_soon_in_any_partition(
+        mut partitions in proptest::collection::vec(0_usize..3, 6),
         lags_ms in proptest::collection::vec(0_u64..=800, 6),
         write_ms in 1_u64..=500,
-        died_ms in 100_u64..100_000,
+        crashed_at_ms in 100_u64..100_000,
     ) {
-        parts[0] = 0;
-        parts[5] = 0;
-        let died = Duration::from_millis(died_ms);
-        let noticed = Duration::from_millis(1_800);
-        let world = World {
-            parts,
+        partitions[0] = 0;
+        partitions[5] = 0;
+        let crashed_at = Duration::from_millis(crashed_at_ms);
+        let detection_delay = Duration::from_millis(1_800);
+        let scenario = Scenario {
+            partitions,
             watch_lags: lags_ms.iter().map(|lag| Duration::from_millis(*lag)).collect(),
-            write_takes: Duration::from_millis(write_ms),
-            dies: Some((0, died, noticed)),
-            ..calm(6)
+            write_latency: Duration::from_millis(write_ms),
+            crash: Some((0, crashed_at, detection_delay)),
+            ..healthy(6)
         };
-        let outcome = Run::new(world).until(died + Duration::from_secs(30));
+        let outcome = Simulation::new(scenario).until(crashed_at + Duration::from_secs(30));
         prop_assert!(!outcome.takeovers.is_empty());
         let (at, _) = outcome.takeovers[0];
-        prop_assert!(at >= died, "{outcome:?}");
-        prop_assert!(at <= died + noticed + Duration::from_secs(6), "{outcome:?}");
+        prop_assert!(at >= crashed_at, "{outcome:?}");
+        prop_assert!(at <= crashed_at + detection_delay + Duration::from_secs(6), "{outcome:?}");
     }
 
-    /// Watches that lag by far more than a challenge stands for: the thing changes hands a few times and then stays.
+    /// Watches that lag longer than a challenge lasts must not cause endless takeovers.
     #[test]
-    fn owners_whose_watches_lag_too_much_take_few_turns(
-        parts in proptest::collection::vec(0_usize..6, 6),
+    fn ownership_settles_although_watches_lag(
+        partitions in proptest::collection::vec(0_usize..6, 6),
         lags_ms in proptest::collection::vec(0_u64..=3_500, 6),
         write_ms in 1_u64..=100,
     ) {
-        let world = World {
-            parts,
+        let scenario = Scenario {
+            partitions,
             watch_lags: lags_ms.iter().map(|lag| Duration::from_millis(*lag)).collect(),
-            write_takes: Duration::from_millis(write_ms),
-            ..calm(6)
+            write_latency: Duration::from_millis(write_ms),
+            ..healthy(6)
         };
-        let outcome = Run::new(world).until(WATCHED);
+        let outcome = Simulation::new(scenario).until(SIMULATED_TIME);
         prop_assert!(outcome.takeovers.len() <= 3, "{outcome:?}");
     }
 }
 
-/// Each daemon is alone, and so the first in its own order.
+/// Each daemon is alone in its partition and so the first in its own order.
 #[test]
-fn many_daemons_that_each_hear_nobody_leave_a_live_owner_alone() {
+fn many_isolated_daemons_leave_a_live_owner_in_place() {
     const DAEMONS: usize = 71;
-    let world = World {
-        parts: (0..DAEMONS).collect(),
-        watch_lags: vec![LONGEST_LAG; DAEMONS],
-        ..calm(DAEMONS)
+    let scenario = Scenario {
+        partitions: (0..DAEMONS).collect(),
+        watch_lags: vec![MAX_WATCH_LAG; DAEMONS],
+        ..healthy(DAEMONS)
     };
-    let outcome = Run::new(world).until(WATCHED);
+    let outcome = Simulation::new(scenario).until(SIMULATED_TIME);
     assert_eq!(outcome.takeovers, Vec::new());
-    // Each of 70 daemons writes in a round at most, a round a rest, and rests are 16 s and longer after the first four.
+    // Each of 70 daemons writes at most once per cooldown, and cooldowns are at least 16 s after the first four.
     assert!(outcome.writes <= 70 * 22, "{} writes", outcome.writes);
 }
 
-/// An owner whose machine runs a later start is gone for certain, also where it had refuted a challenge just before.
+/// An owner whose machine runs a later instance must be replaced at once, even after it refuted a challenge.
 #[test]
-fn a_thing_of_an_owner_that_was_started_again_is_taken_in_its_rest() {
+fn a_superseded_owner_is_replaced_during_its_cooldown() {
     let mut core = Takeovers::new(TakeoverBounds::default(), 1.0);
-    let claim = |challenger: &'static str, revision| OwnershipRecord {
+    let record_of = |challenger: &'static str, revision| OwnershipRecord {
         resource: "thing",
         owner: "daemon-0",
         challenger,
@@ -442,9 +447,9 @@
         revision,
     };
     let now = Duration::from_secs(10);
-    core.note_change(claim("daemon-1", 1), claim("", 2), false, now);
+    core.note_change(record_of("daemon-1", 1), record_of("", 2), false, now);
     let step =
-        |core: &mut Takeovers, status, at| core.step(claim("", 2), status, || RANK_DELAY, at);
+        |core: &mut Takeovers, status, at| core.step(record_of("", 2), status, || RANK_DELAY, at);
     let later = now + Duration::from_secs(1);
     assert_eq!(step(&mut core, OwnerStatus::Absent, later), Step::Wait);
     let later = later + RANK_DELAY;
--- a/crates/quarantine/tests/content.rs
+++ b/crates/quarantine/tests/content.rs
@@ -1,11 +1,11 @@
-//! The parts of a request's content do not run into each other.
+//! Digests must separate the parts of a request.
 
 use harrierward_quarantine::ContentId;
 
 #[test]
-fn parts_are_told_apart() {
-    let one = ContentId::of(&[b"/ask/x", b"", b"body"]);
-    assert_eq!(one, ContentId::of(&[b"/ask/x", b"", b"body"]));
-    assert_ne!(one, ContentId::of(&[b"/ask/xb", b"", b"ody"]));
-    assert_ne!(one, ContentId::of(&[b"/ask/x", b"body", b""]));
+fn parts_are_separated() {
+    let digest = ContentId::of(&[b"/ask/x", b"", b"body"]);
+    assert_eq!(digest, ContentId::of(&[b"/ask/x", b"", b"body"]));
+    assert_ne!(digest, ContentId::of(&[b"/ask/xb", b"", b"ody"]));
+    assert_ne!(digest, ContentId::of(&[b"/ask/x", b"body", b""]));
 }
--- a/crates/quarantine/tests/ledger.rs
+++ b/crates/quarantine/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Who is to blame where replicas crash, as one daemon and as several come to it.
+//! Detection of the contents that cause crashes, on one daemon and on several.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     Duration::from_millis(millis)
 }
 
-/// Times are counted from a moment that lies well after the clock's beginning.
+/// A time well after the clock's epoch, so that ages can be subtracted.
 fn start() -> Instant {
     Instant::now() + Duration::from_secs(10_000)
 }
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_content_is_held_back_from_its_third_end_on() {
+fn a_content_is_quarantined_from_its_third_crash_on() {
     let (mut ledger, now) = (CrashLedger::default(), start());
     for replica in 1..=2 {
         crash(&mut ledger, &[CULPRIT], replica, now);
@@ -47,9 +47,9 @@
     assert!(is_quarantined(&ledger, CULPRIT, now + ms(10)));
 }
 
-/// One that ran beside the culprit three times by chance is explained by it as soon as the culprit has one crash more.
+/// A bystander of three crashes must not be quarantined once the culprit has one crash more.
 #[test]
-fn what_ran_beside_the_culprit_is_not_held_back() {
+fn a_bystander_is_not_quarantined() {
     let (mut ledger, now) = (CrashLedger::default(), start());
     for replica in 1..=3 {
         crash(&mut ledger, &[CULPRIT, BYSTANDER], replica, now);
@@ -60,25 +60,25 @@
 }
 
 #[test]
-fn a_whole_answer_clears_and_old_news_does_not_undo_it() {
+fn a_complete_response_clears_and_older_reports_do_not_undo_it() {
     let (mut ledger, now) = (CrashLedger::default(), start());
     crash(&mut ledger, &[BYSTANDER], 1, now);
     crash(&mut ledger, &[BYSTANDER], 2, now + ms(300));
-    let told = ledger.to_announce(&ledger.statuses(), now + ms(310), 10);
+    let reports = ledger.to_announce(&ledger.statuses(), now + ms(310), 10);
     assert!(ledger.clear(BYSTANDER, 7, now + ms(400)));
-    // It was on its way for half a second.
-    ledger.merge(&told, now + ms(810));
+    // The report was delayed for half a second.
+    ledger.merge(&reports, now + ms(810));
     assert_eq!(
         ledger.statuses().of(BYSTANDER, now + ms(810)),
         ContentStatus::Clear
     );
     crash(&mut ledger, &[BYSTANDER], 3, now + ms(2_000));
-    let standing = ledger.statuses().of(BYSTANDER, now + ms(2_000));
-    assert_eq!(standing, ContentStatus::Suspect { crashes: 1 });
+    let status = ledger.statuses().of(BYSTANDER, now + ms(2_000));
+    assert_eq!(status, ContentStatus::Suspect { crashes: 1 });
 }
 
 #[test]
-fn a_hold_ends_and_is_longer_after_each_further_end() {
+fn a_quarantine_expires_and_doubles_with_each_further_crash() {
     let (mut ledger, now) = (CrashLedger::default(), start());
     for replica in 1..=3 {
         crash(&mut ledger, &[CULPRIT], replica, now);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn an_operator_releases_it() {
+fn an_operator_can_release_a_content() {
     let (mut ledger, now) = (CrashLedger::default(), start());
     for replica in 1..=3 {
         crash(&mut ledger, &[CULPRIT], replica, now);
@@ -106,9 +106,9 @@
     );
 }
 
-/// What lies in the store is read much later: its crashes must not come back after what cleared them is no longer told.
+/// Stored reports are read much later: they must not restore crashes that were cleared.
 #[test]
-fn a_clearing_is_kept_for_as_long_as_ends_count_and_old_ends_are_no_news() {
+fn clearings_outlast_stored_crashes_and_expired_crashes_are_ignored() {
     let (mut ledger, now) = (CrashLedger::default(), start());
     for replica in 1..=3 {
         crash(&mut ledger, &[CULPRIT], replica, now);
@@ -118,8 +118,8 @@
     let later = now + Duration::from_secs(600);
     ledger.expire(later);
     assert!(ledger.to_announce(&ledger.statuses(), later, 8).is_empty());
-    let kept = ledger.to_store(&ledger.statuses(), later, 8);
-    assert_eq!(kept.len(), 1);
+    let stored = ledger.to_store(&ledger.statuses(), later, 8);
+    assert_eq!(stored.len(), 1);
     let aged = |by: Duration| {
         let mut crashes = crashes.clone();
         for crash in &mut crashes[0].crashes {
@@ -128,7 +128,7 @@
         crashes
     };
     let mut other = CrashLedger::default();
-    other.merge(&kept, later);
+    other.merge(&stored, later);
     assert!(!other.merge(&aged(later - now), later), "cleared");
     let mut other = CrashLedger::default();
     assert!(
@@ -137,11 +137,11 @@
     );
     assert!(other.is_empty());
     ledger.expire(now + Duration::from_secs(3_601));
-    assert!(ledger.is_empty(), "nothing lasts");
+    assert!(ledger.is_empty(), "everything expires");
 }
 
 #[test]
-fn memory_is_bounded_and_the_culprit_stays() {
+fn eviction_bounds_memory_and_keeps_the_culprit() {
     let (mut ledger, now) = (CrashLedger::default(), start());
     for replica in 1..=3 {
         crash(&mut ledger, &[CULPRIT], replica, now);
@@ -159,12 +159,12 @@
     );
 }
 
-/// An item that was there by chance runs once more; one that has ended a fourth replica does not.
+/// A quarantined item may run once more after three crashes, but not after a fourth.
 #[test]
 fn an_item_has_one_trial() {
     let (mut ledger, now) = (CrashLedger::default(), start());
     let allows = |ledger: &CrashLedger, at: Instant| match ledger.statuses().of(CULPRIT, at) {
-        ContentStatus::Quarantined(hold) => hold.allows_trial(at),
+        ContentStatus::Quarantined(period) => period.allows_trial(at),
         _ => true,
     };
     for replica in 1..=3 {
@@ -183,14 +183,14 @@
         replica: u32,
         at_ms: u64,
     },
-    Whole {
+    CompleteResponse {
         content: u64,
         at_ms: u64,
         number: u32,
     },
 }
 
-/// A replica crashes once; daemons date that a little differently.
+/// A replica crashes once; daemons date the crash slightly differently.
 fn any_event() -> impl Strategy<Value = Event> {
     let crash = (1_u64..6, 1_u32..9, 0_u64..400).prop_map(|(content, replica, error_ms)| {
         let at_ms = u64::from(replica) * 600 + error_ms;
@@ -200,13 +200,13 @@
             at_ms,
         }
     });
-    let whole = (2_u64..6, 0_u64..5_000, any::<u32>());
-    let whole = whole.prop_map(|(content, at_ms, number)| Event::Whole {
+    let response = (2_u64..6, 0_u64..5_000, any::<u32>());
+    let response = response.prop_map(|(content, at_ms, number)| Event::CompleteResponse {
         content,
         at_ms,
         number,
     });
-    prop_oneof![4 => crash, 1 => whole]
+    prop_oneof![4 => crash, 1 => response]
 }
 
 fn apply(ledger: &mut CrashLedger, event: &Event, start: Instant) {
@@ -219,7 +219,7 @@
             let at = start + ms(*at_ms);
             ledger.note_crash(ContentId(*content), ReplicaInstance(*replica), at, at);
         }
-        Event::Whole {
+        Event::CompleteResponse {
             content,
             at_ms,
             number,
@@ -230,9 +230,9 @@
 }
 
 proptest! {
-    /// Daemons saw different parts; after telling each other often enough all hold back the same, whatever was lost on the way.
+    /// Daemons with different observations must agree on the quarantine in spite of lost reports.
     #[test]
-    fn ledgers_come_to_the_same(
+    fn ledgers_converge(
         events in prop::collection::vec((0_usize..3, any_event()), 0..40),
         lost in prop::collection::vec(any::<bool>(), 12),
     ) {
@@ -240,10 +240,10 @@
         let mut ledgers = vec![CrashLedger::default(); 3];
         let mut ordered = events.clone();
         ordered.sort_by_key(|(_, event)| match event {
-            Event::Crash { at_ms, .. } | Event::Whole { at_ms, .. } => *at_ms,
+            Event::Crash { at_ms, .. } | Event::CompleteResponse { at_ms, .. } => *at_ms,
         });
-        for (seen_by, event) in &ordered {
-            apply(&mut ledgers[*seen_by], event, start);
+        for (observer, event) in &ordered {
+            apply(&mut ledgers[*observer], event, start);
         }
         let now = start + ms(6_000);
         let mut losses = lost.into_iter();
@@ -253,37 +253,37 @@
                     if round < 4 && losses.next().unwrap_or(false) {
                         continue;
                     }
-                    let told = ledgers[from].to_announce(&ledgers[from].statuses(), now, 100);
-                    ledgers[to].merge(&told, now);
+                    let reports = ledgers[from].to_announce(&ledgers[from].statuses(), now, 100);
+                    ledgers[to].merge(&reports, now);
                 }
             }
         }
         let statuses: Vec<_> = ledgers.iter().map(CrashLedger::statuses).collect();
         for content in 1..6 {
-            // Each dates the crashes by its own sight.
+            // Times aren't compared: daemons date crashes differently.
             let of = |index: usize| match statuses[index].of(ContentId(content), now) {
                 ContentStatus::Clear => (false, 0),
                 ContentStatus::Suspect { crashes } => (false, crashes),
-                ContentStatus::Quarantined(hold) => (true, hold.crashes),
+                ContentStatus::Quarantined(period) => (true, period.crashes),
             };
             prop_assert_eq!(of(0), of(1));
             prop_assert_eq!(of(1), of(2));
         }
     }
 
-    /// Whatever runs beside it: a content with more crashes than any other, and never a whole answer, is held back from three on.
+    /// A content with the most crashes and no complete response must be quarantined, whatever ran next to it.
     #[test]
-    fn the_culprit_is_always_held_back(
-        beside in prop::collection::vec(prop::collection::vec(2_u64..20, 0..10), 3..10),
+    fn the_culprit_is_always_quarantined(
+        bystanders in prop::collection::vec(prop::collection::vec(2_u64..20, 0..10), 3..10),
     ) {
         let (mut ledger, now) = (CrashLedger::default(), start());
-        for (replica, contents) in (1..).zip(&beside) {
+        for (replica, contents) in (1..).zip(&bystanders) {
             crash(&mut ledger, &[CULPRIT], replica, now);
             let others: Vec<ContentId> = contents.iter().map(|content| ContentId(*content)).collect();
             crash(&mut ledger, &others, replica, now);
         }
         prop_assert!(is_quarantined(&ledger, CULPRIT, now));
-        // Nothing else is: all crashes are the culprit's.
+        // The culprit explains all crashes.
         for content in 2..20 {
             prop_assert!(!is_quarantined(&ledger, ContentId(content), now));
         }
--- a/crates/slots/src/held.rs
+++ b/crates/slots/src/held.rs
@@ -80,10 +80,10 @@
         is_kept: impl Fn(u32) -> bool,
     ) -> SlotReport {
         self.last_report += 1;
-        let kept = self.leases.iter().filter(|(_, held)| is_kept(held.replica));
+        let reported = self.leases.iter().filter(|(_, held)| is_kept(held.replica));
         SlotReport {
             holder,
-            held: kept
+            held: reported
                 .map(|(lease, held)| describe(*lease, held, now))
                 .collect(),
             released: Vec::new(),
--- a/crates/slots/src/ledger.rs
+++ b/crates/slots/src/ledger.rs
@@ -151,16 +151,16 @@
     pub fn apply_report(&mut self, report: &SlotReport, address: SocketAddr, now: Instant) {
         let holder = report.holder;
         let known = self.refresh_holder(holder, address, now);
-        if let Some(whole) = &report.whole {
-            if whole.number <= known.last_full_report {
+        if let Some(full) = &report.whole {
+            if full.number <= known.last_full_report {
                 return;
             }
-            known.last_full_report = whole.number;
+            known.last_full_report = full.number;
             let reported: HashSet<u32> = report.held.iter().map(|held| held.lease).collect();
             let stale = known.leases.keys().copied().filter(|lease| {
-                *lease < whole.next_lease
+                *lease < full.next_lease
                     && !reported.contains(lease)
-                    && !whole.awaited.contains(lease)
+                    && !full.awaited.contains(lease)
             });
             let stale: Vec<u32> = stale.collect();
             for lease in stale {
--- a/crates/slots/tests/admission.rs
+++ b/crates/slots/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which newcomers are sent away, and when they are to come back.
+//! Admission control: which requests are refused, and for when their retries are scheduled.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 const OBJECTIVE: Duration = Duration::from_millis(300);
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_600);
 
-/// Coordinators know that requests hold their slots for so long.
+/// Admission state after enough observations of this holding time.
 fn observed(hold: Duration, now: Instant) -> GroupAdmission {
     let mut admission = GroupAdmission::new(now);
     for _ in 0..40 {
@@ -18,7 +18,7 @@
     admission
 }
 
-fn newcomer(position: u32) -> QueuedRequest {
+fn queued_request(position: u32) -> QueuedRequest {
     QueuedRequest {
         position,
         replica_slots: 6,
@@ -29,28 +29,35 @@
 }
 
 #[test]
-fn a_newcomer_is_let_in_while_it_can_be_in_time() {
+fn a_request_is_admitted_while_it_can_meet_its_objective() {
     let now = Instant::now();
     let mut admission = observed(Duration::from_millis(700), now);
-    // A slot of six is given back each 117 ms.
-    assert_eq!(admission.schedule_retry(&newcomer(1), 0.5, now), None);
-    assert_eq!(admission.schedule_retry(&newcomer(2), 0.5, now), None);
-    assert!(admission.schedule_retry(&newcomer(3), 0.5, now).is_some());
+    // One of six slots is released every 117 ms.
+    assert_eq!(admission.schedule_retry(&queued_request(1), 0.5, now), None);
+    assert_eq!(admission.schedule_retry(&queued_request(2), 0.5, now), None);
+    assert!(
+        admission
+            .schedule_retry(&queued_request(3), 0.5, now)
+            .is_some()
+    );
 }
 
-/// A coordinator that has just started has seen no request end: it sends nobody away for what it does not know.
+/// A new coordinator must not refuse requests without observations.
 #[test]
-fn nobody_is_sent_away_before_requests_were_seen_to_end() {
+fn nothing_is_refused_before_enough_observations() {
     let now = Instant::now();
     let mut admission = GroupAdmission::new(now);
     admission.observe_hold(Duration::from_secs(9));
-    assert_eq!(admission.schedule_retry(&newcomer(20), 0.5, now), None);
+    assert_eq!(
+        admission.schedule_retry(&queued_request(20), 0.5, now),
+        None
+    );
 }
 
 proptest! {
-    /// Whatever was observed, a caller is never sent beyond what it heeds, and never earlier than its slot is expected.
+    /// Retries must stay within the delay that callers accept, and not precede the expected slot.
     #[test]
-    fn callers_are_sent_to_moments_that_they_heed(
+    fn retries_are_scheduled_within_accepted_delays(
         hold_ms in 10..20_000_u64,
         position in 0..40_u32,
         refused in 1..200_usize,
@@ -62,48 +69,51 @@
         for _ in 0..arrivals {
             admission.observe_arrival(now);
         }
-        let newcomer = newcomer(position);
-        let wait = admission.expected_wait(&newcomer).expect("enough was observed");
+        let queued_request = queued_request(position);
+        let wait = admission.expected_wait(&queued_request).expect("enough was observed");
         for _ in 0..refused {
-            match admission.schedule_retry(&newcomer, draw, now) {
+            match admission.schedule_retry(&queued_request, draw, now) {
                 None => prop_assert!(wait <= OBJECTIVE),
-                Some(after) => {
+                Some(delay) => {
                     prop_assert!(wait > OBJECTIVE);
-                    prop_assert!(after <= MAX_RETRY_AFTER);
-                    prop_assert!(after >= wait.min(MAX_RETRY_AFTER.mul_f64(0.75)));
+                    prop_assert!(delay <= MAX_RETRY_AFTER);
+                    prop_assert!(delay >= wait.min(MAX_RETRY_AFTER.mul_f64(0.75)));
                 }
             }
         }
     }
 }
 
-/// Callers that are sent away together come back one after the other.
+/// Callers refused together must not retry at the same time.
 #[test]
-fn callers_come_back_at_different_moments() {
+fn retries_are_spread_over_time() {
     let now = Instant::now();
     let mut admission = observed(Duration::from_millis(700), now);
-    let mut moments: Vec<Duration> = (0..10)
-        .filter_map(|_| admission.schedule_retry(&newcomer(3), 0.5, now))
+    let mut delays: Vec<Duration> = (0..10)
+        .filter_map(|_| admission.schedule_retry(&queued_request(3), 0.5, now))
         .collect();
-    assert_eq!(moments.len(), 10);
-    moments.dedup();
-    assert_eq!(moments.len(), 10, "{moments:?}");
+    assert_eq!(delays.len(), 10);
+    delays.dedup();
+    assert_eq!(delays.len(), 10, "{delays:?}");
 }
 
-/// Callers that come when they were told to are known as such, each once; others that are late are not.
+/// A scheduled retry must gain priority once; unscheduled late requests must not.
 #[test]
-fn a_caller_that_was_told_to_come_is_known_when_it_does() {
+fn a_scheduled_retry_is_recognized_once() {
     let now = Instant::now();
     let mut admission = observed(Duration::from_millis(700), now);
-    assert!(!admission.claim_retry(now), "nobody was sent away");
-    let after = admission
-        .schedule_retry(&newcomer(4), 0.5, now)
+    assert!(!admission.claim_retry(now), "no retry was scheduled");
+    let delay = admission
+        .schedule_retry(&queued_request(4), 0.5, now)
         .expect("it would be late");
-    assert!(!admission.claim_retry(now), "long before its moment");
-    assert!(admission.claim_retry(now + after));
-    assert!(!admission.claim_retry(now + after), "another one");
-    let after = admission
-        .schedule_retry(&newcomer(4), 0.5, now)
+    assert!(
+        !admission.claim_retry(now),
+        "long before the scheduled time"
+    );
+    assert!(admission.claim_retry(now + delay));
+    assert!(!admission.claim_retry(now + delay), "already claimed");
+    let delay = admission
+        .schedule_retry(&queued_request(4), 0.5, now)
         .expect("it would be late");
-    assert!(!admission.claim_retry(now + after + Duration::from_secs(1)));
+    assert!(!admission.claim_retry(now + delay + Duration::from_secs(1)));
 }
--- a/crates/slots/tests/groups.rs
+++ b/crates/slots/tests/groups.rs
@@ -1,4 +1,4 @@
-//! How replicas are divided into groups over zones and regions, and when a request leaves its region.
+//! Partition of replicas into groups over zones and regions, and spillover between regions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -38,24 +38,23 @@
     fleet.values().map(BTreeSet::len).sum()
 }
 
-fn even(replicas: usize) -> GroupLayout<'static> {
+fn even_layout(replicas: usize) -> GroupLayout<'static> {
     GroupLayout::new(replicas, &ZONES, &REGIONS)
 }
 
 #[test]
-fn groups_lie_in_zones_where_these_are_large_else_in_regions_else_nowhere() {
-    assert_eq!(even(72).kind(), AreaKind::Zone, "twelve a zone");
-    assert_eq!(even(60).kind(), AreaKind::Region, "ten a zone");
-    assert_eq!(even(12).kind(), AreaKind::Region, "four a region");
-    assert_eq!(even(11).kind(), AreaKind::All, "fewer");
+fn layout_kind_follows_the_replicas_per_zone_and_region() {
+    assert_eq!(even_layout(72).kind(), AreaKind::Zone, "twelve a zone");
+    assert_eq!(even_layout(60).kind(), AreaKind::Region, "ten a zone");
+    assert_eq!(even_layout(12).kind(), AreaKind::Region, "four a region");
+    assert_eq!(even_layout(11).kind(), AreaKind::All, "fewer");
     let one_region = GroupLayout::new(5, &[11, 12], &[1]);
     assert_eq!(one_region.kind(), AreaKind::Region, "all in one region");
     assert!(one_region.is_single());
 }
 
 proptest! {
-    /// Every replica is in one group of the layout, in its own zone or region, and all daemons that list the same
-    /// replicas say so, whatever layout they had before.
+    /// Each replica must be in exactly one group, and all daemons that list the same replicas must agree on it.
     #[test]
     fn every_replica_is_in_exactly_one_group(fleet in fleets()) {
         let zones = zones_of(&fleet);
@@ -81,75 +80,73 @@
         }
     }
 
-    /// One replica that comes or goes moves the others to other groups only where a bound of the layout lies, so that
-    /// a fleet that grows or shrinks changes its layout a few times and not with each replica.
+    /// Replicas that join or leave must seldom change the layout and so move replicas between groups.
     #[test]
     fn a_layout_changes_seldom_while_a_fleet_grows(start in 1_usize..40) {
         let mut changes = 0;
         for replicas in start..start + 400 {
-            let before = even(replicas);
-            let after = even(replicas + 1);
+            let before = even_layout(replicas);
+            let after = even_layout(replicas + 1);
             changes += usize::from(before != after);
         }
         prop_assert!(changes <= 6, "{} changes", changes);
     }
 
-    /// A request goes only from a full region to a roomy one: then no two regions send each other requests, whatever
-    /// the waits are and wherever the price is set.
+    /// Regions must not exchange requests, whatever the waits and the penalty are.
     #[test]
-    fn two_regions_never_swap_load(
+    fn two_regions_never_exchange_load(
         free in prop::collection::vec(0_u32..1_000, 2),
         waits in prop::collection::vec(0_u64..2_000, 2),
         network_delay in 0_u64..80,
         penalty in 0_u64..100,
-        least in 0_u32..300,
+        min_free in 0_u32..300,
     ) {
-        let room = |at: usize| FreeCapacity {
+        let capacity = |at: usize| FreeCapacity {
             free_permille: free[at],
             wait: Duration::from_millis(waits[at]),
         };
-        let crossing = SpillCost {
+        let cost = SpillCost {
             network_delay: Duration::from_millis(network_delay),
             penalty: Duration::from_millis(penalty),
-            min_free_permille: least,
+            min_free_permille: min_free,
         };
-        let there = should_spill(&room(0), &room(1), &crossing);
-        let back = should_spill(&room(1), &room(0), &crossing);
-        prop_assert!(!(there && back));
+        let forth = should_spill(&capacity(0), &capacity(1), &cost);
+        let back = should_spill(&capacity(1), &capacity(0), &cost);
+        prop_assert!(!(forth && back));
     }
 }
 
 #[test]
-fn a_request_leaves_a_full_region_only_for_more_than_the_way_and_the_price() {
-    let crossing = SpillCost {
+fn a_request_spills_only_if_it_gains_more_than_delay_and_penalty() {
+    let cost = SpillCost {
         network_delay: Duration::from_millis(80),
         penalty: Duration::from_millis(60),
         min_free_permille: 150,
     };
-    let roomy = FreeCapacity {
+    let free_region = FreeCapacity {
         free_permille: 400,
         wait: Duration::ZERO,
     };
-    let full = |wait| FreeCapacity {
+    let full_region = |wait| FreeCapacity {
         free_permille: 0,
         wait: Duration::from_millis(wait),
     };
-    assert!(!should_spill(&full(140), &roomy, &crossing));
-    assert!(should_spill(&full(141), &roomy, &crossing));
-    let nearly_full = FreeCapacity {
+    assert!(!should_spill(&full_region(140), &free_region, &cost));
+    assert!(should_spill(&full_region(141), &free_region, &cost));
+    let nearly_full_region = FreeCapacity {
         free_permille: 1,
-        ..full(900)
+        ..full_region(900)
     };
-    assert!(!should_spill(&nearly_full, &roomy, &crossing));
-    let tight = FreeCapacity {
+    assert!(!should_spill(&nearly_full_region, &free_region, &cost));
+    let scarce = FreeCapacity {
         free_permille: 149,
-        ..roomy
+        ..free_region
     };
-    assert!(!should_spill(&full(900), &tight, &crossing));
+    assert!(!should_spill(&full_region(900), &scarce, &cost));
 }
 
 #[test]
-fn an_area_has_a_coordinator_of_its_own() {
+fn coordinators_differ_between_areas() {
     let members = ["a", "b", "c", "d", "e", "f", "g"];
     let coordinators: BTreeSet<&str> = (0..20)
         .filter_map(|area| coordinator_of(1, GroupId { area, number: 0 }, members))
--- a/crates/slots/tests/ledger.rs
+++ b/crates/slots/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! What a coordinator knows of the leases at its replicas.
+//! The coordinator's ledger of leases.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_place_counts_until_it_is_given_back_and_once_however_often_it_is_told() {
+fn a_lease_counts_once_until_it_is_released() {
     let now = Instant::now();
     let mut ledger = SlotLedger::default();
     ledger.grant(HOLDER, address(1), 1, REPLICA, SlotUse::Online, now);
@@ -58,9 +58,9 @@
     assert_eq!(ledger.counts(REPLICA), counts(0, 1));
 }
 
-/// Its coordinator was frozen or suspended, and hears it before it looks for silent holders.
+/// Leases of a holder must expire even if a stalled coordinator receives its next report before it checks for expiry.
 #[test]
-fn a_holder_that_was_silent_for_too_long_begins_anew() {
+fn leases_of_an_unresponsive_holder_expire_at_its_next_contact() {
     let now = Instant::now();
     let mut ledger = SlotLedger::default();
     for lease in 1..=3 {
@@ -80,9 +80,9 @@
     assert_eq!(ledger.replica_of(HOLDER, 2), None);
 }
 
-/// A lease that was given back for one elsewhere would tell that requests hold their slots for a round trip only.
+/// A lease released unused must not count as a holding time of one round trip.
 #[test]
-fn a_lease_that_was_never_used_tells_nothing_of_how_long_requests_hold_theirs() {
+fn an_unused_lease_is_no_holding_time() {
     let now = Instant::now();
     for (kind, expected) in [(OutcomeKind::Served, 1), (OutcomeKind::NotSent, 0)] {
         let mut ledger = SlotLedger::default();
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_coordinator_that_has_just_begun_learns_all_places_from_one_word() {
+fn a_new_coordinator_learns_all_leases_from_one_full_report() {
     let now = Instant::now();
     let mut held = HeldSlots::default();
     for usage in [SlotUse::Online, item(now, 500)] {
@@ -122,16 +122,16 @@
 }
 
 #[test]
-fn a_place_whose_answer_is_still_under_way_stays_and_one_that_was_given_up_goes() {
+fn a_full_report_keeps_awaited_leases_and_removes_abandoned_ones() {
     let now = Instant::now();
     let mut held = HeldSlots::default();
     let awaited = held.next_number();
     held.wait_for(awaited);
-    let given_up = held.next_number();
-    held.wait_for(given_up);
-    held.stop_waiting(given_up);
+    let abandoned = held.next_number();
+    held.wait_for(abandoned);
+    held.stop_waiting(abandoned);
     let mut ledger = SlotLedger::default();
-    for lease in [awaited, given_up] {
+    for lease in [awaited, abandoned] {
         ledger.grant(HOLDER, address(1), lease, REPLICA, SlotUse::Online, now);
     }
     let report = held.full_report(HOLDER, now, |_| true);
@@ -139,22 +139,22 @@
     ledger.grant(HOLDER, address(1), later, REPLICA, SlotUse::Online, now);
     ledger.apply_report(&report, address(1), now);
     assert_eq!(ledger.replica_of(HOLDER, awaited), Some(REPLICA));
-    assert_eq!(ledger.replica_of(HOLDER, given_up), None);
+    assert_eq!(ledger.replica_of(HOLDER, abandoned), None);
     assert_eq!(ledger.replica_of(HOLDER, later), Some(REPLICA));
     assert_eq!(ledger.counts(REPLICA), counts(2, 0));
 }
 
 #[test]
-fn the_item_with_most_time_left_ends_and_counts_again_only_if_it_goes_on() {
+fn the_item_with_most_slack_is_preempted_and_counts_again_if_it_continues() {
     let now = Instant::now();
     let mut ledger = SlotLedger::default();
     ledger.grant(HOLDER, address(1), 1, REPLICA, item(now, 100), now);
     ledger.grant(8, address(2), 1, REPLICA, item(now, 900), now);
     ledger.grant(9, address(3), 1, OTHER_REPLICA, item(now, 5_000), now);
-    let ended = ledger.most_slack(REPLICA, now).expect("an item");
-    assert_eq!((ended.holder, ended.lease), (address(2), 1));
-    ledger.note_preempted(ended, now);
-    ledger.note_preempted(ended, now);
+    let preempted = ledger.most_slack(REPLICA, now).expect("an item");
+    assert_eq!((preempted.holder, preempted.lease), (address(2), 1));
+    ledger.note_preempted(preempted, now);
+    ledger.note_preempted(preempted, now);
     assert_eq!(ledger.counts(REPLICA), counts(0, 1));
     let next = ledger.most_slack(REPLICA, now).expect("the other one");
     assert_eq!(next.holder, address(1));
@@ -164,14 +164,18 @@
     held.take(lease, REPLICA, item(now, 900));
     let early = held.full_report(8, now, |_| true);
     ledger.apply_report(&early, address(2), now + millis(100));
-    assert_eq!(ledger.counts(REPLICA), counts(0, 1), "it is just ending");
+    assert_eq!(
+        ledger.counts(REPLICA),
+        counts(0, 1),
+        "within the preemption timeout"
+    );
     let late = held.full_report(8, now, |_| true);
     ledger.apply_report(&late, address(2), now + millis(600));
     assert_eq!(ledger.counts(REPLICA), counts(0, 2), "the order was lost");
 }
 
 #[test]
-fn a_holder_that_falls_silent_is_forgotten() {
+fn an_unresponsive_holder_is_removed() {
     let now = Instant::now();
     let mut ledger = SlotLedger::default();
     ledger.grant(HOLDER, address(1), 1, REPLICA, SlotUse::Online, now);
@@ -184,7 +188,7 @@
 }
 
 #[test]
-fn all_daemons_name_the_same_coordinator() {
+fn all_daemons_choose_the_same_coordinator() {
     let members: Vec<String> = (0..71).map(|number| format!("front-{number}")).collect();
     let mut reversed: Vec<&str> = members.iter().map(String::as_str).collect();
     reversed.reverse();
@@ -202,7 +206,7 @@
     assert!(coordinators.len() >= 5, "{coordinators:?}");
 }
 
-/// Groups of a layout, and how many replicas each one has; replicas are spread evenly over the zones.
+/// Number of replicas by group, with replicas spread evenly over the zones.
 fn group_sizes(replicas: u32, zones: &[u32]) -> BTreeMap<GroupId, usize> {
     let layout = GroupLayout::new(replicas as usize, zones, &[ONE_REGION]);
     let mut sizes: BTreeMap<GroupId, usize> = BTreeMap::new();
@@ -217,7 +221,7 @@
 }
 
 #[test]
-fn groups_stay_small_and_lie_in_zones_where_these_are_large_enough() {
+fn groups_are_small_and_zonal_in_large_zones() {
     assert_eq!(group_sizes(12, &[1, 2, 3]).len(), 1, "few replicas");
     assert_eq!(
         group_sizes(51, &[1, 2, 3, 4, 5, 6, 7]).len(),
@@ -235,65 +239,65 @@
 }
 
 #[test]
-fn a_turn_through_a_layout_meets_every_group() {
+fn positions_cycle_through_all_groups() {
     let zones = [1, 2, 3, 4, 5];
     for replicas in [12, 51, 200, 2_200] {
         let layout = GroupLayout::new(replicas, &zones, &[ONE_REGION]);
-        let met: HashSet<GroupId> = (0..1_000).map(|position| layout.at(position)).collect();
+        let visited: HashSet<GroupId> = (0..1_000).map(|position| layout.at(position)).collect();
         let by_replica = group_sizes(u32::try_from(replicas).expect("few"), &zones);
-        assert_eq!(met, by_replica.into_keys().collect());
+        assert_eq!(visited, by_replica.into_keys().collect());
     }
 }
 
-/// What a holder does, and what becomes of the datagram that tells of it.
+/// Action of a holder, and whether the datagram about it arrives.
 #[derive(Debug, Clone)]
 enum Event {
-    /// Asks, and is given a lease; the answer may be lost, and then the lease is given up without a report.
-    Ask { replica: u32, answered: bool },
-    /// Chooses by itself; the report of it may be lost.
+    /// A requested lease is granted; if the reply is lost, the lease is abandoned without a report.
+    Request { replica: u32, answered: bool },
+    /// A lease is taken without a request; the report may be lost.
     Take { replica: u32, reported: bool },
-    /// Gives a lease back; the report of it may be lost.
+    /// A lease is released; the report may be lost.
     Release { pick: usize, reported: bool },
-    /// A whole report, lost or not.
-    Whole { reported: bool },
+    /// A full report, which may be lost.
+    FullReport { reported: bool },
 }
 
 fn events() -> impl Strategy<Value = Vec<Event>> {
     let replica = 0..3_u32;
     let event = prop_oneof![
         (replica.clone(), any::<bool>())
-            .prop_map(|(replica, answered)| Event::Ask { replica, answered }),
+            .prop_map(|(replica, answered)| Event::Request { replica, answered }),
         (replica, any::<bool>()).prop_map(|(replica, reported)| Event::Take { replica, reported }),
         (any::<usize>(), any::<bool>())
             .prop_map(|(pick, reported)| Event::Release { pick, reported }),
-        any::<bool>().prop_map(|reported| Event::Whole { reported }),
+        any::<bool>().prop_map(|reported| Event::FullReport { reported }),
     ];
     proptest::collection::vec(event, 0..60)
 }
 
 proptest! {
     #[test]
-    fn after_a_whole_report_the_counts_are_those_of_the_holder_whatever_was_lost(events in events()) {
+    fn a_full_report_restores_the_counts_after_any_loss(events in events()) {
         let now = Instant::now();
         let mut held = HeldSlots::default();
-        let mut truth: BTreeMap<u32, u32> = BTreeMap::new();
+        let mut held_replicas: BTreeMap<u32, u32> = BTreeMap::new();
         let mut ledger = SlotLedger::default();
         for event in events {
             match event {
-                Event::Ask { replica, answered } => {
+                Event::Request { replica, answered } => {
                     let lease = held.next_number();
                     held.wait_for(lease);
                     ledger.grant(HOLDER, address(1), lease, replica, SlotUse::Online, now);
                     held.stop_waiting(lease);
                     if answered {
                         held.take(lease, replica, SlotUse::Online);
-                        truth.insert(lease, replica);
+                        held_replicas.insert(lease, replica);
                     }
                 }
                 Event::Take { replica, reported } => {
                     let lease = held.next_number();
                     held.take(lease, replica, SlotUse::Online);
-                    truth.insert(lease, replica);
+                    held_replicas.insert(lease, replica);
                     let report = SlotReport {
                         holder: HOLDER,
                         held: held.describe(lease, now).into_iter().collect(),
@@ -304,11 +308,11 @@
                     }
                 }
                 Event::Release { pick, reported } => {
-                    let leases: Vec<u32> = truth.keys().copied().collect();
+                    let leases: Vec<u32> = held_replicas.keys().copied().collect();
                     let Some(lease) = leases.get(pick % leases.len().max(1)).copied() else {
                         continue;
                     };
-                    truth.remove(&lease);
+                    held_replicas.remove(&lease);
                     held.release(lease);
                     let report = SlotReport {
                         holder: HOLDER,
@@ -319,7 +323,7 @@
                         ledger.apply_report(&report, address(1), now);
                     }
                 }
-                Event::Whole { reported } => {
+                Event::FullReport { reported } => {
                     let report = held.full_report(HOLDER, now, |_| true);
                     if reported {
                         ledger.apply_report(&report, address(1), now);
@@ -329,12 +333,12 @@
         }
         let report = held.full_report(HOLDER, now, |_| true);
         ledger.apply_report(&report, address(1), now);
-        let mut wanted: HashMap<u32, u32> = HashMap::new();
-        for replica in truth.values() {
-            *wanted.entry(*replica).or_default() += 1;
+        let mut expected: HashMap<u32, u32> = HashMap::new();
+        for replica in held_replicas.values() {
+            *expected.entry(*replica).or_default() += 1;
         }
         for replica in 0..3 {
-            let online = wanted.get(&replica).copied().unwrap_or_default();
+            let online = expected.get(&replica).copied().unwrap_or_default();
             prop_assert_eq!(ledger.counts(replica), counts(online, 0));
         }
     }
--- a/crates/slots/tests/nearest.rs
+++ b/crates/slots/tests/nearest.rs
@@ -1,4 +1,4 @@
-//! The nearest members of the areas of a whole fleet, while its members change.
+//! The cache of the nearest members by area.
 
 use std::cell::Cell;
 
@@ -6,16 +6,16 @@
 
 const REGION: u32 = 99;
 
-/// Locations that were looked at while the nearest members of all groups were found.
-fn looks(zones: u32, members_a_zone: u32, replicas: usize) -> (usize, usize) {
+/// Returns the number of groups, and of locations visited while the nearest members of all groups are determined.
+fn count_visits(zones: u32, members_per_zone: u32, replicas: usize) -> (usize, usize) {
     let zones: Vec<u32> = (1..=zones).collect();
     let members: Vec<(u32, u32)> = zones
         .iter()
-        .flat_map(|zone| (0..members_a_zone).map(|_| (*zone, REGION)))
+        .flat_map(|zone| (0..members_per_zone).map(|_| (*zone, REGION)))
         .collect();
-    let looks = Cell::new(0);
+    let visits = Cell::new(0);
     let counted = members.iter().map(|member| {
-        looks.set(looks.get() + 1);
+        visits.set(visits.get() + 1);
         *member
     });
     let regions = [REGION];
@@ -23,30 +23,31 @@
     let mut nearest = NearestMembers::default();
     let mut groups = 0;
     for group in layout.all() {
-        let near = nearest.of(group.area, Some(REGION), counted.clone());
-        assert_eq!(near.len(), members_a_zone as usize);
+        let nearest_members = nearest.of(group.area, Some(REGION), counted.clone());
+        assert_eq!(nearest_members.len(), members_per_zone as usize);
         assert!(
-            near.iter()
+            nearest_members
+                .iter()
                 .all(|position| members[*position].0 == group.area)
         );
         groups += 1;
     }
-    (groups, looks.get())
+    (groups, visits.get())
 }
 
-/// All members are looked at twice for each zone, however many groups the replicas make.
+/// The cost must not grow with the number of groups: each zone scans all members twice.
 #[test]
-fn members_are_looked_at_for_each_zone_and_not_for_each_group() {
-    for (members_a_zone, replicas) in [(200, 10_000), (400, 20_000)] {
-        let (groups, looks) = looks(5, members_a_zone, replicas);
+fn members_are_scanned_per_zone_not_per_group() {
+    for (members_per_zone, replicas) in [(200, 10_000), (400, 20_000)] {
+        let (groups, visits) = count_visits(5, members_per_zone, replicas);
         assert!(groups >= replicas / 64, "{groups} groups");
-        let members = 5 * members_a_zone as usize;
-        assert!(looks <= 5 * 2 * members, "{looks} looks");
+        let members = 5 * members_per_zone as usize;
+        assert!(visits <= 5 * 2 * members, "{visits} visits");
     }
 }
 
 #[test]
-fn an_area_without_members_is_kept_from_its_region_else_from_anywhere() {
+fn an_area_without_members_falls_back_to_its_region_then_to_all() {
     let members = [(1, 10), (2, 10), (3, 20)];
     let mut nearest = NearestMembers::default();
     assert_eq!(nearest.of(2, Some(10), members.into_iter()), [1]);
--- a/crates/slots/tests/outliers/mod.rs
+++ b/crates/slots/tests/outliers/mod.rs
@@ -12,10 +12,10 @@
 pub const GROUP: u32 = 12;
 
 /// Requests served at each replica before a test: enough to say that hardly any fails.
-pub const ROUNDS: u32 = 32;
+pub const WARMUP_ROUNDS: u32 = 32;
 
-/// Longest absence plus what a probe waits for work.
-pub const LONG: Duration = Duration::from_secs(40);
+/// Longest ejection_time plus what a probe waits for work.
+pub const PAST_EJECTION: Duration = Duration::from_secs(40);
 
 /// A group, and a clock that goes on by a little with each request.
 pub struct Group {
@@ -35,44 +35,44 @@
         }
     }
 
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         self.now += time;
     }
 
-    pub fn end(&mut self, replica: u32, kind: OutcomeKind) -> Option<StatusEvent> {
-        self.end_after(replica, kind, Duration::ZERO)
+    pub fn complete(&mut self, replica: u32, kind: OutcomeKind) -> Option<StatusEvent> {
+        self.complete_after(replica, kind, Duration::ZERO)
             .map(|change| change.event)
     }
 
-    /// A request at the replica ends; the replica may be out.
-    pub fn end_after(
+    /// A request at the replica outcomes; the replica may be out.
+    pub fn complete_after(
         &mut self,
         replica: u32,
         kind: OutcomeKind,
         first_event: Duration,
     ) -> Option<StatusChange> {
         self.lease += 1;
-        self.pass(Duration::from_millis(1));
-        let end = RequestOutcome {
+        self.advance(Duration::from_millis(1));
+        let outcome = RequestOutcome {
             replica,
             lease: (u64::from(self.lease % 8), self.lease),
             kind,
             first_event,
         };
-        self.detector.observe(end, self.size as usize, self.now)
+        self.detector.observe(outcome, self.size as usize, self.now)
     }
 
     pub fn serve_all(&mut self, rounds: u32) {
         for _ in 0..rounds {
             for replica in 1..=self.size {
-                if !self.is_out(replica) {
-                    self.end(replica, OutcomeKind::Served);
+                if !self.is_ejected(replica) {
+                    self.complete(replica, OutcomeKind::Served);
                 }
             }
         }
     }
 
-    pub fn is_out(&self, replica: u32) -> bool {
+    pub fn is_ejected(&self, replica: u32) -> bool {
         self.detector.ejected().contains(&replica)
     }
 
@@ -95,22 +95,22 @@
         assert!(self.detector.note_grant(replica, lease, self.now));
         let others = self.detector.probe_candidates(work, self.now);
         assert!(!others.contains(&replica), "one request at a time");
-        let end = RequestOutcome {
+        let outcome = RequestOutcome {
             replica,
             lease,
             kind,
             first_event: Duration::ZERO,
         };
-        self.detector.observe(end, self.size as usize, self.now)
+        self.detector.observe(outcome, self.size as usize, self.now)
     }
 }
 
 /// A group in which replica 1 was ejected.
-pub fn one_out() -> Group {
+pub fn group_with_ejected() -> Group {
     let mut group = Group::new(GROUP);
-    group.serve_all(ROUNDS);
-    while !group.is_out(1) {
-        group.end(1, OutcomeKind::Failed);
+    group.serve_all(WARMUP_ROUNDS);
+    while !group.is_ejected(1) {
+        group.complete(1, OutcomeKind::Failed);
     }
     group
 }
--- a/crates/slots/tests/pacer.rs
+++ b/crates/slots/tests/pacer.rs
@@ -1,5 +1,5 @@
-//! A cold replica gets no more than it bears from all daemons together, whoever dies, starts, freezes or is cut off, and
-//! however late datagrams come; what it bears is given out.
+//! Simulation of the rate limit at a cold replica: it must hold over all daemons during crashes, starts, pauses,
+//! partitions and delayed datagrams, and the rate must be usable.
 
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::time::Duration;
@@ -20,28 +20,28 @@
     slack: 5.0,
 };
 
-/// Requests a second that the replica bears.
-const BEARS: f64 = 2.0;
+/// Requests per second that the replica sustains.
+const SUSTAINED_RATE: f64 = 2.0;
 
 const STEP: Duration = Duration::from_millis(10);
 const TICK_STEPS: u64 = 10;
 
-/// Time in which a member learns that others are gone, back or cut off.
-const DETECTED_AFTER: std::ops::Range<u64> = 1_000..2_000;
+/// Time until a member detects that others departed, returned or were partitioned, milliseconds.
+const DETECTION_DELAY: std::ops::Range<u64> = 1_000..2_000;
 
 const DAEMONS: usize = 5;
 
-fn limit(bears: f64) -> RateLimit {
-    RateLimit::new(bears, 0.0).expect("a rate")
+fn limit(sustained_rate: f64) -> RateLimit {
+    RateLimit::new(sustained_rate, 0.0).expect("a rate")
 }
 
-/// What a variant does wrong.
+/// Deliberate error of a variant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// Coordinators give out the whole, whatever part of the fleet they see.
+    /// Coordinators grant the full rate, whatever share of the fleet they see.
     IgnoresShare,
-    /// Daemons send what was granted however long ago.
+    /// Daemons send granted requests regardless of the grant's age.
     IgnoresLifetime,
 }
 
@@ -50,11 +50,11 @@
     fleet: FleetSizes,
     view: BTreeSet<usize>,
     refresh_at: Option<Instant>,
-    lives: bool,
-    frozen_until: Option<Instant>,
+    is_alive: bool,
+    paused_until: Option<Instant>,
     side: usize,
-    asks: VecDeque<(usize, Instant)>,
-    /// Moments of the questions that were granted.
+    queries: VecDeque<(usize, Instant)>,
+    /// Query times of the granted requests.
     granted: VecDeque<Instant>,
 }
 
@@ -67,10 +67,10 @@
             fleet,
             view,
             refresh_at: None,
-            lives: true,
-            frozen_until: None,
+            is_alive: true,
+            paused_until: None,
             side,
-            asks: VecDeque::new(),
+            queries: VecDeque::new(),
             granted: VecDeque::new(),
         }
     }
@@ -82,11 +82,11 @@
     steps: u64,
     random: SmallRng,
     fault: Fault,
-    bears: f64,
-    /// Requests of each daemon in a step, on the mean.
+    sustained_rate: f64,
+    /// Mean number of requests of each daemon per step.
     loads: [f64; DAEMONS],
     sent: VecDeque<Instant>,
-    most: usize,
+    max_in_window: usize,
     total: usize,
 }
 
@@ -101,58 +101,58 @@
             steps: 0,
             random: SmallRng::seed_from_u64(seed),
             fault,
-            bears: BEARS,
+            sustained_rate: SUSTAINED_RATE,
             loads: [0.2; DAEMONS],
             sent: VecDeque::new(),
-            most: 0,
+            max_in_window: 0,
             total: 0,
         }
     }
 
-    fn is_awake(&self, daemon: usize) -> bool {
+    fn is_running(&self, daemon: usize) -> bool {
         let daemon = &self.daemons[daemon];
-        daemon.lives && daemon.frozen_until.is_none()
+        daemon.is_alive && daemon.paused_until.is_none()
     }
 
-    /// Everyone learns of a change, each at another moment.
-    fn change(&mut self) {
+    /// Schedules the detection of a change at each daemon, at different times.
+    fn schedule_refresh(&mut self) {
         for daemon in &mut self.daemons {
-            let after = Duration::from_millis(self.random.random_range(DETECTED_AFTER));
+            let after = Duration::from_millis(self.random.random_range(DETECTION_DELAY));
             daemon.refresh_at.get_or_insert(self.now + after);
         }
     }
 
-    fn strike(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         match event {
-            Event::Kill(daemon) => self.daemons[daemon].lives = false,
+            Event::Crash(daemon) => self.daemons[daemon].is_alive = false,
             Event::Start(daemon) => {
                 let side = self.daemons[daemon].side;
                 let view = self.reachable(side);
                 self.daemons[daemon] = Daemon::start(side, view, self.now);
                 self.daemons[daemon].view.insert(daemon);
             }
-            Event::Cut(daemon) => self.daemons[daemon].side = 1 + daemon,
-            Event::Halve(daemon) => {
+            Event::Isolate(daemon) => self.daemons[daemon].side = 1 + daemon,
+            Event::Split(daemon) => {
                 for other in 0..daemon {
                     self.daemons[other].side = 1;
                 }
             }
             Event::Heal => self.daemons.iter_mut().for_each(|daemon| daemon.side = 0),
-            Event::Freeze(daemon, ms) => {
+            Event::Pause(daemon, ms) => {
                 let until = self.now + Duration::from_millis(ms);
-                self.daemons[daemon].frozen_until = Some(until);
+                self.daemons[daemon].paused_until = Some(until);
             }
         }
-        self.change();
+        self.schedule_refresh();
     }
 
     fn reachable(&self, side: usize) -> BTreeSet<usize> {
         let all = 0..DAEMONS;
-        all.filter(|other| self.is_awake(*other) && self.daemons[*other].side == side)
+        all.filter(|other| self.is_running(*other) && self.daemons[*other].side == side)
             .collect()
     }
 
-    /// The coordinator among the members that a daemon sees.
+    /// Returns the coordinator among the members in a daemon's view.
     fn coordinator(&self, daemon: usize) -> usize {
         let view = self.daemons[daemon].view.iter();
         view.copied().max().unwrap_or(daemon)
@@ -160,13 +160,13 @@
 
     fn refresh(&mut self) {
         for number in 0..DAEMONS {
-            let wakes = self.daemons[number].frozen_until;
-            if wakes.is_some_and(|at| at <= self.now) {
-                self.daemons[number].frozen_until = None;
-                self.change();
+            let paused_until = self.daemons[number].paused_until;
+            if paused_until.is_some_and(|at| at <= self.now) {
+                self.daemons[number].paused_until = None;
+                self.schedule_refresh();
             }
             let due = self.daemons[number].refresh_at;
-            if self.is_awake(number) && due.is_some_and(|at| at <= self.now) {
+            if self.is_running(number) && due.is_some_and(|at| at <= self.now) {
                 let mut view = self.reachable(self.daemons[number].side);
                 view.insert(number);
                 let daemon = &mut self.daemons[number];
@@ -179,7 +179,7 @@
 
     fn tick(&mut self) {
         for number in 0..DAEMONS {
-            if self.is_awake(number) {
+            if self.is_running(number) {
                 let own = self.coordinator(number) == number;
                 let groups: HashSet<u32> = own.then_some(GROUP).into_iter().collect();
                 let daemon = &mut self.daemons[number];
@@ -198,10 +198,10 @@
         } else {
             share
         };
-        ColdPace::of(&BOUNDS, limit(self.bears), share)
+        ColdPace::of(&BOUNDS, limit(self.sustained_rate), share)
     }
 
-    fn give(&mut self, coordinator: usize) -> bool {
+    fn grant(&mut self, coordinator: usize) -> bool {
         let pace = self.pace(coordinator);
         let (now, usage) = (self.now, ColdUse::Online);
         let pacer = &mut self.daemons[coordinator].pacer;
@@ -209,8 +209,8 @@
             && pacer.take(&GROUP, REPLICA, pace, &BOUNDS, now)
     }
 
-    fn send(&mut self, asked_at: Instant) {
-        let lapsed = self.now >= asked_at + COLD_GRANT_LIFETIME;
+    fn send(&mut self, queried_at: Instant) {
+        let lapsed = self.now >= queried_at + COLD_GRANT_LIFETIME;
         if lapsed && self.fault != Fault::IgnoresLifetime {
             return;
         }
@@ -220,45 +220,45 @@
         while self.sent.front().is_some_and(|at| *at < begin) {
             self.sent.pop_front();
         }
-        self.most = self.most.max(self.sent.len());
+        self.max_in_window = self.max_in_window.max(self.sent.len());
     }
 
-    /// A request: asked of the coordinator, whose answer comes now or much later.
+    /// Sends a request: granted locally, or queried from the coordinator, whose reply may be late.
     fn request(&mut self, daemon: usize) {
         let coordinator = self.coordinator(daemon);
         if coordinator == daemon {
-            if self.give(daemon) {
+            if self.grant(daemon) {
                 self.send(self.now);
             }
-        } else if self.daemons[coordinator].lives {
-            let asked = (daemon, self.now);
-            self.daemons[coordinator].asks.push_back(asked);
+        } else if self.daemons[coordinator].is_alive {
+            let query = (daemon, self.now);
+            self.daemons[coordinator].queries.push_back(query);
         }
     }
 
-    /// Datagrams wait where their receiver is frozen, and otherwise come at any moment.
+    /// Delivers datagrams after random delays; those for a paused daemon wait.
     fn deliver(&mut self) {
         for number in 0..DAEMONS {
-            while self.is_awake(number) && self.random.random_bool(0.7) {
-                let Some((from, asked_at)) = self.daemons[number].asks.pop_front() else {
+            while self.is_running(number) && self.random.random_bool(0.7) {
+                let Some((from, queried_at)) = self.daemons[number].queries.pop_front() else {
                     break;
                 };
                 let reaches = self.daemons[from].side == self.daemons[number].side;
                 let is_own = self.coordinator(number) == number;
-                if reaches && is_own && self.give(number) {
-                    self.daemons[from].granted.push_back(asked_at);
+                if reaches && is_own && self.grant(number) {
+                    self.daemons[from].granted.push_back(queried_at);
                 }
             }
-            while self.is_awake(number) && self.random.random_bool(0.7) {
-                let Some(asked_at) = self.daemons[number].granted.pop_front() else {
+            while self.is_running(number) && self.random.random_bool(0.7) {
+                let Some(queried_at) = self.daemons[number].granted.pop_front() else {
                     break;
                 };
-                self.send(asked_at);
+                self.send(queried_at);
             }
         }
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
             self.now += STEP;
@@ -270,7 +270,7 @@
             self.deliver();
             for daemon in 0..DAEMONS {
                 let mut due = self.loads[daemon];
-                while self.is_awake(daemon) && due > 0.0 {
+                while self.is_running(daemon) && due > 0.0 {
                     if due >= 1.0 || self.random.random_bool(due) {
                         self.request(daemon);
                     }
@@ -283,42 +283,42 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    Kill(usize),
+    Crash(usize),
     Start(usize),
-    Cut(usize),
-    Halve(usize),
+    Isolate(usize),
+    Split(usize),
     Heal,
-    Freeze(usize, u64),
+    Pause(usize, u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
     let daemon = 0..DAEMONS;
     prop_oneof![
-        daemon.clone().prop_map(Event::Kill),
+        daemon.clone().prop_map(Event::Crash),
         daemon.clone().prop_map(Event::Start),
-        daemon.clone().prop_map(Event::Cut),
-        daemon.clone().prop_map(Event::Halve),
+        daemon.clone().prop_map(Event::Isolate),
+        daemon.clone().prop_map(Event::Split),
         Just(Event::Heal),
-        (daemon, 200_u64..4_000).prop_map(|(daemon, ms)| Event::Freeze(daemon, ms)),
+        (daemon, 200_u64..4_000).prop_map(|(daemon, ms)| Event::Pause(daemon, ms)),
     ]
 }
 
-fn play(seed: u64, fault: Fault, events: &[(u64, Event)]) -> usize {
-    play_in(Fleet::new(seed, fault), events)
+fn run(seed: u64, fault: Fault, events: &[(u64, Event)]) -> usize {
+    run_fleet(Fleet::new(seed, fault), events)
 }
 
-fn play_in(mut fleet: Fleet, events: &[(u64, Event)]) -> usize {
-    fleet.pass(Duration::from_secs(5));
+fn run_fleet(mut fleet: Fleet, events: &[(u64, Event)]) -> usize {
+    fleet.advance(Duration::from_secs(5));
     for (after, event) in events {
-        fleet.pass(Duration::from_millis(*after));
-        fleet.strike(*event);
+        fleet.advance(Duration::from_millis(*after));
+        fleet.apply(*event);
     }
-    fleet.pass(Duration::from_secs(5));
-    fleet.most
+    fleet.advance(Duration::from_secs(5));
+    fleet.max_in_window
 }
 
 fn bound() -> f64 {
-    BOUNDS.max_in_window(limit(BEARS))
+    BOUNDS.max_in_window(limit(SUSTAINED_RATE))
 }
 
 proptest! {
@@ -326,18 +326,17 @@
 
     #[test]
     #[allow(clippy::cast_precision_loss)]
-    fn a_cold_replica_never_gets_more_than_it_bears(
+    fn a_cold_replica_never_exceeds_its_rate(
         seed: u64,
         events in prop::collection::vec((0_u64..4_000, event()), 0..12),
     ) {
-        let most = play(seed, Fault::None, &events);
-        prop_assert!(most as f64 <= bound(), "{most} of {}", bound());
+        let max_in_window = run(seed, Fault::None, &events);
+        prop_assert!(max_in_window as f64 <= bound(), "{max_in_window} of {}", bound());
     }
 
-    /// For any rate and bound: what two coordinators give out at once is within the bound, and so is what the sides of
-    /// a cut give out.
+    /// Two concurrent coordinators together, and all sides of a partition together, must stay within the bound.
     #[test]
-    fn paces_add_up(
+    fn paces_of_all_coordinators_stay_within_the_bound(
         per_second in 0.0_f64..200.0,
         over in 0.0_f64..2.0,
         slack in 0.0_f64..30.0,
@@ -345,74 +344,77 @@
     ) {
         let bounds = RateBounds { window: Duration::from_secs(1), excess: over, slack };
         let limit = RateLimit::new(per_second, 0.0).expect("a rate");
-        let most = bounds.max_in_window(limit);
+        let max_in_window = bounds.max_in_window(limit);
         let counted_over = (bounds.window + COLD_GRANT_LIFETIME).as_secs_f64();
-        let given = |share: f64| {
+        let granted_total = |share: f64| {
             let pace = ColdPace::of(&bounds, limit, share);
             if pace.burst < 1.0 { 0.0 } else { pace.burst + pace.per_second * counted_over }
         };
-        prop_assert!(given(1.0) * 2.0 <= most + 1e-9);
+        prop_assert!(granted_total(1.0) * 2.0 <= max_in_window + 1e-9);
         let all: f64 = shares.iter().sum();
-        let sides: f64 = shares.iter().map(|share| given(share / all)).sum();
-        prop_assert!(given(1.0) + sides <= most + 1e-9);
+        let sides: f64 = shares.iter().map(|share| granted_total(share / all)).sum();
+        prop_assert!(granted_total(1.0) + sides <= max_in_window + 1e-9);
     }
 }
 
-/// Every daemon is cut off by itself, each takes itself for the coordinator: the variant gives out the whole at each.
+/// Each isolated daemon considers itself the coordinator; granting the full rate at each must exceed the bound.
 #[test]
 #[allow(clippy::cast_precision_loss)]
-fn a_variant_that_ignores_what_part_of_the_fleet_it_sees_is_caught() {
+fn a_variant_that_ignores_its_share_of_the_fleet_is_detected() {
     let events: Vec<(u64, Event)> = (0..DAEMONS - 1)
-        .map(|daemon| (0, Event::Cut(daemon)))
+        .map(|daemon| (0, Event::Isolate(daemon)))
         .collect();
-    let most = |fault| (0..8).map(|seed| play(seed, fault, &events)).max();
-    assert!(most(Fault::None).expect("plays") as f64 <= bound());
-    assert!(most(Fault::IgnoresShare).expect("plays") as f64 > bound());
+    let max_in_window = |fault| (0..8).map(|seed| run(seed, fault, &events)).max();
+    assert!(max_in_window(Fault::None).expect("runs") as f64 <= bound());
+    assert!(max_in_window(Fault::IgnoresShare).expect("runs") as f64 > bound());
 }
 
-/// An asker freezes while a busy coordinator goes on to answer what it asked, and wakes with all of that.
+/// A requester paused while its coordinator grants its queries must not send all of them when it resumes.
 #[test]
 #[allow(clippy::cast_precision_loss)]
-fn a_variant_that_sends_what_was_granted_long_ago_is_caught() {
+fn a_variant_that_ignores_the_grant_lifetime_is_detected() {
     const BUSY: f64 = 20.0;
     let mut loads = [0.0; DAEMONS];
     loads[0] = 6.0;
-    let events = [(0, Event::Freeze(0, 4_000))];
-    let most = |fault| {
-        let plays = (0..8).map(|seed| {
+    let events = [(0, Event::Pause(0, 4_000))];
+    let max_in_window = |fault| {
+        let runs = (0..8).map(|seed| {
             let fleet = Fleet {
-                bears: BUSY,
+                sustained_rate: BUSY,
                 loads,
                 ..Fleet::new(seed, fault)
             };
-            play_in(fleet, &events)
+            run_fleet(fleet, &events)
         });
-        plays.max().expect("plays") as f64
+        runs.max().expect("runs") as f64
     };
     let bound = BOUNDS.max_in_window(limit(BUSY));
-    assert!(most(Fault::None) <= bound);
-    let unsafe_one = most(Fault::IgnoresLifetime);
-    assert!(unsafe_one > bound, "{unsafe_one} of {bound}");
+    assert!(max_in_window(Fault::None) <= bound);
+    let max_without_lifetime = max_in_window(Fault::IgnoresLifetime);
+    assert!(
+        max_without_lifetime > bound,
+        "{max_without_lifetime} of {bound}"
+    );
 }
 
-/// In calm, what one coordinator may give out is given out.
+/// The limit must not keep the replica below its rate in a healthy fleet.
 #[test]
 #[allow(clippy::cast_precision_loss)]
-fn a_cold_replica_gets_what_it_bears() {
+fn a_cold_replica_receives_its_rate() {
     let mut fleet = Fleet::new(1, Fault::None);
-    fleet.pass(Duration::from_secs(5));
+    fleet.advance(Duration::from_secs(5));
     let before = fleet.total;
-    fleet.pass(Duration::from_secs(10));
+    fleet.advance(Duration::from_secs(10));
     let per_second = (fleet.total - before) as f64 / 10.0;
-    assert!(per_second > BEARS * 0.9, "{per_second} a second");
+    assert!(per_second > SUSTAINED_RATE * 0.9, "{per_second} a second");
 }
 
-/// Items take only what online leaves.
+/// Batch items must leave tokens to online requests.
 #[test]
-fn an_item_takes_what_would_be_lost() {
+fn a_batch_item_takes_only_overflowing_tokens() {
     let start = Instant::now();
     let mut pacer = ColdPacer::new(start);
-    let pace = ColdPace::of(&BOUNDS, limit(BEARS), 1.0);
+    let pace = ColdPace::of(&BOUNDS, limit(SUSTAINED_RATE), 1.0);
     let at = |ms| start + Duration::from_millis(ms);
     for tick in 0..50 {
         pacer.tick(HashSet::from([GROUP]), 1.0, &BOUNDS, at(tick * 100));
@@ -427,50 +429,49 @@
     assert!(has_capacity(&mut pacer, ColdUse::Item, 5_700));
 }
 
-/// A coordinator that has just become one, or stood still, gives out nothing at first.
+/// A coordinator that is new or was stalled must not grant what its predecessor may have granted already.
 #[test]
-fn a_new_coordinator_waits_until_what_others_gave_out_has_passed() {
+fn a_new_coordinator_waits_for_the_handover_delay() {
     let start = Instant::now();
     let mut pacer = ColdPacer::new(start);
-    let pace = ColdPace::of(&BOUNDS, limit(BEARS), 1.0);
+    let pace = ColdPace::of(&BOUNDS, limit(SUSTAINED_RATE), 1.0);
     let at = |ms| start + Duration::from_millis(ms);
     let own = || HashSet::from([GROUP]);
-    let may = |pacer: &mut ColdPacer<u32>, ms| {
+    let is_granted = |pacer: &mut ColdPacer<u32>, ms| {
         pacer.has_capacity(&GROUP, REPLICA, pace, ColdUse::Online, &BOUNDS, at(ms))
     };
     for tick in 0..60 {
         pacer.tick(HashSet::new(), 1.0, &BOUNDS, at(tick * 100));
     }
-    assert!(!may(&mut pacer, 5_950), "not its group");
+    assert!(!is_granted(&mut pacer, 5_950), "not its group");
     for tick in 60..90 {
         pacer.tick(own(), 1.0, &BOUNDS, at(tick * 100));
         let waited = tick * 100 - 6_000 >= 1_250;
         assert_eq!(
-            may(&mut pacer, tick * 100 + 50),
+            is_granted(&mut pacer, tick * 100 + 50),
             waited || tick == 72,
             "tick {tick}"
         );
     }
-    assert!(!may(&mut pacer, 12_000), "it stood still");
+    assert!(!is_granted(&mut pacer, 12_000), "it was stalled");
     pacer.tick(own(), 1.0, &BOUNDS, at(12_000));
-    assert!(!may(&mut pacer, 12_050));
+    assert!(!is_granted(&mut pacer, 12_050));
     for tick in 121..140 {
         pacer.tick(own(), 1.0, &BOUNDS, at(tick * 100));
     }
-    assert!(may(&mut pacer, 13_950));
+    assert!(is_granted(&mut pacer, 13_950));
 }
 
-/// Members that come back may follow another coordinator for a while, so a larger part counts after a wait only; a
-/// smaller one counts at once.
+/// A grown share must count after a delay, as returned members may follow another coordinator; a smaller one at once.
 #[test]
-fn a_part_of_the_fleet_that_has_grown_counts_after_a_wait() {
+fn a_grown_share_counts_after_the_handover_delay() {
     let start = Instant::now();
     let mut pacer: ColdPacer<u32> = ColdPacer::new(start);
     for tick in 0..60_u64 {
         let share = if tick < 20 { 0.25 } else { 1.0 };
         let now = start + Duration::from_millis(tick * 100);
         pacer.tick(HashSet::new(), share, &BOUNDS, now);
-        // Seen last at 1,900 ms, and for 1,250 ms after.
+        // The smaller share was last seen at 1,900 ms and counts for 1,250 ms more.
         let expected = if tick < 33 { 0.25 } else { 1.0 };
         assert!((pacer.share(share) - expected).abs() < 1e-9, "tick {tick}");
         assert!((pacer.share(0.1) - 0.1).abs() < 1e-9);
--- a/crates/slots/tests/ranking.rs
+++ b/crates/slots/tests/ranking.rs
@@ -1,10 +1,9 @@
-//! Who coordinates a group stays what it is: another order in another build would give groups two coordinators for as long as builds
-//! run side by side. The values are those of the build 9319f89.
+//! The choice of coordinators must not change between builds: groups would have two coordinators during an upgrade.
 
 use harrierward_slots::{GroupId, coordinator_of};
 
 #[test]
-fn coordinators_are_those_of_earlier_builds() {
+fn coordinators_match_the_recorded_ones() {
     let members: Vec<String> = (0..20)
         .map(|number| format!("node-{number}@1a2b"))
         .collect();
--- a/crates/tenants/tests/directory.rs
+++ b/crates/tenants/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Keys name their tenant, and are never printed.
+//! Keys identify their tenant, and are never printed.
 
 use harrierward_tenants::{
     AllowedRegions, ApiKey, DirectoryError, RateLimit, TenantDirectory, TenantSpec,
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_key_of_two_tenants_is_refused_without_naming_it() {
+fn a_key_of_two_tenants_is_rejected_without_printing_it() {
     let specs = [spec("ada", &["secret-key"]), spec("bo", &["secret-key"])];
     let error = TenantDirectory::new(&specs).expect_err("a shared key");
     assert!(matches!(error, DirectoryError::SharedKey { .. }));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn nothing_prints_a_key() {
+fn debug_output_contains_no_key() {
     let specs = [spec("ada", &["secret-key"])];
     let directory = TenantDirectory::new(&specs).expect("a directory");
     let printed = format!("{:?} {directory:?} {specs:?}", ApiKey::new("secret-key"));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn rates_that_cannot_be_meant_are_refused_by_field_and_value() {
+fn invalid_rates_are_rejected_by_field_and_value() {
     for (rate, burst, expected) in [
         (-1.0, 0.0, "rate: -1 is not between 0 and 1e9"),
         (1.0, f64::NAN, "burst: NaN is not between 0 and 1e9"),
