--- a/crates/ownership/src/takeovers.rs
+++ b/crates/ownership/src/takeovers.rs
@@ -28,7 +28,7 @@
             challenge_duration: Duration::from_millis(1_100),
             write_time_factor: 2,
             initial_cooldown: Duration::from_secs(2),
-            // Bounds the writes during a partition: each absent owner costs up to three per cooldown and daemon.
+            // Bounds the writes during a partition: each absent owner costs up to three per cooldown.
             max_cooldown: Duration::from_secs(20),
             // Owners whose watches lag by more than 4.4 s miss other changes of their jobs as well.
             max_doublings: 2,
