--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,28 +1,28 @@
-//! One serving daemon without machines for control and without disk: its server towards callers, its connections
-//! to back ends, its copies of what the store says, and its peers.
+//! One serving daemon: its HTTP servers, connection pool, copies of the store's spaces, and peers. It keeps no state
+//! on disk.
 
 mod answer_budget;
 mod calls;
 mod daemon;
 mod discovery;
-mod figures;
 mod fleet;
 mod hedged;
 mod members;
-mod order;
+mod metrics;
 mod peer_loads;
-mod peer_news;
 mod peer_rows;
+mod peer_updates;
 mod pool;
 mod quarantine;
 mod rates;
 mod relay;
+mod rendezvous;
+mod round_trips;
 mod server;
 mod settings;
-mod silence;
 mod slots;
+mod stall;
 mod stop;
-mod trips;
 mod watches;
 
 pub use answer_budget::AnswerBudget;
@@ -30,10 +30,10 @@
 pub use discovery::{Discovery, DiscoverySource};
 pub use fleet::SharedFleet;
 pub use harrierward_wire::FORMAT_LEVEL;
-pub use hedged::first_answer;
+pub use hedged::first_response;
 pub use members::Members;
 pub use peer_loads::{PeerLoads, PeerSum};
-pub use peer_news::PeerNews;
+pub use peer_updates::PeerUpdates;
 pub use pool::{
     ConnectionPool, PoolError, PoolSettings, PooledBody, PooledResponse, RequestBody, has_token,
 };
--- a/crates/edge/src/order.rs
+++ b/crates/edge/src/rendezvous.rs
@@ -1,24 +1,23 @@
-//! The order of the members in which they coordinate a tenant's rate: all daemons that know the same members name the
-//! same ones (rendezvous hashing).
+//! Rendezvous hashing of tenants to their rate coordinators: all daemons with the same member list choose the same ones.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::slots::CoordinatorCandidate;
 
-/// The two members that come first: the coordinator, and who follows it.
-pub fn first_two<'a>(
+/// Returns the two members with the highest weights: the tenant's coordinator and its fallback.
+pub fn top_two<'a>(
     tenant: &str,
     members: &'a [CoordinatorCandidate],
 ) -> [Option<&'a CoordinatorCandidate>; 2] {
-    first_two_by(tenant, members.iter(), |member| &member.id)
+    top_two_by(tenant, members.iter(), |member| &member.id)
 }
 
-/// The two ids that come first.
-pub fn first_two_ids<'a>(tenant: &str, ids: impl Iterator<Item = &'a str>) -> [Option<&'a str>; 2] {
-    first_two_by(tenant, ids, |id| id)
+/// Same as [`top_two`], over member ids alone.
+pub fn top_two_ids<'a>(tenant: &str, ids: impl Iterator<Item = &'a str>) -> [Option<&'a str>; 2] {
+    top_two_by(tenant, ids, |id| id)
 }
 
-fn first_two_by<'a, T: Copy>(
+fn top_two_by<'a, T: Copy>(
     tenant: &str,
     members: impl Iterator<Item = T>,
     id: impl Fn(T) -> &'a str,
@@ -28,9 +27,9 @@
     let mut second: Option<(u64, T)> = None;
     for member in members {
         let weight = xxh3_64_with_seed(id(member).as_bytes(), seed);
-        if first.is_none_or(|(most, _)| weight > most) {
+        if first.is_none_or(|(max, _)| weight > max) {
             second = first.replace((weight, member));
-        } else if second.is_none_or(|(most, _)| weight > most) {
+        } else if second.is_none_or(|(max, _)| weight > max) {
             second = Some((weight, member));
         }
     }
--- a/crates/edge/tests/stored_news.rs
+++ b/crates/edge/tests/stored_news.rs
@@ -11,7 +11,7 @@
     PlatformError, PlatformErrorKind, RequestClass, Row, Table, Transaction, TransactionOutcome,
     Write,
 };
-use harrierward_inline_jobs::crash_news;
+use harrierward_inline_jobs::crash_updates_key;
 use harrierward_quarantine::{ContentId, ContentStatus};
 use harrierward_serving::{Quarantine, ReplicaSet};
 use harrierward_wire::{
@@ -45,7 +45,11 @@
 impl Rows {
     fn written(&self) -> Vec<CrashNewsRow> {
         let written = self.written.lock().expect("rows");
-        assert!(written.iter().all(|(key, _)| *key == crash_news(LIFE)));
+        assert!(
+            written
+                .iter()
+                .all(|(key, _)| *key == crash_updates_key(LIFE))
+        );
         let rows = written.iter().map(|(_, value)| decode(value));
         rows.map(|row| row.expect("a row of news")).collect()
     }
@@ -131,7 +135,7 @@
         news: Some(news),
     };
     Row {
-        key: crash_news(life),
+        key: crash_updates_key(life),
         value: encode(&row).into(),
         revision,
     }
@@ -142,7 +146,7 @@
 }
 
 fn left(quarantine: &QuarantineService) -> Option<Duration> {
-    match quarantine.standing(CONTENT) {
+    match quarantine.status(CONTENT) {
         ContentStatus::Quarantined(hold) => Some(
             hold.until
                 .saturating_duration_since(harrierward_clock::now()),
@@ -172,8 +176,8 @@
     for age_ms in [END_LIFETIME_MS, NOW_MS] {
         let quarantine = quarantine();
         quarantine.take_stored(&row(NOW_MS - age_ms), NOW_MS);
-        assert_eq!(quarantine.standing(CONTENT), ContentStatus::Clear);
-        assert!(!quarantine.holds_any(), "{age_ms} ms old");
+        assert_eq!(quarantine.status(CONTENT), ContentStatus::Clear);
+        assert!(!quarantine.has_quarantined(), "{age_ms} ms old");
     }
 }
 
@@ -186,7 +190,7 @@
         ..row(NOW_MS)
     };
     quarantine.take_stored(&senseless, NOW_MS);
-    assert!(!quarantine.holds_any());
+    assert!(!quarantine.has_quarantined());
 }
 
 /// One that only heard of it, by datagram or from the store, writes nothing: each crash would cost a write a daemon.
@@ -227,7 +231,7 @@
         for one in order {
             later.take_stored(one, read_at_ms);
         }
-        assert_eq!(later.standing(CONTENT), ContentStatus::Clear);
+        assert_eq!(later.status(CONTENT), ContentStatus::Clear);
     }
 }
 
--- a/crates/inline-jobs/src/adoption_order.rs
+++ b/crates/inline-jobs/src/adoption_order.rs
@@ -1,4 +1,5 @@
-//! In which order daemons adopt a job that nobody runs: pure.
+//! Order in which daemons adopt a job without an owner, and the header changes of adoption, challenge and release.
+//! Pure functions.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -7,101 +8,101 @@
 use harrierward_wire::JobHeadRow;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long an owner must be missing before it is challenged: a member that is held for dead and lives refutes that within
-/// about as long. With the time for which a challenge stands, a job follows its dead owner at most 1 s later than by a view alone.
-const MISSING_FOR: Duration = Duration::from_millis(100);
+/// How long an owner must be missing before it is challenged; a live member refutes a false death report within about
+/// that time.
+const CHALLENGE_DELAY: Duration = Duration::from_millis(100);
 
-/// How much later than the others a daemon takes a job back that it gave up without stopping: it got nowhere with it.
-const GAVE_UP_BEFORE: Duration = Duration::from_secs(2);
+/// Additional delay of the daemon that released the job: it could not make progress with it.
+const LAST_OWNER_DELAY: Duration = Duration::from_secs(2);
 
-/// How much longer each further daemon in the job's order waits.
+/// Additional delay per rank in the job's adoption order.
 const RANK_DELAY: Duration = Duration::from_millis(400);
 
-/// The head of a job that its owner gives up.
-pub fn given_up(head: &JobHeadRow) -> JobHeadRow {
+/// Returns the header of a job that its owner releases.
+pub fn released(header: &JobHeadRow) -> JobHeadRow {
     JobHeadRow {
         owner: String::new(),
-        last_owner: head.owner.clone(),
+        last_owner: header.owner.clone(),
         challenger: String::new(),
-        ..head.clone()
+        ..header.clone()
     }
 }
 
-/// The head of a job that the daemon with this life adopts.
-pub fn adopted(head: &JobHeadRow, life: &str) -> JobHeadRow {
+/// Returns the header of a job that the daemon `instance_id` adopts, under a new epoch.
+pub fn adopted(header: &JobHeadRow, instance_id: &str) -> JobHeadRow {
     JobHeadRow {
-        owner: life.to_owned(),
+        owner: instance_id.to_owned(),
         last_owner: String::new(),
         challenger: String::new(),
-        takeovers: head.takeovers + u32::from(!head.challenger.is_empty()),
-        epoch: head.epoch + 1,
-        ..head.clone()
+        takeovers: header.takeovers + u32::from(!header.challenger.is_empty()),
+        epoch: header.epoch + 1,
+        ..header.clone()
     }
 }
 
-/// The head of a job whose owner the daemon with this life holds for gone.
-pub fn challenged(head: &JobHeadRow, life: &str) -> JobHeadRow {
+/// Returns the header of a job whose owner the daemon `instance_id` considers missing.
+pub fn challenged(header: &JobHeadRow, instance_id: &str) -> JobHeadRow {
     JobHeadRow {
-        challenger: life.to_owned(),
-        ..head.clone()
+        challenger: instance_id.to_owned(),
+        ..header.clone()
     }
 }
 
-/// The head as its owner writes it: whoever challenged it is refuted.
-pub fn refuted(head: &JobHeadRow) -> JobHeadRow {
+/// Returns the header without a challenge, as its owner writes it.
+pub fn refuted(header: &JobHeadRow) -> JobHeadRow {
     JobHeadRow {
         challenger: String::new(),
-        ..head.clone()
+        ..header.clone()
     }
 }
 
-/// Life of the daemon that runs a job or ran it last.
-pub fn last_owner(head: &JobHeadRow) -> &str {
-    if head.owner.is_empty() {
-        &head.last_owner
+/// Returns the instance id of the daemon that owns a job or owned it last.
+pub fn last_owner(header: &JobHeadRow) -> &str {
+    if header.owner.is_empty() {
+        &header.last_owner
     } else {
-        &head.owner
+        &header.owner
     }
 }
 
-/// How long the daemon with this `life` waits before it adopts a job that was given up, or challenges an owner that is missing. Daemons adopt a job in an
-/// order of its own, so that they do not all try at once: those `near` its last owner first, since its clients and the
-/// replicas that keep its prompts are there. `owners` are all that may adopt it.
+/// Returns how long the daemon `instance_id` waits before it adopts a released job, or challenges a missing owner.
+/// Each job has its own order of daemons, so that they do not all try at once. Daemons `near` its last owner come
+/// first: its clients and the replicas that cache its prompts are there. `owners` are all daemons that may adopt it.
 pub fn adoption_delay(
-    head: &JobHeadRow,
-    life: &str,
+    header: &JobHeadRow,
+    instance_id: &str,
     owners: &[String],
     near: &[String],
 ) -> Duration {
     let near: HashSet<&String> = near.iter().collect();
-    let is_near = near.iter().any(|owner| *owner == life);
+    let is_near = near.iter().any(|owner| *owner == instance_id);
     let rank = if near.is_empty() {
-        adoption_rank(&head.job_id, life, owners)
+        adoption_rank(&header.job_id, instance_id, owners)
     } else if is_near {
-        adoption_rank(&head.job_id, life, near)
+        adoption_rank(&header.job_id, instance_id, near)
     } else {
         let others = owners.iter().filter(|owner| !near.contains(owner));
-        1 + adoption_rank(&head.job_id, life, others)
+        1 + adoption_rank(&header.job_id, instance_id, others)
     };
-    // One that was given up is known to be nobody's.
-    let first = if !head.owner.is_empty() {
-        MISSING_FOR
-    } else if head.last_owner == life {
-        GAVE_UP_BEFORE
+    // A released job has no owner that could still refute.
+    let base_delay = if !header.owner.is_empty() {
+        CHALLENGE_DELAY
+    } else if header.last_owner == instance_id {
+        LAST_OWNER_DELAY
     } else {
         Duration::ZERO
     };
-    first + RANK_DELAY * rank
+    base_delay + RANK_DELAY * rank
 }
 
-/// How many of the daemons come before the one with this `life` in a job's order.
+/// Returns how many daemons precede the daemon `instance_id` in a job's order.
 pub fn adoption_rank<'a>(
     job: &str,
-    life: &str,
+    instance_id: &str,
     owners: impl IntoIterator<Item = &'a String>,
 ) -> u32 {
     let job = xxh3_64(job.as_bytes());
-    let own = preference_weight(job, life);
+    let own = preference_weight(job, instance_id);
     let before = owners.into_iter();
     let before = before.filter(|owner| preference_weight(job, owner) > own);
     u32::try_from(before.count()).unwrap_or(u32::MAX)
--- a/crates/inline-jobs/src/item.rs
+++ b/crates/inline-jobs/src/item.rs
@@ -1,4 +1,4 @@
-//! One item of a job: its request, what has come of it, and where it stands.
+//! One item of a job: its request, output and phase.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -6,99 +6,99 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// What has come of an item so far; shared with the task that runs it.
+/// Output of an item so far; shared with the task that runs it.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct ItemProgress {
-    /// Last event received.
+    /// Number of the last event received; `None` before the first.
     pub last_event: Option<u64>,
-    /// Data of the events so far.
+    /// Data of the events, in order.
     pub texts: Vec<String>,
-    /// When the last of them came to this daemon.
-    pub moved_at: Option<Instant>,
+    /// When this daemon received the last event; `None` if it received none itself.
+    pub last_event_at: Option<Instant>,
 }
 
-/// Progress shared between book and task.
+/// Progress shared between the registry and the item's task.
 pub type SharedProgress = Arc<Mutex<ItemProgress>>;
 
-/// Locks shared progress.
+/// Locks shared progress; a poisoned lock is used as it is.
 pub fn lock(progress: &SharedProgress) -> std::sync::MutexGuard<'_, ItemProgress> {
     progress.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Where an item stands.
+/// Phase of an item between submission and listing.
 #[derive(Debug)]
 pub enum ItemPhase {
     /// Waits for a slot.
     Waiting {
-        /// Not to be started earlier.
+        /// Earliest next start.
         not_before: Instant,
     },
-    /// Runs at a replica, or is about to.
+    /// Runs at a replica, or is being placed.
     Running {
-        /// Where; `None` until a place is given.
-        at: Option<RunPlace>,
-        /// Ends the run.
+        /// Slot lease of the run; `None` until the item is placed.
+        lease: Option<RunLease>,
+        /// Handle that aborts the run.
         task: AbortHandle,
-        /// When it began.
+        /// Start of the placement, then of the run.
         since: Instant,
     },
-    /// Its result waits to be listed.
+    /// Its result is not listed yet.
     Done {
-        /// The item failed for good.
+        /// True if no further run is attempted and the result is a failure.
         failed: bool,
     },
     /// Its result is listed.
     Listed,
 }
 
-/// Where an item runs.
+/// Replica and slot lease of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RunPlace {
-    /// Replica.
+pub struct RunLease {
+    /// Id of the replica.
     pub replica: String,
-    /// Number of the place that it holds there.
-    pub place: u32,
+    /// Number of the slot lease, 0 if there is none.
+    pub lease: u32,
 }
 
-/// One item.
+/// One item of a job that this daemon owns.
 #[derive(Debug)]
 pub struct Item {
-    /// The request that runs it.
+    /// The request to send to a replica.
     pub request: Arc<ServingRequest>,
-    /// What has come so far.
+    /// Output received so far.
     pub progress: SharedProgress,
-    /// Failed attempts.
+    /// Runs that a replica ended with a failure response.
     pub failures: u32,
-    /// Those of them that the job's head counts. The item does not run again before it counts all, so that a later owner
-    /// allows no more attempts than this one.
-    pub failures_kept: u32,
-    /// Events of it that are saved.
+    /// Failures that the job's header counts. The item only runs again once it counts all, so that a later owner does
+    /// not allow more attempts.
+    pub recorded_failures: u32,
+    /// Number of events that the store holds.
     pub saved_events: usize,
-    /// Hash of the replica's start at which it last ran: that one may still keep its prompt.
-    pub ran_at: Option<u32>,
-    /// Where it stands.
+    /// Hash of the replica instance at which it last ran, whose prefix cache may still hold its prompt.
+    pub last_replica_instance: Option<u32>,
+    /// Current phase.
     pub phase: ItemPhase,
 }
 
 impl Item {
-    pub(crate) fn may_run_again(&self) -> bool {
+    pub(crate) fn is_unfinished(&self) -> bool {
         matches!(
             self.phase,
             ItemPhase::Waiting { .. } | ItemPhase::Running { .. }
         )
     }
 
-    pub(crate) fn has_failures_to_keep(&self) -> bool {
-        self.failures > self.failures_kept && self.may_run_again()
+    pub(crate) fn has_unrecorded_failures(&self) -> bool {
+        self.failures > self.recorded_failures && self.is_unfinished()
     }
 
     pub(crate) fn is_startable(&self, now: Instant) -> bool {
         let is_due = matches!(self.phase, ItemPhase::Waiting { not_before } if not_before <= now);
-        is_due && !self.has_failures_to_keep()
+        is_due && !self.has_unrecorded_failures()
     }
 }
 
-pub(crate) fn end_run(phase: &ItemPhase) {
+pub(crate) fn abort_run(phase: &ItemPhase) {
     if let ItemPhase::Running { task, .. } = phase {
         task.abort();
     }
--- a/crates/inline-jobs/src/item_run.rs
+++ b/crates/inline-jobs/src/item_run.rs
@@ -1,42 +1,42 @@
-//! One run of an item at a replica, from its last event on.
+//! One run of an item at a replica, resumed after its last event.
 
 use std::time::Duration;
 
 use futures::StreamExt;
 use harrierward_serving::{
-    AttemptFailure, AttemptTimes, EventSplitter, Forwarder, Placement, Sending, ServingRequest,
-    StreamEvent, Verdict, wait_for_progress,
+    AttemptFailure, AttemptOptions, AttemptOutcome, AttemptTimeouts, EventSplitter, Forwarder,
+    Placement, ServingRequest, StreamEvent, wait_for_progress,
 };
 use tokio::time::Instant;
 
 use crate::item::{SharedProgress, lock};
 
-/// Silence after which a replica that is silent to everybody is given up.
-const DARK: Duration = Duration::from_millis(500);
+/// Stall after which a replica that sends nothing to any request is considered unresponsive.
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Silence after which any replica is given up.
-const LONGEST_SILENCE: Duration = Duration::from_millis(3_000);
+/// Stall after which a run is aborted at any replica.
+const MAX_STALL: Duration = Duration::from_millis(3_000);
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// The whole output is there.
+    /// The output is complete.
     Finished,
-    /// The replica failed the item.
+    /// The replica responded with a failure.
     Failed,
-    /// The item can never be done.
+    /// The replica rejected the item; a retry cannot succeed.
     Impossible,
-    /// The replica did not take it.
+    /// The replica did not run the item, for this cause.
     NotRun(String),
-    /// The stream broke; the item goes on after its last event.
+    /// The stream broke for this cause; the item resumes after its last event.
     Broken(String),
 }
 
-/// Statuses of a replica's answer to an item.
+/// Status codes of a replica's response to an item.
 const FAILED: u16 = 500;
 const IMPOSSIBLE: u16 = 422;
 
-/// Runs an item where it is placed; one that has `failed_before` and fails again is no evidence against its replica.
+/// Runs an item where it is placed. With `failed_before`, another failure is not counted against the replica.
 pub async fn run(
     forwarder: &Forwarder,
     request: &ServingRequest,
@@ -45,23 +45,23 @@
     failed_before: bool,
 ) -> RunOutcome {
     let resume_after = lock(progress).last_event;
-    let times = AttemptTimes {
+    let timeouts = AttemptTimeouts {
         time_left: None,
-        dark: DARK,
-        longest: LONGEST_SILENCE,
+        stall_timeout: UNRESPONSIVE_TIMEOUT,
+        max_wait: MAX_STALL,
     };
-    let sending = Sending {
+    let options = AttemptOptions {
         resume_after,
         fresh_connection: false,
         number: 1,
         failed_before,
     };
     let attempt = forwarder
-        .attempt_at(request, placement, times, sending)
+        .attempt_at(request, placement, timeouts, options)
         .await;
     let attempt = match attempt {
         Ok(attempt) => attempt,
-        Err(AttemptFailure::NoReplica | AttemptFailure::ComeBack { .. }) => {
+        Err(AttemptFailure::NoReplica | AttemptFailure::RetryLater { .. }) => {
             return RunOutcome::NotRun("no replica".to_owned());
         }
         Err(AttemptFailure::NotRun { cause, .. } | AttemptFailure::Unattributed { cause }) => {
@@ -69,7 +69,7 @@
         }
         Err(AttemptFailure::MayHaveRun { cause }) => return RunOutcome::Broken(cause),
     };
-    match attempt.answer.status {
+    match attempt.response.status {
         200..=299 => {}
         FAILED => return RunOutcome::Failed,
         IMPOSSIBLE => return RunOutcome::Impossible,
@@ -77,27 +77,27 @@
     }
     let in_progress = attempt.in_progress;
     let replica = in_progress.replica().clone();
-    let mut body = attempt.answer.body;
+    let mut body = attempt.response.body;
     let mut splitter = EventSplitter::default();
     loop {
-        let next = wait_for_progress(body.next(), &replica, DARK, LONGEST_SILENCE).await;
+        let next = wait_for_progress(body.next(), &replica, UNRESPONSIVE_TIMEOUT, MAX_STALL).await;
         let bytes = match next {
             None => {
                 replica.suspect();
-                in_progress.conclude(Verdict::Silent);
+                in_progress.conclude(AttemptOutcome::Unresponsive);
                 return RunOutcome::Broken("no event in time".to_owned());
             }
-            Some(None) if splitter.left_over() > 0 => {
-                in_progress.break_off();
+            Some(None) if splitter.buffered_bytes() > 0 => {
+                in_progress.note_disconnect();
                 return RunOutcome::Broken("the stream ended within an event".to_owned());
             }
             Some(None) => {
-                in_progress.conclude(Verdict::Served);
-                in_progress.note_whole();
+                in_progress.conclude(AttemptOutcome::Served);
+                in_progress.note_complete();
                 return RunOutcome::Finished;
             }
             Some(Some(Err(error))) => {
-                in_progress.break_off();
+                in_progress.note_disconnect();
                 return RunOutcome::Broken(error.to_string());
             }
             Some(Some(Ok(bytes))) => bytes,
@@ -105,16 +105,16 @@
         in_progress.note_event();
         splitter.push(&bytes);
         while let Some(event) = splitter.next_event() {
-            if let Err(cause) = take_event(progress, &event) {
-                in_progress.conclude(Verdict::Spoilt);
+            if let Err(cause) = append_event(progress, &event) {
+                in_progress.conclude(AttemptOutcome::Corrupt);
                 return RunOutcome::Broken(cause.to_owned());
             }
         }
     }
 }
 
-/// Adds an event to the item's output; events must follow each other without gaps.
-fn take_event(progress: &SharedProgress, event: &StreamEvent) -> Result<(), &'static str> {
+/// Appends an event to the item's output; events must be numbered without gaps.
+fn append_event(progress: &SharedProgress, event: &StreamEvent) -> Result<(), &'static str> {
     let Some(id) = event.id else {
         return Ok(());
     };
@@ -127,6 +127,6 @@
     }
     progress.last_event = Some(id);
     progress.texts.push(event.data());
-    progress.moved_at = Some(Instant::now());
+    progress.last_event_at = Some(Instant::now());
     Ok(())
 }
--- a/crates/inline-jobs/src/lookup.rs
+++ b/crates/inline-jobs/src/lookup.rs
@@ -1,4 +1,4 @@
-//! Reading results and items, and ending jobs, at any daemon.
+//! Reads of results and item bodies, and cancellation of jobs, at any daemon.
 
 use std::time::Duration;
 
@@ -8,59 +8,58 @@
 use harrierward_tenants::ApiKey;
 use tokio::time::{Instant, timeout};
 
-use crate::model::{EndOutcome, JobCaller, JobResult, Lookup, ResultPage, kept_id};
+use crate::model::{CancelOutcome, JobCaller, JobResult, Lookup, ResultPage, scoped_id};
 use crate::service::InlineJobs;
 use crate::store::WriteOutcome;
-use crate::view::KnownHead;
+use crate::view::KnownHeader;
 
-/// Age up to which this daemon's copy of a head is as good as the store's for what no caller can have seen change: an
-/// item's body, the head that an end replaces under its revision.
-const FRESH: Duration = Duration::from_millis(1_300);
+/// Age up to which the local copy serves reads where staleness is harmless: an item's body, or a header that a
+/// cancellation replaces under its revision.
+const MAX_COPY_AGE: Duration = Duration::from_millis(1_300);
 
-/// No copy is young enough: the store's row itself is read. A feed proves that the store answers, not that it told of all
-/// changes, and only the row says that nothing is listed (one read a look that ends empty).
-const FROM_THE_ROW: Duration = Duration::ZERO;
+/// Forces a read of the store. A recent watch response proves contact, not that all changes were delivered; only the
+/// row itself proves that nothing is listed.
+const READ_STORE: Duration = Duration::ZERO;
 
-/// Age up to which the feed of the heads counts as alive, so that a held read waits for it. Beyond that, the store is
-/// asked at once.
-const FEED_ALIVE: Duration = FRESH;
+/// Age of the last proof up to which a long poll waits for the watch. Above it, the store is read at once.
+const MAX_FEED_AGE: Duration = MAX_COPY_AGE;
 
-/// Text of one page of results, bytes; a page has 1 MB at most.
+/// Text per page of results, in bytes; a page may have 1 MB.
 const PAGE_BYTES: usize = 700_000;
 
-/// Longest time for which an end is tried.
-const END_HOLD: Duration = Duration::from_millis(3_000);
+/// How long a cancellation is retried.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// True if a head of any age tells what to answer from a position on: a result there, or that the list never grows again.
-fn says_all(known: &KnownHead, after: u32) -> bool {
+/// True if a header of any age suffices for a response: it lists a result at `after`, or its list is complete.
+fn is_conclusive(known: &KnownHeader, after: u32) -> bool {
     known.lists_beyond(after) || !known.is_open()
 }
 
 impl InlineJobs {
-    /// True if this daemon's copy of the heads was proven less than `bound` ago.
-    fn is_proven_within(&self, bound: Duration) -> bool {
-        self.inner.view.proof_age().is_some_and(|age| age < bound)
+    /// True if the local copy was proven current less than `max_age` ago.
+    fn is_proven_within(&self, max_age: Duration) -> bool {
+        self.inner.view.proof_age().is_some_and(|age| age < max_age)
     }
 
-    /// The head, from this daemon's copy if that is younger than `bound`, else from the store.
-    async fn find(&self, job_id: &str, bound: Duration) -> Lookup<KnownHead> {
-        let fresh = self.is_proven_within(bound);
-        match self.inner.view.get(job_id).filter(|_| fresh) {
+    /// Returns the header from the local copy if that was proven less than `max_age` ago, else from the store.
+    async fn find(&self, job_id: &str, max_age: Duration) -> Lookup<KnownHeader> {
+        let is_fresh = self.is_proven_within(max_age);
+        match self.inner.view.get(job_id).filter(|_| is_fresh) {
             Some(known) => Lookup::Found(known),
-            None => self.read_head(job_id).await,
+            None => self.read_header(job_id).await,
         }
     }
 
-    /// The head as the store has it. A reading that is older than what this daemon has heard of the store says neither that
-    /// there is no such job, nor what it does not list yet.
-    pub(crate) async fn read_head(&self, job_id: &str) -> Lookup<KnownHead> {
+    /// Reads the header from the store. A reading older than the newest known revision proves neither that the job is
+    /// missing nor that a result is unlisted.
+    pub(crate) async fn read_header(&self, job_id: &str) -> Lookup<KnownHeader> {
         let view = &self.inner.view;
         let newest = view.newest_revision();
-        let Ok(reading) = self.inner.store.read_head(job_id).await else {
-            return Lookup::Unsure;
+        let Ok(reading) = self.inner.store.read_header(job_id).await else {
+            return Lookup::Unavailable;
         };
-        if let Some(known) = reading.head {
-            self.learn(known);
+        if let Some(known) = reading.header {
+            self.note_header(known);
         }
         if reading.revision < newest {
             self.inner.log.record(&Record::ReadOutdated {
@@ -68,13 +67,13 @@
                 revision: reading.revision,
                 newest_revision: newest,
             });
-            return Lookup::Unsure;
+            return Lookup::Unavailable;
         }
         view.note_revision(reading.revision);
         view.get(job_id).map_or(Lookup::Missing, Lookup::Found)
     }
 
-    /// Who asks with this key.
+    /// Returns the caller that a key identifies.
     pub fn caller(&self, key: Option<&ApiKey>) -> JobCaller {
         let forwarder = &self.inner.forwarder;
         let Some(routes) = forwarder.routes() else {
@@ -87,25 +86,30 @@
         }
     }
 
-    /// The head of a job that the caller may know of. Jobs of nobody, accepted while there were no tenants or on a
-    /// route that asks for no key, are for all.
-    async fn find_for(&self, caller: &JobCaller, id: &str, bound: Duration) -> Lookup<KnownHead> {
+    /// Returns the header of a job visible to the caller. Jobs without a tenant, accepted without tenants configured
+    /// or on a route that requires no key, are visible to all.
+    async fn find_for(
+        &self,
+        caller: &JobCaller,
+        id: &str,
+        max_age: Duration,
+    ) -> Lookup<KnownHeader> {
         if let JobCaller::Tenant(tenant) = caller {
-            let found = self.find(&kept_id(Some(tenant), id), bound).await;
+            let found = self.find(&scoped_id(Some(tenant), id), max_age).await;
             if found != Lookup::Missing {
                 return found;
             }
         }
-        match self.find(id, bound).await {
-            Lookup::Found(known) if !known.head.tenant.is_empty() => Lookup::Missing,
+        match self.find(id, max_age).await {
+            Lookup::Found(known) if !known.header.tenant.is_empty() => Lookup::Missing,
             found => found,
         }
     }
 
-    /// Results from position `after` on; waits up to `wait` for one.
+    /// Returns results from position `after` on; waits up to `wait` for one.
     ///
-    /// Positions are only added, so a copy of any age may show what it lists. That nothing is listed is said only by the
-    /// store's row, read after the question came, or of a job whose list never grows again.
+    /// Results are append-only, so a stale header may prove that a result exists. An empty page requires a read of
+    /// the store's row that began after the request, unless the list is complete.
     pub async fn results(
         &self,
         caller: &JobCaller,
@@ -117,51 +121,51 @@
         loop {
             let changed = self.inner.view.changed();
             let left = until.saturating_duration_since(Instant::now());
-            if let Some(known) = self.known_to_say(caller, id, after) {
+            if let Some(known) = self.conclusive_header(caller, id, after) {
                 return self.page(&known, after).await;
             }
-            let bound = if left.is_zero() {
-                FROM_THE_ROW
+            let max_age = if left.is_zero() {
+                READ_STORE
             } else {
-                FEED_ALIVE
+                MAX_FEED_AGE
             };
             let proof_age = self.inner.view.proof_age();
-            let found = self.find_for(caller, id, bound).await;
-            if proof_age.is_none_or(|age| age >= bound) {
-                self.log_asked(id, after, proof_age, &found);
+            let found = self.find_for(caller, id, max_age).await;
+            if proof_age.is_none_or(|age| age >= max_age) {
+                self.log_listing_read(id, after, proof_age, &found);
             }
             let known = match found {
                 Lookup::Found(known) => known,
                 Lookup::Missing => return Lookup::Missing,
-                Lookup::Unsure => return self.page_if_known(caller, id, after).await,
+                Lookup::Unavailable => return self.page_from_copy(caller, id, after).await,
             };
-            if says_all(&known, after) || left.is_zero() {
+            if is_conclusive(&known, after) || left.is_zero() {
                 return self.page(&known, after).await;
             }
             let _ = timeout(left, changed).await;
         }
     }
 
-    /// What could not be asked anew may still be known: the copy may have learnt of a result meanwhile.
-    async fn page_if_known(&self, caller: &JobCaller, id: &str, after: u32) -> Lookup<ResultPage> {
-        match self.known_to_say(caller, id, after) {
+    /// Returns a page if the local copy has received a result while the store could not be read.
+    async fn page_from_copy(&self, caller: &JobCaller, id: &str, after: u32) -> Lookup<ResultPage> {
+        match self.conclusive_header(caller, id, after) {
             Some(known) => self.page(&known, after).await,
-            None => Lookup::Unsure,
+            None => Lookup::Unavailable,
         }
     }
 
-    fn log_asked(
+    fn log_listing_read(
         &self,
         job: &str,
         position: u32,
         proof_age: Option<Duration>,
-        found: &Lookup<KnownHead>,
+        found: &Lookup<KnownHeader>,
     ) {
         let outcome = match found {
             Lookup::Found(known) if known.lists_beyond(position) => "more",
             Lookup::Found(_) => "nothing",
             Lookup::Missing => "missing",
-            Lookup::Unsure => "unsure",
+            Lookup::Unavailable => "unsure",
         };
         let milliseconds = |age: Duration| u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
         self.inner.log.record(&Record::ListingAsked {
@@ -172,23 +176,23 @@
         });
     }
 
-    /// The caller's job, if this daemon's copy says all there is to say now from `after` on.
-    fn known_to_say(&self, caller: &JobCaller, id: &str, after: u32) -> Option<KnownHead> {
+    /// Returns the caller's job if the local copy suffices for a response from `after` on.
+    fn conclusive_header(&self, caller: &JobCaller, id: &str, after: u32) -> Option<KnownHeader> {
         let view = &self.inner.view;
         let of_tenant = match caller {
-            JobCaller::Tenant(tenant) => view.get(&kept_id(Some(tenant), id)),
+            JobCaller::Tenant(tenant) => view.get(&scoped_id(Some(tenant), id)),
             JobCaller::Anyone | JobCaller::Refused(_) => None,
         };
-        let of_nobody = || view.get(id).filter(|known| known.head.tenant.is_empty());
-        let known = of_tenant.or_else(of_nobody)?;
-        says_all(&known, after).then_some(known)
+        let without_tenant = || view.get(id).filter(|known| known.header.tenant.is_empty());
+        let known = of_tenant.or_else(without_tenant)?;
+        is_conclusive(&known, after).then_some(known)
     }
 
-    async fn page(&self, known: &KnownHead, after: u32) -> Lookup<ResultPage> {
-        let head = &known.head;
+    async fn page(&self, known: &KnownHeader, after: u32) -> Lookup<ResultPage> {
+        let header = &known.header;
         if !known.lists_beyond(after) {
             return Lookup::Found(ResultPage {
-                total: head.items.len(),
+                total: header.items.len(),
                 next: after,
                 results: Vec::new(),
             });
@@ -196,17 +200,17 @@
         let read = self
             .inner
             .store
-            .read_results(&head.job_id, after, PAGE_BYTES)
+            .read_results(&header.job_id, after, PAGE_BYTES)
             .await;
         let Ok(read) = read else {
-            return Lookup::Unsure;
+            return Lookup::Unavailable;
         };
-        // Rows may be newer than the head, or a stale read older; only what both tell is given out.
-        let items = head.listed.iter().skip(after as usize);
+        // Rows may be newer than the header, or a stale read older; only results present in both are returned.
+        let items = header.listed.iter().skip(after as usize);
         let results: Vec<JobResult> = items
             .zip(read)
             .filter_map(|(number, result)| {
-                let item = head.items.get(*number as usize)?;
+                let item = header.items.get(*number as usize)?;
                 Some(JobResult {
                     item: item.id.clone(),
                     failed: result.failed,
@@ -215,33 +219,33 @@
             })
             .collect();
         if results.is_empty() {
-            return Lookup::Unsure;
+            return Lookup::Unavailable;
         }
         Lookup::Found(ResultPage {
-            total: head.items.len(),
+            total: header.items.len(),
             next: after + u32::try_from(results.len()).unwrap_or_default(),
             results,
         })
     }
 
-    /// The body of an item of a job that has not ended.
+    /// Returns the body of an item; `Missing` once its job is cancelled.
     pub async fn item_body(&self, caller: &JobCaller, id: &str, item_id: &str) -> Lookup<Bytes> {
-        let known = match self.find_for(caller, id, FRESH).await {
+        let known = match self.find_for(caller, id, MAX_COPY_AGE).await {
             Lookup::Found(known) => known,
             Lookup::Missing => return Lookup::Missing,
-            Lookup::Unsure => return Lookup::Unsure,
+            Lookup::Unavailable => return Lookup::Unavailable,
         };
-        if known.head.ended {
+        if known.header.ended {
             return Lookup::Missing;
         }
-        if let Some(job) = self.book().jobs.get(&known.head.job_id) {
+        if let Some(job) = self.registry().jobs.get(&known.header.job_id) {
             let item = job.items.iter().find(|item| item.request.id == item_id);
             if let Some(item) = item {
                 return Lookup::Found(item.request.body.clone());
             }
         }
-        let Ok(items) = self.inner.store.read_items(&known.head).await else {
-            return Lookup::Unsure;
+        let Ok(items) = self.inner.store.read_items(&known.header).await else {
+            return Lookup::Unavailable;
         };
         let found = items.items.into_iter().find(|item| item.id == item_id);
         found.map_or(Lookup::Missing, |item| {
@@ -249,14 +253,14 @@
         })
     }
 
-    /// Ends a job: nothing of it starts any more.
-    pub async fn end(&self, caller: &JobCaller, id: &str) -> EndOutcome {
-        let outcome = self.try_end(caller, id).await;
+    /// Cancels a job: none of its items starts any more.
+    pub async fn cancel(&self, caller: &JobCaller, id: &str) -> CancelOutcome {
+        let outcome = self.try_cancel(caller, id).await;
         let name = match outcome {
-            EndOutcome::Ended => "ended",
-            EndOutcome::Missing => "missing",
-            EndOutcome::NotDone => "not_done",
-            EndOutcome::InDoubt => "in_doubt",
+            CancelOutcome::Cancelled => "ended",
+            CancelOutcome::Missing => "missing",
+            CancelOutcome::NotCancelled => "not_done",
+            CancelOutcome::Indeterminate => "in_doubt",
         };
         self.inner.log.record(&Record::JobEnded {
             job: id,
@@ -265,42 +269,44 @@
         outcome
     }
 
-    async fn try_end(&self, caller: &JobCaller, id: &str) -> EndOutcome {
-        let until = Instant::now() + END_HOLD;
-        let mut known = match self.find_for(caller, id, FRESH).await {
+    async fn try_cancel(&self, caller: &JobCaller, id: &str) -> CancelOutcome {
+        let until = Instant::now() + CANCEL_TIMEOUT;
+        let mut known = match self.find_for(caller, id, MAX_COPY_AGE).await {
             Lookup::Found(known) => known,
-            Lookup::Missing => return EndOutcome::Missing,
-            Lookup::Unsure => return EndOutcome::NotDone,
+            Lookup::Missing => return CancelOutcome::Missing,
+            Lookup::Unavailable => return CancelOutcome::NotCancelled,
         };
         loop {
-            if known.head.ended {
-                return EndOutcome::Ended;
+            if known.header.ended {
+                return CancelOutcome::Cancelled;
             }
-            let mut head = known.head.clone();
-            head.ended = true;
+            let mut header = known.header.clone();
+            header.ended = true;
             let written = self
                 .inner
                 .store
-                .replace_head(known.revision, &head, until)
+                .replace_header(known.revision, &header, until)
                 .await;
             match written {
                 WriteOutcome::Committed { revision } => {
-                    self.learn(KnownHead { head, revision });
-                    return EndOutcome::Ended;
+                    self.note_header(KnownHeader { header, revision });
+                    return CancelOutcome::Cancelled;
                 }
                 WriteOutcome::Conflict {
                     current: Some(current),
                 } => {
-                    self.learn(KnownHead::clone(&current));
+                    self.note_header(KnownHeader::clone(&current));
                     known = *current;
                 }
-                WriteOutcome::Conflict { current: None } => return EndOutcome::Missing,
-                // Only new jobs are written under a fence.
-                WriteOutcome::NotDone | WriteOutcome::Fenced { .. } => return EndOutcome::NotDone,
-                WriteOutcome::InDoubt => return EndOutcome::InDoubt,
+                WriteOutcome::Conflict { current: None } => return CancelOutcome::Missing,
+                // Only the creation of a job is conditional on a fence.
+                WriteOutcome::NotCommitted | WriteOutcome::Fenced { .. } => {
+                    return CancelOutcome::NotCancelled;
+                }
+                WriteOutcome::Indeterminate => return CancelOutcome::Indeterminate,
             }
             if Instant::now() >= until {
-                return EndOutcome::NotDone;
+                return CancelOutcome::NotCancelled;
             }
         }
     }
--- a/crates/inline-jobs/src/view.rs
+++ b/crates/inline-jobs/src/view.rs
@@ -1,4 +1,4 @@
-//! The jobs' heads as this daemon knows them, from the watch and from its own commits.
+//! Local copy of all job headers and quota fences, fed by the watch and by this daemon's own commits.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -11,70 +11,69 @@
 
 use crate::store::KnownFence;
 
-/// A head and the revision at which it was read.
+/// A job header and the revision at which it was read.
 #[derive(Debug, Clone, PartialEq)]
-pub struct KnownHead {
-    /// The head.
-    pub head: JobHeadRow,
-    /// Revision of its row.
+pub struct KnownHeader {
+    /// The decoded row.
+    pub header: JobHeadRow,
+    /// Store revision of the row.
     pub revision: u64,
 }
 
-impl KnownHead {
-    /// True if items are left to be listed.
+impl KnownHeader {
+    /// True if items are still to be listed.
     pub fn is_open(&self) -> bool {
-        !self.head.ended && self.head.listed.len() < self.head.items.len()
+        !self.header.ended && self.header.listed.len() < self.header.items.len()
     }
 
-    /// True if a result is listed at the position.
+    /// True if the header lists a result at `position`, counted from 0.
     pub fn lists_beyond(&self, position: u32) -> bool {
-        self.head.listed.len() > position as usize
+        self.header.listed.len() > position as usize
     }
 
-    /// Tokens of the items that are not listed.
+    /// Returns the tokens of the unlisted items; 0 for a cancelled job.
     pub fn waiting_tokens(&self) -> u64 {
-        if self.head.ended {
+        if self.header.ended {
             return 0;
         }
-        let all: u64 = self.head.items.iter().map(|item| item.tokens).sum();
+        let all: u64 = self.header.items.iter().map(|item| item.tokens).sum();
         let listed: u64 = self
-            .head
+            .header
             .listed
             .iter()
-            .filter_map(|number| self.head.items.get(*number as usize))
+            .filter_map(|number| self.header.items.get(*number as usize))
             .map(|item| item.tokens)
             .sum();
         all.saturating_sub(listed)
     }
 }
 
-/// A newer head, and the one known before.
+/// A newer header together with the one that it replaces.
 #[derive(Debug, Clone, PartialEq)]
-pub struct HeadChange {
+pub struct HeaderChange {
     /// `None` for a job that was not known.
-    pub before: Option<KnownHead>,
-    /// The head as it is now.
-    pub known: KnownHead,
+    pub before: Option<KnownHeader>,
+    /// The newer header.
+    pub known: KnownHeader,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    heads: HashMap<String, KnownHead>,
-    /// The fences of the routes' quotas.
+    headers: HashMap<String, KnownHeader>,
+    /// Fences of the routes' quotas, by route.
     fences: HashMap<String, SeenFence>,
-    /// Newest revision of the store that this daemon has heard of.
+    /// Newest store revision seen by this daemon.
     newest_revision: u64,
-    /// Last moment of which the copy is known to be true.
+    /// Latest moment at which the copy was known to be current.
     proven_at: Option<Instant>,
-    /// The store's clock, milliseconds, and when it said so.
     store_time: Option<StoreTime>,
 }
 
 #[derive(Debug, Clone)]
 struct SeenFence {
     fence: KnownFence,
-    /// When it was first seen; `None` for one that was there before this daemon was.
-    seen_at: Option<Instant>,
+    /// When the fence was first seen; `None` if it predates the first proof of contact.
+    first_seen_at: Option<Instant>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -83,7 +82,7 @@
     at: Instant,
 }
 
-/// The heads. Entries only move to higher revisions.
+/// Job headers and fences by id; an entry is only replaced by one of a higher revision.
 #[derive(Debug, Default)]
 pub struct JobView {
     state: Mutex<State>,
@@ -95,33 +94,32 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Wakes everybody who waits for a change.
     fn wake(&self) {
         self.changed.notify_waiters();
     }
 
-    /// Completes at the next change.
+    /// Returns a future that completes at the next change.
     pub fn changed(&self) -> tokio::sync::futures::Notified<'_> {
         self.changed.notified()
     }
 
-    /// The store has reached this revision.
+    /// Records that the store has reached `revision`.
     pub fn note_revision(&self, revision: u64) {
         let mut state = self.lock();
         state.newest_revision = state.newest_revision.max(revision);
     }
 
-    /// Newest revision of the store that this daemon has heard of, from the watch and from its own reads and commits. What is
-    /// read from now on and is older than this is out of date.
+    /// Returns the newest store revision seen, from the watch and from this daemon's own reads and commits. A later
+    /// read at a lower revision is outdated.
     pub fn newest_revision(&self) -> u64 {
         self.lock().newest_revision
     }
 
-    /// The copy was true at `moment`.
-    pub fn prove(&self, moment: Instant, store_time_ms: u64) {
+    /// Records that the copy was current at `moment`. `store_time_ms` is the store's clock, 0 if unknown.
+    pub fn note_proof(&self, moment: Instant, store_time_ms: u64) {
         let mut state = self.lock();
-        let newer = state.proven_at.is_none_or(|known| known < moment);
-        if newer {
+        let is_newer = state.proven_at.is_none_or(|known| known < moment);
+        if is_newer {
             state.proven_at = Some(moment);
         }
         if store_time_ms > 0 {
@@ -132,12 +130,12 @@
         }
     }
 
-    /// Time since the copy was known to be true; `None` if it never was.
+    /// Returns the time since the copy was known to be current; `None` if it never was.
     pub fn proof_age(&self) -> Option<Duration> {
         self.lock().proven_at.map(harrierward_clock::age)
     }
 
-    /// The store's clock now, milliseconds; 0 if it is not known.
+    /// Returns the store's clock, extrapolated to now, in milliseconds; 0 if unknown.
     pub fn store_now_ms(&self) -> u64 {
         self.lock().store_time.map_or(0, |time| {
             let since =
@@ -146,91 +144,94 @@
         })
     }
 
-    /// Takes a row of a fence.
-    pub fn take_fence_row(&self, value: &Bytes, revision: u64) {
+    /// Decodes and applies the row of a fence; ignores a row that cannot be decoded.
+    pub fn update_fence_row(&self, value: &Bytes, revision: u64) {
         if let Some(row) = decode::<QuotaFenceRow>(value) {
             let fence = KnownFence {
                 coordinator: row.coordinator,
                 revision,
             };
-            self.take_fence(&row.route, fence);
+            self.update_fence(&row.route, fence);
         }
     }
 
-    /// Takes a route's fence, unless a newer one is known.
-    pub fn take_fence(&self, route: &str, fence: KnownFence) {
+    /// Applies a route's fence, unless a newer one is known.
+    pub fn update_fence(&self, route: &str, fence: KnownFence) {
         let mut state = self.lock();
         let known = state.fences.get(route);
         if known.is_none_or(|known| known.fence.revision < fence.revision) {
-            let seen_at = state.proven_at.map(|_| harrierward_clock::now());
-            let seen = SeenFence { fence, seen_at };
+            let first_seen_at = state.proven_at.map(|_| harrierward_clock::now());
+            let seen = SeenFence {
+                fence,
+                first_seen_at,
+            };
             state.fences.insert(route.to_owned(), seen);
         }
     }
 
-    /// A route's fence.
+    /// Returns a route's fence; `None` if none is known.
     pub fn fence(&self, route: &str) -> Option<KnownFence> {
         let state = self.lock();
         state.fences.get(route).map(|seen| seen.fence.clone())
     }
 
-    /// Time since a route's fence was first seen; `None` if it was there before this daemon was.
+    /// Returns the time since a route's fence was first seen; `None` if it predates the first proof of contact.
     pub fn fence_age(&self, route: &str) -> Option<Duration> {
         let state = self.lock();
-        let seen_at = state.fences.get(route)?.seen_at?;
-        Some(harrierward_clock::age(seen_at))
+        let first_seen_at = state.fences.get(route)?.first_seen_at?;
+        Some(harrierward_clock::age(first_seen_at))
     }
 
-    /// Takes a head; `None` if it is not newer than what was known.
-    pub fn take(&self, known: KnownHead) -> Option<HeadChange> {
+    /// Applies a header; `None` if it is not newer than the known one.
+    pub fn update(&self, known: KnownHeader) -> Option<HeaderChange> {
         let mut state = self.lock();
         state.newest_revision = state.newest_revision.max(known.revision);
-        let old = state.heads.get(&known.head.job_id);
+        let old = state.headers.get(&known.header.job_id);
         if old.is_some_and(|old| old.revision >= known.revision) {
             return None;
         }
-        let job_id = known.head.job_id.clone();
-        let before = state.heads.insert(job_id, known.clone());
+        let job_id = known.header.job_id.clone();
+        let before = state.headers.insert(job_id, known.clone());
         drop(state);
         self.wake();
-        Some(HeadChange { before, known })
+        Some(HeaderChange { before, known })
     }
 
-    /// Forgets a job whose row is gone.
-    pub fn forget(&self, job_id: &str) {
-        self.lock().heads.remove(job_id);
+    /// Removes a job whose row was removed from the store.
+    pub fn remove(&self, job_id: &str) {
+        self.lock().headers.remove(job_id);
         self.wake();
     }
 
-    /// A job's head.
-    pub fn get(&self, job_id: &str) -> Option<KnownHead> {
-        self.lock().heads.get(job_id).cloned()
+    /// Returns a job's header by its stored id.
+    pub fn get(&self, job_id: &str) -> Option<KnownHeader> {
+        self.lock().headers.get(job_id).cloned()
     }
 
-    /// All jobs with items left.
-    pub fn open_jobs(&self) -> Vec<KnownHead> {
+    /// Returns all jobs with unlisted items.
+    pub fn open_jobs(&self) -> Vec<KnownHeader> {
         let state = self.lock();
-        let open = state.heads.values().filter(|known| known.is_open());
+        let open = state.headers.values().filter(|known| known.is_open());
         open.cloned().collect()
     }
 
-    /// Jobs accepted before `before_ms` on the store's clock that have no items left.
-    pub fn closed_before(&self, before_ms: u64) -> Vec<KnownHead> {
+    /// Returns jobs without unlisted items that were accepted before `before_ms` on the store's clock.
+    pub fn closed_before(&self, before_ms: u64) -> Vec<KnownHeader> {
         let state = self.lock();
         let old = state
-            .heads
+            .headers
             .values()
-            .filter(|known| !known.is_open() && known.head.accepted_ms < before_ms);
+            .filter(|known| !known.is_open() && known.header.accepted_ms < before_ms);
         old.cloned().collect()
     }
 
-    /// Tokens of all items of a tenant's jobs on a route that are not listed.
+    /// Returns the tokens of all unlisted items of a tenant's jobs on a route.
     pub fn waiting_tokens(&self, route: &str, tenant: &str) -> u64 {
         let state = self.lock();
-        let heads = state.heads.values();
-        heads
-            .filter(|known| known.head.route == route && known.head.tenant == tenant)
-            .map(KnownHead::waiting_tokens)
+        let headers = state.headers.values();
+        headers
+            .filter(|known| known.header.route == route && known.header.tenant == tenant)
+            .map(KnownHeader::waiting_tokens)
             .sum()
     }
 }
--- a/crates/serving/tests/gate.rs
+++ b/crates/serving/tests/gate.rs
@@ -13,11 +13,11 @@
 use futures::StreamExt;
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_serving::{
-    AttemptFailure, AttemptTimes, Choice, ChosenBy, ExchangeError, Forwarder, ForwarderParts,
-    ForwarderSettings, ItemRoom, KeyTrust, LeaseEnd, NoQuarantine, Prompt, Replica, ReplicaAnswer,
-    ReplicaClient, ReplicaRecord, ReplicaRequest, ReplicaSet, Reply, Route, RouteKind, RouteTable,
-    SelectionCosts, Sending, ServingConfiguration, ServingRequest, SlotAnswer, SlotLease,
-    SlotLeases, SlotQuery, WeightedService, WorkClass,
+    AttemptFailure, AttemptOptions, AttemptTimeouts, Choice, ChosenBy, ExchangeError, Forwarder,
+    ForwarderParts, ForwarderSettings, ItemSlack, KeyTrust, NoQuarantine, Prompt, ReleaseReport,
+    Replica, ReplicaClient, ReplicaRecord, ReplicaRequest, ReplicaResponse, ReplicaSet, Reply,
+    Route, RouteKind, RouteTable, SelectionCosts, ServingConfiguration, ServingRequest, SlotLease,
+    SlotLeases, SlotQuery, SlotReply, WeightedService, WorkClass,
 };
 use harrierward_tenants::AllowedRegions;
 use http::{HeaderMap, Method};
@@ -44,13 +44,13 @@
 
 #[async_trait]
 impl ReplicaClient for Client {
-    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaAnswer, ExchangeError> {
+    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError> {
         let source = request.copy_from.map(str::to_owned);
         let mut sent = self.sent.lock().unwrap_or_else(PoisonError::into_inner);
         sent.push((request.replica.to_owned(), source));
-        Ok(ReplicaAnswer {
+        Ok(ReplicaResponse {
             status: 200,
-            answers: Some(request.request.id.clone()),
+            request_id: Some(request.request.id.clone()),
             is_first_on_connection: true,
             not_run: false,
             other_replica: false,
@@ -70,37 +70,37 @@
 
 #[async_trait]
 impl SlotLeases for Deaf {
-    async fn ask(&self, query: SlotQuery<'_>) -> SlotAnswer {
+    async fn acquire(&self, query: SlotQuery<'_>) -> SlotReply {
         if self.is_all_cold {
-            return SlotAnswer::AllCold;
+            return SlotReply::AllCold;
         }
         let view = self.replicas.view();
         let in_zone = view.all().filter(|one| one.record.zone == "zone-a");
         let mut left = in_zone.filter(|one| !query.excluded.contains(&one.record.id));
         let Some(replica) = left.next() else {
-            return SlotAnswer::NoCoordinator;
+            return SlotReply::NoCoordinator;
         };
-        SlotAnswer::Given {
+        SlotReply::Granted {
             choice: choice(replica),
             lease: 1,
         }
     }
 
-    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemRoom>) -> u32 {
+    fn acquire_locally(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         1
     }
 
-    fn release(&self, _place: u32, _end: LeaseEnd) {}
+    fn release(&self, _place: u32, _end: ReleaseReport) {}
 
     fn is_coordinated(&self, _replica: &Replica) -> bool {
         true
     }
 
-    fn is_told_cold(&self, replica: &Replica) -> bool {
+    fn is_reported_cold(&self, replica: &Replica) -> bool {
         self.is_all_cold && replica.record.zone == "zone-a"
     }
 
-    fn free_slot(&self, _replica: &Arc<Replica>) {}
+    fn preempt_item(&self, _replica: &Arc<Replica>) {}
 }
 
 fn choice(replica: &Arc<Replica>) -> Choice {
@@ -178,7 +178,7 @@
         routes: Arc::new(ArcSwapOption::from_pointee(routes())),
         replicas: replicas.clone(),
         client: client.clone(),
-        places: Arc::new(Deaf {
+        leases: Arc::new(Deaf {
             replicas: replicas.clone(),
             is_all_cold,
         }),
@@ -208,15 +208,15 @@
 
     /// Sends a request to a replica that was chosen for it.
     async fn send_to(&self, choice: Choice) -> Result<(), AttemptFailure> {
-        let place = SlotLease::new(self.forwarder.places().clone(), 1);
+        let place = SlotLease::new(self.forwarder.leases().clone(), 1);
         let placement = choice.enter(WorkClass::Online, place);
         let long = Duration::from_secs(1);
-        let times = AttemptTimes {
+        let times = AttemptTimeouts {
             time_left: None,
-            dark: long,
-            longest: long,
+            stall_timeout: long,
+            max_wait: long,
         };
-        let sending = Sending {
+        let sending = AttemptOptions {
             failed_before: false,
             resume_after: None,
             fresh_connection: false,
@@ -239,7 +239,7 @@
         target: "/ask/x".to_owned(),
         headers: HeaderMap::new(),
         body: Bytes::new(),
-        patience: Some(Duration::from_secs(5)),
+        timeout: Some(Duration::from_secs(5)),
         resume_after: None,
         prompt: Prompt::default(),
         key: None,
@@ -252,7 +252,7 @@
     let fixture = fixture();
     fixture.evacuate("zone-a");
     let reply = fixture.forwarder.forward(request(), Instant::now()).await;
-    assert!(matches!(reply, Reply::Answer(_)), "an answer");
+    assert!(matches!(reply, Reply::Response(_)), "an answer");
     assert_eq!(fixture.client.sent(), [("b".to_owned(), None)]);
 }
 
@@ -261,7 +261,7 @@
 async fn a_daemon_that_chooses_itself_believes_a_coordinator_that_calls_a_group_cold() {
     let fixture = fixture_before(true);
     let reply = fixture.forwarder.forward(request(), Instant::now()).await;
-    assert!(matches!(reply, Reply::Answer(_)), "an answer");
+    assert!(matches!(reply, Reply::Response(_)), "an answer");
     assert_eq!(fixture.client.sent(), [("b".to_owned(), None)]);
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -26,7 +26,7 @@
 pub use evacuation::{EvacuatedZone, Evacuations};
 pub use inline_job::{
     HeaderRow, ItemBodyRow, ItemFailuresRow, ItemHeadRow, ItemProgressRow, JobHeadRow, JobItemsRow,
-    PromptPartRow, ResultPieceRow, decode_head, encode_head,
+    PromptPartRow, ResultPieceRow, decode_job_header, encode_job_header,
 };
 pub use known_rows::{KnownRow, KnownRows};
 pub use later_fields::later_fields;
