--- a/crates/edge/src/rates/requests.rs
+++ b/crates/edge/src/rates/requests.rs
@@ -112,7 +112,7 @@
         let pool = state.pools.entry(tenant.name.clone()).or_default();
         match grant.outcome() {
             RateOutcome::Granted => {
-                pool.keep(grant.tokens.saturating_sub(1), requested_at);
+                pool.add(grant.tokens.saturating_sub(1), requested_at);
                 TokenReply::Granted
             }
             RateOutcome::Empty => {
