--- a/crates/edge/src/slots/capacity.rs
+++ b/crates/edge/src/slots/capacity.rs
@@ -84,9 +84,9 @@
         query: &SlotQuery<'_>,
         service: u32,
         group: GroupId,
-        answer: &SlotReply,
+        reply: &SlotReply,
     ) {
-        let (free_permille, wait) = match answer {
+        let (free_permille, wait) = match reply {
             // A probed replica is idle even if its group is full.
             SlotReply::Granted { choice, .. } if choice.is_probe => return,
             SlotReply::Granted { choice, .. } => {
--- a/crates/edge/src/slots/group_selection.rs
+++ b/crates/edge/src/slots/group_selection.rs
@@ -275,9 +275,9 @@
             service: self,
             lease: Some(lease),
         };
-        let answer = self.request_from_group(query, service, target).await;
-        if matches!(answer, SlotReply::Granted { .. }) {
-            return Some(answer);
+        let reply = self.request_from_group(query, service, target).await;
+        if matches!(reply, SlotReply::Granted { .. }) {
+            return Some(reply);
         }
         queued.lease = None;
         None
--- a/crates/edge/src/slots/leases.rs
+++ b/crates/edge/src/slots/leases.rs
@@ -20,42 +20,44 @@
         self.expire_after_suspension();
         let service = short_hash(query.service);
         let mut target = self.choose_group(&query, service);
-        let mut answer = self.request_from_group(&query, service, target).await;
+        let mut reply = self.request_from_group(&query, service, target).await;
         let mut replied_by = target;
-        let was_refused = matches!(answer, SlotReply::NoCoordinator);
+        let was_refused = matches!(reply, SlotReply::NoCoordinator);
         if was_refused && target.left_region == Some(CrossRegionReason::Full) {
             // The other region has filled up or doesn't reply: fall back to the own region.
             target = self.own_region_target(&query, service);
             replied_by = target;
-            answer = self.request_from_group(&query, service, target).await;
+            reply = self.request_from_group(&query, service, target).await;
         }
-        let alternative_group = match answer {
+        let alternative_group = match reply {
             SlotReply::RetryLater { .. } => self.less_loaded_group(&query, target.group),
             SlotReply::AllCold => self.warm_group(&query, target.group),
             _ => None,
         };
         if let Some(alternative) = alternative_group {
-            let second = self.request_from_group(&query, service, alternative).await;
-            if !matches!(second, SlotReply::NoCoordinator) || alternative.left_region.is_none() {
-                answer = second;
+            let second_reply = self.request_from_group(&query, service, alternative).await;
+            if !matches!(second_reply, SlotReply::NoCoordinator)
+                || alternative.left_region.is_none()
+            {
+                reply = second_reply;
                 replied_by = alternative;
             }
         }
-        if let SlotReply::Granted { lease, .. } = answer
+        if let SlotReply::Granted { lease, .. } = reply
             && replied_by.left_region.is_none()
             && let Some(spilled) = self
                 .spill_from_queue(&query, service, replied_by, lease)
                 .await
         {
-            answer = spilled;
+            reply = spilled;
         }
-        if query.item.is_some() && matches!(answer, SlotReply::NoCapacity | SlotReply::AllCold) {
+        if query.item.is_some() && matches!(reply, SlotReply::NoCapacity | SlotReply::AllCold) {
             let mut state = self.lock();
             state
                 .full_for_items_at
                 .insert((service, target.group), harrierward_clock::now());
         }
-        answer
+        reply
     }
 
     fn acquire_locally(&self, replica: &Arc<Replica>, item: Option<ItemSlack>) -> u32 {
@@ -77,10 +79,10 @@
         lease
     }
 
-    fn release(&self, lease: u32, end: ReleaseReport) {
+    fn release(&self, lease: u32, report: ReleaseReport) {
         let replica = self.lock().held.release(lease);
         if let Some(replica) = replica {
-            self.report_completion(lease, replica, end);
+            self.report_completion(lease, replica, report);
         }
     }
 
@@ -102,7 +104,7 @@
 
     fn preempt_item(&self, replica: &Arc<Replica>) {
         if self.coordinates(replica) {
-            self.preempt_item(replica);
+            self.preempt_most_slack(replica);
         } else if let Some(items) = self.preemption.get() {
             if replica.own_in_progress(WorkClass::Batch) > 0 {
                 items.yield_at(&replica.record.id, 1);
--- a/crates/edge/src/slots/outcomes.rs
+++ b/crates/edge/src/slots/outcomes.rs
@@ -23,12 +23,12 @@
 
 impl SlotService {
     /// Reports a released lease and its request's outcome to the replica's coordinator.
-    pub(super) fn report_completion(&self, lease: u32, replica: u32, end: ReleaseReport) {
+    pub(super) fn report_completion(&self, lease: u32, replica: u32, release: ReleaseReport) {
         let outcome = LeaseOutcome {
             lease,
             replica,
-            kind: kind_of(end.outcome).into(),
-            first_event_ms: end.first_event.map_or(0, |time| millis(time).max(1)),
+            kind: kind_of(release.outcome).into(),
+            first_event_ms: release.first_event.map_or(0, |time| millis(time).max(1)),
         };
         let Some(coordinator) = self.peer_coordinating(replica) else {
             self.take_outcome(self.holder, &outcome);
@@ -218,8 +218,8 @@
     detectors.map(OutlierDetector::ejected_count).sum()
 }
 
-fn kind_of(verdict: AttemptOutcome) -> OutcomeKind {
-    match verdict {
+fn kind_of(outcome: AttemptOutcome) -> OutcomeKind {
+    match outcome {
         AttemptOutcome::NoEvidence => OutcomeKind::NoEvidence,
         AttemptOutcome::Served => OutcomeKind::Served,
         AttemptOutcome::Failed => OutcomeKind::Failed,
--- a/crates/edge/src/slots/preemption.rs
+++ b/crates/edge/src/slots/preemption.rs
@@ -17,12 +17,12 @@
         let may_preempt = self.costs.policy.has(Mechanism::Preemption);
         let online = may_preempt && class_of(usage) == WorkClass::Online;
         if online && choice.load >= replica.slots() && replica.batch() > 0 {
-            self.preempt_item(replica);
+            self.preempt_most_slack(replica);
         }
     }
 
     /// Preempts the item with the most slack at the replica, of this daemon or of a peer.
-    pub(super) fn preempt_item(&self, replica: &Arc<Replica>) {
+    pub(super) fn preempt_most_slack(&self, replica: &Arc<Replica>) {
         let now = harrierward_clock::now();
         let (own, peers) = {
             let state = self.lock();
@@ -35,21 +35,21 @@
         };
         let own = own.filter(|_| own_first);
         let slack = own.map(|(_, slack)| slack);
-        if let Some(slack) = slack.or(peers.map(|ended| ended.slack)) {
+        if let Some(slack) = slack.or(peers.map(|preempted| preempted.slack)) {
             self.log_preemption(replica, slack, own.is_none());
         }
         if let (Some((lease, _)), Some(items)) = (own, self.preemption.get()) {
             self.lock().held.release(lease);
             items.yield_lease(lease);
-        } else if let Some(ended) = peers {
-            self.lock().ledger.note_preempted(ended, now);
+        } else if let Some(preempted) = peers {
+            self.lock().ledger.note_preempted(preempted, now);
             self.publish();
             let request = YieldRequest {
                 replica: replica.hash,
                 slots: 1,
-                lease: ended.lease,
+                lease: preempted.lease,
             };
-            self.send(Kind::YieldRequest(request), ended.holder);
+            self.send(Kind::YieldRequest(request), preempted.holder);
         }
     }
 
--- a/crates/edge/src/slots/reports.rs
+++ b/crates/edge/src/slots/reports.rs
@@ -15,9 +15,9 @@
 impl SlotService {
     /// Feeds the hold times of released leases to admission control.
     pub(super) fn observe_hold_times(&self, state: &mut State) {
-        let ended = state.ledger.take_released();
+        let released = state.ledger.take_released();
         let view = self.replicas.view();
-        for lease in ended {
+        for lease in released {
             let Some(replica) = view.by_hash(lease.replica) else {
                 continue;
             };
--- a/crates/edge/src/slots/requests.rs
+++ b/crates/edge/src/slots/requests.rs
@@ -60,21 +60,21 @@
         target: Target,
     ) -> SlotReply {
         let group = target.group;
-        let mut answer = match self.coordinator(service, group) {
+        let mut reply = match self.coordinator(service, group) {
             Coordinator::Unknown => SlotReply::NoCoordinator,
             Coordinator::Own => {
-                let answer = self.grant_own(query, group);
-                self.note_own_capacity(query, service, group, &answer);
-                answer
+                let reply = self.grant_own(query, group);
+                self.note_own_capacity(query, service, group, &reply);
+                reply
             }
             Coordinator::Peer(peer) => self.request_from_peer(query, service, target, &peer).await,
         };
-        if let SlotReply::Granted { choice, .. } = &mut answer {
+        if let SlotReply::Granted { choice, .. } = &mut reply {
             let is_other_region = choice.replica.location.region != self.location.region;
             let why = target.left_region.unwrap_or(CrossRegionReason::Price);
             choice.left_region = is_other_region.then_some(why);
         }
-        answer
+        reply
     }
 
     async fn request_from_peer(
