--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -27,7 +27,7 @@
 use crate::relay::{HttpPeers, SpaceReplies};
 use crate::server::{HttpService, ServerControl, ServerStage, serve};
 use crate::settings::EdgeSettings;
-use crate::slots::{Pacing, SlotService, YieldItems};
+use crate::slots::{Pacing, PreemptItems, SlotService};
 use crate::watches::{HeadTaker, Paces, start_watches};
 
 /// What a daemon is made of.
@@ -190,7 +190,7 @@
             },
         });
         members.set_jobs(jobs.clone());
-        slots.set_yielding(Box::new(Yielding {
+        slots.set_preemption(Box::new(Yielding {
             jobs: jobs.clone(),
             members: members.clone(),
         }));
@@ -284,16 +284,16 @@
     members: Arc<Members>,
 }
 
-impl YieldItems for Yielding {
-    fn yield_lease(&self, place: u32) {
+impl PreemptItems for Yielding {
+    fn preempt_lease(&self, place: u32) {
         self.jobs.preempt_lease(place);
     }
 
-    fn yield_at(&self, replica: &str, count: u32) {
+    fn preempt_at(&self, replica: &str, count: u32) {
         self.jobs.preempt_slots(replica, count);
     }
 
-    fn ask_peer(&self, replica: &Arc<Replica>) {
+    fn preempt_peer(&self, replica: &Arc<Replica>) {
         self.members.ask_peer_to_yield(replica);
     }
 }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -42,4 +42,4 @@
 pub use relay::{HttpPeers, SpaceReplies};
 pub use server::{HttpService, ResponseBody, ServerControl, ServerStage, serve};
 pub use settings::{AdvertisedAddresses, EdgeSettings};
-pub use slots::{CoordinatorCandidate, Pacing, SlotService, YieldItems};
+pub use slots::{CoordinatorCandidate, Pacing, PreemptItems, SlotService};
--- a/crates/edge/src/slots/leases.rs
+++ b/crates/edge/src/slots/leases.rs
@@ -107,9 +107,9 @@
             self.preempt_most_slack(replica);
         } else if let Some(items) = self.preemption.get() {
             if replica.own_in_progress(WorkClass::Batch) > 0 {
-                items.yield_at(&replica.record.id, 1);
+                items.preempt_at(&replica.record.id, 1);
             } else {
-                items.ask_peer(replica);
+                items.preempt_peer(replica);
             }
         }
     }
--- a/crates/edge/src/slots/mod.rs
+++ b/crates/edge/src/slots/mod.rs
@@ -57,15 +57,15 @@
 }
 
 /// Preempts batch items in favour of online requests.
-pub trait YieldItems: Send + Sync {
+pub trait PreemptItems: Send + Sync {
     /// Preempts the item of this daemon that holds the lease.
-    fn yield_lease(&self, lease: u32);
+    fn preempt_lease(&self, lease: u32);
 
     /// Preempts up to `count` items of this daemon at the replica.
-    fn yield_at(&self, replica: &str, count: u32);
+    fn preempt_at(&self, replica: &str, count: u32);
 
     /// Requests that a peer preempt an item at the replica; used where the replica's coordinator is unresponsive.
-    fn ask_peer(&self, replica: &Arc<Replica>);
+    fn preempt_peer(&self, replica: &Arc<Replica>);
 }
 
 /// The daemon that grants a group's leases.
@@ -109,7 +109,7 @@
     replicas: Arc<ReplicaSet>,
     costs: SelectionCosts,
     members: ArcSwap<Vec<CoordinatorCandidate>>,
-    preemption: OnceLock<Box<dyn YieldItems>>,
+    preemption: OnceLock<Box<dyn PreemptItems>>,
     connections: OnceLock<ConnectionPool>,
     pacing: OnceLock<Pacing>,
     index: ArcSwapOption<GroupIndex>,
@@ -169,7 +169,7 @@
     }
 
     /// Sets what preempts batch items; without it none are.
-    pub fn set_yielding(&self, items: Box<dyn YieldItems>) {
+    pub fn set_preemption(&self, items: Box<dyn PreemptItems>) {
         // Set once, during startup.
         let _ = self.preemption.set(items);
     }
--- a/crates/edge/src/slots/preemption.rs
+++ b/crates/edge/src/slots/preemption.rs
@@ -40,7 +40,7 @@
         }
         if let (Some((lease, _)), Some(items)) = (own, self.preemption.get()) {
             self.lock().held.release(lease);
-            items.yield_lease(lease);
+            items.preempt_lease(lease);
         } else if let Some(preempted) = peers {
             self.lock().ledger.note_preempted(preempted, now);
             self.publish();
@@ -70,12 +70,12 @@
             return;
         };
         if request.lease > 0 {
-            items.yield_lease(request.lease);
+            items.preempt_lease(request.lease);
             return;
         }
         let view = self.replicas.view();
         if let Some(replica) = view.by_hash(request.replica) {
-            items.yield_at(&replica.record.id, request.slots);
+            items.preempt_at(&replica.record.id, request.slots);
         }
     }
 }
--- a/crates/edge/tests/slots.rs
+++ b/crates/edge/tests/slots.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use harrierward_decisions::{DecisionLog, LogBounds};
-use harrierward_edge::{CoordinatorCandidate, SlotService, YieldItems};
+use harrierward_edge::{CoordinatorCandidate, PreemptItems, SlotService};
 use harrierward_serving::{
     InProgress, ItemSlack, Location, Prompt, PromptLength, Replica, ReplicaRecord, ReplicaSet,
     SelectionCosts, SlotLease, SlotLeases, SlotQuery, SlotReply, WorkClass,
@@ -24,14 +24,14 @@
 #[derive(Default)]
 struct Ended(Arc<Mutex<Vec<u32>>>);
 
-impl YieldItems for Ended {
-    fn yield_lease(&self, place: u32) {
+impl PreemptItems for Ended {
+    fn preempt_lease(&self, place: u32) {
         self.0.lock().expect("a lock").push(place);
     }
 
-    fn yield_at(&self, _replica: &str, _count: u32) {}
+    fn preempt_at(&self, _replica: &str, _count: u32) {}
 
-    fn ask_peer(&self, _replica: &Arc<Replica>) {}
+    fn preempt_peer(&self, _replica: &Arc<Replica>) {}
 }
 
 struct Daemon {
@@ -75,7 +75,7 @@
     let ended = Arc::<Mutex<Vec<u32>>>::default();
     slots.set_socket(socket.clone());
     slots.set_members(members.to_vec());
-    slots.set_yielding(Box::new(Ended(ended.clone())));
+    slots.set_preemption(Box::new(Ended(ended.clone())));
     Daemon {
         slots,
         replicas,
