--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,7 +1,6 @@
 //! One serving daemon without machines for control and without disk: its server towards callers, its connections
 //! to back ends, its copies of what the store says, and its peers.
 
-mod answer_budget;
 mod calls;
 mod daemon;
 mod discovery;
@@ -17,6 +16,7 @@
 mod rates;
 mod relay;
 mod rendezvous;
+mod response_budget;
 mod round_trips;
 mod server;
 mod settings;
@@ -25,14 +25,13 @@
 mod stop;
 mod watches;
 
-pub use answer_budget::AnswerBudget;
 pub use daemon::{Daemon, DaemonParts, EdgeService};
 pub use discovery::{Discovery, DiscoverySource};
 pub use fleet::SharedFleet;
 pub use harrierward_wire::FORMAT_LEVEL;
 pub use hedged::first_answer;
 pub use members::Members;
-pub use peer_loads::{PeerLoads, PeerSum};
+pub use peer_loads::{PeerCounts, PeerLoads};
 pub use peer_news::PeerNews;
 pub use pool::{
     ConnectionPool, PoolError, PoolSettings, PooledBody, PooledResponse, RequestBody, has_token,
@@ -40,6 +39,7 @@
 pub use quarantine::QuarantineService;
 pub use rates::RateService;
 pub use relay::{HttpPeers, SpaceReplies};
+pub use response_budget::ResponseBudget;
 pub use server::{HttpService, ResponseBody, ServerControl, ServerStage, serve};
 pub use settings::{AdvertisedAddresses, EdgeSettings};
 pub use slots::{CoordinatorCandidate, Pacing, PreemptItems, SlotService};
--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -244,7 +244,7 @@
                 let actions = state.core.tick(self.started.elapsed(), &mut random);
                 datagrams.extend(wrap(actions));
                 self.note_changes(&mut state);
-                if state.loads.heard() > NOTICE_FAN_OUT {
+                if state.loads.reporting() > NOTICE_FAN_OUT {
                     self.publish_loads(&mut state);
                 }
                 if tick.is_multiple_of(NOTICE_TICKS) {
--- a/crates/edge/src/members/notices.rs
+++ b/crates/edge/src/members/notices.rs
@@ -90,9 +90,9 @@
 
     pub(super) fn take_notice(&self, state: &mut State, mut notice: LoadNotice) {
         self.take_news(state, &mut notice);
-        let is_new = state.loads.take(notice, harrierward_clock::now());
+        let is_new = state.loads.apply(notice, harrierward_clock::now());
         // In a large fleet notices come too often for that; the tick publishes them.
-        if is_new && state.loads.heard() <= NOTICE_FAN_OUT {
+        if is_new && state.loads.reporting() <= NOTICE_FAN_OUT {
             self.publish_loads(state);
         }
     }
--- a/crates/edge/src/peer_loads.rs
+++ b/crates/edge/src/peer_loads.rs
@@ -24,7 +24,7 @@
 
 /// Requests of all peers in progress at one replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct PeerSum {
+pub struct PeerCounts {
     /// Online requests, as opposed to batch items.
     pub online: u32,
     /// Batch items, which may be preempted.
@@ -39,12 +39,12 @@
 
 impl PeerLoads {
     /// Returns the number of peers whose notice has not been removed by [`PeerLoads::expire`].
-    pub fn heard(&self) -> usize {
+    pub fn reporting(&self) -> usize {
         self.loads.len()
     }
 
     /// Stores a notice; returns false if its number isn't above that of the sender's last one.
-    pub fn take(&mut self, notice: LoadNotice, now: Instant) -> bool {
+    pub fn apply(&mut self, notice: LoadNotice, now: Instant) -> bool {
         let known = self.loads.get(&notice.from);
         if known.is_some_and(|known| known.notice.number >= notice.number) {
             return false;
@@ -90,8 +90,8 @@
     }
 
     /// Returns the sums by the hash of the replica's id, scaled up from the peers with a notice to all `peers`.
-    pub fn sums(&self, peers: usize) -> HashMap<u32, PeerSum> {
-        let mut sums: HashMap<u32, PeerSum> = HashMap::new();
+    pub fn sums(&self, peers: usize) -> HashMap<u32, PeerCounts> {
+        let mut sums: HashMap<u32, PeerCounts> = HashMap::new();
         for count in self.loads.values().flat_map(|load| &load.notice.counts) {
             let sum = sums.entry(count.replica).or_default();
             sum.online += count.online;
--- a/crates/edge/src/peer_rows.rs
+++ b/crates/edge/src/peer_rows.rs
@@ -17,12 +17,12 @@
 use rand::rngs::SmallRng;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::answer_budget::AnswerBudget;
 use crate::discovery::Discovery;
 use crate::hedged::first_answer;
 use crate::members::Members;
 use crate::peer_news::{evacuation_news, evacuations_message};
 use crate::pool::{ConnectionPool, PooledResponse};
+use crate::response_budget::ResponseBudget;
 use crate::server::{HttpService, ResponseBody};
 
 /// Path of the question.
@@ -52,7 +52,7 @@
 /// Answers peers.
 pub struct PeerRows {
     discovery: Arc<Discovery>,
-    budget: Mutex<AnswerBudget>,
+    budget: Mutex<ResponseBudget>,
 }
 
 impl PeerRows {
--- a/crates/edge/src/answer_budget.rs
+++ b/crates/edge/src/response_budget.rs
@@ -8,11 +8,11 @@
 
 /// Byte budget for responses to peers; bounds the memory that concurrent responses take.
 #[derive(Debug, Default)]
-pub struct AnswerBudget {
+pub struct ResponseBudget {
     free_at: Option<Instant>,
 }
 
-impl AnswerBudget {
+impl ResponseBudget {
     /// True if the time charged for the last response has passed.
     pub fn is_free(&self, now: Instant) -> bool {
         self.free_at.is_none_or(|free_at| free_at <= now)
--- a/crates/edge/tests/answer_budget.rs
+++ b/crates/edge/tests/answer_budget.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use harrierward_edge::AnswerBudget;
+use harrierward_edge::ResponseBudget;
 use tokio::time::Instant;
 
 /// Answers given within a second to daemons that ask each millisecond.
 fn answers(bytes: usize) -> usize {
     let start = Instant::now();
-    let mut budget = AnswerBudget::default();
+    let mut budget = ResponseBudget::default();
     let moments = (0..1_000).map(|millisecond| start + Duration::from_millis(millisecond));
     let mut given = 0;
     for now in moments {
--- a/crates/edge/tests/peer_loads.rs
+++ b/crates/edge/tests/peer_loads.rs
@@ -27,15 +27,15 @@
 fn old_words_are_forgotten_and_unheard_peers_are_like_the_others() {
     let now = Instant::now();
     let mut loads = PeerLoads::default();
-    assert!(loads.take(notice("a", 5, vec![count(7, 2)]), now));
+    assert!(loads.apply(notice("a", 5, vec![count(7, 2)]), now));
     assert!(
-        !loads.take(notice("a", 4, vec![]), now),
+        !loads.apply(notice("a", 4, vec![]), now),
         "an older notice that came late"
     );
     assert_eq!(loads.sums(3)[&7].online, 6);
     assert!(!loads.expire(now + Duration::from_millis(1_400)));
     assert!(loads.expire(now + Duration::from_millis(1_500)));
-    assert_eq!(loads.heard(), 0);
+    assert_eq!(loads.reporting(), 0);
 }
 
 /// A daemon whose machine was suspended has an old proof itself; peers' proofs from before must not make it look cut off alone.
@@ -47,7 +47,7 @@
         proof_age_ms: 40,
         ..notice("a", 1, Vec::new())
     };
-    loads.take(fresh, now);
+    loads.apply(fresh, now);
     let ages = |at: Instant| loads.proof_ages_ms(at).collect::<Vec<u32>>();
     assert_eq!(ages(now + Duration::from_millis(1_400)), [40]);
     assert_eq!(ages(now + Duration::from_millis(4_000)), Vec::<u32>::new());
@@ -62,9 +62,9 @@
         online: 1,
         batch,
     };
-    loads.take(notice("a", 1, vec![batch(7, 2), batch(8, 5)]), now);
-    loads.take(notice("b", 1, vec![batch(7, 1)]), now);
-    loads.take(notice("c", 1, vec![count(7, 3)]), now);
+    loads.apply(notice("a", 1, vec![batch(7, 2), batch(8, 5)]), now);
+    loads.apply(notice("b", 1, vec![batch(7, 1)]), now);
+    loads.apply(notice("c", 1, vec![count(7, 3)]), now);
     let mut random = rand::rng();
     let mut asked: Vec<String> = (0..3)
         .filter_map(|_| loads.take_batch_slot(7, &mut random))
