--- a/crates/edge/src/calls.rs
+++ b/crates/edge/src/calls.rs
@@ -143,7 +143,7 @@
         patience: CallPatience,
         send: impl Fn(),
     ) -> Option<A> {
-        let patience = match self.trips.longest(peer.location) {
+        let patience = match self.trips.upper_bound(peer.location) {
             Some(way) => patience.over(way),
             None if peer.is_far => patience.over_unknown(),
             None => patience,
--- a/crates/edge/src/fleet.rs
+++ b/crates/edge/src/fleet.rs
@@ -26,7 +26,7 @@
     }
 
     /// Records the current number of members, this daemon included.
-    pub fn see(&self, members: usize, now: Instant) {
+    pub fn observe(&self, members: usize, now: Instant) {
         self.lock().observe(members, now);
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// Merges a size reported by another member. Returns false if `seen_ms_ago` lies before the start of the clock.
-    pub fn take(&self, members: u32, seen_ms_ago: u32) -> bool {
+    pub fn merge_report(&self, members: u32, seen_ms_ago: u32) -> bool {
         let ago = Duration::from_millis(u64::from(seen_ms_ago));
         let members = usize::try_from(members).unwrap_or_default();
         let Some(at) = harrierward_clock::now().checked_sub(ago) else {
--- a/crates/edge/src/pool.rs
+++ b/crates/edge/src/pool.rs
@@ -22,7 +22,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout};
 
-use crate::stall::{SilenceWatch, set_probes};
+use crate::stall::{StallWatch, set_probes};
 
 /// Bounds of the pool.
 #[derive(Debug, Clone, Copy)]
@@ -151,7 +151,7 @@
     address: String,
     connection: Connection,
     keep_for: Option<Duration>,
-    silence: SilenceWatch,
+    silence: StallWatch,
 }
 
 impl PooledBody {
@@ -178,7 +178,7 @@
             match frame {
                 Some(Ok(frame)) => {
                     if let Some(lease) = &mut self.lease {
-                        lease.silence.heard();
+                        lease.silence.note_received();
                     }
                     if let Ok(data) = frame.into_data() {
                         return Poll::Ready(Some(Ok(data)));
@@ -201,7 +201,7 @@
 
 impl Lease {
     fn give_back(mut self) {
-        self.silence.end();
+        self.silence.finish();
         let Some(keep_for) = self.keep_for else {
             return;
         };
@@ -354,12 +354,12 @@
             taken: taken.clone(),
         };
         let request = Request::from_parts(head, body);
-        let mut silence = SilenceWatch::begin(self, address);
+        let mut silence = StallWatch::begin(self, address);
         let answer = connection.sender.send_request(request).await;
         let (head, body) = answer
             .map_err(|error| PoolError::Lost(error.to_string()))?
             .into_parts();
-        silence.heard();
+        silence.note_received();
         // An answer that came before the whole body was sent leaves the connection in doubt.
         let orderly = taken.load(Ordering::Relaxed);
         let keep_for = self.keep_for(&head.headers).filter(|_| orderly);
--- a/crates/edge/src/rates/mod.rs
+++ b/crates/edge/src/rates/mod.rs
@@ -110,7 +110,7 @@
     pub fn set_members(&self, members: Vec<CoordinatorCandidate>) {
         let mut state = self.lock();
         let now = harrierward_clock::now();
-        self.fleet.see(members.len(), now);
+        self.fleet.observe(members.len(), now);
         let share = self.fleet.share(members.len(), now);
         let before = self.members.load();
         let is_member = |id: &str| members.iter().any(|member| member.id == id);
@@ -201,7 +201,7 @@
     /// Merges a fleet size reported by another member, which may include members that were partitioned off before this
     /// daemon started.
     fn merge_fleet_size(&self, members: u32, seen_ms_ago: u32) {
-        if self.fleet.take(members, seen_ms_ago) {
+        if self.fleet.merge_report(members, seen_ms_ago) {
             self.lock().fleet_size_reported = true;
         }
     }
--- a/crates/edge/src/round_trips.rs
+++ b/crates/edge/src/round_trips.rs
@@ -32,7 +32,7 @@
         self.mean = self.mean * (MEAN_DIVISOR - 1) / MEAN_DIVISOR + measured / MEAN_DIVISOR;
     }
 
-    fn longest(self) -> Duration {
+    fn upper_bound(self) -> Duration {
         self.mean + self.deviation * TIMEOUT_DEVIATIONS
     }
 }
@@ -60,8 +60,8 @@
     }
 
     /// Returns the time within which nearly all replies arrive; `None` if no member of the region has replied yet.
-    pub fn longest(&self, location: Location) -> Option<Duration> {
-        self.find(location).map(RttEstimate::longest)
+    pub fn upper_bound(&self, location: Location) -> Option<Duration> {
+        self.find(location).map(RttEstimate::upper_bound)
     }
 
     /// Returns the mean round-trip time; `None` if no member of the region has replied yet.
--- a/crates/edge/src/slots/pacing.rs
+++ b/crates/edge/src/slots/pacing.rs
@@ -252,7 +252,9 @@
     /// Merges the fleet size in a peer's lease request.
     pub(super) fn merge_fleet_size(&self, ask: &SlotAsk) {
         if let Some(pacing) = self.pacing.get().filter(|_| ask.fleet_members > 0) {
-            pacing.fleet.take(ask.fleet_members, ask.fleet_seen_ms_ago);
+            pacing
+                .fleet
+                .merge_report(ask.fleet_members, ask.fleet_seen_ms_ago);
         }
     }
 }
--- a/crates/edge/src/stall.rs
+++ b/crates/edge/src/stall.rs
@@ -29,13 +29,13 @@
 
 /// Detects a stall of one exchange. If the exchange is dropped while stalled, for whatever reason, the pool stops reusing
 /// connections to the address that were idle since before the stall.
-pub(crate) struct SilenceWatch {
+pub(crate) struct StallWatch {
     pool: ConnectionPool,
     address: String,
     last_received_at: Option<Instant>,
 }
 
-impl SilenceWatch {
+impl StallWatch {
     pub(crate) fn begin(pool: &ConnectionPool, address: &str) -> Self {
         Self {
             pool: pool.clone(),
@@ -45,17 +45,17 @@
     }
 
     /// Records that bytes were received.
-    pub(crate) fn heard(&mut self) {
+    pub(crate) fn note_received(&mut self) {
         self.last_received_at = Some(harrierward_clock::now());
     }
 
     /// Records the regular completion of the exchange.
-    pub(crate) fn end(&mut self) {
+    pub(crate) fn finish(&mut self) {
         self.last_received_at = None;
     }
 }
 
-impl Drop for SilenceWatch {
+impl Drop for StallWatch {
     fn drop(&mut self) {
         let Some(last_received_at) = self.last_received_at else {
             return;
--- a/crates/edge/tests/cold.rs
+++ b/crates/edge/tests/cold.rs
@@ -76,7 +76,7 @@
         DecisionLog::new(LogBounds::default()),
     ));
     let fleet = Arc::new(SharedFleet::new(true));
-    fleet.see(members.len(), Instant::now());
+    fleet.observe(members.len(), Instant::now());
     slots.set_pacing(Pacing {
         bounds: BOUNDS,
         fleet: fleet.clone(),
@@ -359,7 +359,7 @@
         .iter()
         .find(|daemon| !std::ptr::eq(*daemon, own))
         .expect("another");
-    assert!(asker.fleet.take(400, 10));
+    assert!(asker.fleet.merge_report(400, 10));
     let _ = choose(asker).await;
     assert!(own.fleet.share(4, Instant::now()) < 0.02);
 }
