--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -22,7 +22,7 @@
 use crate::peer_news::PeerNews;
 use crate::peer_rows::{PeerRows, learn};
 use crate::pool::ConnectionPool;
-use crate::quarantine::{HeldContents, QuarantineService};
+use crate::quarantine::{QuarantineService, QuarantinedContents};
 use crate::rates::RateService;
 use crate::relay::{HttpPeers, SpaceReplies};
 use crate::server::{HttpService, ServerControl, ServerStage, serve};
@@ -213,7 +213,7 @@
         start_watches(&discovery, source.as_ref(), heads, &paces, &log);
         let clock = jobs.clone();
         let store_now_ms = move || clock.view().store_now_ms();
-        tokio::spawn(quarantine.clone().keep_stored(table, store_now_ms));
+        tokio::spawn(quarantine.clone().run_row_writer(table, store_now_ms));
         tokio::spawn(jobs.clone().run());
         tokio::spawn(news.catch_up(pool.clone()));
         tokio::spawn(discovery.clone().watch_evacuated());
@@ -270,7 +270,7 @@
         if !self.settings.control_address.is_empty() {
             let listener = TcpListener::bind(&self.settings.control_address).await?;
             let peer_rows = Arc::new(PeerRows::new(self.service.discovery.clone()));
-            let held = HeldContents::new(self.service.quarantine.clone(), peer_rows);
+            let held = QuarantinedContents::new(self.service.quarantine.clone(), peer_rows);
             let spaces = SpaceReplies::new(self.relay.clone(), Arc::new(held));
             tokio::spawn(serve(listener, inner_control, Arc::new(spaces)));
         }
--- a/crates/edge/src/quarantine/mod.rs
+++ b/crates/edge/src/quarantine/mod.rs
@@ -31,7 +31,7 @@
 use broken_connections::BrokenConnections;
 use store_row::OwnRow;
 
-pub use operator_api::HeldContents;
+pub use operator_api::QuarantinedContents;
 
 /// Ticks between two removals of expired crash reports.
 const EXPIRE_TICKS: u64 = 10;
--- a/crates/edge/src/quarantine/operator_api.rs
+++ b/crates/edge/src/quarantine/operator_api.rs
@@ -21,7 +21,7 @@
 
 /// A quarantined content, as listed in JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct HeldContent {
+pub struct QuarantinedContent {
     /// Digest of path, caller and body, as in the decision log.
     content: String,
     /// Replicas that crashed under it.
@@ -36,20 +36,20 @@
 
 impl QuarantineService {
     /// Returns the contents in quarantine now.
-    pub fn held(&self) -> Vec<HeldContent> {
+    pub fn quarantined(&self) -> Vec<QuarantinedContent> {
         let now = harrierward_clock::now();
         let age = |at: Instant| millis(now.saturating_duration_since(at));
         let statuses = self.inner.statuses.load();
-        let held = statuses
+        let quarantined = statuses
             .quarantined()
-            .map(|(content, quarantine)| HeldContent {
+            .map(|(content, quarantine)| QuarantinedContent {
                 content: content.to_string(),
                 ends: quarantine.crashes,
                 since_ms: age(quarantine.since),
                 last_end_ms: age(quarantine.last_crash),
                 hold_ms: millis(quarantine.until.saturating_duration_since(now)),
             });
-        held.collect()
+        quarantined.collect()
     }
 
     /// Releases a content from quarantine at all daemons; returns false if there are no crash reports against it.
@@ -83,13 +83,13 @@
 }
 
 /// Serves the quarantine's list and releases on the control address.
-pub struct HeldContents<S> {
+pub struct QuarantinedContents<S> {
     quarantine: QuarantineService,
     /// Serves all other paths.
     others: Arc<S>,
 }
 
-impl<S> HeldContents<S> {
+impl<S> QuarantinedContents<S> {
     /// Serves [`PATH`] from `quarantine`, and all other paths from `others`.
     pub fn new(quarantine: QuarantineService, others: Arc<S>) -> Self {
         Self { quarantine, others }
@@ -99,7 +99,7 @@
         let content = u64::from_str_radix(name, 16).ok().map(ContentId);
         match (method, content) {
             (&Method::GET, None) if name.is_empty() => {
-                let list = serde_json::to_vec(&self.quarantine.held());
+                let list = serde_json::to_vec(&self.quarantine.quarantined());
                 list.map_or_else(
                     |error| {
                         (
@@ -119,7 +119,7 @@
 }
 
 #[async_trait]
-impl<S: HttpService> HttpService for HeldContents<S> {
+impl<S: HttpService> HttpService for QuarantinedContents<S> {
     async fn call(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let Some(name) = request.uri().path().strip_prefix(PATH) else {
             return self.others.call(request).await;
--- a/crates/edge/src/quarantine/store_row.rs
+++ b/crates/edge/src/quarantine/store_row.rs
@@ -63,7 +63,7 @@
 impl QuarantineService {
     /// Keeps this daemon's row up to date, one write at a time; never returns. `store_now_ms` returns the store's
     /// clock, 0 while it is unknown.
-    pub async fn keep_stored(self, table: Arc<dyn Table>, store_now_ms: impl Fn() -> u64) {
+    pub async fn run_row_writer(self, table: Arc<dyn Table>, store_now_ms: impl Fn() -> u64) {
         let key = crash_updates_key(&self.inner.instance_id);
         loop {
             self.inner.own_row.write_due.notified().await;
@@ -145,7 +145,7 @@
     }
 
     /// Merges a row of any daemon, read when the store's clock was at `store_now_ms`.
-    pub fn take_stored(&self, row: &Row, store_now_ms: u64) {
+    pub fn apply_stored(&self, row: &Row, store_now_ms: u64) {
         let Some((stored, reports)) = parse(&row.value) else {
             return;
         };
--- a/crates/edge/src/watches.rs
+++ b/crates/edge/src/watches.rs
@@ -177,7 +177,7 @@
                 RowKind::Fence => view.update_fence_row(&row.value, row.revision),
                 // Before the store's clock is told to those that write such rows: a daemon that has started must not replace
                 // what its last life knew before it has read it.
-                RowKind::CrashUpdates => self.quarantine.take_stored(row, update.store_time_ms),
+                RowKind::CrashUpdates => self.quarantine.apply_stored(row, update.store_time_ms),
             }
         }
         for key in &update.removed {
--- a/crates/edge/tests/stored_news.rs
+++ b/crates/edge/tests/stored_news.rs
@@ -112,7 +112,7 @@
         ..Rows::default()
     });
     let quarantine = quarantine();
-    tokio::spawn(quarantine.clone().keep_stored(rows.clone(), || NOW_MS));
+    tokio::spawn(quarantine.clone().run_row_writer(rows.clone(), || NOW_MS));
     (quarantine, rows)
 }
 
@@ -159,7 +159,7 @@
 async fn a_row_holds_back_for_what_is_left_of_the_hold() {
     let quarantine = quarantine();
     let age_ms = 400_000;
-    quarantine.take_stored(&row(NOW_MS - age_ms), NOW_MS);
+    quarantine.apply_stored(&row(NOW_MS - age_ms), NOW_MS);
     let left = left(&quarantine).expect("held back");
     let expected = Duration::from_millis(FIRST_HOLD_MS - age_ms);
     assert!(left <= expected, "{left:?}");
@@ -170,12 +170,12 @@
 async fn an_old_row_holds_nothing_back() {
     for age_ms in [FIRST_HOLD_MS, END_LIFETIME_MS - 1] {
         let quarantine = quarantine();
-        quarantine.take_stored(&row(NOW_MS - age_ms), NOW_MS);
+        quarantine.apply_stored(&row(NOW_MS - age_ms), NOW_MS);
         assert_eq!(left(&quarantine), None, "{age_ms} ms old");
     }
     for age_ms in [END_LIFETIME_MS, NOW_MS] {
         let quarantine = quarantine();
-        quarantine.take_stored(&row(NOW_MS - age_ms), NOW_MS);
+        quarantine.apply_stored(&row(NOW_MS - age_ms), NOW_MS);
         assert_eq!(quarantine.status(CONTENT), ContentStatus::Clear);
         assert!(!quarantine.has_quarantined(), "{age_ms} ms old");
     }
@@ -184,12 +184,12 @@
 #[tokio::test]
 async fn a_row_of_unknown_age_or_without_sense_is_not_taken() {
     let quarantine = quarantine();
-    quarantine.take_stored(&row(NOW_MS), 0);
+    quarantine.apply_stored(&row(NOW_MS), 0);
     let senseless = Row {
         value: Bytes::from_static(b"\xff\xff"),
         ..row(NOW_MS)
     };
-    quarantine.take_stored(&senseless, NOW_MS);
+    quarantine.apply_stored(&senseless, NOW_MS);
     assert!(!quarantine.has_quarantined());
 }
 
@@ -198,7 +198,7 @@
 async fn only_what_the_daemon_saw_itself_is_written() {
     let (quarantine, rows) = kept(0);
     quarantine.receive(Kind::CrashNews(three_ends(CONTENT)));
-    quarantine.take_stored(
+    quarantine.apply_stored(
         &row_of(three_ends(ContentId(6)), "other@1", NOW_MS, 1),
         NOW_MS,
     );
@@ -229,7 +229,7 @@
     for order in [[&ends, &released], [&released, &ends]] {
         let later = self::quarantine();
         for one in order {
-            later.take_stored(one, read_at_ms);
+            later.apply_stored(one, read_at_ms);
         }
         assert_eq!(later.status(CONTENT), ContentStatus::Clear);
     }
@@ -258,10 +258,10 @@
     sleep(SETTLED).await;
     assert_eq!(rows.written().len(), 1);
     let own = |written_ms, revision| row_of(CrashNews::default(), LIFE, written_ms, revision);
-    quarantine.take_stored(&own(NOW_MS, 1), NOW_MS);
+    quarantine.apply_stored(&own(NOW_MS, 1), NOW_MS);
     sleep(SETTLED).await;
     assert_eq!(rows.written().len(), 1, "its own row as it wrote it");
-    quarantine.take_stored(&own(NOW_MS - 300, 2), NOW_MS);
+    quarantine.apply_stored(&own(NOW_MS - 300, 2), NOW_MS);
     sleep(SETTLED).await;
     assert_eq!(rows.written().len(), 2);
 }
