--- a/crates/edge/src/rates/requests.rs
+++ b/crates/edge/src/rates/requests.rs
@@ -10,15 +10,15 @@
 use tokio::time::Instant;
 
 use super::{MAX_POOLS, RateService};
-use crate::calls::{CallPatience, PeerPlace};
+use crate::calls::{CallTimeouts, PeerLocation};
 use crate::rendezvous::top_two;
 use crate::slots::CoordinatorCandidate;
 
 /// Timeouts of a token request, before the measured round trip is added.
-const TIMEOUTS: CallPatience = CallPatience {
-    again: Duration::from_millis(18),
-    give_up: Duration::from_millis(45),
-    longest: Duration::from_millis(95),
+const TIMEOUTS: CallTimeouts = CallTimeouts {
+    resend_after: Duration::from_millis(18),
+    timeout: Duration::from_millis(45),
+    max_timeout: Duration::from_millis(95),
 };
 
 /// How long a coordinator that didn't reply is skipped.
@@ -84,12 +84,12 @@
     }
 
     /// Returns the location of the member with this address, relative to this daemon.
-    fn location_of(&self, address: SocketAddr) -> PeerPlace {
+    fn location_of(&self, address: SocketAddr) -> PeerLocation {
         let members = self.members.load();
         let own = members.iter().find(|one| one.id == self.instance_id);
         let peer = members.iter().find(|one| one.address == Some(address));
         let peer = peer.map_or_else(Location::default, |peer| peer.location);
-        PeerPlace::from(own.map_or(peer, |own| own.location), peer)
+        PeerLocation::from(own.map_or(peer, |own| own.location), peer)
     }
 
     /// Requests tokens from an address, naming the coordinator that is unresponsive here, if any. Tokens beyond the one
@@ -104,7 +104,7 @@
         let ask = self.build_request(tenant, unresponsive, requested_at);
         let place = self.location_of(address);
         let send = || self.send(node_datagram::Kind::RateAsk(ask.clone()), address);
-        let Some(grant) = self.calls.ask(ask.number, place, TIMEOUTS, send).await else {
+        let Some(grant) = self.calls.call(ask.number, place, TIMEOUTS, send).await else {
             return TokenReply::NoReply;
         };
         self.merge_fleet_size(grant.fleet_members, grant.fleet_seen_ms_ago);
--- a/crates/edge/src/slots/requests.rs
+++ b/crates/edge/src/slots/requests.rs
@@ -14,7 +14,7 @@
 };
 use tokio::time::Instant;
 
-use crate::calls::{CallPatience, PeerPlace};
+use crate::calls::{CallTimeouts, PeerLocation};
 
 use super::group_selection::Target;
 use super::{Coordinator, CoordinatorCandidate, MAX_SLACK, SlotService, usage_of};
@@ -109,17 +109,17 @@
         ask.spilled = target.left_region == Some(CrossRegionReason::Full);
         let timeout = query.objective / TIMEOUT_DIVISOR;
         let timeout = timeout.clamp(MIN_TIMEOUT, MAX_TIMEOUT);
-        let patience = CallPatience {
-            again: timeout * TIMEOUT_DIVISOR / RESEND_DIVISOR,
-            give_up: timeout,
-            longest: query.objective / MAX_WAIT_DIVISOR,
+        let patience = CallTimeouts {
+            resend_after: timeout * TIMEOUT_DIVISOR / RESEND_DIVISOR,
+            timeout,
+            max_timeout: query.objective / MAX_WAIT_DIVISOR,
         };
         let send = || self.send(Kind::SlotAsk(ask.clone()), address);
-        let mut place = PeerPlace::from(self.location, coordinator.location);
+        let mut place = PeerLocation::from(self.location, coordinator.location);
         // A spilled request has a slot in its own region, so it doesn't wait longer for an unmeasured peer; a late
         // reply still yields the round-trip time.
-        place.is_far &= !ask.spilled;
-        let Some(grant) = self.calls.ask(lease, place, patience, send).await else {
+        place.is_remote_region &= !ask.spilled;
+        let Some(grant) = self.calls.call(lease, place, patience, send).await else {
             drop(pending);
             self.note_unresponsive(&coordinator.id);
             return SlotReply::NoCoordinator;
--- a/crates/edge/src/stall.rs
+++ b/crates/edge/src/stall.rs
@@ -61,7 +61,7 @@
             return;
         };
         if harrierward_clock::age(last_received_at) >= self.pool.silent_after() {
-            self.pool.distrust(&self.address, last_received_at);
+            self.pool.close_stalled(&self.address, last_received_at);
         }
     }
 }
