--- a/crates/edge/tests/answer_budget.rs
+++ b/crates/edge/tests/answer_budget.rs
@@ -1,32 +1,32 @@
-//! Rows for starting daemons are bounded by their bytes.
+//! Byte rate limit on rows served to starting daemons.
 
 use std::time::Duration;
 
 use harrierward_edge::ResponseBudget;
 use tokio::time::Instant;
 
-/// Answers given within a second to daemons that ask each millisecond.
-fn answers(bytes: usize) -> usize {
+/// Returns the responses of `bytes` served within a second, with a request every millisecond.
+fn responses(bytes: usize) -> usize {
     let start = Instant::now();
     let mut budget = ResponseBudget::default();
-    let moments = (0..1_000).map(|millisecond| start + Duration::from_millis(millisecond));
-    let mut given = 0;
-    for now in moments {
+    let times = (0..1_000).map(|millisecond| start + Duration::from_millis(millisecond));
+    let mut served = 0;
+    for now in times {
         if budget.is_free(now) {
             budget.spend(bytes, now);
-            given += 1;
+            served += 1;
         }
     }
-    given
+    served
 }
 
 #[test]
-fn a_small_site_answers_all_that_start_at_once() {
-    assert!(answers(15_000) >= 400, "{}", answers(15_000));
+fn small_responses_are_served_to_all_starting_daemons() {
+    assert!(responses(15_000) >= 400, "{}", responses(15_000));
 }
 
 #[test]
-fn a_large_one_gives_out_ten_megabytes_a_second() {
-    assert!((9..=11).contains(&answers(1_000_000)));
-    assert!(answers(3_000_000) <= 4);
+fn large_responses_are_limited_to_ten_megabytes_per_second() {
+    assert!((9..=11).contains(&responses(1_000_000)));
+    assert!(responses(3_000_000) <= 4);
 }
--- a/crates/edge/tests/cold.rs
+++ b/crates/edge/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Daemons that send to cold replicas, over loopback: what all of them together send stays within what a replica bears.
+//! Pacing of requests to cold replicas: all daemons together stay within a replica's warm-up rate.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -33,8 +33,8 @@
     slack: 5.0,
 };
 
-/// Requests that a cold replica may get in a second, from all daemons.
-const MOST: u32 = 8;
+/// Maximum requests per second to a cold replica, from all daemons.
+const MAX_PER_SECOND: u32 = 8;
 
 struct Daemon {
     slots: Arc<SlotService>,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Daemons that know each other, long enough that each knows what it coordinates.
+/// Starts daemons that are members of one fleet, and ticks them until the coordinators may grant.
 async fn fleet(cold: usize) -> Vec<Daemon> {
     let mut sockets = Vec::new();
     let mut members = Vec::new();
@@ -114,7 +114,7 @@
     daemons
 }
 
-/// Time passes in which all daemons tick.
+/// Advances the paused clock by five seconds, with a tick of all daemons every 100 ms.
 async fn settle(daemons: &[Daemon]) {
     pause();
     for _ in 0..50 {
@@ -125,8 +125,8 @@
 }
 
 thread_local! {
-    /// How long a daemon stands still before it reads an answer; each test runs on a thread of its own.
-    static STANDS_STILL: Cell<Duration> = const { Cell::new(Duration::ZERO) };
+    /// How long a daemon is stalled before it reads a grant; each test runs on its own thread.
+    static STALL: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
 async fn receive(slots: &SlotService, socket: &UdpSocket) {
@@ -135,18 +135,22 @@
         let datagram = decode::<NodeDatagram>(&buffer[..length]);
         if let Some(kind) = datagram.and_then(|datagram| datagram.kind) {
             if matches!(kind, Kind::SlotGrant(_)) {
-                std::thread::sleep(STANDS_STILL.get());
+                std::thread::sleep(STALL.get());
             }
             assert!(slots.receive(kind, from).is_none(), "not about slots");
         }
     }
 }
 
-async fn ask(daemon: &Daemon, item: Option<ItemSlack>) -> SlotReply {
-    ask_within(daemon, item, Duration::from_millis(300)).await
+async fn acquire(daemon: &Daemon, item: Option<ItemSlack>) -> SlotReply {
+    acquire_within(daemon, item, Duration::from_millis(300)).await
 }
 
-async fn ask_within(daemon: &Daemon, item: Option<ItemSlack>, objective: Duration) -> SlotReply {
+async fn acquire_within(
+    daemon: &Daemon,
+    item: Option<ItemSlack>,
+    objective: Duration,
+) -> SlotReply {
     let prompt = Prompt::default();
     let query = SlotQuery {
         may_repeat: true,
@@ -164,23 +168,23 @@
 }
 
 async fn choose(daemon: &Daemon) -> Option<Choice> {
-    match ask(daemon, None).await {
+    match acquire(daemon, None).await {
         SlotReply::Granted { choice, .. } => Some(choice),
         _ => None,
     }
 }
 
 fn coordinator(daemons: &[Daemon]) -> &Daemon {
-    let keeps = |daemon: &&Daemon| {
+    let coordinates_all = |daemon: &&Daemon| {
         let view = daemon.replicas.view();
         view.all().all(|replica| daemon.slots.coordinates(replica))
     };
-    daemons.iter().find(keeps).expect("a coordinator")
+    daemons.iter().find(coordinates_all).expect("a coordinator")
 }
 
-/// All daemons ask as fast as they can for about a second.
+/// Guards against daemons that each grant a replica's full rate.
 #[tokio::test]
-async fn all_daemons_together_send_a_cold_replica_what_it_bears() {
+async fn all_daemons_together_stay_within_a_cold_replicas_rate() {
     let daemons = fleet(REPLICAS).await;
     let mut counts: HashMap<u32, u32> = HashMap::new();
     let began = Instant::now();
@@ -198,13 +202,13 @@
     assert_eq!(counts.len(), REPLICAS, "each gets some: {counts:?}");
     assert!(counts.values().all(|count| *count >= 2), "{counts:?}");
     assert!(
-        counts.values().all(|count| *count <= MOST / 2),
+        counts.values().all(|count| *count <= MAX_PER_SECOND / 2),
         "{counts:?}"
     );
 }
 
 #[tokio::test]
-async fn cold_replicas_without_a_token_are_passed_over_for_warm_ones() {
+async fn warm_replicas_are_preferred_to_cold_ones_without_a_token() {
     let daemons = fleet(REPLICAS - 1).await;
     let mut warm = 0;
     for number in 0..200 {
@@ -217,53 +221,53 @@
 }
 
 #[tokio::test]
-async fn where_all_are_cold_and_have_got_what_they_bear_nothing_is_granted() {
+async fn nothing_is_granted_when_all_replicas_are_cold_and_at_their_rate() {
     let daemons = fleet(REPLICAS).await;
     let mut granted = 0;
-    while let SlotReply::Granted { .. } = ask(&daemons[granted % 4], None).await {
+    while let SlotReply::Granted { .. } = acquire(&daemons[granted % 4], None).await {
         granted += 1;
         assert!(granted < 50);
     }
     for daemon in &daemons {
-        let answer = ask(daemon, None).await;
-        assert!(matches!(answer, SlotReply::AllCold), "{answer:?}");
+        let reply = acquire(daemon, None).await;
+        assert!(matches!(reply, SlotReply::AllCold), "{reply:?}");
     }
 }
 
-/// The coordinator has seen the replicas' rows, and the daemon that asks has not.
+/// Guards against requests to cold replicas by a daemon that hasn't received the replicas' rows yet.
 #[tokio::test]
-async fn a_group_that_its_coordinator_calls_cold_is_so_for_who_asked() {
+async fn a_group_reported_cold_is_considered_cold_by_the_requester() {
     let daemons = fleet(REPLICAS).await;
     let own = coordinator(&daemons);
-    let asker = daemons
+    let requester = daemons
         .iter()
         .find(|daemon| !std::ptr::eq(*daemon, own))
         .expect("another");
-    let view = asker.replicas.view();
-    let are_told_cold = || view.all().all(|one| asker.slots.is_reported_cold(one));
+    let view = requester.replicas.view();
+    let are_reported_cold = || view.all().all(|one| requester.slots.is_reported_cold(one));
     for replica in view.all() {
         replica.note_row_warmup(Duration::ZERO, Instant::now());
     }
-    assert!(!are_told_cold());
+    assert!(!are_reported_cold());
     while choose(own).await.is_some() {}
-    let answer = ask(asker, None).await;
-    assert!(matches!(answer, SlotReply::AllCold), "{answer:?}");
-    assert!(are_told_cold());
+    let reply = acquire(requester, None).await;
+    assert!(matches!(reply, SlotReply::AllCold), "{reply:?}");
+    assert!(are_reported_cold());
     settle(&daemons).await;
-    assert!(!are_told_cold(), "a word holds for a moment");
+    assert!(!are_reported_cold(), "a word holds for a moment");
     while choose(own).await.is_some() {}
-    ask(asker, None).await;
+    acquire(requester, None).await;
     let view = own.replicas.view();
     for replica in view.all() {
         replica.note_row_warmup(Duration::ZERO, Instant::now());
     }
-    assert!(choose(asker).await.is_some());
-    assert!(!are_told_cold(), "the coordinator takes it back");
+    assert!(choose(requester).await.is_some());
+    assert!(!are_reported_cold(), "the coordinator takes it back");
 }
 
-/// Items leave what they find to callers until it would be lost.
+/// Guards against batch items that use up the rate online requests need.
 #[tokio::test]
-async fn an_item_goes_to_a_cold_replica_only_where_callers_leave_it() {
+async fn an_item_uses_only_the_cold_rate_that_online_requests_leave() {
     let item = Some(ItemSlack {
         slack: Duration::from_secs(9),
     });
@@ -271,16 +275,16 @@
     for _ in 0..REPLICAS {
         assert!(choose(&daemons[0]).await.is_some());
     }
-    let answer = ask(&daemons[1], item).await;
-    assert!(!matches!(answer, SlotReply::Granted { .. }), "{answer:?}");
+    let reply = acquire(&daemons[1], item).await;
+    assert!(!matches!(reply, SlotReply::Granted { .. }), "{reply:?}");
     settle(&daemons).await;
-    let answer = ask(&daemons[1], item).await;
-    assert!(matches!(answer, SlotReply::Granted { .. }), "{answer:?}");
+    let reply = acquire(&daemons[1], item).await;
+    assert!(matches!(reply, SlotReply::Granted { .. }), "{reply:?}");
 }
 
-/// A daemon that has just become the coordinator waits; so does one that stood still.
+/// Guards against double grants by a former coordinator and its successor, and by a coordinator after a stall.
 #[tokio::test]
-async fn a_new_coordinator_and_one_that_stood_still_grant_nothing_at_first() {
+async fn a_new_or_stalled_coordinator_grants_nothing_at_first() {
     let daemons = fleet(REPLICAS).await;
     let own = coordinator(&daemons);
     assert!(choose(own).await.is_some());
@@ -306,7 +310,7 @@
         address: None,
         location: Location::new("zone-a", "region"),
     };
-    // It alone is left of four, as far as it knows.
+    // Of four members, it sees only itself.
     successor.slots.set_members(vec![alone]);
     successor.slots.tick();
     assert!(
@@ -314,7 +318,7 @@
         "the old one may grant yet"
     );
     settle(std::slice::from_ref(successor)).await;
-    // The others may be cut off and go on: its part of what a replica bears is one request at the most.
+    // The others may be in another partition and still grant, so its share of a replica's rate is at most one request.
     let mut granted = 0;
     while choose(successor).await.is_some() {
         granted += 1;
@@ -331,18 +335,18 @@
     assert!(granted >= REPLICAS, "they count as gone now: {granted}");
 }
 
-/// A coordinator that has started behind a cut hears from those who ask it how large the fleet was.
+/// Guards against a coordinator that started in a partition and grants the full rate.
 #[tokio::test]
-async fn a_coordinator_takes_what_askers_tell_of_the_fleet() {
+async fn a_coordinator_merges_the_fleet_size_in_requests() {
     let daemons = fleet(REPLICAS).await;
     let own = coordinator(&daemons);
     assert!(choose(own).await.is_some());
-    let ask = SlotAsk {
+    let request = SlotAsk {
         fleet_members: 400,
         ..SlotAsk::default()
     };
     let from: SocketAddr = "127.0.0.1:9".parse().expect("an address");
-    assert!(own.slots.receive(Kind::SlotAsk(ask), from).is_none());
+    assert!(own.slots.receive(Kind::SlotAsk(request), from).is_none());
     assert!(own.fleet.share(4, Instant::now()) < 0.02);
     assert!(
         choose(own).await.is_none(),
@@ -350,75 +354,75 @@
     );
 }
 
-/// A daemon that remembers more members than it sees tells the coordinator with its question.
+/// Guards against lease requests that omit a recent fleet size above the current one.
 #[tokio::test]
-async fn an_asker_tells_of_the_fleet_that_it_remembers() {
+async fn a_requester_reports_a_larger_recent_fleet_size() {
     let daemons = fleet(REPLICAS).await;
     let own = coordinator(&daemons);
-    let asker = daemons
+    let requester = daemons
         .iter()
         .find(|daemon| !std::ptr::eq(*daemon, own))
         .expect("another");
-    assert!(asker.fleet.merge_report(400, 10));
-    let _ = choose(asker).await;
+    assert!(requester.fleet.merge_report(400, 10));
+    let _ = choose(requester).await;
     assert!(own.fleet.share(4, Instant::now()) < 0.02);
 }
 
-/// The answer to the question of a daemon that stood still has lapsed when it is read.
+/// Guards against a cold grant whose validity starts when a stalled daemon reads it instead of when it was requested.
 #[tokio::test]
-async fn a_late_answer_is_no_permission() {
+async fn a_cold_grant_expires_from_the_time_of_its_request() {
     let daemons = fleet(REPLICAS).await;
     let own = coordinator(&daemons);
-    let asker = daemons
+    let requester = daemons
         .iter()
         .find(|daemon| !std::ptr::eq(*daemon, own))
         .expect("another");
-    STANDS_STILL.set(Duration::from_millis(40));
-    let asked_at = Instant::now();
-    // Its patience with the coordinator is longer than it stands still.
-    let answer = ask_within(asker, None, Duration::from_secs(2)).await;
-    let SlotReply::Granted { choice, .. } = answer else {
-        panic!("granted: {answer:?}");
+    STALL.set(Duration::from_millis(40));
+    let requested_at = Instant::now();
+    // The objective makes the timeout for the coordinator longer than the stall.
+    let reply = acquire_within(requester, None, Duration::from_secs(2)).await;
+    let SlotReply::Granted { choice, .. } = reply else {
+        panic!("granted: {reply:?}");
     };
-    assert!(asked_at.elapsed() >= STANDS_STILL.get());
+    assert!(requested_at.elapsed() >= STALL.get());
     let until = choice.cold_until.expect("counted");
     assert!(
-        until <= asked_at + COLD_GRANT_LIFETIME + Duration::from_millis(20),
+        until <= requested_at + COLD_GRANT_LIFETIME + Duration::from_millis(20),
         "from the question"
     );
 }
 
-/// The question is answered twice where the first answer was lost: both are counted.
+/// Guards against uncounted requests when a lost grant is sent again.
 #[tokio::test]
-async fn a_repeated_question_is_counted_again() {
+async fn a_resent_request_is_counted_again() {
     let daemons = fleet(1).await;
     let own = coordinator(&daemons);
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     let from = socket.local_addr().expect("an address");
     let mut counted = 0;
-    for _ in 0..MOST {
+    for _ in 0..MAX_PER_SECOND {
         let view = own.replicas.view();
         let others: Vec<u32> = view
             .all()
             .filter(|replica| !replica.is_cold(Instant::now()))
             .map(|replica| replica.hash)
             .collect();
-        let ask = SlotAsk {
+        let request = SlotAsk {
             holder: 5,
             lease: 1,
             service: harrierward_serving::short_hash(SERVICE),
-            // The replicas name no region: that is the one in which their group lies.
+            // The replicas have an empty region name, which is also the area of their group.
             group_area: harrierward_serving::short_hash(""),
             excluded: others,
             ..SlotAsk::default()
         };
-        own.slots.receive(Kind::SlotAsk(ask), from);
-        counted += u32::from(answer(&socket).await);
+        own.slots.receive(Kind::SlotAsk(request), from);
+        counted += u32::from(counted_as_cold(&socket).await);
     }
-    assert!((1..=MOST / 2).contains(&counted), "{counted}");
+    assert!((1..=MAX_PER_SECOND / 2).contains(&counted), "{counted}");
 }
 
-async fn answer(socket: &UdpSocket) -> bool {
+async fn counted_as_cold(socket: &UdpSocket) -> bool {
     let mut buffer = vec![0; 2_000];
     let (length, _) = socket.recv_from(&mut buffer).await.expect("an answer");
     match decode::<NodeDatagram>(&buffer[..length]).and_then(|datagram| datagram.kind) {
--- a/crates/edge/tests/coordinators.rs
+++ b/crates/edge/tests/coordinators.rs
@@ -1,4 +1,4 @@
-//! Where the coordinators of groups are: in the zone or region of the replicas that they speak for, or near.
+//! Location of groups' coordinators: in the zone or region of their replicas if there are members, else elsewhere.
 
 use std::sync::Arc;
 
@@ -13,9 +13,9 @@
     ("south-b", "south"),
 ];
 
-fn replicas(in_a_zone: usize) -> Arc<ReplicaSet> {
+fn replicas(per_zone: usize) -> Arc<ReplicaSet> {
     let records = ZONES.into_iter().flat_map(|(zone, region)| {
-        (0..in_a_zone).map(move |number| ReplicaRecord {
+        (0..per_zone).map(move |number| ReplicaRecord {
             born_ms: None,
             id: format!("{zone}-{number}"),
             service: "model".to_owned(),
@@ -32,8 +32,9 @@
     Arc::new(set)
 }
 
-/// Of four daemons in each zone but the ones left out, the places of those that coordinate some of a zone's replicas.
-fn coordinating(in_a_zone: usize, without: &[&str], of_zone: &str) -> Vec<&'static str> {
+/// Returns the zones of the daemons that coordinate replicas of `of_zone`, with four daemons in each zone but
+/// `without`.
+fn coordinating(per_zone: usize, without: &[&str], of_zone: &str) -> Vec<&'static str> {
     let present = ZONES
         .into_iter()
         .filter(|(zone, _)| !without.contains(zone));
@@ -51,7 +52,7 @@
         .collect();
     let candidates: Vec<CoordinatorCandidate> =
         members.iter().map(|(_, member)| member.clone()).collect();
-    let set = replicas(in_a_zone);
+    let set = replicas(per_zone);
     let view = set.view();
     let coordinates = |member: &CoordinatorCandidate| {
         let slots = SlotService::new(
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn a_zone_of_many_replicas_has_its_coordinators_in_the_zone_else_in_its_region() {
+fn a_large_zone_is_coordinated_from_the_zone_or_else_from_its_region() {
     let zones = coordinating(16, &[], "north-a");
     assert!(!zones.is_empty() && zones.iter().all(|zone| *zone == "north-a"));
     let zones = coordinating(16, &["north-a"], "north-a");
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn a_region_of_small_zones_has_its_coordinators_in_the_region_else_anywhere() {
+fn small_zones_are_coordinated_from_their_region_or_else_from_anywhere() {
     for zone in ["north-a", "north-b"] {
         let zones = coordinating(4, &[], zone);
         assert!(!zones.is_empty() && zones.iter().all(|zone| zone.starts_with("north")));
--- a/crates/edge/tests/ejection.rs
+++ b/crates/edge/tests/ejection.rs
@@ -1,4 +1,4 @@
-//! A replica that fails all its requests at once, in a group whose slots a coordinator grants to many daemons.
+//! Ejection of a replica that fails all its requests immediately, by the coordinator of its group for many daemons.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,10 +19,10 @@
 const REPLICAS: usize = 8;
 const BAD: &str = "replica-0";
 
-/// How long a replica that serves works on a request.
+/// Service time of a request at a healthy replica.
 const SERVED_AFTER: Duration = Duration::from_millis(10);
 
-/// Requests of each daemon, one after the other.
+/// Consecutive requests of each daemon.
 const REQUESTS: usize = 40;
 
 fn replica_set() -> Arc<ReplicaSet> {
@@ -42,7 +42,7 @@
     Arc::new(replicas)
 }
 
-/// Daemons that know each other and answer.
+/// Starts daemons that are members of one fleet.
 async fn fleet(policy: Policy) -> Vec<Arc<SlotService>> {
     let mut sockets = Vec::new();
     let mut members = Vec::new();
@@ -96,7 +96,7 @@
         length: PromptLength::Uniform,
         excluded: &[],
         regions: &AllowedRegions::Any,
-        // The most patience with the coordinator, so that a busy machine does not make it silent.
+        // Gives the longest timeout for the coordinator, so that it isn't considered unresponsive on a busy machine.
         objective: Duration::from_secs(3),
         item,
         overdue: false,
@@ -110,21 +110,21 @@
     Some(choice.enter(query.class(), held).in_progress)
 }
 
-/// What happens to a request at each replica. True if it was sent to the bad one.
-async fn run(place: InProgress, bad: AttemptOutcome) -> bool {
-    let evidence = place.evidence().expect("a lease");
+/// Completes a request, with outcome `bad` at the failing replica; returns true if it was sent there.
+async fn run(request: InProgress, bad: AttemptOutcome) -> bool {
+    let evidence = request.evidence().expect("a lease");
     evidence.note_sent(true, Duration::ZERO);
-    let is_bad = place.replica().record.id == BAD;
+    let is_bad = request.replica().record.id == BAD;
     if is_bad {
-        place.conclude(bad);
+        request.conclude(bad);
     } else {
         tokio::time::sleep(SERVED_AFTER).await;
-        place.conclude(AttemptOutcome::Served);
+        request.conclude(AttemptOutcome::Served);
     }
     is_bad
 }
 
-/// All daemons send at the same time. Returns the requests that went to the bad replica.
+/// Sends [`REQUESTS`] from all daemons concurrently; returns how many went to the failing replica.
 async fn send_from_all(
     daemons: &[Arc<SlotService>],
     bad: AttemptOutcome,
@@ -133,8 +133,8 @@
     let calls = daemons.iter().map(|daemon| async move {
         let mut sent = 0;
         for _ in 0..REQUESTS {
-            let place = enter(daemon, None, may_repeat).await.expect("a slot");
-            sent += usize::from(run(place, bad).await);
+            let request = enter(daemon, None, may_repeat).await.expect("a slot");
+            sent += usize::from(run(request, bad).await);
         }
         sent
     });
@@ -142,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn after_the_first_failures_no_daemon_sends_to_a_replica_that_fails_all() {
+async fn no_daemon_sends_to_a_failing_replica_after_its_first_failures() {
     for bad in [
         AttemptOutcome::Failed,
         AttemptOutcome::Disconnected,
@@ -152,7 +152,7 @@
         let daemons = fleet(Policy::default()).await;
         send_from_all(&daemons, AttemptOutcome::Served, false).await;
         let sent = send_from_all(&daemons, bad, false).await;
-        // Those of all daemons that are on their way when it is ejected add to the first failures.
+        // Requests in flight when it is ejected add to the first failures.
         assert!(
             sent <= 3 + 2 * DAEMONS,
             "{sent} of {} requests",
@@ -163,9 +163,9 @@
     }
 }
 
-/// What the mechanism is there for: the replica that fails at once is free at every moment.
+/// Shows the failure that ejection prevents: an immediately failing replica always has free slots.
 #[tokio::test]
-async fn without_ejection_a_replica_that_fails_all_draws_requests_in() {
+async fn without_ejection_a_failing_replica_attracts_requests() {
     let policy = Policy::without("ejection").expect("a mechanism");
     let daemons = fleet(policy).await;
     send_from_all(&daemons, AttemptOutcome::Served, false).await;
@@ -174,16 +174,16 @@
 }
 
 #[tokio::test]
-async fn a_request_that_says_nothing_of_its_replica_ejects_nobody() {
+async fn outcomes_without_evidence_eject_no_replica() {
     let daemons = fleet(Policy::default()).await;
     let first = send_from_all(&daemons, AttemptOutcome::NoEvidence, true).await;
     let second = send_from_all(&daemons, AttemptOutcome::NoEvidence, true).await;
     assert!(first > REQUESTS && second > REQUESTS, "{first}, {second}");
 }
 
-/// Requests that run once only never try it; items do, one at a time, and then it is back.
+/// Guards against probing an ejected replica with requests that must run once only, or with several at a time.
 #[tokio::test]
-async fn an_ejected_replica_returns_by_items() {
+async fn batch_items_probe_an_ejected_replica_back_into_service() {
     let daemons = fleet(Policy::default()).await;
     send_from_all(&daemons, AttemptOutcome::Served, false).await;
     send_from_all(&daemons, AttemptOutcome::Failed, false).await;
@@ -191,11 +191,11 @@
     let item = ItemSlack {
         slack: Duration::from_secs(9),
     };
-    let mut tried = 0;
+    let mut probes = 0;
     for number in 0..3 {
         let daemon = &daemons[number % DAEMONS];
         let probe = enter(daemon, Some(item), true).await.expect("room");
-        tried += usize::from(probe.replica().record.id == BAD);
+        probes += usize::from(probe.replica().record.id == BAD);
         let other = enter(&daemons[5], Some(item), true).await.expect("room");
         assert_ne!(other.replica().record.id, BAD, "one at a time");
         let online = enter(&daemons[6], None, false).await.expect("a slot");
@@ -208,21 +208,21 @@
         drop((probe, other, online));
         tokio::time::sleep(Duration::from_millis(30)).await;
     }
-    assert_eq!(tried, 3, "items try it");
+    assert_eq!(probes, 3, "items try it");
     let sent = send_from_all(&daemons, AttemptOutcome::Served, false).await;
     assert!(sent > REQUESTS / 2, "{sent}: it is back");
 }
 
-/// A group all of whose replicas fail goes on being used.
+/// Guards against ejecting a whole group, for example when a request itself causes the failures.
 #[tokio::test]
-async fn a_group_that_fails_as_a_whole_is_used_on() {
+async fn a_group_whose_replicas_all_fail_stays_in_use() {
     let daemons = fleet(Policy::default()).await;
     let mut replicas = std::collections::HashSet::new();
     for number in 0..400 {
-        let place = enter(&daemons[number % DAEMONS], None, false).await;
-        let place = place.expect("a slot");
-        replicas.insert(place.replica().hash);
-        place.conclude(AttemptOutcome::Failed);
+        let request = enter(&daemons[number % DAEMONS], None, false).await;
+        let request = request.expect("a slot");
+        replicas.insert(request.replica().hash);
+        request.conclude(AttemptOutcome::Failed);
     }
     assert_eq!(replicas.len(), REPLICAS);
     assert!(enter(&daemons[0], None, false).await.is_some());
--- a/crates/edge/tests/half_ejected.rs
+++ b/crates/edge/tests/half_ejected.rs
@@ -1,4 +1,4 @@
-//! A group of two replicas one of which is ejected, at the daemon that coordinates it.
+//! Decisions of a coordinator in a group of two replicas, one of which is ejected.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -23,8 +23,8 @@
     slack: Duration::from_secs(9),
 };
 
-/// Longer than the first absence and what a probe waits for items.
-const ABSENCE: Duration = Duration::from_millis(1_100);
+/// Longer than the first ejection plus the time that probes are left to batch items.
+const EJECTION: Duration = Duration::from_millis(1_100);
 
 fn record(id: &str) -> ReplicaRecord {
     ReplicaRecord {
@@ -59,32 +59,36 @@
         Self { slots, replicas }
     }
 
-    fn end(&self, replica: &str, verdict: AttemptOutcome, first_event: Duration) {
+    fn complete(&self, replica: &str, outcome: AttemptOutcome, first_event: Duration) {
         let view = self.replicas.view();
         let replica = view.by_hash(short_hash(replica)).expect("listed");
         let lease = self.slots.acquire_locally(replica, None);
         let first_event = Some(first_event).filter(|time| !time.is_zero());
-        let end = ReleaseReport {
-            outcome: verdict,
+        let report = ReleaseReport {
+            outcome,
             first_event,
         };
-        self.slots.release(lease, end);
+        self.slots.release(lease, report);
     }
 
-    /// Both served for a while; the bad one then fails until it is out.
+    /// Lets both replicas serve for a while; the bad one then fails until it is ejected.
     async fn eject(&self, good_takes: Duration) {
         for _ in 0..10 {
-            // Times are compared ten times a second at the most.
+            // Latencies are compared at most ten times a second.
             advance(Duration::from_millis(110)).await;
-            self.end(BAD, AttemptOutcome::Served, Duration::from_millis(10));
-            self.end(GOOD, AttemptOutcome::Served, good_takes);
+            self.complete(BAD, AttemptOutcome::Served, Duration::from_millis(10));
+            self.complete(GOOD, AttemptOutcome::Served, good_takes);
         }
         for _ in 0..10 {
-            self.end(BAD, AttemptOutcome::Failed, Duration::ZERO);
+            self.complete(BAD, AttemptOutcome::Failed, Duration::ZERO);
         }
     }
 
-    async fn ask(&self, item: Option<ItemSlack>, may_return: Option<Duration>) -> SlotReply {
+    async fn acquire(
+        &self,
+        item: Option<ItemSlack>,
+        max_retry_after: Option<Duration>,
+    ) -> SlotReply {
         let query = SlotQuery {
             service: SERVICE,
             prompt: &Prompt::default(),
@@ -95,19 +99,19 @@
             item,
             overdue: false,
             may_repeat: true,
-            max_retry_after: may_return,
+            max_retry_after,
         };
         self.slots.acquire(query).await
     }
 
     async fn choose(&self, item: Option<ItemSlack>) -> Option<Choice> {
-        match self.ask(item, None).await {
+        match self.acquire(item, None).await {
             SlotReply::Granted { choice, .. } => Some(choice),
             _ => None,
         }
     }
 
-    /// Another daemon's requests at the good replica begin; those that it names no more have ended.
+    /// Reports leases of another daemon at the good replica as held or released.
     fn report(&self, held: std::ops::Range<u32>, released: std::ops::Range<u32>) {
         let held = held.map(|lease| HeldSlot {
             lease,
@@ -127,7 +131,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_replica_in_service_goes_before_an_ejected_one() {
+async fn a_slow_replica_in_service_is_preferred_to_an_ejected_one() {
     let group = Group::new();
     group.eject(Duration::from_millis(2_000)).await;
     for _ in 0..200 {
@@ -139,36 +143,36 @@
     }
 }
 
-/// Slots that take no work end none: callers would be told to come back too soon.
+/// Guards against retry times that are too early because slots of ejected replicas are counted as completing requests.
 #[tokio::test(start_paused = true)]
-async fn the_slots_of_an_ejected_replica_do_not_count_for_callers_who_are_to_come_back() {
+async fn retry_times_do_not_count_the_slots_of_an_ejected_replica() {
     let group = Group::new();
-    // What is observed begins with the first question.
+    // Observation of the group starts with the first request.
     assert!(group.choose(None).await.is_some());
     group.report(0..32, 0..0);
     advance(Duration::from_secs(1)).await;
     group.report(0..0, 0..32);
     group.eject(Duration::from_millis(10)).await;
     group.report(100..100 + 4 * SLOTS, 0..0);
-    let longest = Some(Duration::from_secs(60));
-    let mut told = Vec::new();
+    let limit = Some(Duration::from_secs(60));
+    let mut retry_times = Vec::new();
     for _ in 0..2 {
-        match group.ask(None, longest).await {
-            SlotReply::RetryLater { after } => told.push(after),
-            answer => panic!("{answer:?}"),
+        match group.acquire(None, limit).await {
+            SlotReply::RetryLater { after } => retry_times.push(after),
+            reply => panic!("{reply:?}"),
         }
     }
-    // Held for a second each, four slots end four requests a second, of which two come anew.
-    let between = told[1] - told[0];
+    // Held for a second each, four slots complete four requests per second, half of which are available to retries.
+    let between = retry_times[1] - retry_times[0];
     assert!(between > Duration::from_millis(400), "{between:?}");
 }
 
-/// The replica that is tried is empty; its group may be full.
+/// Guards against recording the capacity of an idle probed replica for its group, which may be full.
 #[tokio::test(start_paused = true)]
-async fn the_room_at_a_probe_is_not_taken_for_the_groups() {
+async fn the_capacity_of_a_probed_replica_is_not_recorded_for_its_group() {
     let group = Group::new();
     group.eject(Duration::from_millis(10)).await;
-    advance(ABSENCE).await;
+    advance(EJECTION).await;
     group.report(100..100 + 4 * SLOTS, 0..0);
     let probe = group.choose(Some(ITEM)).await.expect("a probe");
     assert_eq!(probe.replica.record.id, BAD);
--- a/crates/edge/tests/peer_loads.rs
+++ b/crates/edge/tests/peer_loads.rs
@@ -1,4 +1,4 @@
-//! What follows from the peers' words for each replica.
+//! Sums of the peers' load notices for each replica.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn old_words_are_forgotten_and_unheard_peers_are_like_the_others() {
+fn old_notices_expire_and_sums_are_scaled_to_peers_without_one() {
     let now = Instant::now();
     let mut loads = PeerLoads::default();
     assert!(loads.apply(notice("a", 5, vec![count(7, 2)]), now));
@@ -38,9 +38,10 @@
     assert_eq!(loads.reporting(), 0);
 }
 
-/// A daemon whose machine was suspended has an old proof itself; peers' proofs from before must not make it look cut off alone.
+/// Guards against a resumed daemon that compares its outdated proof with peers' notices from before the suspension, and
+/// considers itself isolated.
 #[test]
-fn what_peers_said_of_their_proofs_before_a_suspension_does_not_count_after_it() {
+fn proof_ages_from_before_a_suspension_are_ignored() {
     let now = Instant::now();
     let mut loads = PeerLoads::default();
     let fresh = LoadNotice {
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn the_peers_that_run_items_at_a_replica_are_asked_for_its_slots_and_each_item_once() {
+fn batch_slots_are_taken_once_each_from_the_peers_that_hold_them() {
     let now = Instant::now();
     let mut loads = PeerLoads::default();
     let batch = |replica, batch| ReplicaCount {
@@ -66,11 +67,11 @@
     loads.apply(notice("b", 1, vec![batch(7, 1)]), now);
     loads.apply(notice("c", 1, vec![count(7, 3)]), now);
     let mut random = rand::rng();
-    let mut asked: Vec<String> = (0..3)
+    let mut peers: Vec<String> = (0..3)
         .filter_map(|_| loads.take_batch_slot(7, &mut random))
         .collect();
-    asked.sort_unstable();
-    assert_eq!(asked, ["a", "a", "b"]);
+    peers.sort_unstable();
+    assert_eq!(peers, ["a", "a", "b"]);
     assert_eq!(loads.take_batch_slot(7, &mut random), None);
     assert_eq!(loads.sums(3)[&8].batch, 5);
 }
--- a/crates/edge/tests/rates.rs
+++ b/crates/edge/tests/rates.rs
@@ -1,4 +1,4 @@
-//! Daemons that ask a tenant's coordinator for tokens, over loopback.
+//! Fleet-wide rate limits: token requests to tenants' coordinators and their fallbacks, over loopback.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,15 +24,15 @@
     slack: 20.0,
 };
 
-/// Bounds of which a daemon knows a whole window soon after its start.
+/// Bounds with a window so short that a daemon has covered it soon after its start.
 const SHORT: RateBounds = RateBounds {
     window: Duration::from_millis(100),
     excess: 0.1,
     slack: 20.0,
 };
 
-/// What one that begins anew, or stands in, gives out by these: a quarter of (4/s x 0.1 s + 4) x 0.1 + 20.
-const STARTER: usize = 5;
+/// Initial allowance of a new or fallback coordinator under [`SHORT`]: a quarter of (4/s x 0.1 s + 4) x 0.1 + 20.
+const INITIAL_ALLOWANCE: usize = 5;
 
 fn routes() -> RouteTable {
     let specs: Vec<TenantSpec> = (0..40)
@@ -65,13 +65,18 @@
     candidate: CoordinatorCandidate,
 }
 
-/// A daemon that answers, unless it is deaf.
-async fn start(name: &str, is_deaf: bool) -> Daemon {
-    start_at(name, is_deaf, Duration::ZERO, BOUNDS).await
+/// Starts a daemon; an unresponsive one receives nothing.
+async fn start(name: &str, is_unresponsive: bool) -> Daemon {
+    start_with(name, is_unresponsive, Duration::ZERO, BOUNDS).await
 }
 
-/// One that hears everything so much later.
-async fn start_at(name: &str, is_deaf: bool, distance: Duration, bounds: RateBounds) -> Daemon {
+/// Starts a daemon that receives every datagram after `delay`.
+async fn start_with(
+    name: &str,
+    is_unresponsive: bool,
+    delay: Duration,
+    bounds: RateBounds,
+) -> Daemon {
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     let address = socket.local_addr().expect("an address");
     let socket = Arc::new(socket);
@@ -83,9 +88,9 @@
         DecisionLog::new(LogBounds::default()),
     ));
     rates.set_socket(socket.clone());
-    if !is_deaf {
+    if !is_unresponsive {
         let receiver = rates.clone();
-        tokio::spawn(async move { receive(&receiver, &socket, distance).await });
+        tokio::spawn(async move { receive(&receiver, &socket, delay).await });
     }
     Daemon {
         rates,
@@ -101,31 +106,31 @@
     }
 }
 
-async fn receive(rates: &Arc<RateService>, socket: &UdpSocket, distance: Duration) {
+async fn receive(rates: &Arc<RateService>, socket: &UdpSocket, delay: Duration) {
     let mut buffer = vec![0; 2_000];
     while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
         let datagram = decode::<NodeDatagram>(&buffer[..length]);
         if let Some(kind) = datagram.and_then(|datagram| datagram.kind) {
             let rates = rates.clone();
-            let taking = async move {
+            let handling = async move {
                 assert!(rates.receive(kind, from).is_none(), "not about rates");
             };
-            if distance.is_zero() {
-                taking.await;
+            if delay.is_zero() {
+                handling.await;
             } else {
                 tokio::spawn(async move {
-                    tokio::time::sleep(distance).await;
-                    taking.await;
+                    tokio::time::sleep(delay).await;
+                    handling.await;
                 });
             }
         }
     }
 }
 
-async fn fleet(deaf: &[&str]) -> Vec<Daemon> {
+async fn fleet(unresponsive: &[&str]) -> Vec<Daemon> {
     let mut daemons = Vec::new();
     for name in NAMES {
-        daemons.push(start(name, deaf.contains(&name)).await);
+        daemons.push(start(name, unresponsive.contains(&name)).await);
     }
     let members: Vec<_> = daemons.iter().map(|one| one.candidate.clone()).collect();
     for daemon in &daemons {
@@ -134,20 +139,20 @@
     daemons
 }
 
-/// Requests of a tenant that are admitted, of 30 at each daemon at once.
+/// Returns the number of admitted requests, of 30 at each daemon.
 async fn admitted(daemons: &[Daemon], tenant: &Tenant) -> usize {
     let mut admitted = 0;
     for _ in 0..30 {
         for daemon in daemons {
-            let answer = daemon.rates.admit(tenant, "r").await;
-            admitted += usize::from(answer == RateStatus::Within);
+            let status = daemon.rates.admit(tenant, "r").await;
+            admitted += usize::from(status == RateStatus::Within);
         }
     }
     admitted
 }
 
 #[tokio::test]
-async fn daemons_that_know_each_other_admit_one_limit_together() {
+async fn daemons_admit_one_limit_together() {
     let daemons = fleet(&[]).await;
     let began = Instant::now();
     for tenant in tenants().iter().take(9) {
@@ -158,43 +163,46 @@
     }
 }
 
-/// A daemon asks who follows a silent coordinator, and is told at once that nobody can tell: nothing is admitted that
-/// nobody counts.
+/// Guards against uncounted admissions, and against waiting for an unresponsive coordinator at each request.
 #[tokio::test]
-async fn a_silent_coordinator_costs_little_and_admits_nothing() {
+async fn an_unresponsive_coordinator_delays_little_and_admits_nothing() {
     let daemons = fleet(&["b"]).await;
     for tenant in tenants() {
         let began = Instant::now();
-        let answer = daemons[0].rates.admit(&tenant, "r").await;
+        let status = daemons[0].rates.admit(&tenant, "r").await;
         assert!(began.elapsed() < Duration::from_millis(150), "{began:?}");
-        assert!(matches!(answer, RateStatus::Within | RateStatus::Unknown));
+        assert!(matches!(status, RateStatus::Within | RateStatus::Unknown));
     }
     let mut unknown = 0;
     let began = Instant::now();
     for tenant in tenants() {
-        let answer = daemons[0].rates.admit(&tenant, "r").await;
-        unknown += usize::from(answer == RateStatus::Unknown);
+        let status = daemons[0].rates.admit(&tenant, "r").await;
+        unknown += usize::from(status == RateStatus::Unknown);
     }
     assert!(unknown > 0, "some tenants are the silent one's");
     assert!(began.elapsed() < Duration::from_millis(200), "asked again");
 }
 
-/// Daemons with short bounds that have run for longer than tokens of others can be in use.
-async fn fleet_of_old(names: &[&str], deaf: &str) -> Vec<Daemon> {
+/// Starts daemons with short bounds and waits until no token granted before their start can still be in use.
+async fn settled_fleet(names: &[&str], unresponsive: &str) -> Vec<Daemon> {
     let mut daemons = Vec::new();
     for name in names {
-        daemons.push(start_at(name, *name == deaf, Duration::ZERO, SHORT).await);
+        daemons.push(start_with(name, *name == unresponsive, Duration::ZERO, SHORT).await);
     }
     let members: Vec<_> = daemons.iter().map(|one| one.candidate.clone()).collect();
     for daemon in &daemons {
         daemon.rates.set_members(members.clone());
     }
-    // Each is told by another one how large the fleet is.
+    // Each receives the fleet size in another daemon's reply.
     let tenants = tenants();
-    for daemon in daemons.iter().filter(|one| one.candidate.id != deaf) {
-        let answers =
-            |other: &&Daemon| ![deaf, &*daemon.candidate.id].contains(&&*other.candidate.id);
-        let other = daemons.iter().find(answers).expect("another one");
+    for daemon in daemons
+        .iter()
+        .filter(|one| one.candidate.id != unresponsive)
+    {
+        let statuses = |other: &&Daemon| {
+            ![unresponsive, &*daemon.candidate.id].contains(&&*other.candidate.id)
+        };
+        let other = daemons.iter().find(statuses).expect("another one");
         let of_other = |tenant: &&Arc<Tenant>| other.rates.coordinates(&tenant.name);
         let tenant = tenants.iter().find(of_other).expect("a tenant of it");
         assert_eq!(daemon.rates.admit(tenant, "r").await, RateStatus::Within);
@@ -203,51 +211,51 @@
     daemons
 }
 
-/// Nobody is refused for the death of a coordinator that is not found out yet, as far as the stock bears it; and the
-/// member that gave it out does not begin with another one.
+/// Guards against refusals until a failed coordinator is removed, and against a second initial allowance when its
+/// fallback becomes the coordinator.
 #[tokio::test]
-async fn who_follows_a_silent_coordinator_gives_out_its_starting_stock_once() {
-    let daemons = fleet_of_old(&NAMES, "b").await;
+async fn the_fallback_of_an_unresponsive_coordinator_grants_its_initial_allowance_once() {
+    let daemons = settled_fleet(&NAMES, "b").await;
     let tenants = tenants();
-    let of_silent = tenants
+    let of_unresponsive = tenants
         .iter()
         .filter(|tenant| daemons[1].rates.coordinates(&tenant.name));
-    let askers = [&daemons[0], &daemons[2]];
+    let requesters = [&daemons[0], &daemons[2]];
     let mut seen = 0;
-    for tenant in of_silent.take(4) {
-        let mut answers = Vec::new();
+    for tenant in of_unresponsive.take(4) {
+        let mut statuses = Vec::new();
         for _ in 0..15 {
-            for asker in askers {
-                answers.push(asker.rates.admit(tenant, "r").await);
+            for requester in requesters {
+                statuses.push(requester.rates.admit(tenant, "r").await);
             }
         }
-        let within = |answers: &[RateStatus]| {
-            let within = answers.iter().filter(|one| **one == RateStatus::Within);
+        let within = |statuses: &[RateStatus]| {
+            let within = statuses.iter().filter(|one| **one == RateStatus::Within);
             within.count()
         };
-        // Whoever has waited for the silent one for long does not go on to the next with the same request.
-        let early = &answers[..STARTER + askers.len()];
-        assert_eq!(within(early), STARTER, "{answers:?}");
-        assert_eq!(within(&answers), STARTER, "{answers:?}");
+        // A request that timed out at the unresponsive coordinator isn't sent to the fallback as well.
+        let first_statuses = &statuses[..INITIAL_ALLOWANCE + requesters.len()];
+        assert_eq!(within(first_statuses), INITIAL_ALLOWANCE, "{statuses:?}");
+        assert_eq!(within(&statuses), INITIAL_ALLOWANCE, "{statuses:?}");
 
-        // The silent one is taken for dead.
+        // The unresponsive coordinator is removed from the members.
         let all: Vec<_> = daemons.iter().map(|one| one.candidate.clone()).collect();
-        for asker in askers {
-            let left = askers.iter().map(|one| one.candidate.clone()).collect();
-            asker.rates.set_members(left);
+        for requester in requesters {
+            let remaining = requesters.iter().map(|one| one.candidate.clone()).collect();
+            requester.rates.set_members(remaining);
         }
         let began = Instant::now();
         let mut more = 0;
         for _ in 0..15 {
-            for asker in askers {
-                let answer = asker.rates.admit(tenant, "r").await;
-                more += usize::from(answer == RateStatus::Within);
+            for requester in requesters {
+                let status = requester.rates.admit(tenant, "r").await;
+                more += usize::from(status == RateStatus::Within);
             }
         }
         let accrued = RATE * began.elapsed().as_secs_f64();
         assert!(more as f64 <= accrued + 1.0, "{more} of {accrued}");
-        for asker in askers {
-            asker.rates.set_members(all.clone());
+        for requester in requesters {
+            requester.rates.set_members(all.clone());
         }
         tokio::time::sleep(SHORT.accounting_period()).await;
         seen += 1;
@@ -255,32 +263,31 @@
     assert_eq!(seen, 4);
 }
 
-/// Where the order changed lately, the one before may have given out a stock too: nobody stands in.
+/// Guards against two fallback allowances: after a recent change of the order, a former fallback may have granted one.
 #[tokio::test]
-async fn nobody_stands_in_for_one_that_has_just_become_the_coordinator() {
-    let daemons = fleet_of_old(&["a", "b", "c", "d"], "b").await;
-    let was_first = |tenant: &&Arc<Tenant>| daemons[3].rates.coordinates(&tenant.name);
+async fn no_fallback_acts_for_a_new_coordinator() {
+    let daemons = settled_fleet(&["a", "b", "c", "d"], "b").await;
+    let was_coordinator = |tenant: &&Arc<Tenant>| daemons[3].rates.coordinates(&tenant.name);
     let tenants = tenants();
-    let changed: Vec<_> = tenants.iter().filter(was_first).collect();
-    let left = daemons[..3].iter();
-    let members: Vec<_> = left.map(|one| one.candidate.clone()).collect();
+    let changed: Vec<_> = tenants.iter().filter(was_coordinator).collect();
+    let remaining = daemons[..3].iter();
+    let members: Vec<_> = remaining.map(|one| one.candidate.clone()).collect();
     for daemon in &daemons[..3] {
         daemon.rates.set_members(members.clone());
     }
-    let silent = |tenant: &&&Arc<Tenant>| daemons[1].rates.coordinates(&tenant.name);
+    let of_unresponsive = |tenant: &&&Arc<Tenant>| daemons[1].rates.coordinates(&tenant.name);
     let mut seen = 0;
-    for tenant in changed.iter().filter(silent) {
-        let answer = daemons[0].rates.admit(tenant, "r").await;
-        assert_eq!(answer, RateStatus::Unknown);
+    for tenant in changed.iter().filter(of_unresponsive) {
+        let status = daemons[0].rates.admit(tenant, "r").await;
+        assert_eq!(status, RateStatus::Unknown);
         seen += 1;
     }
     assert!(seen > 0, "some tenants went to the silent one");
 }
 
-/// A daemon that has just started, and sees two members of which another one knew three, gives out their part only: it
-/// is told of the third before its first token.
+/// Guards against a new coordinator that grants the share of members in another partition.
 #[tokio::test]
-async fn a_coordinator_that_has_just_started_is_told_of_members_that_were_cut_off() {
+async fn a_new_coordinator_learns_of_partitioned_members_before_it_grants() {
     let daemons = fleet(&[]).await;
     let new = start("d", false).await;
     let members = vec![daemons[0].candidate.clone(), new.candidate.clone()];
@@ -297,24 +304,24 @@
     panic!("it was not told");
 }
 
-/// One that has started behind a cut admits nothing by itself.
+/// Guards against a daemon that starts isolated in a partition and grants whole limits.
 #[tokio::test]
-async fn a_daemon_that_expects_others_and_finds_nobody_admits_nothing() {
+async fn a_daemon_that_finds_none_of_its_expected_peers_admits_nothing() {
     let alone = start("a", false).await;
     alone.rates.set_members(vec![alone.candidate.clone()]);
     for tenant in tenants() {
-        let answer = alone.rates.admit(&tenant, "r").await;
-        assert_eq!(answer, RateStatus::Unknown);
+        let status = alone.rates.admit(&tenant, "r").await;
+        assert_eq!(status, RateStatus::Unknown);
     }
 }
 
-/// Two daemons with 60 ms between them, there and back: longer than the patience beside which the way takes no time.
-/// The first answer comes too late, and tells how long to wait for the next ones.
+/// Guards against considering a peer unresponsive whose round-trip time (60 ms) exceeds the timeout: the first, late
+/// reply must extend the timeout of the next requests.
 #[tokio::test]
-async fn a_coordinator_that_is_far_away_is_waited_for() {
+async fn requests_wait_for_a_distant_coordinator() {
     const ONE_WAY: Duration = Duration::from_millis(30);
-    let near = start_at("a", false, ONE_WAY, BOUNDS).await;
-    let far = start_at("b", false, ONE_WAY, BOUNDS).await;
+    let near = start_with("a", false, ONE_WAY, BOUNDS).await;
+    let far = start_with("b", false, ONE_WAY, BOUNDS).await;
     let members = vec![near.candidate.clone(), far.candidate.clone()];
     near.rates.set_members(members.clone());
     far.rates.set_members(members);
@@ -326,7 +333,7 @@
     near.rates.admit(of_far[0], "r").await;
     tokio::time::sleep(2 * ONE_WAY).await;
     for tenant in &of_far[1..6] {
-        let answer = near.rates.admit(tenant, "r").await;
-        assert_eq!(answer, RateStatus::Within);
+        let status = near.rates.admit(tenant, "r").await;
+        assert_eq!(status, RateStatus::Within);
     }
 }
--- a/crates/edge/tests/regions.rs
+++ b/crates/edge/tests/regions.rs
@@ -1,5 +1,5 @@
-//! Requests of daemons in three regions, over loopback with a delay between regions: they stay in their region, leave
-//! it when it is full or dark, and come back.
+//! Placement across three regions, over loopback with a delay between regions: requests spill from a region that is
+//! full or unresponsive, and return to it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,29 +23,29 @@
 const OBJECTIVE: Duration = Duration::from_millis(600);
 const ONE_WAY: Duration = Duration::from_millis(40);
 const REGIONS: [&str; 3] = ["north", "middle", "south"];
-const IN_A_REGION: usize = 8;
+const PER_REGION: usize = 8;
 
-/// Longer than what a coordinator told of its room is believed, and than a replica or a coordinator is first avoided.
-const FORGOTTEN: Duration = Duration::from_millis(1_100);
+/// Longer than reported capacity is used, and than the first cooldown of a replica or coordinator.
+const EXPIRED: Duration = Duration::from_millis(1_100);
 
-/// What lies between the regions.
+/// Simulated network between the regions.
 #[derive(Default)]
 struct Network {
     region_at: OnceLock<HashMap<SocketAddr, usize>>,
-    is_cut: AtomicBool,
-    /// Questions for slots that crossed between regions.
-    far_asks: AtomicUsize,
+    is_partitioned: AtomicBool,
+    /// Number of lease requests sent between regions.
+    cross_region_requests: AtomicUsize,
 }
 
 impl Network {
-    /// The time that a datagram takes; `None` if it is lost.
+    /// Returns the delay of a datagram; `None` if it is lost.
     fn delay(&self, from: SocketAddr, to: usize) -> Option<Duration> {
         let from = *self.region_at.get()?.get(&from)?;
         if from == to {
             return Some(Duration::ZERO);
         }
-        let is_cut = self.is_cut.load(Ordering::Relaxed);
-        (!is_cut).then_some(ONE_WAY)
+        let is_partitioned = self.is_partitioned.load(Ordering::Relaxed);
+        (!is_partitioned).then_some(ONE_WAY)
     }
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl Fleet {
-    /// A daemon of a region, in turn.
+    /// Returns the daemons of a region in turn.
     fn at(&self, region: usize, turn: usize) -> &Daemon {
         let there: Vec<&Daemon> = self
             .daemons
@@ -97,7 +97,7 @@
     )
 }
 
-/// Three daemons in each region, which know each other and so many replicas in each region.
+/// Starts one fleet of three daemons in each region, with `counts` replicas by region.
 async fn fleet(counts: [usize; 3]) -> Fleet {
     let network = Arc::new(Network::default());
     let mut members = Vec::new();
@@ -156,7 +156,9 @@
             continue;
         };
         if !delay.is_zero() && matches!(kind, Kind::SlotAsk(_)) {
-            network.far_asks.fetch_add(1, Ordering::Relaxed);
+            network
+                .cross_region_requests
+                .fetch_add(1, Ordering::Relaxed);
         }
         let slots = slots.clone();
         tokio::spawn(async move {
@@ -202,8 +204,8 @@
 
 async fn enter_in(daemon: &Daemon, regions: &AllowedRegions) -> Option<Held> {
     let query = query(regions, None);
-    let answer = daemon.slots.acquire(query).await;
-    let SlotReply::Granted { choice, lease } = answer else {
+    let reply = daemon.slots.acquire(query).await;
+    let SlotReply::Granted { choice, lease } = reply else {
         return None;
     };
     assert_eq!(choice.by, ChosenBy::Coordinator);
@@ -220,7 +222,7 @@
     enter_in(daemon, &AllowedRegions::Any).await
 }
 
-/// So many requests that come to a region one after the other.
+/// Acquires slots for `count` consecutive requests in a region.
 async fn enter_many(fleet: &Fleet, region: usize, count: usize) -> Vec<Held> {
     let mut held = Vec::new();
     for turn in 0..count {
@@ -230,34 +232,33 @@
     held
 }
 
-fn away(held: &[Held], home: usize) -> usize {
-    let is_away = |one: &&Held| one.region != REGIONS[home];
-    held.iter().filter(is_away).count()
+fn outside(held: &[Held], own_region: usize) -> usize {
+    let is_outside = |one: &&Held| one.region != REGIONS[own_region];
+    held.iter().filter(is_outside).count()
 }
 
-/// Waits until coordinators know what was given back.
+/// Waits until coordinators have received the released leases.
 async fn settle() {
     sleep(3 * ONE_WAY).await;
 }
 
-/// With eight replicas in a region, coordinators of groups over all places were mostly 40 ms away, longer than they
-/// were waited for.
+/// Guards against groups that span regions, whose coordinators would be too far away to reply in time.
 #[tokio::test]
-async fn requests_get_their_slots_from_a_coordinator_of_their_region_at_once() {
-    let fleet = fleet([IN_A_REGION; 3]).await;
+async fn slots_are_granted_by_a_coordinator_of_the_own_region() {
+    let fleet = fleet([PER_REGION; 3]).await;
     for region in 0..3 {
         let began = Instant::now();
         let held = enter_many(&fleet, region, 12).await;
-        assert_eq!(away(&held, region), 0);
+        assert_eq!(outside(&held, region), 0);
         let each = began.elapsed() / 12;
         assert!(each < ONE_WAY, "{each:?} for a slot");
     }
 }
 
-/// Also for the first time: how long the way is shows only with the first answer.
+/// Guards against a timeout below the round-trip time before the first reply has measured it.
 #[tokio::test]
-async fn a_coordinator_that_is_far_away_is_waited_for() {
-    let fleet = fleet([0, IN_A_REGION, 0]).await;
+async fn requests_wait_for_a_distant_coordinator() {
+    let fleet = fleet([0, PER_REGION, 0]).await;
     for _ in 0..4 {
         for turn in 0..3 {
             let held = enter(fleet.at(0, turn)).await.expect("an answer");
@@ -267,13 +268,13 @@
 }
 
 #[tokio::test]
-async fn requests_leave_a_region_whose_queue_costs_more_than_the_way_and_come_back() {
-    let fleet = fleet([IN_A_REGION; 3]).await;
-    let slots = IN_A_REGION * SLOTS as usize;
+async fn requests_spill_while_the_queue_costs_more_than_the_round_trip() {
+    let fleet = fleet([PER_REGION; 3]).await;
+    let slots = PER_REGION * SLOTS as usize;
     let mut held = enter_many(&fleet, 0, slots).await;
-    assert_eq!(away(&held, 0), 0, "there was room");
+    assert_eq!(outside(&held, 0), 0, "there was room");
     let more = enter_many(&fleet, 0, 2 * slots).await;
-    let left = away(&more, 0);
+    let left = outside(&more, 0);
     assert!(left > 0, "nobody left the full region");
     let why = more.iter().filter(|one| one.region != REGIONS[0]);
     for one in why {
@@ -281,81 +282,90 @@
     }
     held.extend(more);
     drop(held);
-    sleep(FORGOTTEN).await;
+    sleep(EXPIRED).await;
     let back = enter_many(&fleet, 0, 9).await;
-    assert_eq!(away(&back, 0), 0);
+    assert_eq!(outside(&back, 0), 0);
 }
 
-/// A daemon that asks for the first time knows nothing of its region's queues but the answer to its own question.
+/// Guards against queueing by a daemon without recent capacity reports other than the reply to its own request.
 #[tokio::test]
-async fn a_daemon_that_asks_seldom_leaves_a_full_region_too() {
-    let fleet = fleet([IN_A_REGION; 3]).await;
+async fn a_daemon_with_few_requests_spills_from_a_full_region() {
+    let fleet = fleet([PER_REGION; 3]).await;
     let busy = fleet.at(0, 0);
-    let home = AllowedRegions::only([REGIONS[0].to_owned()]);
+    let own_region = AllowedRegions::only([REGIONS[0].to_owned()]);
     let mut held = Vec::new();
-    for _ in 0..3 * IN_A_REGION * SLOTS as usize {
-        held.push(enter_in(busy, &home).await.expect("a place"));
+    for _ in 0..3 * PER_REGION * SLOTS as usize {
+        held.push(enter_in(busy, &own_region).await.expect("a place"));
     }
-    // The first question to another region tells how long the way is.
+    // The first request to another region measures the round-trip time.
     for turn in [1, 2, 1, 2] {
         held.push(enter(fleet.at(0, turn)).await.expect("a place"));
         settle().await;
-        sleep(FORGOTTEN).await;
+        sleep(EXPIRED).await;
     }
-    let seldom = &held[held.len() - 2..];
-    assert_eq!(away(seldom, 0), 2);
+    let infrequent = &held[held.len() - 2..];
+    assert_eq!(outside(infrequent, 0), 2);
 }
 
-/// Its own coordinator would send the caller away; the slot found elsewhere instead is kept.
+/// Guards against a refusal while other regions have free slots, and against more than one request there.
 #[tokio::test]
-async fn a_request_that_would_be_sent_away_asks_elsewhere_once() {
-    let fleet = fleet([IN_A_REGION; 3]).await;
+async fn a_request_that_would_be_refused_tries_one_other_region() {
+    let fleet = fleet([PER_REGION; 3]).await;
     let busy = [fleet.at(0, 0), fleet.at(0, 1)];
-    let home = AllowedRegions::only([REGIONS[0].to_owned()]);
+    let own_region = AllowedRegions::only([REGIONS[0].to_owned()]);
     let mut held = Vec::new();
-    for turn in 0..4 * IN_A_REGION * SLOTS as usize {
-        held.push(enter_in(busy[turn % 2], &home).await.expect("a place"));
+    for turn in 0..4 * PER_REGION * SLOTS as usize {
+        held.push(
+            enter_in(busy[turn % 2], &own_region)
+                .await
+                .expect("a place"),
+        );
     }
-    // How long requests hold their slots shows when some end.
+    // Coordinators observe hold times when leases are released.
     sleep(OBJECTIVE).await;
-    held.drain(..2 * IN_A_REGION * SLOTS as usize);
+    held.drain(..2 * PER_REGION * SLOTS as usize);
     settle().await;
     let regions = AllowedRegions::Any;
-    let newcomer = SlotQuery {
+    let new_request = SlotQuery {
         max_retry_after: Some(Duration::from_secs(5)),
         ..query(&regions, None)
     };
-    let at_home = busy[0].slots.acquire(SlotQuery {
-        regions: &home,
-        ..newcomer
+    let in_own_region = busy[0].slots.acquire(SlotQuery {
+        regions: &own_region,
+        ..new_request
     });
-    let at_home = at_home.await;
+    let in_own_region = in_own_region.await;
     assert!(
-        matches!(at_home, SlotReply::RetryLater { .. }),
-        "{at_home:?}"
+        matches!(in_own_region, SlotReply::RetryLater { .. }),
+        "{in_own_region:?}"
     );
-    // A daemon that knows how long the way is, and nothing of its region's queues.
-    let asker = fleet.at(0, 2);
+    // A daemon with measured round-trip times but without capacity reports of its region.
+    let requester = fleet.at(0, 2);
     for region in [1, 2] {
         let there = AllowedRegions::only([REGIONS[region].to_owned()]);
-        assert!(enter_in(asker, &there).await.is_some());
+        assert!(enter_in(requester, &there).await.is_some());
     }
-    fleet.network.far_asks.store(0, Ordering::Relaxed);
-    let answer = asker.slots.acquire(newcomer).await;
-    let SlotReply::Granted { choice, .. } = answer else {
-        panic!("{answer:?}");
+    fleet
+        .network
+        .cross_region_requests
+        .store(0, Ordering::Relaxed);
+    let reply = requester.slots.acquire(new_request).await;
+    let SlotReply::Granted { choice, .. } = reply else {
+        panic!("{reply:?}");
     };
     assert_eq!(choice.left_region, Some(CrossRegionReason::Full));
     settle().await;
-    assert_eq!(fleet.network.far_asks.load(Ordering::Relaxed), 1);
+    assert_eq!(
+        fleet.network.cross_region_requests.load(Ordering::Relaxed),
+        1
+    );
 }
 
-/// Coordinators give a request of a full region a slot only where there is room to spare: two full regions that both
-/// believe the other one empty keep their requests.
+/// Guards against two full regions that spill to each other.
 #[tokio::test]
 async fn full_regions_never_swap_requests() {
-    let fleet = fleet([IN_A_REGION; 3]).await;
-    let slots = IN_A_REGION * SLOTS as usize;
+    let fleet = fleet([PER_REGION; 3]).await;
+    let slots = PER_REGION * SLOTS as usize;
     let mut held = Vec::new();
     for region in 0..3 {
         held.extend(enter_many(&fleet, region, slots).await);
@@ -371,8 +381,8 @@
 }
 
 #[tokio::test]
-async fn requests_leave_a_region_whose_replicas_are_silent_and_come_back() {
-    let fleet = fleet([IN_A_REGION; 3]).await;
+async fn requests_spill_while_the_replicas_of_their_region_are_suspected() {
+    let fleet = fleet([PER_REGION; 3]).await;
     for daemon in &fleet.daemons {
         let view = daemon.replicas.view();
         let north = view.all().filter(|one| one.record.region == REGIONS[0]);
@@ -383,37 +393,36 @@
         assert_eq!(held.left, Some(CrossRegionReason::NoReplica));
     }
     let other = enter_many(&fleet, 1, 3).await;
-    assert_eq!(away(&other, 1), 0, "only the dark region's leave");
-    sleep(FORGOTTEN).await;
+    assert_eq!(outside(&other, 1), 0, "only the dark region's leave");
+    sleep(EXPIRED).await;
     let back = enter_many(&fleet, 0, 9).await;
-    assert_eq!(away(&back, 0), 0);
+    assert_eq!(outside(&back, 0), 0);
 }
 
-/// A full region that is cut from the others asks there once in a while and serves all by itself; afterwards requests
-/// leave it again.
+/// Guards against repeated timeouts of a full region in a partition, and against no spilling after it has healed.
 #[tokio::test]
-async fn a_full_region_that_is_cut_off_for_a_while_goes_on_by_itself() {
-    let fleet = fleet([IN_A_REGION; 3]).await;
-    let slots = IN_A_REGION * SLOTS as usize;
+async fn a_partitioned_full_region_serves_its_own_requests() {
+    let fleet = fleet([PER_REGION; 3]).await;
+    let slots = PER_REGION * SLOTS as usize;
     let held = enter_many(&fleet, 0, slots).await;
-    fleet.network.is_cut.store(true, Ordering::Relaxed);
+    fleet.network.is_partitioned.store(true, Ordering::Relaxed);
     let began = Instant::now();
     let cut = enter_many(&fleet, 0, 2 * slots).await;
-    assert_eq!(away(&cut, 0), 0);
+    assert_eq!(outside(&cut, 0), 0);
     let took = began.elapsed();
-    // Three daemons that each wait for one coordinator of each other region, longest a third of the objective.
+    // Three daemons each wait for one coordinator of two other regions, at most a third of the objective.
     assert!(took < 3 * 2 * (OBJECTIVE / 3), "{took:?}");
-    fleet.network.is_cut.store(false, Ordering::Relaxed);
-    sleep(FORGOTTEN).await;
+    fleet.network.is_partitioned.store(false, Ordering::Relaxed);
+    sleep(EXPIRED).await;
     let more = enter_many(&fleet, 0, 2 * slots).await;
-    assert!(away(&more, 0) > 0, "nobody leaves after the cut");
+    assert!(outside(&more, 0) > 0, "nobody leaves after the cut");
     drop(held);
 }
 
-/// A request that may be served in another region only goes there, and one that may be served at home only stays.
+/// Guards against placement outside of a request's allowed regions.
 #[tokio::test]
-async fn a_request_goes_only_where_it_may_be_served() {
-    let fleet = fleet([IN_A_REGION; 3]).await;
+async fn requests_stay_within_their_allowed_regions() {
+    let fleet = fleet([PER_REGION; 3]).await;
     let south = AllowedRegions::only([REGIONS[2].to_owned()]);
     for turn in 0..6 {
         let held = enter_in(fleet.at(0, turn), &south).await.expect("a slot");
@@ -421,7 +430,7 @@
         assert_eq!(held.left, Some(CrossRegionReason::NoReplica));
     }
     let north = AllowedRegions::only([REGIONS[0].to_owned()]);
-    for turn in 0..3 * IN_A_REGION * SLOTS as usize {
+    for turn in 0..3 * PER_REGION * SLOTS as usize {
         let held = enter_in(fleet.at(0, turn), &north).await.expect("a slot");
         assert_eq!(held.region, REGIONS[0]);
         std::mem::forget(held);
@@ -429,30 +438,30 @@
 }
 
 #[tokio::test]
-async fn items_wait_rather_than_leave_their_region() {
-    let fleet = fleet([IN_A_REGION; 3]).await;
-    let held = enter_many(&fleet, 0, IN_A_REGION * SLOTS as usize).await;
+async fn batch_items_wait_instead_of_spilling() {
+    let fleet = fleet([PER_REGION; 3]).await;
+    let held = enter_many(&fleet, 0, PER_REGION * SLOTS as usize).await;
     for turn in 0..12 {
         let daemon = fleet.at(0, turn);
-        let answer = daemon
+        let reply = daemon
             .slots
             .acquire(query(&AllowedRegions::Any, Some(ITEM)));
-        let answer = answer.await;
-        assert!(matches!(answer, SlotReply::NoCapacity), "{answer:?}");
+        let reply = reply.await;
+        assert!(matches!(reply, SlotReply::NoCapacity), "{reply:?}");
     }
     drop(held);
     settle().await;
-    let answer = fleet
+    let reply = fleet
         .at(0, 0)
         .slots
         .acquire(query(&AllowedRegions::Any, Some(ITEM)));
-    assert!(matches!(answer.await, SlotReply::Granted { .. }));
+    assert!(matches!(reply.await, SlotReply::Granted { .. }));
 }
 
-/// One replica less and the groups reach over all regions: their coordinator learns of all leases at the holders' next
-/// tick, before it gives a slot out for the second time.
+/// Guards against double grants when a removed replica merges the groups: the new coordinator must receive all held
+/// leases at the holders' next tick.
 #[tokio::test]
-async fn a_layout_that_changes_gives_no_slot_twice_after_the_next_tick() {
+async fn no_slot_is_granted_twice_after_a_layout_change() {
     let fleet = fleet([4, 4, 4]).await;
     let mut held = Vec::new();
     for region in 0..3 {
--- a/crates/edge/tests/slots.rs
+++ b/crates/edge/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Daemons that ask a coordinator for places, over loopback.
+//! Lease requests of several daemons to one coordinator, over loopback.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -22,11 +22,11 @@
 const OBJECTIVE: Duration = Duration::from_millis(300);
 
 #[derive(Default)]
-struct Ended(Arc<Mutex<Vec<u32>>>);
+struct Preempted(Arc<Mutex<Vec<u32>>>);
 
-impl PreemptItems for Ended {
-    fn preempt_lease(&self, place: u32) {
-        self.0.lock().expect("a lock").push(place);
+impl PreemptItems for Preempted {
+    fn preempt_lease(&self, request: u32) {
+        self.0.lock().expect("a lock").push(request);
     }
 
     fn preempt_at(&self, _replica: &str, _count: u32) {}
@@ -37,7 +37,7 @@
 struct Daemon {
     slots: Arc<SlotService>,
     replicas: Arc<ReplicaSet>,
-    ended: Arc<Mutex<Vec<u32>>>,
+    preempted: Arc<Mutex<Vec<u32>>>,
 }
 
 fn replica_set() -> Arc<ReplicaSet> {
@@ -72,19 +72,19 @@
         SelectionCosts::default(),
         DecisionLog::new(LogBounds::default()),
     ));
-    let ended = Arc::<Mutex<Vec<u32>>>::default();
+    let preempted = Arc::<Mutex<Vec<u32>>>::default();
     slots.set_socket(socket.clone());
     slots.set_members(members.to_vec());
-    slots.set_preemption(Box::new(Ended(ended.clone())));
+    slots.set_preemption(Box::new(Preempted(preempted.clone())));
     Daemon {
         slots,
         replicas,
-        ended,
+        preempted,
     }
 }
 
-/// Daemons that know each other; `deaf` ones answer nothing.
-async fn fleet(names: &[&str], deaf: &[&str]) -> Vec<Daemon> {
+/// Starts daemons that are members of one fleet; those in `unresponsive` receive nothing.
+async fn fleet(names: &[&str], unresponsive: &[&str]) -> Vec<Daemon> {
     let mut sockets = Vec::new();
     let mut members = Vec::new();
     for name in names {
@@ -100,7 +100,7 @@
     for (name, socket) in names.iter().zip(sockets) {
         let daemon = start(name, &socket, &members);
         let slots = daemon.slots.clone();
-        if !deaf.contains(name) {
+        if !unresponsive.contains(name) {
             tokio::spawn(async move { receive(&slots, &socket).await });
         }
         daemons.push(daemon);
@@ -137,33 +137,33 @@
     slack: Duration::from_secs(9),
 };
 
-/// A member that is gone for good would otherwise be remembered for ever: each start has a name of its own.
+/// Guards against a leak: entries of departed members must be removed, since no later instance reuses their ids.
 #[tokio::test]
-async fn the_silence_of_a_member_is_forgotten_with_it() {
+async fn the_cooldown_of_a_departed_member_is_removed() {
     let (socket, _) = socket().await;
     let member = |name: &str, port: u16| CoordinatorCandidate {
         id: name.to_owned(),
         address: Some(SocketAddr::from(([127, 0, 0, 1], port))),
         location: Location::new("zone-a", "region"),
     };
-    // Nobody listens there.
-    let deaf = vec![member("deaf", 9)];
-    let daemon = start("a", &socket, &deaf);
+    // No socket is bound to this port.
+    let unresponsive = vec![member("deaf", 9)];
+    let daemon = start("a", &socket, &unresponsive);
     let view = daemon.replicas.view();
     let replica = view.all().next().expect("a replica");
     assert!(daemon.slots.is_coordinated(replica));
     assert!(enter(&daemon, None).await.is_none());
     assert!(!daemon.slots.is_coordinated(replica), "it is silent");
     daemon.slots.set_members(vec![member("a", 10)]);
-    daemon.slots.set_members(deaf);
+    daemon.slots.set_members(unresponsive);
     assert!(daemon.slots.is_coordinated(replica));
 }
 
-/// A place, entered as a request does.
+/// Acquires a slot as a request does.
 async fn enter(daemon: &Daemon, item: Option<ItemSlack>) -> Option<InProgress> {
     let prompt = Prompt::default();
-    let answer = daemon.slots.acquire(query(&prompt, item)).await;
-    let SlotReply::Granted { choice, lease } = answer else {
+    let reply = daemon.slots.acquire(query(&prompt, item)).await;
+    let SlotReply::Granted { choice, lease } = reply else {
         return None;
     };
     let class = query(&prompt, item).class();
@@ -171,26 +171,26 @@
     Some(choice.enter(class, held).in_progress)
 }
 
-/// The daemon that keeps the only group.
+/// Returns the daemon that coordinates the only group.
 fn coordinator(daemons: &[Daemon]) -> &Daemon {
-    let keeps = |daemon: &&Daemon| {
+    let coordinates_all = |daemon: &&Daemon| {
         let view = daemon.replicas.view();
         view.all().all(|replica| daemon.slots.coordinates(replica))
     };
-    daemons.iter().find(keeps).expect("a coordinator")
+    daemons.iter().find(coordinates_all).expect("a coordinator")
 }
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
 #[tokio::test]
-async fn daemons_that_choose_at_the_same_moment_fill_every_slot_and_none_twice() {
+async fn concurrent_requests_fill_every_slot_and_none_twice() {
     let daemons = fleet(&NAMES, &[]).await;
     let all = REPLICAS * SLOTS as usize;
-    let asks = (0..all).map(|number| enter(&daemons[number % daemons.len()], None));
-    let places = futures::future::join_all(asks).await;
+    let attempts = (0..all).map(|number| enter(&daemons[number % daemons.len()], None));
+    let requests = futures::future::join_all(attempts).await;
     let mut held = std::collections::BTreeMap::<String, u32>::new();
-    for place in places.iter().flatten() {
-        *held.entry(place.replica().record.id.clone()).or_default() += 1;
+    for request in requests.iter().flatten() {
+        *held.entry(request.replica().record.id.clone()).or_default() += 1;
     }
     assert_eq!(held.len(), REPLICAS, "{held:?}");
     assert!(held.values().all(|count| *count == SLOTS), "{held:?}");
@@ -198,65 +198,65 @@
         enter(&daemons[0], Some(ITEM)).await.is_none(),
         "an item where all slots are taken"
     );
-    drop(places);
+    drop(requests);
     tokio::time::sleep(Duration::from_millis(100)).await;
     let view = coordinator(&daemons).replicas.view();
     assert_eq!(view.all().map(|replica| replica.load()).sum::<u32>(), 0);
 }
 
 #[tokio::test]
-async fn an_online_request_ends_an_item_of_another_daemon_where_all_slots_are_taken() {
+async fn an_online_request_preempts_an_item_of_another_daemon_if_all_slots_are_taken() {
     let daemons = fleet(&NAMES, &[]).await;
-    let mut places = Vec::new();
+    let mut requests = Vec::new();
     for number in 0..REPLICAS {
-        places.push(enter(&daemons[number % 4], Some(ITEM)).await.expect("room"));
+        requests.push(enter(&daemons[number % 4], Some(ITEM)).await.expect("room"));
     }
     for number in 0..REPLICAS {
-        places.push(enter(&daemons[number % 4], None).await.expect("a slot"));
+        requests.push(enter(&daemons[number % 4], None).await.expect("a slot"));
     }
-    let ended = || -> usize {
+    let preempted = || -> usize {
         let counts = daemons.iter();
         counts
-            .map(|daemon| daemon.ended.lock().expect("a lock").len())
+            .map(|daemon| daemon.preempted.lock().expect("a lock").len())
             .sum()
     };
-    assert_eq!(ended(), 0, "there was room");
+    assert_eq!(preempted(), 0, "there was room");
     let urgent = enter(&daemons[1], None).await.expect("an item's slot");
     assert_eq!(urgent.class(), WorkClass::Online);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    assert_eq!(ended(), 1);
-    let of_items: Vec<u32> = places
+    assert_eq!(preempted(), 1);
+    let of_items: Vec<u32> = requests
         .iter()
-        .filter(|place| place.class() == WorkClass::Batch)
-        .filter(|place| place.replica().record.id == urgent.replica().record.id)
+        .filter(|request| request.class() == WorkClass::Batch)
+        .filter(|request| request.replica().record.id == urgent.replica().record.id)
         .filter_map(InProgress::lease)
         .collect();
-    let orders = daemons.iter();
-    let orders = orders.flat_map(|daemon| daemon.ended.lock().expect("a lock").clone());
-    assert_eq!(orders.collect::<Vec<u32>>(), of_items);
+    let preempted_leases = daemons.iter();
+    let preempted_leases =
+        preempted_leases.flat_map(|daemon| daemon.preempted.lock().expect("a lock").clone());
+    assert_eq!(preempted_leases.collect::<Vec<u32>>(), of_items);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_coordinator_costs_a_request_a_tenth_of_its_objective_and_the_next_ones_nothing() {
+async fn an_unresponsive_coordinator_delays_the_first_request_only() {
     let daemons = fleet(&NAMES, &NAMES).await;
-    let asker = daemons
+    let requester = daemons
         .iter()
         .find(|daemon| !std::ptr::eq(*daemon, coordinator(&daemons)))
         .expect("another daemon");
     let began = Instant::now();
-    assert!(enter(asker, None).await.is_none());
+    assert!(enter(requester, None).await.is_none());
     let first = began.elapsed();
     assert!(first < OBJECTIVE / 5, "{first:?}");
     let began = Instant::now();
     for _ in 0..20 {
-        assert!(enter(asker, None).await.is_none());
+        assert!(enter(requester, None).await.is_none());
     }
     let next = began.elapsed();
     assert!(next < OBJECTIVE / 10, "{next:?}");
 }
 
-/// A request whose objective has passed leaves the last slots to those that can still be in time, and gets one as
-/// soon as there are enough. Those of items count as free.
+/// Guards against overdue requests taking slots from requests that can still meet their objective.
 #[tokio::test]
 async fn an_overdue_request_waits_while_others_take_all_slots() {
     let daemons = fleet(&NAMES, &[]).await;
@@ -265,43 +265,43 @@
         overdue: true,
         ..query(&prompt, None)
     };
-    let mut places = Vec::new();
+    let mut requests = Vec::new();
     for number in 0..REPLICAS * SLOTS as usize {
-        places.push(enter(&daemons[number % 4], None).await.expect("a slot"));
+        requests.push(enter(&daemons[number % 4], None).await.expect("a slot"));
     }
     for daemon in &daemons {
-        let answer = daemon.slots.acquire(overdue).await;
-        assert!(matches!(answer, SlotReply::NoCapacity), "{answer:?}");
+        let reply = daemon.slots.acquire(overdue).await;
+        assert!(matches!(reply, SlotReply::NoCapacity), "{reply:?}");
         assert!(enter(daemon, None).await.is_some(), "one that is in time");
     }
-    places.truncate(REPLICAS);
+    requests.truncate(REPLICAS);
     tokio::time::sleep(Duration::from_millis(100)).await;
     for daemon in &daemons {
-        let answer = daemon.slots.acquire(overdue).await;
-        assert!(matches!(answer, SlotReply::Granted { .. }), "{answer:?}");
+        let reply = daemon.slots.acquire(overdue).await;
+        assert!(matches!(reply, SlotReply::Granted { .. }), "{reply:?}");
     }
 }
 
-/// Holds so many slots for a while, so that coordinators know how long requests take.
+/// Holds `count` slots for `time`, so that the coordinator has observed a hold time.
 async fn hold_slots(daemons: &[Daemon], count: usize, time: Duration) {
-    let mut places = Vec::new();
+    let mut requests = Vec::new();
     for number in 0..count {
         let daemon = &daemons[number % daemons.len()];
-        places.push(enter(daemon, None).await.expect("a slot"));
+        requests.push(enter(daemon, None).await.expect("a slot"));
     }
     tokio::time::sleep(time).await;
 }
 
-/// A newcomer that would be late is told to come back, each at another moment within its caller's patience; one that
-/// has come back before, or whose caller waits without a bound, is placed.
+/// Guards against requests queueing past their objective, and against retries at the same time; requests without a
+/// retry limit are queued.
 #[tokio::test]
-async fn a_newcomer_that_would_be_late_is_told_when_to_come_back() {
+async fn a_request_that_would_be_late_is_given_a_retry_time() {
     const MAY_RETURN: Duration = Duration::from_millis(1_500);
-    // Four requests that wait at a replica with two slots, of 200 ms each, take longer than the objective.
+    // Four queued requests of 200 ms each at a replica with two slots take longer than the objective.
     const WAITING: usize = 4;
     let daemons = fleet(&NAMES, &[]).await;
     let prompt = Prompt::default();
-    let newcomer = SlotQuery {
+    let new_request = SlotQuery {
         max_retry_after: Some(MAY_RETURN),
         ..query(&prompt, None)
     };
@@ -313,34 +313,34 @@
     .await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     for daemon in &daemons {
-        let answer = daemon.slots.acquire(newcomer).await;
-        assert!(matches!(answer, SlotReply::Granted { .. }), "{answer:?}");
+        let reply = daemon.slots.acquire(new_request).await;
+        assert!(matches!(reply, SlotReply::Granted { .. }), "{reply:?}");
     }
-    let mut places = Vec::new();
+    let mut requests = Vec::new();
     for number in 0..REPLICAS * (SLOTS as usize + WAITING) {
-        places.push(enter(&daemons[number % 4], None).await.expect("a slot"));
+        requests.push(enter(&daemons[number % 4], None).await.expect("a slot"));
     }
-    let mut moments = HashSet::new();
+    let mut retry_times = HashSet::new();
     for number in 0..8 {
         let daemon = &daemons[number % 4];
-        let answer = daemon.slots.acquire(newcomer).await;
-        let SlotReply::RetryLater { after } = answer else {
-            panic!("{answer:?}");
+        let reply = daemon.slots.acquire(new_request).await;
+        let SlotReply::RetryLater { after } = reply else {
+            panic!("{reply:?}");
         };
         assert!(after > Duration::ZERO && after <= MAY_RETURN, "{after:?}");
-        moments.insert(after);
-        let answer = daemon.slots.acquire(query(&prompt, None)).await;
-        assert!(matches!(answer, SlotReply::Granted { .. }), "{answer:?}");
+        retry_times.insert(after);
+        let reply = daemon.slots.acquire(query(&prompt, None)).await;
+        assert!(matches!(reply, SlotReply::Granted { .. }), "{reply:?}");
     }
-    assert!(moments.len() >= 4, "{moments:?}");
+    assert!(retry_times.len() >= 4, "{retry_times:?}");
 }
 
-/// Where a coordinator answers, a daemon leaves it to end items; where none does, it goes by its own estimate.
+/// Guards against a daemon that leaves preemption to an unresponsive coordinator.
 #[tokio::test]
-async fn replicas_are_coordinated_until_their_coordinator_falls_silent() {
-    let answering = fleet(&NAMES, &[]).await;
-    let deaf = fleet(&NAMES, &NAMES).await;
-    for daemons in [&answering, &deaf] {
+async fn replicas_are_coordinated_until_their_coordinator_is_unresponsive() {
+    let responsive = fleet(&NAMES, &[]).await;
+    let unresponsive = fleet(&NAMES, &NAMES).await;
+    for daemons in [&responsive, &unresponsive] {
         for daemon in daemons {
             assert_eq!(
                 enter(daemon, None).await.is_some(),
@@ -348,8 +348,10 @@
             );
         }
     }
-    assert!(answering.iter().all(is_all_coordinated));
-    let coordinated = deaf.iter().filter(|daemon| is_all_coordinated(daemon));
+    assert!(responsive.iter().all(is_all_coordinated));
+    let coordinated = unresponsive
+        .iter()
+        .filter(|daemon| is_all_coordinated(daemon));
     assert_eq!(coordinated.count(), 1, "only the coordinator's own");
 }
 
--- a/crates/edge/tests/stored_news.rs
+++ b/crates/edge/tests/stored_news.rs
@@ -1,4 +1,4 @@
-//! News of ends of replicas in the store: who writes it and when, and what a row is worth that was read later.
+//! Crash reports in the store: which daemon writes them and when, and how a row's age counts when it is read.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -20,22 +20,22 @@
 use tokio::time::sleep;
 
 const CONTENT: ContentId = ContentId(5);
-const LIFE: &str = "node@1";
+const INSTANCE_ID: &str = "node@1";
 
-/// The store's clock, milliseconds.
+/// The store's clock, in milliseconds.
 const NOW_MS: u64 = 100_000_000;
 
-/// Time for which an end counts, and a content is held back after its third.
-const END_LIFETIME_MS: u64 = 3_600_000;
-const FIRST_HOLD_MS: u64 = 600_000;
+/// Time after which a crash report expires, and the first quarantine, which follows the third crash.
+const CRASH_TTL_MS: u64 = 3_600_000;
+const FIRST_QUARANTINE_MS: u64 = 600_000;
 
-/// Least time between writes.
-const WRITE_EVERY: Duration = Duration::from_millis(250);
+/// Minimum time between two writes.
+const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longer than a write and the one after it take.
+/// Longer than two successive writes take.
 const SETTLED: Duration = Duration::from_millis(900);
 
-/// A store that keeps what is written, and fails some writes first.
+/// A store that records writes, after failing the first ones.
 #[derive(Default)]
 struct Rows {
     written: Mutex<Vec<(String, Bytes)>>,
@@ -48,7 +48,7 @@
         assert!(
             written
                 .iter()
-                .all(|(key, _)| *key == crash_updates_key(LIFE))
+                .all(|(key, _)| *key == crash_updates_key(INSTANCE_ID))
         );
         let rows = written.iter().map(|(_, value)| decode(value));
         rows.map(|row| row.expect("a row of news")).collect()
@@ -102,11 +102,16 @@
 fn quarantine() -> QuarantineService {
     let log = DecisionLog::new(LogBounds::default());
     let pool = ConnectionPool::new(PoolSettings::default(), log.clone());
-    QuarantineService::new(LIFE.to_owned(), Arc::new(ReplicaSet::default()), pool, log)
+    QuarantineService::new(
+        INSTANCE_ID.to_owned(),
+        Arc::new(ReplicaSet::default()),
+        pool,
+        log,
+    )
 }
 
-/// A quarantine that keeps its row in a store whose first writes fail.
-fn kept(failures: usize) -> (QuarantineService, Arc<Rows>) {
+/// Starts a quarantine with a row in a store whose first writes fail.
+fn with_store(failures: usize) -> (QuarantineService, Arc<Rows>) {
     let rows = Arc::new(Rows {
         failures: Mutex::new(failures),
         ..Rows::default()
@@ -116,8 +121,8 @@
     (quarantine, rows)
 }
 
-/// Three ends of one content.
-fn three_ends(content: ContentId) -> CrashNews {
+/// Returns a report of three crashes under one content.
+fn three_crashes(content: ContentId) -> CrashNews {
     let ends = (1..=3).map(|replica| ReplicaEnd { replica, age_ms: 0 });
     CrashNews {
         contents: vec![CrashedContent {
@@ -142,13 +147,14 @@
 }
 
 fn row(written_ms: u64) -> Row {
-    row_of(three_ends(CONTENT), "other@1", written_ms, 1)
+    row_of(three_crashes(CONTENT), "other@1", written_ms, 1)
 }
 
 fn left(quarantine: &QuarantineService) -> Option<Duration> {
     match quarantine.status(CONTENT) {
-        ContentStatus::Quarantined(hold) => Some(
-            hold.until
+        ContentStatus::Quarantined(quarantine) => Some(
+            quarantine
+                .until
                 .saturating_duration_since(harrierward_clock::now()),
         ),
         ContentStatus::Clear | ContentStatus::Suspect { .. } => None,
@@ -156,24 +162,24 @@
 }
 
 #[tokio::test]
-async fn a_row_holds_back_for_what_is_left_of_the_hold() {
+async fn a_row_quarantines_for_the_remaining_period() {
     let quarantine = quarantine();
     let age_ms = 400_000;
     quarantine.apply_stored(&row(NOW_MS - age_ms), NOW_MS);
     let left = left(&quarantine).expect("held back");
-    let expected = Duration::from_millis(FIRST_HOLD_MS - age_ms);
+    let expected = Duration::from_millis(FIRST_QUARANTINE_MS - age_ms);
     assert!(left <= expected, "{left:?}");
     assert!(left + Duration::from_secs(1) > expected, "{left:?}");
 }
 
 #[tokio::test]
-async fn an_old_row_holds_nothing_back() {
-    for age_ms in [FIRST_HOLD_MS, END_LIFETIME_MS - 1] {
+async fn an_old_row_quarantines_nothing() {
+    for age_ms in [FIRST_QUARANTINE_MS, CRASH_TTL_MS - 1] {
         let quarantine = quarantine();
         quarantine.apply_stored(&row(NOW_MS - age_ms), NOW_MS);
         assert_eq!(left(&quarantine), None, "{age_ms} ms old");
     }
-    for age_ms in [END_LIFETIME_MS, NOW_MS] {
+    for age_ms in [CRASH_TTL_MS, NOW_MS] {
         let quarantine = quarantine();
         quarantine.apply_stored(&row(NOW_MS - age_ms), NOW_MS);
         assert_eq!(quarantine.status(CONTENT), ContentStatus::Clear);
@@ -182,24 +188,24 @@
 }
 
 #[tokio::test]
-async fn a_row_of_unknown_age_or_without_sense_is_not_taken() {
+async fn a_row_that_is_malformed_or_of_unknown_age_is_ignored() {
     let quarantine = quarantine();
     quarantine.apply_stored(&row(NOW_MS), 0);
-    let senseless = Row {
+    let malformed = Row {
         value: Bytes::from_static(b"\xff\xff"),
         ..row(NOW_MS)
     };
-    quarantine.apply_stored(&senseless, NOW_MS);
+    quarantine.apply_stored(&malformed, NOW_MS);
     assert!(!quarantine.has_quarantined());
 }
 
-/// One that only heard of it, by datagram or from the store, writes nothing: each crash would cost a write a daemon.
+/// Guards against a write by every daemon that receives a crash report.
 #[tokio::test]
-async fn only_what_the_daemon_saw_itself_is_written() {
-    let (quarantine, rows) = kept(0);
-    quarantine.receive(Kind::CrashNews(three_ends(CONTENT)));
+async fn only_observations_of_the_daemon_itself_are_written() {
+    let (quarantine, rows) = with_store(0);
+    quarantine.receive(Kind::CrashNews(three_crashes(CONTENT)));
     quarantine.apply_stored(
-        &row_of(three_ends(ContentId(6)), "other@1", NOW_MS, 1),
+        &row_of(three_crashes(ContentId(6)), "other@1", NOW_MS, 1),
         NOW_MS,
     );
     sleep(SETTLED).await;
@@ -210,20 +216,20 @@
     assert_eq!(written.len(), 1);
     assert_eq!(
         (written[0].life.as_str(), written[0].written_ms),
-        (LIFE, NOW_MS)
+        (INSTANCE_ID, NOW_MS)
     );
 }
 
-/// A daemon that starts later reads the ends in one row and the release in another, in any order.
+/// Guards against a release that has no effect when a daemon reads the crashes after it, from another row.
 #[tokio::test]
-async fn a_release_in_one_row_undoes_the_ends_in_another() {
-    let (quarantine, rows) = kept(0);
-    quarantine.receive(Kind::CrashNews(three_ends(CONTENT)));
+async fn a_release_in_one_row_clears_the_crashes_in_another() {
+    let (quarantine, rows) = with_store(0);
+    quarantine.receive(Kind::CrashNews(three_crashes(CONTENT)));
     assert!(quarantine.release(CONTENT));
     sleep(SETTLED).await;
     let news = rows.written()[0].news.clone().expect("news");
-    let released = row_of(news, LIFE, NOW_MS, 2);
-    // Older than other daemons are told of a release.
+    let released = row_of(news, INSTANCE_ID, NOW_MS, 2);
+    // Older than the time for which releases are gossiped.
     let ends = row(NOW_MS - 1);
     let read_at_ms = NOW_MS + 300_000;
     for order in [[&ends, &released], [&released, &ends]] {
@@ -236,28 +242,29 @@
 }
 
 #[tokio::test]
-async fn a_failed_write_is_tried_again_and_the_newest_is_written_once() {
-    let (quarantine, rows) = kept(2);
+async fn failed_writes_are_retried_with_the_latest_reports() {
+    let (quarantine, rows) = with_store(2);
     for content in 10..20 {
-        quarantine.receive(Kind::CrashNews(three_ends(ContentId(content))));
+        quarantine.receive(Kind::CrashNews(three_crashes(ContentId(content))));
         assert!(quarantine.release(ContentId(content)));
     }
-    sleep(WRITE_EVERY * 2 + SETTLED).await;
+    sleep(WRITE_INTERVAL * 2 + SETTLED).await;
     let written = rows.written();
     assert!(written.len() <= 2, "{} writes", written.len());
     let last = written.last().and_then(|row| row.news.as_ref());
     assert_eq!(last.expect("news").contents.len(), 10);
 }
 
-/// A write that was in doubt may be done after the one that took its place.
+/// Guards against an indeterminate write that takes effect after the one that replaced it.
 #[tokio::test]
-async fn a_late_write_of_an_older_state_is_written_over() {
-    let (quarantine, rows) = kept(0);
-    quarantine.receive(Kind::CrashNews(three_ends(CONTENT)));
+async fn a_late_indeterminate_write_is_overwritten() {
+    let (quarantine, rows) = with_store(0);
+    quarantine.receive(Kind::CrashNews(three_crashes(CONTENT)));
     assert!(quarantine.release(CONTENT));
     sleep(SETTLED).await;
     assert_eq!(rows.written().len(), 1);
-    let own = |written_ms, revision| row_of(CrashNews::default(), LIFE, written_ms, revision);
+    let own =
+        |written_ms, revision| row_of(CrashNews::default(), INSTANCE_ID, written_ms, revision);
     quarantine.apply_stored(&own(NOW_MS, 1), NOW_MS);
     sleep(SETTLED).await;
     assert_eq!(rows.written().len(), 1, "its own row as it wrote it");
--- a/crates/edge/tests/suspended.rs
+++ b/crates/edge/tests/suspended.rs
@@ -1,4 +1,4 @@
-//! A machine that was suspended for seconds: what its daemon held, was told or kept before is as old as the world says.
+//! Suspension of a daemon's machine: leases, reports and idle connections from before it have aged by its duration.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,14 +30,14 @@
 const SERVICE: &str = "model";
 const REPLICAS: usize = 4;
 
-/// Longer than a holder's leases are believed without a report, and than an idle connection is kept.
+/// Longer than a holder's leases last without a report, and than an idle connection is kept.
 const SUSPENSION: Duration = Duration::from_secs(3);
 
-/// Longest wait for a datagram over loopback.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout for a datagram over loopback.
+const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The clock is the process's, so one test at a time may let it jump.
-async fn one_at_a_time() -> MutexGuard<'static, ()> {
+/// Serializes the tests, since the simulated clock is shared by the process.
+async fn exclusive() -> MutexGuard<'static, ()> {
     static TURN: Mutex<()> = Mutex::const_new(());
     TURN.lock().await
 }
@@ -73,7 +73,7 @@
     }
 }
 
-/// A daemon for whom `coordinator` keeps all groups.
+/// Starts a daemon with `coordinator` as the only member, and so as the coordinator of all groups.
 fn daemon(
     name: &str,
     coordinator: CoordinatorCandidate,
@@ -94,7 +94,7 @@
 
 async fn receive_one(socket: &UdpSocket) -> (Kind, SocketAddr) {
     let mut buffer = vec![0; 2_000];
-    let received = timeout(PATIENCE, socket.recv_from(&mut buffer)).await;
+    let received = timeout(TIMEOUT, socket.recv_from(&mut buffer)).await;
     let (length, from) = received.expect("in time").expect("a datagram");
     let datagram = decode::<NodeDatagram>(&buffer[..length]).expect("readable");
     (datagram.kind.expect("a kind"), from)
@@ -120,10 +120,10 @@
     }
 }
 
-/// The coordinator has forgotten the lease by then, and may have given its slot to others.
+/// Guards against using a lease that the coordinator has expired, and whose slot it may have granted again.
 #[tokio::test]
-async fn a_holder_that_was_suspended_takes_no_lease_granted_before() {
-    let _turn = one_at_a_time().await;
+async fn a_suspended_holder_accepts_no_lease_granted_before() {
+    let _turn = exclusive().await;
     let (peer, peer_address) = socket().await;
     let (own, _) = socket().await;
     let (holder, replicas) = daemon("holder", member("peer", peer_address), &own);
@@ -157,7 +157,7 @@
     );
     receiving.await.expect("no panic");
     loop {
-        // The question may have been sent a second time.
+        // The request may have been resent.
         if let (Kind::SlotReport(report), _) = receive_one(&peer).await {
             assert_eq!(report.released, vec![lease], "it is given back");
             break;
@@ -165,7 +165,7 @@
     }
 }
 
-fn whole_report(holder: u64, number: u64, leases: &[u32], replica: u32) -> Kind {
+fn full_report(holder: u64, number: u64, leases: &[u32], replica: u32) -> Kind {
     let held = leases.iter().map(|lease| HeldSlot {
         lease: *lease,
         replica,
@@ -184,17 +184,17 @@
     })
 }
 
-/// They are forgotten before any is counted: the first datagram comes before the next tick, and makes nothing of them fresh.
+/// Guards against expired leases that are renewed by a datagram received before the next tick.
 #[tokio::test]
-async fn a_coordinator_that_was_suspended_believes_no_lease_reported_before() {
-    let _turn = one_at_a_time().await;
+async fn a_suspended_coordinator_expires_leases_reported_before() {
+    let _turn = exclusive().await;
     let (own, own_address) = socket().await;
     let (coordinator, replicas) = daemon("own", member("own", own_address), &own);
     let from = SocketAddr::from(([127, 0, 0, 1], 9));
     let view = replicas.view();
     let replica = view.all().next().expect("a replica");
     for holder in 1..=2 {
-        let report = whole_report(holder, 1, &[1, 2], replica.hash);
+        let report = full_report(holder, 1, &[1, 2], replica.hash);
         assert!(coordinator.receive(report, from).is_none());
     }
     assert_eq!(replica.online(), 4);
@@ -206,12 +206,12 @@
     };
     coordinator.receive(Kind::SlotReport(released), from);
     assert_eq!(replica.online(), 0);
-    let report = whole_report(1, 2, &[2], replica.hash);
+    let report = full_report(1, 2, &[2], replica.hash);
     coordinator.receive(report, from);
     assert_eq!(replica.online(), 1, "what is told anew counts");
 }
 
-/// Answers whole, and keeps its connections for ever. Returns its address and the count of its connections.
+/// Starts a server that never closes connections; returns its address and the count of accepted connections.
 async fn server() -> (String, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address").to_string();
@@ -245,10 +245,10 @@
     }
 }
 
-/// The back end, or a proxy before it, may have given the connection up meanwhile.
+/// Guards against reusing connections that the replica or a proxy may have closed during the suspension.
 #[tokio::test]
-async fn connections_kept_since_before_a_suspension_are_not_used() {
-    let _turn = one_at_a_time().await;
+async fn idle_connections_from_before_a_suspension_are_not_reused() {
+    let _turn = exclusive().await;
     let (address, accepted) = server().await;
     let log = DecisionLog::new(LogBounds::default());
     let pool = ConnectionPool::new(PoolSettings::default(), log);
@@ -261,8 +261,8 @@
     assert_eq!(accepted.load(Ordering::Relaxed), 2);
 }
 
-/// An ended request of another daemon, as it reports it.
-fn ended(lease: u32, replica: u32, kind: OutcomeKind) -> Kind {
+/// Returns the report of a completed request of another daemon.
+fn completed(lease: u32, replica: u32, kind: OutcomeKind) -> Kind {
     let outcome = LeaseOutcome {
         lease,
         replica,
@@ -277,7 +277,7 @@
     })
 }
 
-/// The replica at which an item is placed.
+/// Returns the replica at which an item is placed.
 async fn place_item(coordinator: &SlotService) -> Arc<Replica> {
     let prompt = Prompt::default();
     let item = ItemSlack {
@@ -294,8 +294,8 @@
 }
 
 #[tokio::test]
-async fn an_ejected_replica_is_tried_after_a_suspension_that_was_longer_than_its_absence() {
-    let _turn = one_at_a_time().await;
+async fn an_ejected_replica_is_probed_after_a_suspension_longer_than_its_ejection() {
+    let _turn = exclusive().await;
     let (own, own_address) = socket().await;
     let (coordinator, replicas) = daemon("own", member("own", own_address), &own);
     let view = replicas.view();
@@ -303,11 +303,11 @@
     let from = SocketAddr::from(([127, 0, 0, 1], 9));
     for lease in 1..=40 {
         for replica in view.all().filter(|replica| replica.hash != bad) {
-            coordinator.receive(ended(lease, replica.hash, OutcomeKind::Served), from);
+            coordinator.receive(completed(lease, replica.hash, OutcomeKind::Served), from);
         }
     }
     for lease in 41..=60 {
-        coordinator.receive(ended(lease, bad, OutcomeKind::Failed), from);
+        coordinator.receive(completed(lease, bad, OutcomeKind::Failed), from);
     }
     for _ in 0..8 {
         assert_ne!(place_item(&coordinator).await.hash, bad, "it is out");
@@ -317,11 +317,11 @@
     assert_ne!(place_item(&coordinator).await.hash, bad, "one at a time");
 }
 
-/// Callers were told on their own clocks when to come back.
+/// Guards against a quarantine that outlasts the retry time given to callers, whose clocks didn't stop.
 #[tokio::test]
-async fn a_content_is_held_back_no_longer_for_a_suspension() {
-    const HELD_FOR: Duration = Duration::from_secs(600);
-    let _turn = one_at_a_time().await;
+async fn a_suspension_does_not_extend_a_quarantine() {
+    const QUARANTINE_DURATION: Duration = Duration::from_secs(600);
+    let _turn = exclusive().await;
     let log = DecisionLog::new(LogBounds::default());
     let pool = ConnectionPool::new(PoolSettings::default(), log.clone());
     let quarantine = QuarantineService::new("own".to_owned(), replica_set(), pool, log);
@@ -334,18 +334,18 @@
         }],
     };
     assert!(quarantine.receive(Kind::CrashNews(news)).is_none());
-    let ContentStatus::Quarantined(hold) = quarantine.status(ContentId(5)) else {
+    let ContentStatus::Quarantined(period) = quarantine.status(ContentId(5)) else {
         panic!("not held");
     };
     harrierward_clock::imagine_suspension(Duration::from_secs(6));
-    assert!(hold.allows_trial(harrierward_clock::now()));
-    let left = hold
+    assert!(period.allows_trial(harrierward_clock::now()));
+    let left = period
         .until
         .saturating_duration_since(harrierward_clock::now());
-    let expected = HELD_FOR - Duration::from_secs(6);
+    let expected = QUARANTINE_DURATION - Duration::from_secs(6);
     let passed = expected.saturating_sub(left);
-    assert!(left <= expected && passed < PATIENCE, "{left:?}");
-    harrierward_clock::imagine_suspension(HELD_FOR);
-    let standing = quarantine.status(ContentId(5));
-    assert_eq!(standing, ContentStatus::Suspect { crashes: 3 });
+    assert!(left <= expected && passed < TIMEOUT, "{left:?}");
+    harrierward_clock::imagine_suspension(QUARANTINE_DURATION);
+    let status = quarantine.status(ContentId(5));
+    assert_eq!(status, ContentStatus::Suspect { crashes: 3 });
 }
