--- a/crates/edge/src/rates/granting.rs
+++ b/crates/edge/src/rates/granting.rs
@@ -73,35 +73,35 @@
             == [Some(unresponsive), Some(&*self.instance_id)]
     }
 
-    pub(super) fn reply_to(&self, ask: &RateAsk) -> RateGrant {
-        self.merge_fleet_size(ask.fleet_members, ask.fleet_seen_ms_ago);
-        let mut grant = self.decide(ask);
+    pub(super) fn reply_to(&self, request: &RateAsk) -> RateGrant {
+        self.merge_fleet_size(request.fleet_members, request.fleet_seen_ms_ago);
+        let mut grant = self.decide(request);
         (grant.fleet_members, grant.fleet_seen_ms_ago) =
             self.fleet.describe(harrierward_clock::now());
         grant
     }
 
-    fn decide(&self, ask: &RateAsk) -> RateGrant {
+    fn decide(&self, request: &RateAsk) -> RateGrant {
         let members = self.members.load();
-        let is_coordinator = self.is_coordinator(&ask.tenant, &members);
-        let tenant = self.tenant(&ask.tenant);
+        let is_coordinator = self.is_coordinator(&request.tenant, &members);
+        let tenant = self.tenant(&request.tenant);
         let decision = tenant
             .filter(|_| is_coordinator)
-            .and_then(|tenant| self.grant(&tenant, ask.wanted.max(1)));
+            .and_then(|tenant| self.grant(&tenant, request.wanted.max(1)));
         let Some(decision) = decision else {
-            if self.try_fallback_grant(ask) {
+            if self.try_fallback_grant(request) {
                 return RateGrant {
-                    number: ask.number,
+                    number: request.number,
                     outcome: RateOutcome::Granted as i32,
                     tokens: 1,
                     ..RateGrant::default()
                 };
             }
-            let [coordinator, _] = top_two(&ask.tenant, &members);
+            let [coordinator, _] = top_two(&request.tenant, &members);
             let other = coordinator.filter(|member| member.id != self.instance_id);
             let address = other.and_then(|member| member.address);
             return RateGrant {
-                number: ask.number,
+                number: request.number,
                 outcome: RateOutcome::NotCoordinator as i32,
                 coordinator: address.map_or_else(String::new, |address| address.to_string()),
                 ..RateGrant::default()
@@ -109,13 +109,13 @@
         };
         match decision {
             RateDecision::Granted { tokens } => RateGrant {
-                number: ask.number,
+                number: request.number,
                 outcome: RateOutcome::Granted as i32,
                 tokens,
                 ..RateGrant::default()
             },
             RateDecision::Exhausted { retry_after } => RateGrant {
-                number: ask.number,
+                number: request.number,
                 outcome: RateOutcome::Empty as i32,
                 retry_after_ms: u32::try_from(retry_after.as_millis()).unwrap_or(u32::MAX),
                 ..RateGrant::default()
@@ -124,11 +124,11 @@
     }
 
     /// Grants a token as a fallback if the request names an unresponsive coordinator; returns true if it did.
-    fn try_fallback_grant(&self, ask: &RateAsk) -> bool {
-        if ask.silent.is_empty() {
+    fn try_fallback_grant(&self, request: &RateAsk) -> bool {
+        if request.silent.is_empty() {
             return false;
         }
-        let tenant = self.tenant(&ask.tenant);
-        tenant.is_some_and(|tenant| self.grant_as_fallback(&tenant, &ask.silent))
+        let tenant = self.tenant(&request.tenant);
+        tenant.is_some_and(|tenant| self.grant_as_fallback(&tenant, &request.silent))
     }
 }
--- a/crates/edge/src/rates/mod.rs
+++ b/crates/edge/src/rates/mod.rs
@@ -159,8 +159,8 @@
         from: SocketAddr,
     ) -> Option<node_datagram::Kind> {
         match kind {
-            node_datagram::Kind::RateAsk(ask) => {
-                let grant = self.reply_to(&ask);
+            node_datagram::Kind::RateAsk(request) => {
+                let grant = self.reply_to(&request);
                 self.send(node_datagram::Kind::RateGrant(grant), from);
                 None
             }
@@ -177,7 +177,7 @@
     /// Marks the sender of a reply that arrived after the timeout as responsive: it is slow to reach, not failed.
     fn note_late_reply(&self, from: SocketAddr) {
         let members = self.members.load();
-        let sender = members.iter().find(|one| one.address == Some(from));
+        let sender = members.iter().find(|member| member.address == Some(from));
         if let Some(sender) = sender {
             self.lock().unresponsive_until.remove(&sender.id);
         }
--- a/crates/edge/src/rates/requests.rs
+++ b/crates/edge/src/rates/requests.rs
@@ -86,8 +86,10 @@
     /// Returns the location of the member with this address, relative to this daemon.
     fn location_of(&self, address: SocketAddr) -> PeerLocation {
         let members = self.members.load();
-        let own = members.iter().find(|one| one.id == self.instance_id);
-        let peer = members.iter().find(|one| one.address == Some(address));
+        let own = members.iter().find(|member| member.id == self.instance_id);
+        let peer = members
+            .iter()
+            .find(|member| member.address == Some(address));
         let peer = peer.map_or_else(Location::default, |peer| peer.location);
         PeerLocation::from(own.map_or(peer, |own| own.location), peer)
     }
@@ -101,10 +103,14 @@
         unresponsive: &str,
     ) -> TokenReply {
         let requested_at = harrierward_clock::now();
-        let ask = self.build_request(tenant, unresponsive, requested_at);
-        let place = self.location_of(address);
-        let send = || self.send(node_datagram::Kind::RateAsk(ask.clone()), address);
-        let Some(grant) = self.calls.call(ask.number, place, TIMEOUTS, send).await else {
+        let request = self.build_request(tenant, unresponsive, requested_at);
+        let location = self.location_of(address);
+        let send = || self.send(node_datagram::Kind::RateAsk(request.clone()), address);
+        let Some(grant) = self
+            .calls
+            .call(request.number, location, TIMEOUTS, send)
+            .await
+        else {
             return TokenReply::NoReply;
         };
         self.merge_fleet_size(grant.fleet_members, grant.fleet_seen_ms_ago);
--- a/crates/edge/src/slots/granting.rs
+++ b/crates/edge/src/slots/granting.rs
@@ -126,8 +126,8 @@
             state.held.take(lease, choice.replica.hash, usage);
             lease
         };
-        let name = (self.holder, lease);
-        choice.is_probe = self.note_granted(query.service, group, &choice.replica, name);
+        let lease_id = (self.holder, lease);
+        choice.is_probe = self.note_granted(query.service, group, &choice.replica, lease_id);
         self.preempt_if_full(&choice, usage);
         SlotReply::Granted { choice, lease }
     }
@@ -140,7 +140,7 @@
         group: GroupId,
         choice: &Choice,
         objective: Duration,
-        may_return: Option<Duration>,
+        max_retry_after: Option<Duration>,
     ) -> Option<Duration> {
         let now = harrierward_clock::now();
         let service = short_hash(service);
@@ -153,7 +153,7 @@
         if position == 0 || !self.costs.policy.has(Mechanism::Admission) {
             return None;
         }
-        let may_return = may_return?;
+        let max_retry_after = max_retry_after?;
         let index = self.index();
         let ejected = Self::ejected(&state, service, group);
         let listed = index.listed(service, group).iter();
@@ -166,7 +166,7 @@
             replica_slots: replica.slots(),
             group_slots: ready.map(|replica| replica.slots()).sum(),
             objective,
-            max_retry_after: may_return,
+            max_retry_after,
         };
         let admission = state.admissions.get_mut(&(service, group))?;
         admission.schedule_retry(&queued, rand::random(), now)
@@ -180,31 +180,31 @@
     }
 
     /// Replies to a peer's lease request.
-    pub(super) fn handle_request(&self, ask: &SlotAsk, from: SocketAddr) {
-        let grant = self.grant_for(ask, from);
+    pub(super) fn handle_request(&self, request: &SlotAsk, from: SocketAddr) {
+        let grant = self.grant_for(request, from);
         self.send(Kind::SlotGrant(grant), from);
     }
 
-    fn grant_for(&self, ask: &SlotAsk, from: SocketAddr) -> SlotGrant {
+    fn grant_for(&self, request: &SlotAsk, from: SocketAddr) -> SlotGrant {
         let none = SlotGrant {
-            lease: ask.lease,
+            lease: request.lease,
             ..SlotGrant::default()
         };
-        self.merge_fleet_size(ask);
-        let granted = self.lock().ledger.replica_of(ask.holder, ask.lease);
+        self.merge_fleet_size(request);
+        let granted = self.lock().ledger.replica_of(request.holder, request.lease);
         let view = self.replicas.view();
-        let Some((service, _)) = view.service_by_hash(ask.service) else {
+        let Some((service, _)) = view.service_by_hash(request.service) else {
             return SlotGrant {
                 not_coordinator: true,
                 ..none
             };
         };
         let group = GroupId {
-            area: ask.group_area,
-            number: ask.group,
+            area: request.group_area,
+            number: request.group,
         };
         let layout = layout(&view, service, self.costs.policy);
-        if !layout.contains(group) || self.coordinator(ask.service, group) != Coordinator::Own {
+        if !layout.contains(group) || self.coordinator(request.service, group) != Coordinator::Own {
             return SlotGrant {
                 not_coordinator: true,
                 ..none
@@ -220,23 +220,23 @@
                 ..none
             };
         }
-        let prompt = prompt_of(ask);
-        let regions = regions_of(ask);
+        let prompt = prompt_of(request);
+        let regions = regions_of(request);
         let requester = Requester {
             location: Location {
-                zone: ask.zone,
-                region: ask.region,
+                zone: request.zone,
+                region: request.region,
             },
-            is_excluded: &|replica| ask.excluded.contains(&replica.hash),
-            is_connected: &|replica| ask.connected.contains(&replica.hash),
-            is_suspected: &|replica| ask.suspected.contains(&replica.hash),
+            is_excluded: &|replica| request.excluded.contains(&replica.hash),
+            is_connected: &|replica| request.connected.contains(&replica.hash),
+            is_suspected: &|replica| request.suspected.contains(&replica.hash),
             prompt: &prompt,
             regions: &regions,
-            length: length_of(ask),
-            is_item: ask.item.is_some(),
-            is_overdue: ask.overdue && !self.claim_retry(service, group),
+            length: length_of(request),
+            is_item: request.item.is_some(),
+            is_overdue: request.overdue && !self.claim_retry(service, group),
             // Requests from other regions aren't used as probes.
-            may_repeat: ask.may_repeat && !ask.spilled,
+            may_repeat: request.may_repeat && !request.spilled,
         };
         let all_cold = SlotGrant {
             all_cold: true,
@@ -248,18 +248,18 @@
             }
             return none;
         };
-        if ask.spilled && choice.free_permille < MIN_FREE_PERMILLE {
+        if request.spilled && choice.free_permille < MIN_FREE_PERMILLE {
             return SlotGrant {
                 free_permille: choice.free_permille,
                 load: choice.load,
                 ..none
             };
         }
-        if ask.item.is_none() {
-            let objective = Duration::from_millis(u64::from(ask.objective_ms));
-            let may_return = Duration::from_millis(u64::from(ask.may_return_ms));
-            let may_return = Some(may_return).filter(|longest| !longest.is_zero());
-            let after = self.retry_after(service, group, &choice, objective, may_return);
+        if request.item.is_none() {
+            let objective = Duration::from_millis(u64::from(request.objective_ms));
+            let max_retry_after = Duration::from_millis(u64::from(request.may_return_ms));
+            let max_retry_after = Some(max_retry_after).filter(|limit| !limit.is_zero());
+            let after = self.retry_after(service, group, &choice, objective, max_retry_after);
             if let Some(after) = after {
                 return SlotGrant {
                     come_back_ms: millis(after).max(1),
@@ -272,7 +272,7 @@
             return all_cold;
         };
         let now = harrierward_clock::now();
-        let usage = match &ask.item {
+        let usage = match &request.item {
             None => SlotUse::Online,
             Some(item) => SlotUse::Batch {
                 due: now + Duration::from_millis(u64::from(item.slack_ms)),
@@ -281,10 +281,10 @@
         let replica = choice.replica.hash;
         self.lock()
             .ledger
-            .grant(ask.holder, from, ask.lease, replica, usage, now);
+            .grant(request.holder, from, request.lease, replica, usage, now);
         self.publish();
-        let name = (ask.holder, ask.lease);
-        let is_probe = self.note_granted(service, group, &choice.replica, name);
+        let lease_id = (request.holder, request.lease);
+        let is_probe = self.note_granted(service, group, &choice.replica, lease_id);
         self.preempt_if_full(&choice, usage);
         choice.replica.note_prompt(&prompt);
         SlotGrant {
@@ -299,8 +299,8 @@
     }
 }
 
-fn prompt_of(ask: &SlotAsk) -> Prompt {
-    let parts = ask.parts.iter().map(|part| PromptPart {
+fn prompt_of(request: &SlotAsk) -> Prompt {
+    let parts = request.parts.iter().map(|part| PromptPart {
         id: part.id,
         tokens: part.tokens,
     });
@@ -310,16 +310,17 @@
     }
 }
 
-fn regions_of(ask: &SlotAsk) -> AllowedRegions {
-    ask.allowed_regions
+fn regions_of(request: &SlotAsk) -> AllowedRegions {
+    request
+        .allowed_regions
         .as_ref()
         .map_or(AllowedRegions::Any, |allowed| {
             AllowedRegions::only(allowed.names.iter().cloned())
         })
 }
 
-fn length_of(ask: &SlotAsk) -> PromptLength {
-    match ask.length {
+fn length_of(request: &SlotAsk) -> PromptLength {
+    match request.length {
         1 => PromptLength::Short,
         2 => PromptLength::Long,
         _ => PromptLength::Uniform,
--- a/crates/edge/src/slots/group_selection.rs
+++ b/crates/edge/src/slots/group_selection.rs
@@ -86,8 +86,8 @@
     /// Returns the groups of one region that have usable replicas.
     fn in_region(&self, region: u32) -> Vec<GroupId> {
         let is_there = |group: &GroupId| {
-            let of = self.index.region_of(self.service, *group);
-            of.is_none_or(|of| of == region)
+            let group_region = self.index.region_of(self.service, *group);
+            group_region.is_none_or(|group_region| group_region == region)
         };
         let there = self.layout.all().filter(is_there);
         there.filter(|group| self.has_usable(*group)).collect()
@@ -96,8 +96,8 @@
     /// Returns the groups of other regions that have responsive replicas.
     fn in_other_regions(&self, region: u32) -> Vec<GroupId> {
         let is_other_region = |group: &GroupId| {
-            let of = self.index.region_of(self.service, *group);
-            of.is_some_and(|of| of != region)
+            let group_region = self.index.region_of(self.service, *group);
+            group_region.is_some_and(|group_region| group_region != region)
         };
         let candidates = self.layout.all().filter(is_other_region);
         candidates
--- a/crates/edge/src/slots/outcomes.rs
+++ b/crates/edge/src/slots/outcomes.rs
@@ -31,7 +31,7 @@
             first_event_ms: release.first_event.map_or(0, |time| millis(time).max(1)),
         };
         let Some(coordinator) = self.peer_coordinating(replica) else {
-            self.take_outcome(self.holder, &outcome);
+            self.apply_outcome(self.holder, &outcome);
             return;
         };
         let report = SlotReport {
@@ -44,13 +44,13 @@
     }
 
     /// Applies the outcomes in a holder's report.
-    pub(super) fn take_outcomes(&self, report: &SlotReport) {
+    pub(super) fn apply_outcomes(&self, report: &SlotReport) {
         for outcome in report.outcomes.iter().take(MAX_OUTCOMES) {
-            self.take_outcome(report.holder, outcome);
+            self.apply_outcome(report.holder, outcome);
         }
     }
 
-    fn take_outcome(&self, holder: u64, outcome: &LeaseOutcome) {
+    fn apply_outcome(&self, holder: u64, outcome: &LeaseOutcome) {
         if !self.costs.policy.has(Mechanism::Ejection) {
             return;
         }
--- a/crates/edge/src/slots/pacing.rs
+++ b/crates/edge/src/slots/pacing.rs
@@ -238,23 +238,23 @@
     }
 
     /// Adds the largest recent fleet size to a lease request, for a coordinator that started after a partition.
-    pub(super) fn add_fleet_size(&self, ask: &mut SlotAsk) {
+    pub(super) fn add_fleet_size(&self, request: &mut SlotAsk) {
         if let Some(pacing) = self.pacing.get() {
             let (members, seen_ms_ago) = pacing.fleet.describe(harrierward_clock::now());
             let present = u32::try_from(self.members.load().len()).unwrap_or(u32::MAX);
             if members > present {
-                ask.fleet_members = members;
-                ask.fleet_seen_ms_ago = seen_ms_ago;
+                request.fleet_members = members;
+                request.fleet_seen_ms_ago = seen_ms_ago;
             }
         }
     }
 
     /// Merges the fleet size in a peer's lease request.
-    pub(super) fn merge_fleet_size(&self, ask: &SlotAsk) {
-        if let Some(pacing) = self.pacing.get().filter(|_| ask.fleet_members > 0) {
+    pub(super) fn merge_fleet_size(&self, request: &SlotAsk) {
+        if let Some(pacing) = self.pacing.get().filter(|_| request.fleet_members > 0) {
             pacing
                 .fleet
-                .merge_report(ask.fleet_members, ask.fleet_seen_ms_ago);
+                .merge_report(request.fleet_members, request.fleet_seen_ms_ago);
         }
     }
 }
--- a/crates/edge/src/slots/reports.rs
+++ b/crates/edge/src/slots/reports.rs
@@ -29,7 +29,7 @@
     }
 
     /// Applies a holder's report of its leases and outcomes.
-    pub(super) fn take_report(&self, report: &SlotReport, from: SocketAddr) {
+    pub(super) fn apply_report(&self, report: &SlotReport, from: SocketAddr) {
         {
             let mut state = self.lock();
             state
@@ -37,7 +37,7 @@
                 .apply_report(report, from, harrierward_clock::now());
             self.observe_hold_times(&mut state);
         }
-        self.take_outcomes(report);
+        self.apply_outcomes(report);
         self.publish();
     }
 
@@ -129,13 +129,13 @@
     pub fn receive(&self, kind: Kind, from: SocketAddr) -> Option<Kind> {
         self.expire_after_suspension();
         match kind {
-            Kind::SlotAsk(ask) => self.handle_request(&ask, from),
+            Kind::SlotAsk(request) => self.handle_request(&request, from),
             Kind::SlotGrant(grant) => {
                 if self.calls.complete(grant.lease, grant) {
                     self.note_late_reply(from);
                 }
             }
-            Kind::SlotReport(report) => self.take_report(&report, from),
+            Kind::SlotReport(report) => self.apply_report(&report, from),
             Kind::YieldRequest(request) => self.handle_preemption(&request),
             other => return Some(other),
         }
--- a/crates/edge/src/slots/requests.rs
+++ b/crates/edge/src/slots/requests.rs
@@ -103,23 +103,23 @@
             coordinator: address,
             replied: false,
         };
-        let mut ask = self.build_request(query, service, group, lease);
-        self.add_fleet_size(&mut ask);
+        let mut request = self.build_request(query, service, group, lease);
+        self.add_fleet_size(&mut request);
         let requested_at = harrierward_clock::now();
-        ask.spilled = target.left_region == Some(CrossRegionReason::Full);
+        request.spilled = target.left_region == Some(CrossRegionReason::Full);
         let timeout = query.objective / TIMEOUT_DIVISOR;
         let timeout = timeout.clamp(MIN_TIMEOUT, MAX_TIMEOUT);
-        let patience = CallTimeouts {
+        let timeouts = CallTimeouts {
             resend_after: timeout * TIMEOUT_DIVISOR / RESEND_DIVISOR,
             timeout,
             max_timeout: query.objective / MAX_WAIT_DIVISOR,
         };
-        let send = || self.send(Kind::SlotAsk(ask.clone()), address);
-        let mut place = PeerLocation::from(self.location, coordinator.location);
+        let send = || self.send(Kind::SlotAsk(request.clone()), address);
+        let mut location = PeerLocation::from(self.location, coordinator.location);
         // A spilled request has a slot in its own region, so it doesn't wait longer for an unmeasured peer; a late
         // reply still yields the round-trip time.
-        place.is_remote_region &= !ask.spilled;
-        let Some(grant) = self.calls.call(lease, place, patience, send).await else {
+        location.is_remote_region &= !request.spilled;
+        let Some(grant) = self.calls.call(lease, location, timeouts, send).await else {
             drop(pending);
             self.note_unresponsive(&coordinator.id);
             return SlotReply::NoCoordinator;
@@ -131,10 +131,10 @@
         if !grant.all_cold && !grant.is_probe {
             self.note_capacity(query, service, group, &grant);
         }
-        self.take_grant(query, lease, &grant, address, requested_at)
+        self.apply_grant(query, lease, &grant, address, requested_at)
     }
 
-    fn take_grant(
+    fn apply_grant(
         &self,
         query: &SlotQuery<'_>,
         lease: u32,
--- a/crates/edge/src/slots/unresponsive.rs
+++ b/crates/edge/src/slots/unresponsive.rs
@@ -32,7 +32,7 @@
     /// Clears the suspicion of a member whose reply arrived after the timeout: it is slow to reach, not unresponsive.
     pub(super) fn note_late_reply(&self, from: SocketAddr) {
         let members = self.members.load();
-        let sender = members.iter().find(|one| one.address == Some(from));
+        let sender = members.iter().find(|member| member.address == Some(from));
         if let Some(sender) = sender {
             self.lock().unresponsive.remove(&sender.id);
         }
