--- a/crates/inline-jobs/src/listing.rs
+++ b/crates/inline-jobs/src/listing.rs
@@ -1,10 +1,10 @@
-//! Listing of results: a conditional write of the header fixes each result's position, marks its item as listed,
-//! and records the failures of items that are to run again.
+//! Listing of results: a conditional write of the header fixes each result's position, marks its item as listed, and
+//! records the failures of items that are to run again.
 
 use std::time::Duration;
 
 use harrierward_decisions::Record;
-use harrierward_wire::{ItemFailuresRow, ItemProgressRow, JobHeaderRow};
+use harrierward_wire::{ItemFailuresRow, ItemProgressRow, JobHeadRow};
 use tokio::time::{Instant, sleep};
 
 use crate::adoption_order::refuted;
@@ -34,8 +34,7 @@
 }
 
 impl InlineJobs {
-    /// Starts a listing task for each job that has results to list or failures to record, and no such task
-    /// yet.
+    /// Starts a listing task for each job that has results to list or failures to record, and no such task yet.
     pub(crate) fn start_listings(&self) {
         let mut registry = self.registry();
         for (job_id, job) in &mut registry.jobs {
@@ -147,7 +146,7 @@
 
 /// Returns the outcome for a conflict; a header that already lists the results is an own write whose response was
 /// lost.
-fn conflict_name(current: &JobHeaderRow, wanted: &JobHeaderRow) -> &'static str {
+fn conflict_name(current: &JobHeadRow, wanted: &JobHeadRow) -> &'static str {
     if current.listed == wanted.listed && current.failures == wanted.failures {
         "committed before"
     } else {
--- a/crates/inline-jobs/src/store/reads.rs
+++ b/crates/inline-jobs/src/store/reads.rs
@@ -3,7 +3,7 @@
 use harrierward_external::{
     Condition, PlatformError, PlatformErrorKind, RequestClass, Row, Transaction,
 };
-use harrierward_wire::{ItemProgressRow, JobHeaderRow, JobItemsRow, ResultPieceRow, decode};
+use harrierward_wire::{ItemProgressRow, JobHeadRow, JobItemsRow, ResultPieceRow, decode};
 use tokio::time::{Instant, sleep};
 
 use super::settling::MAX_PAUSE;
@@ -69,7 +69,7 @@
     }
 
     /// Reads a job's items.
-    pub async fn read_items(&self, header: &JobHeaderRow) -> Result<JobItemsRow, PlatformError> {
+    pub async fn read_items(&self, header: &JobHeadRow) -> Result<JobItemsRow, PlatformError> {
         const STEP: &str = "jobs.read_items";
         let content = if header.item_object.is_empty() {
             let rows = self.read_all(&keys::items_prefix(&header.job_id)).await?;
@@ -101,8 +101,7 @@
         Ok(rows.iter().filter_map(read).collect())
     }
 
-    /// Reads results from `position` on, in order and without gaps: about `bytes` of text at most, but at
-    /// least one.
+    /// Reads results from `position` on, in order and without gaps: about `bytes` of text at most, but at least one.
     pub async fn read_results(
         &self,
         job_id: &str,
@@ -133,10 +132,10 @@
                 if pieces.len() < pieces[0].pieces as usize {
                     continue;
                 }
-                let whole: String = pieces.iter().map(|piece| piece.text.as_str()).collect();
+                let joined: String = pieces.iter().map(|piece| piece.text.as_str()).collect();
                 results.push(ReadResult {
                     failed: pieces[0].failed,
-                    text: whole,
+                    text: joined,
                 });
                 pieces.clear();
                 if read_bytes >= bytes {
--- a/crates/inline-jobs/src/submit.rs
+++ b/crates/inline-jobs/src/submit.rs
@@ -4,7 +4,7 @@
 
 use harrierward_decisions::Record;
 use harrierward_serving::{Route, caller_of};
-use harrierward_wire::{ItemHeadRow, JobHeaderRow, JobItemsRow};
+use harrierward_wire::{ItemHeadRow, JobHeadRow, JobItemsRow};
 use tokio::time::{Instant, sleep};
 
 use crate::adoption_order::released;
@@ -30,7 +30,7 @@
 const MAX_PROOF_AGE: Duration = Duration::from_millis(2_800);
 
 /// How long a submission waits for the first read of the headers, and the interval of its polls.
-const FIRST_READ_WAIT: Duration = Duration::from_millis(800);
+const FIRST_READ_TIMEOUT: Duration = Duration::from_millis(800);
 const FIRST_READ_POLL: Duration = Duration::from_millis(10);
 
 /// Retry delay given to the caller of a job that exceeds the quota.
@@ -120,8 +120,7 @@
                     self.note_header(*current);
                     return SubmitOutcome::Accepted;
                 }
-                // The grant is void under the new fence; the next iteration requests the tokens
-                // from its coordinator.
+                // The grant is void under the new fence; the next iteration requests the tokens from its coordinator.
                 WriteOutcome::Fenced { current } => {
                     if let Some(current) = current {
                         self.inner.view.update_fence(&route.name, current);
@@ -140,17 +139,17 @@
         }
     }
 
-    /// True if the local copy is recent enough to count what is queued. Waits briefly for the first read
-    /// after the daemon's start.
+    /// True if the local copy is recent enough to count what is queued. Waits briefly for the first read after the
+    /// daemon's start.
     async fn is_view_fresh(&self, arrived_at: Instant) -> bool {
         let view = &self.inner.view;
-        while view.proof_age().is_none() && arrived_at.elapsed() < FIRST_READ_WAIT {
+        while view.proof_age().is_none() && arrived_at.elapsed() < FIRST_READ_TIMEOUT {
             sleep(FIRST_READ_POLL).await;
         }
         view.proof_age().is_some_and(|age| age <= MAX_PROOF_AGE)
     }
 
-    fn new_header(&self, job: &SubmittedJob, route: &Route, tenant: &str) -> JobHeaderRow {
+    fn new_header(&self, job: &SubmittedJob, route: &Route, tenant: &str) -> JobHeadRow {
         let items = job
             .items
             .iter()
@@ -159,7 +158,7 @@
                 tokens: item.tokens,
             })
             .collect();
-        let header = JobHeaderRow {
+        let header = JobHeadRow {
             job_id: job.id.clone(),
             route: route.name.clone(),
             host: route.host.clone(),
@@ -186,7 +185,7 @@
     }
 
     /// Registers a stored job, unless it was released to other daemons.
-    fn register_stored(&self, header: JobHeaderRow, rows: JobItemsRow, revision: u64) {
+    fn register_stored(&self, header: JobHeadRow, rows: JobItemsRow, revision: u64) {
         let is_owned = self.owns(&header);
         let known = KnownHeader { header, revision };
         // The watch may have delivered the header already and started the load of the items.
