--- a/crates/edge/src/calls.rs
+++ b/crates/edge/src/calls.rs
@@ -140,7 +140,7 @@
         timeouts: CallTimeouts,
         send: impl Fn(),
     ) -> Option<A> {
-        let timeouts = match self.round_trips.longest(peer.location) {
+        let timeouts = match self.round_trips.upper_bound(peer.location) {
             Some(rtt) => timeouts.with_rtt(rtt),
             None if peer.is_remote_region => timeouts.with_unknown_rtt(),
             None => timeouts,
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,7 +1,6 @@
 //! One serving daemon: its HTTP servers, connection pool, copies of the store's spaces, and peers. It keeps no state
 //! on disk.
 
-mod answer_budget;
 mod calls;
 mod daemon;
 mod discovery;
@@ -17,6 +16,7 @@
 mod rates;
 mod relay;
 mod rendezvous;
+mod response_budget;
 mod round_trips;
 mod server;
 mod settings;
@@ -25,14 +25,13 @@
 mod stop;
 mod watches;
 
-pub use answer_budget::AnswerBudget;
 pub use daemon::{Daemon, DaemonParts, EdgeService};
 pub use discovery::{Discovery, DiscoverySource};
 pub use fleet::SharedFleet;
 pub use harrierward_wire::FORMAT_LEVEL;
 pub use hedged::first_response;
 pub use members::Members;
-pub use peer_loads::{PeerLoads, PeerSum};
+pub use peer_loads::{PeerCounts, PeerLoads};
 pub use peer_updates::PeerUpdates;
 pub use pool::{
     ConnectionPool, PoolError, PoolSettings, PooledBody, PooledResponse, RequestBody, has_token,
@@ -40,6 +39,7 @@
 pub use quarantine::QuarantineService;
 pub use rates::RateService;
 pub use relay::{HttpPeers, SpaceReplies};
+pub use response_budget::ResponseBudget;
 pub use server::{HttpService, ResponseBody, ServerControl, ServerStage, serve};
 pub use settings::{AdvertisedAddresses, EdgeSettings};
-pub use slots::{CoordinatorCandidate, Pacing, SlotService, YieldItems};
+pub use slots::{CoordinatorCandidate, Pacing, PreemptItems, SlotService};
--- a/crates/edge/src/members/notices.rs
+++ b/crates/edge/src/members/notices.rs
@@ -96,9 +96,9 @@
 
     pub(super) fn handle_notice(&self, state: &mut State, mut notice: LoadNotice) {
         self.apply_notice_updates(state, &mut notice);
-        let is_new = state.loads.take(notice, harrierward_clock::now());
+        let is_new = state.loads.apply(notice, harrierward_clock::now());
         // In a large fleet notices arrive too often to publish each; the tick publishes them.
-        if is_new && state.loads.heard() <= NOTICE_FAN_OUT {
+        if is_new && state.loads.reporting() <= NOTICE_FAN_OUT {
             self.publish_loads(state);
         }
     }
--- a/crates/edge/src/peer_rows.rs
+++ b/crates/edge/src/peer_rows.rs
@@ -18,12 +18,12 @@
 use rand::rngs::SmallRng;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::answer_budget::AnswerBudget;
 use crate::discovery::Discovery;
 use crate::hedged::first_response;
 use crate::members::Members;
 use crate::peer_updates::{evacuations_from_message, evacuations_to_message};
 use crate::pool::{ConnectionPool, PooledResponse};
+use crate::response_budget::ResponseBudget;
 use crate::server::{HttpService, ResponseBody};
 
 /// Path of a request for all known rows.
@@ -50,7 +50,7 @@
 /// Serves known rows to peers.
 pub struct PeerRows {
     discovery: Arc<Discovery>,
-    budget: Mutex<AnswerBudget>,
+    budget: Mutex<ResponseBudget>,
 }
 
 impl PeerRows {
--- a/crates/edge/src/rates/mod.rs
+++ b/crates/edge/src/rates/mod.rs
@@ -110,7 +110,7 @@
     pub fn set_members(&self, members: Vec<CoordinatorCandidate>) {
         let mut state = self.lock();
         let now = harrierward_clock::now();
-        self.fleet.see(members.len(), now);
+        self.fleet.observe(members.len(), now);
         let share = self.fleet.share(members.len(), now);
         let before = self.members.load();
         let is_member = |id: &str| members.iter().any(|member| member.id == id);
@@ -159,8 +159,8 @@
         from: SocketAddr,
     ) -> Option<node_datagram::Kind> {
         match kind {
-            node_datagram::Kind::RateAsk(ask) => {
-                let grant = self.reply_to(&ask);
+            node_datagram::Kind::RateAsk(request) => {
+                let grant = self.reply_to(&request);
                 self.send(node_datagram::Kind::RateGrant(grant), from);
                 None
             }
@@ -177,7 +177,7 @@
     /// Marks the sender of a reply that arrived after the timeout as responsive: it is slow to reach, not failed.
     fn note_late_reply(&self, from: SocketAddr) {
         let members = self.members.load();
-        let sender = members.iter().find(|one| one.address == Some(from));
+        let sender = members.iter().find(|member| member.address == Some(from));
         if let Some(sender) = sender {
             self.lock().unresponsive_until.remove(&sender.id);
         }
@@ -201,7 +201,7 @@
     /// Merges a fleet size reported by another member, which may include members that were partitioned off before this
     /// daemon started.
     fn merge_fleet_size(&self, members: u32, seen_ms_ago: u32) {
-        if self.fleet.take(members, seen_ms_ago) {
+        if self.fleet.merge_report(members, seen_ms_ago) {
             self.lock().fleet_size_reported = true;
         }
     }
