--- a/crates/edge/src/discovery/evacuations.rs
+++ b/crates/edge/src/discovery/evacuations.rs
@@ -6,7 +6,9 @@
 
 use harrierward_decisions::Record;
 use harrierward_relay::SpaceUpdate;
-use harrierward_serving::{EvacuatedZones, EvacuationNews, EvacuationRows, WorkClass, ZoneChange};
+use harrierward_serving::{
+    EvacuatedZones, EvacuationRows, EvacuationUpdate, WorkClass, ZoneChange,
+};
 use tokio::time::{Instant, sleep};
 
 use super::Discovery;
@@ -38,16 +40,16 @@
         let evacuations = self
             .zones()
             .rows
-            .take(written, &removed, update.complete_at);
+            .apply(written, &removed, update.complete_at);
         self.take_evacuations(&evacuations, origin);
         self.log_ignored_zones(&evacuations, origin);
     }
 
     /// Logs evacuations that are ignored because the zone limit is reached; repeated at each full read.
-    fn log_ignored_zones(&self, evacuations: &EvacuationNews, origin: &str) {
+    fn log_ignored_zones(&self, evacuations: &EvacuationUpdate, origin: &str) {
         let active = evacuations.zones.iter().filter(|(_, mark)| !mark.is_over);
         for (zone, mark) in active {
-            if self.zones().zones.is_kept(zone) {
+            if self.zones().zones.is_tracked(zone) {
                 continue;
             }
             self.log_zone(zone, mark.revision, "ignored", origin);
@@ -55,7 +57,7 @@
     }
 
     /// Merges evacuations received from the store or from a peer.
-    pub fn take_evacuations(&self, evacuations: &EvacuationNews, origin: &str) {
+    pub fn take_evacuations(&self, evacuations: &EvacuationUpdate, origin: &str) {
         // The lock is held until the replicas are updated: an older set must not overwrite a newer one.
         let mut known = self.zones();
         let changes = known.zones.merge(evacuations, harrierward_clock::now());
@@ -70,8 +72,8 @@
     }
 
     /// Returns the known evacuations, to be sent to peers.
-    pub fn evacuations(&self) -> EvacuationNews {
-        self.zones().zones.news()
+    pub fn evacuations(&self) -> EvacuationUpdate {
+        self.zones().zones.to_update()
     }
 
     /// Returns when this daemon learned that the zone's last evacuation ended; `None` if there was none.
@@ -83,8 +85,9 @@
     fn running_in(&self, zone: &str) -> u32 {
         let view = self.replicas.view();
         let in_zone = view.all().filter(|replica| replica.record.zone == zone);
-        let running =
-            in_zone.map(|replica| replica.own(WorkClass::Online) + replica.own(WorkClass::Batch));
+        let running = in_zone.map(|replica| {
+            replica.own_in_progress(WorkClass::Online) + replica.own_in_progress(WorkClass::Batch)
+        });
         running.sum()
     }
 
--- a/crates/edge/src/peer_updates.rs
+++ b/crates/edge/src/peer_updates.rs
@@ -7,7 +7,7 @@
 
 use harrierward_decisions::{DecisionLog, Record};
 use harrierward_relay::SpaceUpdate;
-use harrierward_serving::{EvacuationNews, ZoneMark};
+use harrierward_serving::{EvacuationState, EvacuationUpdate};
 use harrierward_wire::{EvacuatedZone, Evacuations};
 use tokio::time::{Instant, sleep, timeout};
 
@@ -144,7 +144,7 @@
 }
 
 /// Converts evacuations into their message.
-pub fn evacuations_to_message(evacuations: &EvacuationNews) -> Evacuations {
+pub fn evacuations_to_message(evacuations: &EvacuationUpdate) -> Evacuations {
     let zones = evacuations.zones.iter().map(|(zone, mark)| EvacuatedZone {
         zone: zone.clone(),
         revision: mark.revision,
@@ -157,16 +157,16 @@
 }
 
 /// Converts a message into the evacuations that it carries.
-pub fn evacuations_from_message(message: Evacuations) -> EvacuationNews {
+pub fn evacuations_from_message(message: Evacuations) -> EvacuationUpdate {
     let zones = message.zones.into_iter().map(|entry| {
-        let mark = ZoneMark {
+        let mark = EvacuationState {
             revision: entry.revision,
             is_over: entry.is_over,
         };
         (entry.zone, mark)
     });
-    EvacuationNews {
+    EvacuationUpdate {
         complete_at: message.complete_at,
-        zones: zones.collect::<BTreeMap<String, ZoneMark>>(),
+        zones: zones.collect::<BTreeMap<String, EvacuationState>>(),
     }
 }
--- a/crates/edge/tests/support/mod.rs
+++ b/crates/edge/tests/support/mod.rs
@@ -11,7 +11,7 @@
 
 /// Warmup parameters of the configured service.
 pub const WARMUP: Warmup = Warmup {
-    lasts: Duration::from_secs(6),
+    duration: Duration::from_secs(6),
     per_second: 2.0,
 };
 
--- a/crates/edge/tests/suspended.rs
+++ b/crates/edge/tests/suspended.rs
@@ -11,10 +11,10 @@
 use harrierward_edge::{
     ConnectionPool, CoordinatorCandidate, PoolSettings, QuarantineService, SlotService,
 };
-use harrierward_quarantine::{ContentId, Standing};
+use harrierward_quarantine::{ContentId, ContentStatus};
 use harrierward_serving::{
-    ItemRoom, Location, Prompt, PromptLength, Quarantine, Replica, ReplicaRecord, ReplicaSet,
-    SelectionCosts, SlotAnswer, SlotLeases, SlotQuery,
+    ItemSlack, Location, Prompt, PromptLength, Quarantine, Replica, ReplicaRecord, ReplicaSet,
+    SelectionCosts, SlotLeases, SlotQuery, SlotReply,
 };
 use harrierward_tenants::AllowedRegions;
 use harrierward_wire::{
@@ -109,14 +109,14 @@
     SlotQuery {
         service: SERVICE,
         prompt,
-        length: PromptLength::Alike,
+        length: PromptLength::Uniform,
         excluded: &[],
         regions: &AllowedRegions::Any,
         objective: Duration::from_secs(3),
         item: None,
         overdue: false,
         may_repeat: true,
-        may_return: None,
+        max_retry_after: None,
     }
 }
 
@@ -150,9 +150,9 @@
         ask.lease
     };
     let prompt = Prompt::default();
-    let (answer, lease) = tokio::join!(holder.ask(query(&prompt)), granting);
+    let (answer, lease) = tokio::join!(holder.acquire(query(&prompt)), granting);
     assert!(
-        matches!(answer, SlotAnswer::NoCoordinator),
+        matches!(answer, SlotReply::NoCoordinator),
         "the lease is old"
     );
     receiving.await.expect("no panic");
@@ -280,15 +280,15 @@
 /// The replica at which an item is placed.
 async fn place_item(coordinator: &SlotService) -> Arc<Replica> {
     let prompt = Prompt::default();
-    let item = ItemRoom {
+    let item = ItemSlack {
         slack: Duration::from_secs(9),
     };
     let query = SlotQuery {
         item: Some(item),
         ..query(&prompt)
     };
-    match coordinator.ask(query).await {
-        SlotAnswer::Given { choice, .. } => choice.replica,
+    match coordinator.acquire(query).await {
+        SlotReply::Granted { choice, .. } => choice.replica,
         _ => panic!("no place"),
     }
 }
@@ -334,7 +334,7 @@
         }],
     };
     assert!(quarantine.receive(Kind::CrashNews(news)).is_none());
-    let Standing::Held(hold) = quarantine.standing(ContentId(5)) else {
+    let ContentStatus::Quarantined(hold) = quarantine.status(ContentId(5)) else {
         panic!("not held");
     };
     harrierward_clock::imagine_suspension(Duration::from_secs(6));
@@ -346,6 +346,6 @@
     let passed = expected.saturating_sub(left);
     assert!(left <= expected && passed < PATIENCE, "{left:?}");
     harrierward_clock::imagine_suspension(HELD_FOR);
-    let standing = quarantine.standing(ContentId(5));
-    assert_eq!(standing, Standing::Suspect { ends: 3 });
+    let standing = quarantine.status(ContentId(5));
+    assert_eq!(standing, ContentStatus::Suspect { crashes: 3 });
 }
--- a/crates/inline-jobs/tests/stale_listing.rs
+++ b/crates/inline-jobs/tests/stale_listing.rs
@@ -23,11 +23,11 @@
     InlineJobs, JobCaller, JobParts, JobSettings, KnownHead, Lookup, Peers, QuotaRequest,
     ResultPage,
 };
-use harrierward_ownership::OwnerStanding;
+use harrierward_ownership::OwnerStatus;
 use harrierward_serving::{
-    ExchangeError, Forwarder, ForwarderParts, ForwarderSettings, ItemRoom, KeyTrust, LeaseEnd,
-    NoQuarantine, RateAnswer, RateLimits, Replica, ReplicaAnswer, ReplicaClient, ReplicaRequest,
-    ReplicaSet, SelectionCosts, SlotAnswer, SlotLeases, SlotQuery,
+    ExchangeError, Forwarder, ForwarderParts, ForwarderSettings, ItemSlack, KeyTrust, NoQuarantine,
+    RateLimits, RateStatus, ReleaseReport, Replica, ReplicaClient, ReplicaRequest, ReplicaResponse,
+    ReplicaSet, SelectionCosts, SlotLeases, SlotQuery, SlotReply,
 };
 use harrierward_tenants::Tenant;
 use harrierward_wire::{ItemHeadRow, JobHeadRow, QuotaOutcome, ResultPieceRow, encode};
@@ -144,8 +144,8 @@
 
 #[async_trait]
 impl Peers for Nothing {
-    fn standing(&self, _owner: &str) -> OwnerStanding {
-        OwnerStanding::Gone
+    fn standing(&self, _owner: &str) -> OwnerStatus {
+        OwnerStatus::Absent
     }
 
     fn owners_near(&self, _owner: &str) -> Vec<String> {
@@ -165,14 +165,14 @@
 
 #[async_trait]
 impl RateLimits for Nothing {
-    async fn admit(&self, _tenant: &Tenant, _request: &str) -> RateAnswer {
-        RateAnswer::Within
+    async fn admit(&self, _tenant: &Tenant, _request: &str) -> RateStatus {
+        RateStatus::Within
     }
 }
 
 #[async_trait]
 impl ReplicaClient for Nothing {
-    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaAnswer, ExchangeError> {
+    async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError> {
         Err(ExchangeError::NotSent {
             step: "test",
             peer: request.address.to_owned(),
@@ -183,21 +183,21 @@
 
 #[async_trait]
 impl SlotLeases for Nothing {
-    async fn ask(&self, _query: SlotQuery<'_>) -> SlotAnswer {
-        SlotAnswer::NoCoordinator
+    async fn acquire(&self, _query: SlotQuery<'_>) -> SlotReply {
+        SlotReply::NoCoordinator
     }
 
-    fn take(&self, _replica: &Arc<Replica>, _item: Option<ItemRoom>) -> u32 {
+    fn acquire_locally(&self, _replica: &Arc<Replica>, _item: Option<ItemSlack>) -> u32 {
         1
     }
 
-    fn release(&self, _place: u32, _end: LeaseEnd) {}
+    fn release(&self, _place: u32, _end: ReleaseReport) {}
 
     fn is_coordinated(&self, _replica: &Replica) -> bool {
         false
     }
 
-    fn free_slot(&self, _replica: &Arc<Replica>) {}
+    fn preempt_item(&self, _replica: &Arc<Replica>) {}
 }
 
 fn jobs_over(store: Arc<OneJob>, log: DecisionLog) -> InlineJobs {
@@ -205,7 +205,7 @@
         routes: Arc::new(ArcSwapOption::empty()),
         replicas: Arc::new(ReplicaSet::default()),
         client: Arc::new(Nothing),
-        places: Arc::new(Nothing),
+        leases: Arc::new(Nothing),
         rates: Arc::new(Nothing),
         quarantine: Arc::new(NoQuarantine),
         proof: Arc::default(),
--- a/crates/serving/src/placing.rs
+++ b/crates/serving/src/placement.rs
@@ -10,8 +10,8 @@
 use crate::choice::{Choice, ChoiceQuery, Placement, choose_replica, own_region_first};
 use crate::exchange::ServingRequest;
 use crate::forwarder::Forwarder;
-use crate::gate::{Barred, Passage, barred};
-use crate::leases::{ItemRoom, SlotAnswer, SlotLease, SlotQuery};
+use crate::gate::{GateDenial, GateRequest, check_gate};
+use crate::leases::{ItemSlack, SlotLease, SlotQuery, SlotReply};
 use crate::policy::Mechanism;
 use crate::profile::PromptLength;
 use crate::replica::WorkClass;
@@ -30,7 +30,7 @@
     /// No replica takes it.
     NoReplica,
     /// It would be late; its caller is to come back.
-    ComeBack {
+    RetryLater {
         /// After so long.
         after: Duration,
     },
@@ -44,11 +44,11 @@
         service: &str,
         excluded: &[String],
         objective: Duration,
-        item: Option<ItemRoom>,
+        item: Option<ItemSlack>,
     ) -> Option<Placement> {
         let length = match item {
             None => self.length_of(service, request),
-            Some(_) => PromptLength::Alike,
+            Some(_) => PromptLength::Uniform,
         };
         let query = SlotQuery {
             service,
@@ -60,7 +60,7 @@
             item,
             overdue: false,
             may_repeat: item.is_some(),
-            may_return: None,
+            max_retry_after: None,
         };
         self.ask_or_choose(query, request).await.ok()
     }
@@ -72,7 +72,7 @@
         service: &str,
         objective: Duration,
         may_repeat: bool,
-        may_return: Option<Duration>,
+        max_retry_after: Option<Duration>,
     ) -> Result<Placement, NoPlace> {
         let query = SlotQuery {
             service,
@@ -84,7 +84,7 @@
             item: None,
             overdue: false,
             may_repeat,
-            may_return,
+            max_retry_after,
         };
         self.ask_or_choose(query, request).await
     }
@@ -110,27 +110,27 @@
             item: None,
             overdue: true,
             may_repeat: false,
-            may_return: None,
+            max_retry_after: None,
         };
         let began = Instant::now();
         loop {
             if !self.replicas().view().has_usable(service, &request.regions) {
                 break;
             }
-            match self.places().ask(query).await {
-                SlotAnswer::NoRoom if Instant::now() < until => {
+            match self.leases().acquire(query).await {
+                SlotReply::NoCapacity if Instant::now() < until => {
                     // Not all at the same moment.
                     sleep(pause.mul_f64(rand::random_range(0.75..1.25))).await;
                 }
-                SlotAnswer::Given { choice, lease } => {
+                SlotReply::Granted { choice, lease } => {
                     self.log_overdue(request, began);
-                    let held = SlotLease::new(self.places().clone(), lease);
+                    let held = SlotLease::new(self.leases().clone(), lease);
                     return Some(choice.enter(query.class(), held));
                 }
-                SlotAnswer::NoRoom
-                | SlotAnswer::ComeBack { .. }
-                | SlotAnswer::AllCold
-                | SlotAnswer::NoCoordinator => {
+                SlotReply::NoCapacity
+                | SlotReply::RetryLater { .. }
+                | SlotReply::AllCold
+                | SlotReply::NoCoordinator => {
                     break;
                 }
             }
@@ -144,7 +144,7 @@
         if self.policy().has(Mechanism::LongPromptsApart) {
             self.profiles().observe(service, request.prompt.tokens)
         } else {
-            PromptLength::Alike
+            PromptLength::Uniform
         }
     }
 
@@ -167,8 +167,8 @@
             return Err(NoPlace::NoReplica);
         }
         drop(view);
-        let answer = self.places().ask(query).await;
-        if matches!(answer, SlotAnswer::AllCold) {
+        let answer = self.leases().acquire(query).await;
+        if matches!(answer, SlotReply::AllCold) {
             self.log().record(&Record::ColdPassedOver {
                 request: &request.id,
                 service: query.service,
@@ -176,19 +176,19 @@
             });
         }
         match answer {
-            SlotAnswer::Given { choice, lease } => {
-                let held = SlotLease::new(self.places().clone(), lease);
+            SlotReply::Granted { choice, lease } => {
+                let held = SlotLease::new(self.leases().clone(), lease);
                 if self.overrules(&choice, query.regions) {
                     drop(held);
                     return self.choose_alone(query).ok_or(NoPlace::NoReplica);
                 }
                 Ok(choice.enter(query.class(), held))
             }
-            SlotAnswer::NoRoom => Err(NoPlace::NoReplica),
-            SlotAnswer::ComeBack { after } => Err(NoPlace::ComeBack { after }),
+            SlotReply::NoCapacity => Err(NoPlace::NoReplica),
+            SlotReply::RetryLater { after } => Err(NoPlace::RetryLater { after }),
             // An item can wait for a coordinator's room; a caller cannot.
-            SlotAnswer::AllCold if query.item.is_some() => Err(NoPlace::NoReplica),
-            SlotAnswer::AllCold | SlotAnswer::NoCoordinator => {
+            SlotReply::AllCold if query.item.is_some() => Err(NoPlace::NoReplica),
+            SlotReply::AllCold | SlotReply::NoCoordinator => {
                 self.choose_alone(query).ok_or(NoPlace::NoReplica)
             }
         }
@@ -197,13 +197,14 @@
     /// True if this daemon knows that the request must not go where the coordinator sends it: one that has not heard of an
     /// evacuation would grant the zone's replicas one after the other until the request is given up.
     fn overrules(&self, choice: &Choice, regions: &AllowedRegions) -> bool {
-        let passage = Passage {
+        let passage = GateRequest {
             regions,
             cold_until: choice.cold_until,
         };
-        let reason = barred(&choice.replica, &passage, harrierward_clock::now());
-        let Some(reason @ (Barred::ZoneEvacuated | Barred::RegionNotAllowed | Barred::Ended)) =
-            reason
+        let reason = check_gate(&choice.replica, &passage, harrierward_clock::now());
+        let Some(
+            reason @ (GateDenial::ZoneEvacuated | GateDenial::RegionNotAllowed | GateDenial::Ended),
+        ) = reason
         else {
             return false;
         };
@@ -216,7 +217,7 @@
 
     fn choose_alone(&self, query: SlotQuery<'_>) -> Option<Placement> {
         let view = self.replicas().view();
-        let places = self.places();
+        let places = self.leases();
         let zone = &self.settings().zone;
         let region = &self.settings().region;
         let wanted = ChoiceQuery {
@@ -230,7 +231,7 @@
             is_suspected: &|replica| replica.is_suspected(),
             is_item: query.item.is_some(),
             is_overdue: false,
-            most_candidates: if self.policy().has(Mechanism::Sampling) {
+            max_candidates: if self.policy().has(Mechanism::Sampling) {
                 OWN_CANDIDATES
             } else {
                 usize::MAX
@@ -239,17 +240,17 @@
         let now = harrierward_clock::now();
         let mut usable = view.usable(query.service);
         // Only a coordinator counts what a cold replica gets, and it may have heard sooner that one is cold.
-        usable.retain(|replica| !replica.is_cold(now) && !places.is_told_cold(replica));
+        usable.retain(|replica| !replica.is_cold(now) && !places.is_reported_cold(replica));
         let (replicas, left) = own_region_first(usable, &wanted);
         let mut choice = choose_replica(&view, replicas, &self.settings().costs, &wanted)?;
         choice.left_region = left.filter(|_| choice.replica.record.region != *region);
-        let number = places.take(&choice.replica, query.item);
+        let number = places.acquire_locally(&choice.replica, query.item);
         let held = SlotLease::new(Arc::clone(places), number);
         let replica = choice.replica.clone();
         let placement = choice.enter(query.class(), held);
         let may_preempt = self.policy().has(Mechanism::Preemption);
         if may_preempt && query.class() == WorkClass::Online && replica.is_crowded_by_batch() {
-            places.free_slot(&replica);
+            places.preempt_item(&replica);
         }
         Some(placement)
     }
--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -9,19 +9,19 @@
 use harrierward_decisions::Record;
 use tokio::time::sleep;
 
-use crate::attempt::{Attempt, AttemptFailure, Sending, wait_for_progress};
+use crate::attempt::{Attempt, AttemptFailure, AttemptOptions, wait_for_progress};
 use crate::events::EventSplitter;
-use crate::exchange::AnswerBody;
+use crate::exchange::ReplicaBody;
 use crate::forwarder::Forwarder;
 use crate::in_progress::InProgress;
-use crate::outcome::{Evidence, Verdict};
+use crate::outcome::{AttemptOutcome, Evidence};
 use crate::replica::Replica;
 use crate::request_state::{RequestClock, RequestState};
 
 /// The answer could not be brought to its end; the caller's connection must be broken off.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("answer cut: {cause}")]
-pub struct Cut {
+pub struct ResponseAborted {
     /// Cause in words.
     pub cause: String,
 }
@@ -43,7 +43,7 @@
     forwarder: Forwarder,
     state: RequestState,
     status: u16,
-    body: Option<AnswerBody>,
+    body: Option<ReplicaBody>,
     in_progress: Option<InProgress>,
     splitter: EventSplitter,
     ready: VecDeque<Bytes>,
@@ -66,8 +66,8 @@
         Self {
             forwarder,
             state,
-            status: attempt.answer.status,
-            body: Some(attempt.answer.body),
+            status: attempt.response.status,
+            body: Some(attempt.response.body),
             in_progress: Some(attempt.in_progress),
             splitter: EventSplitter::default(),
             ready: VecDeque::new(),
@@ -78,22 +78,22 @@
     }
 
     /// The body as a stream for the caller.
-    pub fn into_stream(self) -> impl Stream<Item = Result<Bytes, Cut>> + Send {
+    pub fn into_stream(self) -> impl Stream<Item = Result<Bytes, ResponseAborted>> + Send {
         stream::unfold(self, |mut relay| async move {
             let item = relay.next().await?;
             Some((item, relay))
         })
     }
 
-    fn conclude(&self, verdict: Verdict) {
+    fn conclude(&self, verdict: AttemptOutcome) {
         if let Some(in_progress) = &self.in_progress {
             in_progress.conclude(verdict);
         }
     }
 
-    fn break_off(&self) {
+    fn note_disconnect(&self) {
         if let Some(in_progress) = &self.in_progress {
-            in_progress.break_off();
+            in_progress.note_disconnect();
         }
     }
 
@@ -101,7 +101,7 @@
         self.state.route.is_resumable() && self.status < 300
     }
 
-    async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
+    async fn next(&mut self) -> Option<Result<Bytes, ResponseAborted>> {
         loop {
             if let Some(bytes) = self.ready.pop_front() {
                 return Some(Ok(bytes));
@@ -113,19 +113,19 @@
                 Step::Wait => {}
                 Step::Bytes(bytes) if self.splits_events() => self.split(&bytes),
                 Step::Bytes(bytes) => return Some(Ok(bytes)),
-                Step::End if self.splits_events() && self.splitter.left_over() > 0 => {
+                Step::End if self.splits_events() && self.splitter.buffered_bytes() > 0 => {
                     let cause = "the stream ended within an event".to_owned();
-                    self.break_off();
+                    self.note_disconnect();
                     if let Err(cut) = self.go_on(cause).await {
                         return Some(Err(cut));
                     }
                 }
                 Step::End => {
                     if self.status < FIRST_ERROR {
-                        self.conclude(Verdict::Served);
+                        self.conclude(AttemptOutcome::Served);
                     }
                     if let Some(in_progress) = &self.in_progress {
-                        in_progress.note_whole();
+                        in_progress.note_complete();
                     }
                     self.finish("whole");
                     return None;
@@ -162,14 +162,14 @@
                 // One that has sent something may only have had little time.
                 let began = in_progress.evidence().is_some_and(Evidence::has_begun);
                 if !began {
-                    in_progress.conclude(Verdict::Silent);
+                    in_progress.conclude(AttemptOutcome::Unresponsive);
                 }
                 Step::Broken("the route's time is over".to_owned())
             }
             None if movable && !self.has_elsewhere() => Step::Wait,
             None => {
                 replica.suspect();
-                in_progress.conclude(Verdict::Silent);
+                in_progress.conclude(AttemptOutcome::Unresponsive);
                 Step::Broken("no event in time".to_owned())
             }
             Some(None) => Step::End,
@@ -182,7 +182,7 @@
                 Step::Bytes(bytes)
             }
             Some(Some(Err(error))) => {
-                in_progress.break_off();
+                in_progress.note_disconnect();
                 Step::Broken(error.to_string())
             }
         }
@@ -214,7 +214,7 @@
     }
 
     /// Goes on at another replica after the last event delivered, if that is allowed.
-    async fn go_on(&mut self, cause: String) -> Result<(), Cut> {
+    async fn go_on(&mut self, cause: String) -> Result<(), ResponseAborted> {
         // The connection is closed before another replica starts.
         self.body = None;
         let left = self.in_progress.take();
@@ -237,13 +237,13 @@
             let (replica, result) = self.try_again().await;
             self.state.tried.extend(replica);
             match result {
-                Ok(attempt) if attempt.answer.status < 300 => {
-                    self.body = Some(attempt.answer.body);
+                Ok(attempt) if attempt.response.status < 300 => {
+                    self.body = Some(attempt.response.body);
                     self.in_progress = Some(attempt.in_progress);
                     return Ok(());
                 }
                 Ok(attempt) => {
-                    let status = attempt.answer.status;
+                    let status = attempt.response.status;
                     first_cause = Some(format!("resumed with status {status}"));
                 }
                 Err(
@@ -263,7 +263,7 @@
                         self.forgive_end(&replica).await;
                     }
                 }
-                Err(AttemptFailure::NoReplica | AttemptFailure::ComeBack { .. }) => {
+                Err(AttemptFailure::NoReplica | AttemptFailure::RetryLater { .. }) => {
                     self.state.sends -= 1;
                     first_cause = Some("no replica".to_owned());
                     if !self.wait_for_room(&mut room_waits).await {
@@ -279,7 +279,7 @@
     /// with the second one that it ends.
     async fn forgive_end(&mut self, replica: &Arc<Replica>) {
         let is_last = self.state.sends >= self.state.route.attempts;
-        if self.splits_events() && is_last && self.forwarder.has_ended(replica).await {
+        if self.splits_events() && is_last && self.forwarder.has_crashed(replica).await {
             self.state.forgive();
         }
     }
@@ -299,7 +299,7 @@
     async fn try_again(&mut self) -> (Option<String>, Result<Attempt, AttemptFailure>) {
         let state = &self.state;
         let times = || state.clock.attempt_times(&state.route, state.sends);
-        let sending = Sending {
+        let sending = AttemptOptions {
             resume_after: self.delivered,
             fresh_connection: true,
             number: state.sends,
@@ -320,7 +320,7 @@
         });
     }
 
-    fn cut(&mut self, cause: String) -> Cut {
+    fn cut(&mut self, cause: String) -> ResponseAborted {
         self.finish("cut");
         self.forwarder.log().record(&Record::AttemptFailed {
             request: &self.state.request.id,
@@ -330,7 +330,7 @@
             not_run: false,
             after_ms: self.state.clock.elapsed_ms(),
         });
-        Cut { cause }
+        ResponseAborted { cause }
     }
 
     fn finish(&mut self, outcome: &'static str) {
