--- a/crates/edge/src/pool.rs
+++ b/crates/edge/src/pool.rs
@@ -38,7 +38,7 @@
     /// Maximum number of idle connections per address.
     pub idle_per_address: usize,
     /// Stall in an abandoned exchange after which all connections unused since before it are closed.
-    pub silent_after: Duration,
+    pub stall_timeout: Duration,
 }
 
 impl Default for PoolSettings {
@@ -49,7 +49,7 @@
             idle: Duration::from_millis(1_500),
             idle_margin: Duration::from_millis(700),
             idle_per_address: 32,
-            silent_after: Duration::from_millis(200),
+            stall_timeout: Duration::from_millis(200),
         }
     }
 }
@@ -383,8 +383,8 @@
         })
     }
 
-    pub(crate) fn silent_after(&self) -> Duration {
-        self.inner.settings.silent_after
+    pub(crate) fn stall_timeout(&self) -> Duration {
+        self.inner.settings.stall_timeout
     }
 
     fn keep_for(&self, headers: &HeaderMap) -> Option<Duration> {
--- a/crates/edge/src/silence.rs
+++ b/crates/edge/src/silence.rs
@@ -60,7 +60,7 @@
         let Some(heard_at) = self.heard_at else {
             return;
         };
-        if harrierward_clock::age(heard_at) >= self.pool.silent_after() {
+        if harrierward_clock::age(heard_at) >= self.pool.stall_timeout() {
             self.pool.close_stalled(&self.address, heard_at);
         }
     }
--- a/crates/edge/tests/pool.rs
+++ b/crates/edge/tests/pool.rs
@@ -86,7 +86,7 @@
 
 fn pool() -> ConnectionPool {
     let settings = PoolSettings {
-        silent_after: STALL_TIMEOUT,
+        stall_timeout: STALL_TIMEOUT,
         ..PoolSettings::default()
     };
     ConnectionPool::new(settings, DecisionLog::new(LogBounds::default()))
