--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -31,13 +31,13 @@
     ///
     /// # Errors
     /// The row holds an invalid configuration: the field and its value. Keys are not included.
-    fn configuration_of(&self, row: &Row) -> Result<Option<ServingConfiguration>, String>;
+    fn parse_configuration(&self, row: &Row) -> Result<Option<ServingConfiguration>, String>;
 
     /// Parses the replica of a row.
     ///
     /// # Errors
     /// The row holds no usable replica: the part that is invalid. The row's own text is not included.
-    fn replica_of(&self, row: &Row) -> Result<ReplicaRecord, String>;
+    fn parse_replica(&self, row: &Row) -> Result<ReplicaRecord, String>;
 
     /// Returns the zone that a configuration row with this key evacuates; `None` for other rows.
     fn evacuated_zone_of(&self, _key: &str) -> Option<String> {
@@ -45,7 +45,7 @@
     }
 
     /// True if the zone is part of the configured topology.
-    fn knows_zone(&self, _zone: &str) -> bool {
+    fn is_configured_zone(&self, _zone: &str) -> bool {
         true
     }
 }
@@ -154,7 +154,7 @@
     }
 
     fn adopt(&self, row: &Row, origin: &str) {
-        let configuration = match self.source.configuration_of(row) {
+        let configuration = match self.source.parse_configuration(row) {
             Ok(Some(configuration)) => configuration,
             Ok(None) => return,
             Err(cause) => {
@@ -247,7 +247,7 @@
         is_first_read: bool,
         changes: &mut ReplicaChanges,
     ) {
-        let mut record = match self.source.replica_of(row) {
+        let mut record = match self.source.parse_replica(row) {
             Ok(record) => record,
             Err(cause) => {
                 self.reject_replica(rows, row, &cause, changes);
@@ -324,7 +324,7 @@
         let view = self.replicas.view();
         let readable = written
             .iter()
-            .filter_map(|row| self.source.replica_of(row).ok());
+            .filter_map(|row| self.source.parse_replica(row).ok());
         for record in readable {
             if let Some(replica) = view.get(&record.id) {
                 // Another replica instance takes its warmup from its own record.
--- a/crates/edge/src/discovery/evacuations.rs
+++ b/crates/edge/src/discovery/evacuations.rs
@@ -109,7 +109,7 @@
             source: origin,
             proof_age_ms: proof_age.map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             running: self.running_in(zone),
-            is_known: self.source.knows_zone(zone),
+            is_known: self.source.is_configured_zone(zone),
         });
     }
 
--- a/crates/edge/tests/support/mod.rs
+++ b/crates/edge/tests/support/mod.rs
@@ -28,7 +28,7 @@
         "replicas"
     }
 
-    fn configuration_of(&self, row: &Row) -> Result<Option<ServingConfiguration>, String> {
+    fn parse_configuration(&self, row: &Row) -> Result<Option<ServingConfiguration>, String> {
         if self.evacuated_zone_of(&row.key).is_some() {
             return Ok(None);
         }
@@ -51,11 +51,11 @@
         key.strip_prefix("evacuate/").map(str::to_owned)
     }
 
-    fn knows_zone(&self, zone: &str) -> bool {
+    fn is_configured_zone(&self, zone: &str) -> bool {
         zone == "zone"
     }
 
-    fn replica_of(&self, row: &Row) -> Result<ReplicaRecord, String> {
+    fn parse_replica(&self, row: &Row) -> Result<ReplicaRecord, String> {
         let text = String::from_utf8(row.value.to_vec()).map_err(|error| error.to_string())?;
         let (address, warmup_ms) = text.split_once(' ').unwrap_or((&text, "0"));
         let warmup_ms = warmup_ms.parse().map_err(|_| "warmup".to_owned())?;
