--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -216,7 +216,7 @@
         tokio::spawn(quarantine.clone().keep_stored(table, store_now_ms));
         tokio::spawn(jobs.clone().run());
         tokio::spawn(peer_updates.catch_up(pool.clone()));
-        tokio::spawn(discovery.clone().watch_evacuated());
+        tokio::spawn(discovery.clone().report_evacuated_zones());
         let bootstrapping = bootstrap(
             discovery.clone(),
             members.clone(),
--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -143,8 +143,8 @@
 
     /// Applies an update of the configuration's space. Evacuations are applied first, so that they are in force
     /// before the configuration admits requests.
-    pub fn take_configuration(&self, update: &SpaceUpdate, origin: &str) {
-        self.take_evacuation_rows(update, origin);
+    pub fn apply_configuration(&self, update: &SpaceUpdate, origin: &str) {
+        self.apply_evacuation_rows(update, origin);
         for row in &update.written {
             self.adopt(row, origin);
         }
@@ -198,7 +198,7 @@
     }
 
     /// Applies an update of the replicas' space from the store.
-    pub fn take_replicas(&self, update: &SpaceUpdate) {
+    pub fn apply_replicas(&self, update: &SpaceUpdate) {
         let mut rows = self.rows();
         let is_first_read = !std::mem::replace(&mut rows.replicas_read, true);
         let mut changes = ReplicaChanges::default();
@@ -223,7 +223,7 @@
     }
 
     /// Applies replicas from a peer, unless replicas have been read already.
-    pub fn take_replicas_of_peer(&self, peer_rows: &[Row]) {
+    pub fn apply_peer_replicas(&self, peer_rows: &[Row]) {
         let mut rows = self.rows();
         if rows.replicas_read {
             return;
--- a/crates/edge/src/discovery/evacuations.rs
+++ b/crates/edge/src/discovery/evacuations.rs
@@ -27,7 +27,7 @@
         self.zones.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn take_evacuation_rows(&self, update: &SpaceUpdate, origin: &str) {
+    pub(super) fn apply_evacuation_rows(&self, update: &SpaceUpdate, origin: &str) {
         let zone_of = |key: &str| self.source.evacuated_zone_of(key);
         let written = update.written.iter();
         let written = written.filter_map(|row| Some((zone_of(&row.key)?, row.revision)));
@@ -41,7 +41,7 @@
             .zones()
             .rows
             .apply(written, &removed, update.complete_at);
-        self.take_evacuations(&evacuations, origin);
+        self.merge_evacuations(&evacuations, origin);
         self.log_ignored_zones(&evacuations, origin);
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Merges evacuations received from the store or from a peer.
-    pub fn take_evacuations(&self, evacuations: &EvacuationUpdate, origin: &str) {
+    pub fn merge_evacuations(&self, evacuations: &EvacuationUpdate, origin: &str) {
         // The lock is held until the replicas are updated: an older set must not overwrite a newer one.
         let mut known = self.zones();
         let changes = known.zones.merge(evacuations, harrierward_clock::now());
@@ -114,7 +114,7 @@
     }
 
     /// Logs the work that still runs in evacuated zones; never returns.
-    pub async fn watch_evacuated(self: Arc<Self>) {
+    pub async fn report_evacuated_zones(self: Arc<Self>) {
         let mut logged: HashMap<String, u32> = HashMap::new();
         loop {
             sleep(RUNNING_CHECK_INTERVAL).await;
--- a/crates/edge/src/members/notices.rs
+++ b/crates/edge/src/members/notices.rs
@@ -81,21 +81,21 @@
     }
 
     /// Applies the operator's rows that a notice carries.
-    pub(super) fn apply_notice_updates(&self, state: &State, notice: &mut LoadNotice) {
+    pub(super) fn apply_peer_updates(&self, state: &State, notice: &mut LoadNotice) {
         let Some(peer_updates) = self.peer_updates.get() else {
             return;
         };
         if let Some(evacuations) = notice.evacuations.take() {
-            peer_updates.take_evacuations(evacuations, &notice.from);
+            peer_updates.merge_evacuations(evacuations, &notice.from);
         }
-        peer_updates.take_version(notice.configuration_version, || {
+        peer_updates.note_peer_version(notice.configuration_version, || {
             let member = state.view.member(&notice.from)?;
             Some(member.peer_address.clone())
         });
     }
 
     pub(super) fn handle_notice(&self, state: &mut State, mut notice: LoadNotice) {
-        self.apply_notice_updates(state, &mut notice);
+        self.apply_peer_updates(state, &mut notice);
         let is_new = state.loads.take(notice, harrierward_clock::now());
         // In a large fleet notices arrive too often to publish each; the tick publishes them.
         if is_new && state.loads.heard() <= NOTICE_FAN_OUT {
--- a/crates/edge/src/peer_rows.rs
+++ b/crates/edge/src/peer_rows.rs
@@ -164,15 +164,15 @@
         return;
     };
     if let Some(evacuations) = rows.evacuations {
-        discovery.take_evacuations(&evacuations_from_message(evacuations), "peer");
+        discovery.merge_evacuations(&evacuations_from_message(evacuations), "peer");
     }
     let update = SpaceUpdate {
         written: vec![to_row(configuration)],
         ..SpaceUpdate::default()
     };
-    discovery.take_configuration(&update, "peer");
+    discovery.apply_configuration(&update, "peer");
     let replicas: Vec<Row> = rows.replicas.into_iter().map(to_row).collect();
-    discovery.take_replicas_of_peer(&replicas);
+    discovery.apply_peer_replicas(&replicas);
 }
 
 /// Fetches rows from peers until this daemon can serve. Rows from peers prove no contact with the store; only the
--- a/crates/edge/src/peer_updates.rs
+++ b/crates/edge/src/peer_updates.rs
@@ -72,15 +72,15 @@
     }
 
     /// Merges the evacuations received from a peer.
-    pub fn take_evacuations(&self, received: Evacuations, peer: &str) {
+    pub fn merge_evacuations(&self, received: Evacuations, peer: &str) {
         self.discovery
-            .take_evacuations(&evacuations_from_message(received), peer);
+            .merge_evacuations(&evacuations_from_message(received), peer);
     }
 
     /// Notes a version announced by a peer whose control address is `address`. It is fetched once this daemon's proof
     /// is stale, or the peer has been ahead for long: a feed may skip a change and still prove contact. Until then
     /// the store is expected to deliver it.
-    pub fn take_version(&self, version: u64, address: impl FnOnce() -> Option<String>) {
+    pub fn note_peer_version(&self, version: u64, address: impl FnOnce() -> Option<String>) {
         let own = self.discovery.configuration_version();
         if version <= own || !(self.is_feed_lagging(own) || self.discovery.is_stale()) {
             return;
@@ -138,7 +138,7 @@
                 written: vec![to_row(configuration)],
                 ..SpaceUpdate::default()
             };
-            self.discovery.take_configuration(&update, "peer");
+            self.discovery.apply_configuration(&update, "peer");
         }
     }
 }
--- a/crates/edge/src/watches.rs
+++ b/crates/edge/src/watches.rs
@@ -117,7 +117,7 @@
     );
     let target = discovery.clone();
     let copy = intervals.copy(source.configuration_space());
-    let apply = move |update| target.take_configuration(&update, "store");
+    let apply = move |update| target.apply_configuration(&update, "store");
     tokio::spawn(configuration.run_shared(copy, apply));
     let replicas = watch(
         source.replica_space(),
@@ -127,7 +127,7 @@
     );
     let target = discovery.clone();
     let copy = intervals.copy(source.replica_space());
-    tokio::spawn(replicas.run_shared(copy, move |update| target.take_replicas(&update)));
+    tokio::spawn(replicas.run_shared(copy, move |update| target.apply_replicas(&update)));
     let wait = WatchSettings::default().wait;
     let heads = watch(HEADS, partitions(), intervals.coalescing(HEADS), wait);
     let copy = intervals.copy(HEADS);
@@ -135,7 +135,7 @@
     tokio::spawn(async move {
         // When all daemons start at once the store is overloaded: what callers wait for is read first.
         wait_until_complete(&discovery).await;
-        let apply = move |update| job_rows.take(&update);
+        let apply = move |update| job_rows.apply(&update);
         heads.run_shared(copy, apply).await;
     });
 }
@@ -163,7 +163,7 @@
 }
 
 impl JobRowHandler {
-    fn take(&self, update: &SpaceUpdate) {
+    fn apply(&self, update: &SpaceUpdate) {
         let view = self.jobs.view();
         view.note_revision(update.revision);
         for row in &update.written {
--- a/crates/edge/tests/discovery.rs
+++ b/crates/edge/tests/discovery.rs
@@ -76,7 +76,7 @@
     let fixture = Fixture::new();
     let apply = |version: &str, revision| {
         let update = written(vec![row("op", version, revision)]);
-        fixture.discovery.take_configuration(&update, "test");
+        fixture.discovery.apply_configuration(&update, "test");
     };
     apply("7", 10);
     // A late read of an older configuration, at a higher revision.
@@ -90,18 +90,20 @@
 async fn the_first_read_of_the_store_replaces_replicas_from_a_peer() {
     let fixture = Fixture::new();
     let configuration = written(vec![row("op", "1", 1)]);
-    fixture.discovery.take_configuration(&configuration, "peer");
+    fixture
+        .discovery
+        .apply_configuration(&configuration, "peer");
     let from_peer = [row("gone", "1:1", 3), row("stays", "1:2", 4)];
-    fixture.discovery.take_replicas_of_peer(&from_peer);
+    fixture.discovery.apply_peer_replicas(&from_peer);
     assert!(fixture.discovery.is_complete());
     assert_eq!(fixture.replica_ids(), ["gone", "stays"]);
 
     let from_store = written(vec![row("stays", "1:2", 4), row("new", "1:3", 9)]);
-    fixture.discovery.take_replicas(&from_store);
+    fixture.discovery.apply_replicas(&from_store);
     assert_eq!(fixture.replica_ids(), ["new", "stays"]);
 
     // Later rows of a peer change nothing.
-    fixture.discovery.take_replicas_of_peer(&from_peer);
+    fixture.discovery.apply_peer_replicas(&from_peer);
     assert_eq!(fixture.replica_ids(), ["new", "stays"]);
 }
 
@@ -160,7 +162,7 @@
     let configuration = written(vec![row("op", "1", 1)]);
     let apply = |value: &str, revision| {
         let update = written(vec![row("one", value, revision)]);
-        fixture.discovery.take_replicas(&update);
+        fixture.discovery.apply_replicas(&update);
     };
     let is_cold = || {
         let view = fixture.replicas.view();
@@ -168,7 +170,9 @@
     };
     apply("1:1", 2);
     assert!(!is_cold());
-    fixture.discovery.take_configuration(&configuration, "test");
+    fixture
+        .discovery
+        .apply_configuration(&configuration, "test");
     let view = fixture.replicas.view();
     let replica = view.get("one").expect("listed");
     assert_eq!(replica.service_warmup(), Some(WARMUP));
@@ -176,7 +180,7 @@
     assert!(is_cold(), "it turned cold");
     apply("1:1 0", 4);
     assert!(!is_cold(), "it is warm again");
-    fixture.discovery.take_replicas(&SpaceUpdate {
+    fixture.discovery.apply_replicas(&SpaceUpdate {
         removed: vec!["one".to_owned()],
         ..SpaceUpdate::default()
     });
@@ -193,7 +197,7 @@
     let fixture = Fixture::new();
     let apply = |value: &str, revision| {
         let update = written(vec![row("one", value, revision)]);
-        fixture.discovery.take_replicas(&update);
+        fixture.discovery.apply_replicas(&update);
     };
     apply("1:1", 2);
     let lines = fixture.log.held_lines();
@@ -238,7 +242,7 @@
     fn new() -> Self {
         let fixture = Fixture::new();
         let replicas = written(vec![row("replica", "1:1", 3)]);
-        fixture.discovery.take_replicas(&replicas);
+        fixture.discovery.apply_replicas(&replicas);
         Self {
             fixture,
             copy: SpaceCopy::default(),
@@ -247,7 +251,7 @@
 
     fn read_all(&mut self, revision: u64, rows: Vec<Row>) {
         if let Some(update) = self.copy.take_snapshot(snapshot(revision, rows)) {
-            self.fixture.discovery.take_configuration(&update, "store");
+            self.fixture.discovery.apply_configuration(&update, "store");
         }
     }
 
@@ -258,14 +262,14 @@
             store_time_ms: 2,
             proof: None,
         });
-        self.fixture.discovery.take_configuration(&update, "store");
+        self.fixture.discovery.apply_configuration(&update, "store");
     }
 
     fn receive_from(&self, peer: &EvacuationFixture) {
         let evacuations = peer.fixture.discovery.evacuations();
         self.fixture
             .discovery
-            .take_evacuations(&evacuations, "peer");
+            .merge_evacuations(&evacuations, "peer");
     }
 
     fn is_evacuated(&self) -> bool {
@@ -394,7 +398,7 @@
         let mut lines = text.lines().filter_map(|line| line.strip_prefix(name));
         lines.next().map(|value| value.trim().to_owned())
     };
-    let reporting = tokio::spawn(discovery.watch_evacuated());
+    let reporting = tokio::spawn(discovery.report_evacuated_zones());
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert_eq!(metric().as_deref(), Some("1"));
     drop(running);
--- a/crates/edge/tests/peer_updates.rs
+++ b/crates/edge/tests/peer_updates.rs
@@ -98,7 +98,7 @@
         as_of: Some(harrierward_clock::now()),
         ..SpaceUpdate::default()
     };
-    discovery.take_configuration(&update, "store");
+    discovery.apply_configuration(&update, "store");
 }
 
 #[tokio::test]
@@ -108,7 +108,7 @@
     let began = Instant::now();
     while began.elapsed() < IN_FORCE_WITHIN && discovery.configuration_version() < 2 {
         apply_feed_response(&discovery, None);
-        peer_updates.take_version(2, || Some(address.clone()));
+        peer_updates.note_peer_version(2, || Some(address.clone()));
         sleep(NOTICE_INTERVAL).await;
     }
     assert_eq!(discovery.configuration_version(), 2);
@@ -124,7 +124,7 @@
         // A working feed, delayed by one or two slow responses of the store.
         let version = (began.elapsed() > 3 * NOTICE_INTERVAL).then_some(2);
         apply_feed_response(&discovery, version);
-        peer_updates.take_version(2, || Some(address.clone()));
+        peer_updates.note_peer_version(2, || Some(address.clone()));
         sleep(NOTICE_INTERVAL).await;
     }
     assert_eq!(discovery.configuration_version(), 2);
