--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -74,7 +74,7 @@
     /// True if the daemon accepts new connections: it is discovered, not stopping and not isolated from the store.
     pub fn is_ready(&self) -> bool {
         let stopping = self.stopping.load(Ordering::Relaxed);
-        !stopping && self.discovery.is_complete() && !self.members.is_cut_off_alone()
+        !stopping && self.discovery.is_complete() && !self.members.is_isolated_from_store()
     }
 
     /// True if the daemon is closing and starts no new work.
@@ -189,7 +189,7 @@
             peers: members.clone(),
             log: log.clone(),
             settings: JobSettings {
-                keep: settings.keep_jobs,
+                keep: settings.job_retention,
                 cancel_within: settings.cancel_within,
             },
         });
@@ -297,6 +297,6 @@
     }
 
     fn ask_peer(&self, replica: &Arc<Replica>) {
-        self.members.ask_peer_to_yield(replica);
+        self.members.request_peer_preemption(replica);
     }
 }
--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -146,14 +146,14 @@
     pub fn apply_configuration(&self, update: &SpaceUpdate, origin: &str) {
         self.apply_evacuation_rows(update, origin);
         for row in &update.written {
-            self.adopt(row, origin);
+            self.adopt_configuration(row, origin);
         }
         if let Some(as_of) = update.as_of {
             self.proof.prove(as_of);
         }
     }
 
-    fn adopt(&self, row: &Row, origin: &str) {
+    fn adopt_configuration(&self, row: &Row, origin: &str) {
         let configuration = match self.source.parse_configuration(row) {
             Ok(Some(configuration)) => configuration,
             Ok(None) => return,
--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -190,7 +190,7 @@
     }
 
     /// True if this daemon cannot reach the store but most others can: new work should go to them.
-    pub fn is_cut_off_alone(&self) -> bool {
+    pub fn is_isolated_from_store(&self) -> bool {
         self.is_isolated_for(&self.lock(), ISOLATION_PROOF_AGE)
     }
 
@@ -205,7 +205,7 @@
     }
 
     /// Requests that a peer preempt one of its batch items at the replica; a lost request is not resent.
-    pub fn ask_peer_to_yield(&self, replica: &Replica) {
+    pub fn request_peer_preemption(&self, replica: &Replica) {
         let hash = replica.hash;
         let address = {
             let mut state = self.lock();
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -40,11 +40,11 @@
     /// Address of the shared store.
     pub store_address: String,
     /// Reads per second that the store sustains from all daemons together.
-    pub store_reads_a_second: f64,
+    pub store_reads_per_second: f64,
     /// Time from the request to stop until the process is killed.
     pub grace: Duration,
     /// How long a job stays readable after its submission.
-    pub keep_jobs: Duration,
+    pub job_retention: Duration,
     /// Time after a job's cancellation from which none of its items may start.
     pub cancel_within: Duration,
     /// Share by which queued tokens may exceed their limit.
--- a/crates/edge/src/watches.rs
+++ b/crates/edge/src/watches.rs
@@ -28,7 +28,7 @@
     coalesces: bool,
     fleet_size: Arc<dyn Fn() -> usize + Send + Sync>,
     relay: Arc<Relay>,
-    reads_a_second: f64,
+    reads_per_second: f64,
     configuration_wait: Duration,
 }
 
@@ -55,7 +55,7 @@
             coalesces: settings.policy.has(Mechanism::GatheredChanges),
             fleet_size: Arc::new(fleet_size),
             relay,
-            reads_a_second: settings.store_reads_a_second,
+            reads_per_second: settings.store_reads_per_second,
             configuration_wait: configuration_wait(settings.key_trust),
         }
     }
@@ -64,7 +64,7 @@
         if !self.coalesces {
             return unpaced();
         }
-        let (fleet_size, reads) = (self.fleet_size.clone(), self.reads_a_second);
+        let (fleet_size, reads) = (self.fleet_size.clone(), self.reads_per_second);
         let relay = self.relay.clone();
         Arc::new(move || {
             let relayed = relay.interval(space);
@@ -73,7 +73,7 @@
     }
 
     fn full_reads(&self, space: &'static str) -> WholeReadPace {
-        let (fleet_size, reads) = (self.fleet_size.clone(), self.reads_a_second);
+        let (fleet_size, reads) = (self.fleet_size.clone(), self.reads_per_second);
         let relay = self.relay.clone();
         Arc::new(move |calls| {
             if relay.is_follower(space) {
