--- a/crates/edge/src/calls.rs
+++ b/crates/edge/src/calls.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout};
 
-use crate::trips::RoundTrips;
+use crate::round_trips::RoundTrips;
 
 /// How long a timed-out request is remembered, so that a late reply still gives an RTT sample.
 const LATE_REPLY_WINDOW: Duration = Duration::from_secs(1);
--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -6,7 +6,7 @@
 use arc_swap::ArcSwapOption;
 use harrierward_decisions::{DecisionLog, Record};
 use harrierward_external::{ObjectStore, Table, WatchedTable};
-use harrierward_inline_jobs::{HEADS, InlineJobs, JobParts, JobSettings};
+use harrierward_inline_jobs::{InlineJobs, JOB_HEADERS, JobParts, JobSettings};
 use harrierward_relay::Relay;
 use harrierward_serving::{
     ConfigurationProof, Forwarder, ForwarderParts, ForwarderSettings, Location, Replica,
@@ -181,7 +181,7 @@
         let peer_updates = Arc::new(PeerUpdates::new(discovery.clone(), log.clone()));
         members.set_peer_updates(peer_updates.clone());
         let jobs = InlineJobs::new(JobParts {
-            life: instance_id,
+            instance_id,
             table: table.clone(),
             objects,
             watched: watched.clone(),
@@ -189,7 +189,7 @@
             peers: members.clone(),
             log: log.clone(),
             settings: JobSettings {
-                keep: settings.job_retention,
+                retention: settings.job_retention,
                 cancel_within: settings.cancel_within,
             },
         });
@@ -198,7 +198,11 @@
             jobs: jobs.clone(),
             members: members.clone(),
         }));
-        let spaces = [source.configuration_space(), source.replica_space(), HEADS];
+        let spaces = [
+            source.configuration_space(),
+            source.replica_space(),
+            JOB_HEADERS,
+        ];
         let peers = Arc::new(HttpPeers::new(pool.clone()));
         let instance_id = members.instance_id();
         let relay = Relay::new(instance_id, watched, peers, &spaces, log.clone());
@@ -289,11 +293,11 @@
 
 impl YieldItems for BatchPreemption {
     fn yield_lease(&self, place: u32) {
-        self.jobs.yield_lease(place);
+        self.jobs.preempt_lease(place);
     }
 
     fn yield_at(&self, replica: &str, count: u32) {
-        self.jobs.yield_slots(replica, count);
+        self.jobs.preempt_slots(replica, count);
     }
 
     fn ask_peer(&self, replica: &Arc<Replica>) {
--- a/crates/edge/src/watches.rs
+++ b/crates/edge/src/watches.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use harrierward_decisions::DecisionLog;
-use harrierward_inline_jobs::{HEADS, InlineJobs, RowKind, partitions, row_kind};
+use harrierward_inline_jobs::{InlineJobs, JOB_HEADERS, RowKind, partitions, row_kind};
 use harrierward_relay::{
     Relay, SharedSpace, SpaceUpdate, Watch, WatchPace, WatchSettings, WholeReadPace,
     gathering_interval, unpaced, whole_read_interval,
@@ -129,8 +129,13 @@
     let copy = intervals.copy(source.replica_space());
     tokio::spawn(replicas.run_shared(copy, move |update| target.apply_replicas(&update)));
     let wait = WatchSettings::default().wait;
-    let heads = watch(HEADS, partitions(), intervals.coalescing(HEADS), wait);
-    let copy = intervals.copy(HEADS);
+    let heads = watch(
+        JOB_HEADERS,
+        partitions(),
+        intervals.coalescing(JOB_HEADERS),
+        wait,
+    );
+    let copy = intervals.copy(JOB_HEADERS);
     let discovery = discovery.clone();
     tokio::spawn(async move {
         // When all daemons start at once the store is overloaded: what callers wait for is read first.
@@ -168,20 +173,20 @@
         view.note_revision(update.revision);
         for row in &update.written {
             match row_kind(&row.key) {
-                RowKind::Head => self.jobs.learn_row(&row.value, row.revision),
-                RowKind::Fence => view.take_fence_row(&row.value, row.revision),
+                RowKind::Header => self.jobs.note_header_row(&row.value, row.revision),
+                RowKind::Fence => view.update_fence_row(&row.value, row.revision),
                 // Before the store's time is published to writers of such rows: a new instance must not overwrite the
                 // state of its predecessor before reading it.
-                RowKind::CrashNews => self.quarantine.take_stored(row, update.store_time_ms),
+                RowKind::CrashUpdates => self.quarantine.take_stored(row, update.store_time_ms),
             }
         }
         for key in &update.removed {
-            if let (RowKind::Head, Some(job_id)) = (row_kind(key), key.rsplit('/').next()) {
-                self.jobs.head_removed(job_id);
+            if let (RowKind::Header, Some(job_id)) = (row_kind(key), key.rsplit('/').next()) {
+                self.jobs.header_removed(job_id);
             }
         }
         if let Some(moment) = update.as_of {
-            view.prove(moment, update.store_time_ms);
+            view.note_proof(moment, update.store_time_ms);
         }
     }
 }
--- a/crates/inline-jobs/src/adoption.rs
+++ b/crates/inline-jobs/src/adoption.rs
@@ -1,4 +1,4 @@
-//! Jobs change hands: those of daemons that died or stopped are adopted, and old ones removed.
+//! Adoption of jobs whose owners crashed or stopped, handover of released jobs, and removal of expired ones.
 
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
@@ -8,151 +8,154 @@
 use harrierward_tenants::AllowedRegions;
 use tokio::time::{Instant, sleep};
 
-use crate::adoption_order::{adopted, adoption_delay, adoption_rank, given_up, last_owner};
-use crate::owned_job::LeftWork;
+use crate::adoption_order::{adopted, adoption_delay, adoption_rank, last_owner, released};
+use crate::owned_job::HandoverState;
 use crate::service::InlineJobs;
 use crate::store::WriteOutcome;
-use crate::view::KnownHead;
+use crate::view::KnownHeader;
 
-/// How often jobs without owner are looked for.
-const CHECK_EVERY: Duration = Duration::from_millis(100);
+/// Interval between checks for jobs without a live owner.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a head's change by this daemon is tried.
-pub(crate) const ADOPT_HOLD: Duration = Duration::from_millis(1_500);
+/// How long a header write is retried.
+pub(crate) const HEADER_WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How often old jobs are looked for.
-const REMOVE_EVERY: Duration = Duration::from_secs(20);
+/// Interval between removals of expired jobs.
+const REMOVAL_INTERVAL: Duration = Duration::from_secs(20);
 
-/// How much longer than promised a job is kept.
-const KEEP_LONGER: Duration = Duration::from_secs(60);
+/// Time for which a job is kept beyond its retention.
+const RETENTION_MARGIN: Duration = Duration::from_secs(60);
 
 impl InlineJobs {
     pub(crate) async fn run_adoption(self) {
         loop {
-            sleep(CHECK_EVERY).await;
+            sleep(CHECK_INTERVAL).await;
             let Some(owners) = self.inner.peers.owners() else {
                 continue;
             };
             if self.may_start_runs() {
-                self.look_for_orphans(&owners);
+                self.check_orphans(&owners);
             }
         }
     }
 
-    /// Does what is due for jobs whose owners are missing. `owners` are the daemons that may own jobs.
-    fn look_for_orphans(&self, owners: &[String]) {
+    /// Steps the takeover of each open job of another daemon. `owners` are the daemons that may own jobs.
+    fn check_orphans(&self, owners: &[String]) {
         let open = self.inner.view.open_jobs();
-        let mut standings: HashMap<&str, OwnerStatus> = HashMap::new();
+        let mut statuses: HashMap<&str, OwnerStatus> = HashMap::new();
         for known in &open {
-            if self.owns(&known.head) {
+            if self.owns(&known.header) {
                 self.answer_if_challenged(known);
                 continue;
             }
-            let owner = known.head.owner.as_str();
-            let standing = standings.entry(owner);
-            let standing = *standing.or_insert_with(|| self.owner_standing(&known.head));
-            self.consider(known, standing, owners);
+            let owner = known.header.owner.as_str();
+            let status = statuses.entry(owner);
+            let status = *status.or_insert_with(|| self.owner_status(&known.header));
+            self.step_takeover(known, status, owners);
         }
         let open: HashSet<&str> = open
             .iter()
-            .map(|known| known.head.job_id.as_str())
+            .map(|known| known.header.job_id.as_str())
             .collect();
         self.takeovers().retain(|job| open.contains(job));
     }
 
-    /// Does what is due for a job of another daemon, or of none.
-    fn consider(&self, known: &KnownHead, standing: OwnerStatus, owners: &[String]) {
+    /// Does the takeover step due for a job that this daemon does not own.
+    fn step_takeover(&self, known: &KnownHeader, status: OwnerStatus, owners: &[String]) {
         let delay = || {
             let adopters = self.adopters_of(known, owners)?;
-            let near = self.inner.peers.owners_near(last_owner(&known.head));
-            let life = &self.inner.life;
-            Some(adoption_delay(&known.head, life, &adopters, &near))
+            let near = self.inner.peers.owners_near(last_owner(&known.header));
+            let instance_id = &self.inner.instance_id;
+            Some(adoption_delay(&known.header, instance_id, &adopters, &near))
         };
-        let step = self.takeovers().step(known, standing, delay);
+        let step = self.takeovers().step(known, status, delay);
         match step {
             Step::Wait => {}
-            Step::Challenge => self.start_challenge(known.clone(), standing),
-            Step::TakeOver => self.start_adoption(known.clone(), standing),
+            Step::Challenge => self.start_challenge(known.clone(), status),
+            Step::TakeOver => self.start_adoption(known.clone(), status),
         }
     }
 
-    fn start_adoption(&self, known: KnownHead, standing: OwnerStatus) {
+    fn start_adoption(&self, known: KnownHeader, status: OwnerStatus) {
         self.spawn_write(known, move |jobs, known| async move {
-            jobs.adopt_job(&known, standing).await;
+            jobs.adopt_job(&known, status).await;
         });
     }
 
-    /// The daemons that may adopt a job, which is to read its bodies; `None` if this one is not among them. Where no
-    /// daemon of an allowed region lives the job waits.
+    /// Returns the daemons that may read a job's bodies and so adopt it; `None` if this one is not among
+    /// them. A job whose allowed regions have no live daemon waits.
     fn adopters_of<'a>(
         &self,
-        known: &KnownHead,
+        known: &KnownHeader,
         owners: &'a [String],
     ) -> Option<Cow<'a, [String]>> {
-        let regions = self.regions_of(&known.head.route, &known.head.tenant)?;
+        let regions = self.regions_of(&known.header.route, &known.header.tenant)?;
         let adopters = match &regions {
             AllowedRegions::Any => Cow::Borrowed(owners),
             AllowedRegions::Only(_) => Cow::Owned(self.inner.peers.owners_in(&regions)?),
         };
-        adopters.contains(&self.inner.life).then_some(adopters)
+        adopters
+            .contains(&self.inner.instance_id)
+            .then_some(adopters)
     }
 
-    async fn adopt_job(&self, known: &KnownHead, standing: OwnerStatus) {
-        let head = adopted(&known.head, &self.inner.life);
-        let until = Instant::now() + ADOPT_HOLD;
+    async fn adopt_job(&self, known: &KnownHeader, status: OwnerStatus) {
+        let header = adopted(&known.header, &self.inner.instance_id);
+        let until = Instant::now() + HEADER_WRITE_TIMEOUT;
         let written = self
             .inner
             .store
-            .replace_head(known.revision, &head, until)
+            .replace_header(known.revision, &header, until)
             .await;
         match written {
             WriteOutcome::Committed { revision } => {
-                self.log_ownership(&known.head, &head, "adopted", standing.name());
-                // The watch may have been faster and have begun the loading.
-                self.learn(KnownHead { head, revision });
+                self.log_ownership(&known.header, &header, "adopted", status.name());
+                // The watch may have delivered this header already and started the load.
+                self.note_header(KnownHeader { header, revision });
             }
             WriteOutcome::Conflict {
                 current: Some(current),
             } => {
-                self.learn(*current);
+                self.note_header(*current);
             }
-            // The next look decides anew.
+            // The next check retries.
             _ => {}
         }
     }
 
-    /// Gives one job up, with what is left of its items.
+    /// Releases a job and stores its unlisted results and progress for the next owner.
     pub(crate) async fn hand_over(
         &self,
-        mut known: KnownHead,
-        mut left: LeftWork,
+        mut known: KnownHeader,
+        mut state: HandoverState,
         reason: &str,
         until: Instant,
     ) {
-        while known.is_open() && self.owns(&known.head) && Instant::now() < until {
-            let mut head = given_up(&known.head);
-            if !left.failures.is_empty() {
-                head.failures.clone_from(&left.failures);
+        while known.is_open() && self.owns(&known.header) && Instant::now() < until {
+            let mut header = released(&known.header);
+            if !state.failures.is_empty() {
+                header.failures.clone_from(&state.failures);
             }
-            // A listing that was under way may have come first.
-            left.results
-                .retain(|result| !head.listed.contains(&result.item));
-            let position = u32::try_from(head.listed.len()).unwrap_or(u32::MAX);
-            let listed = left.results.iter().map(|result| result.item);
-            head.listed.extend(listed);
-            let results = (position, left.results.as_slice());
+            // A concurrent listing may have committed first.
+            state
+                .results
+                .retain(|result| !header.listed.contains(&result.item));
+            let position = u32::try_from(header.listed.len()).unwrap_or(u32::MAX);
+            let listed = state.results.iter().map(|result| result.item);
+            header.listed.extend(listed);
+            let results = (position, state.results.as_slice());
             let written = self
                 .inner
                 .store
-                .hand_over(known.revision, &head, results, &left.progress, until)
+                .hand_over(known.revision, &header, results, &state.progress, until)
                 .await;
             match written {
                 WriteOutcome::Committed { revision } => {
-                    self.log_ownership(&known.head, &head, "handed over", reason);
-                    if !left.results.is_empty() {
-                        self.log_listed(&head.job_id, position, left.results.len(), "committed");
+                    self.log_ownership(&known.header, &header, "handed over", reason);
+                    if !state.results.is_empty() {
+                        self.log_listed(&header.job_id, position, state.results.len(), "committed");
                     }
-                    self.learn(KnownHead { head, revision });
+                    self.note_header(KnownHeader { header, revision });
                     return;
                 }
                 WriteOutcome::Conflict {
@@ -163,19 +166,19 @@
         }
     }
 
-    /// Removes jobs whose time is over; each daemon those that are its own by their order.
+    /// Removes expired jobs; each daemon removes those for which it is first in the adoption order.
     pub(crate) async fn run_removal(self) {
         loop {
-            sleep(REMOVE_EVERY).await;
+            sleep(REMOVAL_INTERVAL).await;
             let Some(owners) = self.inner.peers.owners() else {
                 continue;
             };
-            let keep = self.inner.settings.keep + KEEP_LONGER;
-            let keep_ms = u64::try_from(keep.as_millis()).unwrap_or(u64::MAX);
+            let retention = self.inner.settings.retention + RETENTION_MARGIN;
+            let keep_ms = u64::try_from(retention.as_millis()).unwrap_or(u64::MAX);
             let before = self.inner.view.store_now_ms().saturating_sub(keep_ms);
             for known in self.inner.view.closed_before(before) {
-                if adoption_rank(&known.head.job_id, &self.inner.life, &owners) == 0 {
-                    // What is not removed now is found again at the next round.
+                if adoption_rank(&known.header.job_id, &self.inner.instance_id, &owners) == 0 {
+                    // A failed removal is retried in the next round.
                     let _ = self.inner.store.remove(&known).await;
                 }
             }
--- a/crates/inline-jobs/src/item_run.rs
+++ b/crates/inline-jobs/src/item_run.rs
@@ -1,4 +1,4 @@
-//! One run of an item at a replica, from its last event on.
+//! One run of an item at a replica, resumed after its last event.
 
 use std::time::Duration;
 
@@ -11,32 +11,32 @@
 
 use crate::item::{SharedProgress, lock};
 
-/// Silence after which a replica that is silent to everybody is given up.
-const DARK: Duration = Duration::from_millis(500);
+/// Stall after which a replica that sends nothing to any request is considered unresponsive.
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Silence after which any replica is given up.
-const LONGEST_SILENCE: Duration = Duration::from_millis(3_000);
+/// Stall after which a run is aborted at any replica.
+const MAX_STALL: Duration = Duration::from_millis(3_000);
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// The whole output is there.
+    /// The output is complete.
     Finished,
-    /// The replica failed the item.
+    /// The replica responded with a failure.
     Failed,
-    /// The item can never be done.
+    /// The replica rejected the item for good.
     Impossible,
-    /// The replica did not take it.
+    /// The replica did not run the item, for this cause.
     NotRun(String),
-    /// The stream broke; the item goes on after its last event.
+    /// The stream broke for this cause; the item resumes after its last event.
     Broken(String),
 }
 
-/// Statuses of a replica's answer to an item.
+/// Status codes of a replica's response to an item.
 const FAILED: u16 = 500;
 const IMPOSSIBLE: u16 = 422;
 
-/// Runs an item where it is placed; one that has `failed_before` and fails again is no evidence against its replica.
+/// Runs an item where it is placed. With `failed_before`, another failure is not counted against the replica.
 pub async fn run(
     forwarder: &Forwarder,
     request: &ServingRequest,
@@ -47,8 +47,8 @@
     let resume_after = lock(progress).last_event;
     let times = AttemptTimeouts {
         time_left: None,
-        stall_timeout: DARK,
-        max_wait: LONGEST_SILENCE,
+        stall_timeout: UNRESPONSIVE_TIMEOUT,
+        max_wait: MAX_STALL,
     };
     let sending = AttemptOptions {
         resume_after,
@@ -80,7 +80,7 @@
     let mut body = attempt.response.body;
     let mut splitter = EventSplitter::default();
     loop {
-        let next = wait_for_progress(body.next(), &replica, DARK, LONGEST_SILENCE).await;
+        let next = wait_for_progress(body.next(), &replica, UNRESPONSIVE_TIMEOUT, MAX_STALL).await;
         let bytes = match next {
             None => {
                 replica.suspect();
@@ -105,7 +105,7 @@
         in_progress.note_event();
         splitter.push(&bytes);
         while let Some(event) = splitter.next_event() {
-            if let Err(cause) = take_event(progress, &event) {
+            if let Err(cause) = append_event(progress, &event) {
                 in_progress.conclude(AttemptOutcome::Corrupt);
                 return RunOutcome::Broken(cause.to_owned());
             }
@@ -113,8 +113,8 @@
     }
 }
 
-/// Adds an event to the item's output; events must follow each other without gaps.
-fn take_event(progress: &SharedProgress, event: &StreamEvent) -> Result<(), &'static str> {
+/// Appends an event to the item's output; events must be numbered without gaps.
+fn append_event(progress: &SharedProgress, event: &StreamEvent) -> Result<(), &'static str> {
     let Some(id) = event.id else {
         return Ok(());
     };
@@ -127,6 +127,6 @@
     }
     progress.last_event = Some(id);
     progress.texts.push(event.data());
-    progress.moved_at = Some(Instant::now());
+    progress.last_event_at = Some(Instant::now());
     Ok(())
 }
--- a/crates/inline-jobs/src/listing.rs
+++ b/crates/inline-jobs/src/listing.rs
@@ -1,51 +1,52 @@
-//! Listing results: the position of each is fixed by a conditional write that also marks its item, and counts the failures of
-//! items that are to run again.
+//! Listing of results: a conditional write of the header fixes each result's position, marks its item as listed,
+//! and records the failures of items that are to run again.
 
 use std::time::Duration;
 
 use harrierward_decisions::Record;
-use harrierward_wire::{ItemFailuresRow, ItemProgressRow, JobHeadRow};
+use harrierward_wire::{ItemFailuresRow, ItemProgressRow, JobHeaderRow};
 use tokio::time::{Instant, sleep};
 
 use crate::adoption_order::refuted;
 use crate::item::ItemPhase;
 use crate::service::InlineJobs;
 use crate::store::{ListedResult, WriteOutcome};
-use crate::view::KnownHead;
+use crate::view::KnownHeader;
 
-/// Most results listed at once, and their text in bytes; within one transaction's bounds.
-const MOST_RESULTS: usize = 40;
-const MOST_BYTES: usize = 400_000;
+/// Limits of the results in one listing and of their text in bytes; both fit into one transaction.
+const MAX_RESULTS: usize = 40;
+const MAX_BYTES: usize = 400_000;
 
-/// Time after which a write that gets no answer is looked at anew.
-const WRITE_HOLD: Duration = Duration::from_millis(3_000);
+/// How long a write is retried before the job is checked again.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Pause after a failed write.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// A change of a job's head by its owner.
+/// An owner's update of a job's header, with the rows that belong to it.
 struct Listing {
-    known: KnownHead,
+    known: KnownHeader,
     results: Vec<ListedResult>,
-    /// Failures of items that are to run again.
+    /// Failure counts of items that are to run again.
     failures: Vec<ItemFailuresRow>,
-    /// The items' own rows of the failures that are new.
-    failed: Vec<(u32, ItemProgressRow)>,
+    /// Progress of the items whose failures are new.
+    failed_progress: Vec<(u32, ItemProgressRow)>,
 }
 
 impl InlineJobs {
-    /// Starts a listing task for each job with finished items, or failures to be counted, and none.
+    /// Starts a listing task for each job that has results to list or failures to record, and no such task
+    /// yet.
     pub(crate) fn start_listings(&self) {
-        let mut book = self.book();
-        for (job_id, job) in &mut book.jobs {
+        let mut registry = self.registry();
+        for (job_id, job) in &mut registry.jobs {
             let finished = job
                 .items
                 .iter()
                 .any(|item| matches!(item.phase, ItemPhase::Done { .. }));
-            if job.listing || !(finished || job.has_failures_to_keep()) {
+            if job.is_listing || !(finished || job.has_unrecorded_failures()) {
                 continue;
             }
-            job.listing = true;
+            job.is_listing = true;
             let jobs = self.clone();
             let job_id = job_id.clone();
             tokio::spawn(async move { jobs.list_finished(&job_id).await });
@@ -55,68 +56,76 @@
     async fn list_finished(&self, job_id: &str) {
         while let Some(listing) = self.next_listing(job_id) {
             if !self.list(&listing).await {
-                sleep(PAUSE).await;
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 
-    /// What is to be listed; `None` ends the task.
+    /// Returns the next listing; `None` ends the task.
     fn next_listing(&self, job_id: &str) -> Option<Listing> {
-        let mut book = self.book();
-        let job = book.jobs.get_mut(job_id)?;
-        let results = job.results_to_list(MOST_RESULTS, MOST_BYTES);
-        let has_nothing = results.is_empty() && !job.has_failures_to_keep();
-        if has_nothing || self.is_stopping() {
-            job.listing = false;
+        let mut registry = self.registry();
+        let job = registry.jobs.get_mut(job_id)?;
+        let results = job.results_to_list(MAX_RESULTS, MAX_BYTES);
+        let is_done = results.is_empty() && !job.has_unrecorded_failures();
+        if is_done || self.is_stopping() {
+            job.is_listing = false;
             return None;
         }
         Some(Listing {
             known: job.known.clone(),
             failures: job.failures(&results),
-            failed: job.failed_progress_rows(&results),
+            failed_progress: job.failed_progress_rows(&results),
             results,
         })
     }
 
-    /// Lists results; true if that is settled.
+    /// Writes a listing; true if its outcome is known.
     async fn list(&self, listing: &Listing) -> bool {
         let Listing {
             known,
             results,
             failures,
-            failed,
+            failed_progress,
         } = listing;
-        let mut head = refuted(&known.head);
-        let position = u32::try_from(head.listed.len()).unwrap_or(u32::MAX);
-        head.listed.extend(results.iter().map(|result| result.item));
-        head.failures.clone_from(failures);
-        let until = Instant::now() + WRITE_HOLD;
+        let mut header = refuted(&known.header);
+        let position = u32::try_from(header.listed.len()).unwrap_or(u32::MAX);
+        header
+            .listed
+            .extend(results.iter().map(|result| result.item));
+        header.failures.clone_from(failures);
+        let until = Instant::now() + WRITE_TIMEOUT;
         let written = self
             .inner
             .store
-            .list(known.revision, &head, (position, results), failed, until)
+            .list(
+                known.revision,
+                &header,
+                (position, results),
+                failed_progress,
+                until,
+            )
             .await;
         let (outcome, settled) = match written {
             WriteOutcome::Committed { revision } => {
-                self.adopt(KnownHead { head, revision });
+                self.apply_header(KnownHeader { header, revision });
                 ("committed", true)
             }
             WriteOutcome::Conflict {
                 current: Some(current),
             } => {
-                let outcome = conflict_name(&current.head, &head);
-                self.adopt(*current);
+                let outcome = conflict_name(&current.header, &header);
+                self.apply_header(*current);
                 (outcome, true)
             }
             WriteOutcome::Conflict { current: None } => {
-                self.head_removed(&head.job_id);
+                self.header_removed(&header.job_id);
                 ("job removed", true)
             }
-            // Only new jobs are written under a fence.
-            WriteOutcome::NotDone | WriteOutcome::Fenced { .. } => ("not done", false),
-            WriteOutcome::InDoubt => ("in doubt", false),
+            // Only the creation of a job is conditional on a fence.
+            WriteOutcome::NotCommitted | WriteOutcome::Fenced { .. } => ("not done", false),
+            WriteOutcome::Indeterminate => ("in doubt", false),
         };
-        self.log_listed(&known.head.job_id, position, results.len(), outcome);
+        self.log_listed(&known.header.job_id, position, results.len(), outcome);
         settled
     }
 
@@ -129,15 +138,16 @@
         });
     }
 
-    fn adopt(&self, known: KnownHead) {
-        self.learn(known.clone());
-        // The watch may have been faster; the book must hear of it in any case.
-        self.head_changed(&known);
+    fn apply_header(&self, known: KnownHeader) {
+        self.note_header(known.clone());
+        // The watch may have delivered the header before; the registry must be updated in any case.
+        self.header_changed(&known);
     }
 }
 
-/// A conflict with a head that already lists the results is a write whose answer was lost.
-fn conflict_name(current: &JobHeadRow, wanted: &JobHeadRow) -> &'static str {
+/// Returns the outcome for a conflict; a header that already lists the results is an own write whose response was
+/// lost.
+fn conflict_name(current: &JobHeaderRow, wanted: &JobHeaderRow) -> &'static str {
     if current.listed == wanted.listed && current.failures == wanted.failures {
         "committed before"
     } else {
--- a/crates/inline-jobs/src/owned_job.rs
+++ b/crates/inline-jobs/src/owned_job.rs
@@ -1,4 +1,4 @@
-//! One job that this daemon runs.
+//! One job that this daemon runs, with its items.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -7,21 +7,22 @@
 use harrierward_wire::{ItemFailuresRow, ItemProgressRow};
 use tokio::time::Instant;
 
-use crate::item::{Item, ItemPhase, ItemProgress, SharedProgress, end_run, lock};
+use crate::item::{Item, ItemPhase, ItemProgress, SharedProgress, abort_run, lock};
 use crate::store::ListedResult;
-use crate::view::KnownHead;
+use crate::view::KnownHeader;
 
-/// Most results listed as a job is handed over, and their text in bytes: half of a transaction, so that progress has room.
-const MOST_HANDED_RESULTS: usize = 40;
-const MOST_HANDED_BYTES: usize = 300_000;
+/// Limits of the results listed by a handover and of their text in bytes, which leave half of the transaction for
+/// progress.
+const MAX_HANDOVER_RESULTS: usize = 40;
+const MAX_HANDOVER_BYTES: usize = 300_000;
 
-/// True if an item is not listed, nor among the results that are to be listed.
-fn is_left(number: u32, item: &Item, to_list: &[ListedResult]) -> bool {
+/// True if an item is neither listed nor among the results to be listed.
+fn is_unlisted(number: u32, item: &Item, to_list: &[ListedResult]) -> bool {
     let is_listed = matches!(item.phase, ItemPhase::Listed);
     !is_listed && !to_list.iter().any(|result| result.item == number)
 }
 
-/// What a later owner needs of an item; `None` if nothing has come of it.
+/// Returns an item's progress for a later owner; `None` if it has no output and no failures.
 fn progress_row(item: &Item) -> Option<ItemProgressRow> {
     let progress = lock(&item.progress);
     if progress.last_event.is_none() && item.failures == 0 {
@@ -34,40 +35,40 @@
     })
 }
 
-/// What is handed over of a job, beside its head.
+/// State that a handover writes in addition to the job's header.
 #[derive(Debug, Default)]
-pub struct LeftWork {
-    /// Results that are done and not listed yet.
+pub struct HandoverState {
+    /// Results that are complete and not listed yet.
     pub results: Vec<ListedResult>,
-    /// Progress of the other items that are not listed.
+    /// Progress of the other unlisted items, by item number.
     pub progress: Vec<(u32, ItemProgressRow)>,
-    /// Failures of items that are not listed.
+    /// Failure counts of unlisted items, for the header.
     pub failures: Vec<ItemFailuresRow>,
 }
 
-/// One job that this daemon runs.
+/// A job that this daemon owns.
 #[derive(Debug)]
 pub struct OwnedJob {
-    /// Its head.
-    pub known: KnownHead,
-    /// Its items.
+    /// Newest known header of the same owner and epoch.
+    pub known: KnownHeader,
+    /// The items in submitted order.
     pub items: Vec<Item>,
-    /// A task lists results of the job.
-    pub listing: bool,
-    /// When progress of its items was last saved.
+    /// True while a task lists results of the job.
+    pub is_listing: bool,
+    /// Time of the last checkpoint, or of the registration.
     pub checkpoint_at: Instant,
     /// When this daemon began to run it.
-    pub entered_at: Instant,
-    /// When a run of it last came to nothing at a replica.
+    pub registered_at: Instant,
+    /// When a run of it last broke or was refused by a replica; `None` if none did.
     pub broken_run_at: Option<Instant>,
-    /// When results of it were last seen to be listed.
+    /// When the number of listed results last grew; `None` if it has not grown here.
     listed_at: Option<Instant>,
 }
 
 impl OwnedJob {
-    /// A job whose items were read; `progress` is what an earlier owner left.
+    /// Creates a job from its items; `progress` is what an earlier owner stored.
     pub fn new(
-        known: KnownHead,
+        known: KnownHeader,
         requests: Vec<ServingRequest>,
         progress: Vec<(u32, ItemProgressRow)>,
     ) -> Self {
@@ -78,68 +79,68 @@
                 request: Arc::new(request),
                 progress: SharedProgress::default(),
                 failures: 0,
-                failures_kept: 0,
+                recorded_failures: 0,
                 saved_events: 0,
-                ran_at: None,
+                last_replica_instance: None,
                 phase: ItemPhase::Waiting { not_before: now },
             })
             .collect();
         for (number, row) in progress {
             if let Some(item) = items.get_mut(number as usize) {
                 item.failures = row.failures;
-                item.failures_kept = row.failures;
+                item.recorded_failures = row.failures;
                 item.saved_events = row.texts.len();
                 item.progress = Arc::new(Mutex::new(ItemProgress {
                     last_event: Some(row.last_event).filter(|_| !row.texts.is_empty()),
                     texts: row.texts,
-                    moved_at: None,
+                    last_event_at: None,
                 }));
             }
         }
         let mut job = Self {
             known: known.clone(),
             items,
-            listing: false,
+            is_listing: false,
             checkpoint_at: now,
-            entered_at: now,
+            registered_at: now,
             broken_run_at: None,
             listed_at: None,
         };
-        job.take_head(known);
+        job.update_header(known);
         job
     }
 
-    /// Takes a newer head of the same owner and epoch: what it lists, and the failures that it counts.
-    pub fn take_head(&mut self, known: KnownHead) {
-        if known.head.listed.len() > self.known.head.listed.len() {
+    /// Applies a newer header of the same owner and epoch: its listed results and failure counts.
+    pub fn update_header(&mut self, known: KnownHeader) {
+        if known.header.listed.len() > self.known.header.listed.len() {
             self.listed_at = Some(Instant::now());
         }
         self.known = known;
-        for row in &self.known.head.failures {
+        for row in &self.known.header.failures {
             if let Some(item) = self.items.get_mut(row.item as usize) {
                 item.failures = item.failures.max(row.count);
-                item.failures_kept = item.failures_kept.max(row.count);
+                item.recorded_failures = item.recorded_failures.max(row.count);
             }
         }
         self.mark_listed();
     }
 
-    /// Items that the head lists need nothing more.
+    /// Aborts the runs of listed items and drops their progress.
     fn mark_listed(&mut self) {
-        for number in &self.known.head.listed {
+        for number in &self.known.header.listed {
             if let Some(item) = self.items.get_mut(*number as usize) {
-                end_run(&item.phase);
+                abort_run(&item.phase);
                 item.phase = ItemPhase::Listed;
                 item.progress = SharedProgress::default();
             }
         }
     }
 
-    /// Ends all runs; items go back to waiting.
+    /// Aborts all runs; their items wait again.
     pub fn stop_runs(&mut self) {
         for item in &mut self.items {
             if matches!(item.phase, ItemPhase::Running { .. }) {
-                end_run(&item.phase);
+                abort_run(&item.phase);
                 item.phase = ItemPhase::Waiting {
                     not_before: Instant::now(),
                 };
@@ -147,73 +148,74 @@
         }
     }
 
-    /// Ends all runs; what another owner needs of the job.
-    pub fn left_work(&mut self) -> LeftWork {
+    /// Aborts all runs and returns the state for the next owner.
+    pub fn stop_for_handover(&mut self) -> HandoverState {
         self.stop_runs();
-        let results = self.results_to_list(MOST_HANDED_RESULTS, MOST_HANDED_BYTES);
-        LeftWork {
+        let results = self.results_to_list(MAX_HANDOVER_RESULTS, MAX_HANDOVER_BYTES);
+        HandoverState {
             progress: self.progress_rows(&results),
             failures: self.failures(&results),
             results,
         }
     }
 
-    /// Progress of items that are not listed, nor among the results that are to be listed, for another owner.
+    /// Returns the progress of items that are neither listed nor in `to_list`.
     pub fn progress_rows(&self, to_list: &[ListedResult]) -> Vec<(u32, ItemProgressRow)> {
         let items = (0..).zip(&self.items);
-        let rows = items.filter(|(number, item)| is_left(*number, item, to_list));
+        let rows = items.filter(|(number, item)| is_unlisted(*number, item, to_list));
         rows.filter_map(|(number, item)| Some((number, progress_row(item)?)))
             .collect()
     }
 
-    /// Rows of items whose failures the head does not count yet. Builds that know of no failures in heads drop them when they rewrite one,
-    /// and read them here.
+    /// Returns the progress of items whose failures the header does not count yet. Builds without failure
+    /// counts in headers drop these counts when they rewrite a header, and read these rows instead.
     pub fn failed_progress_rows(&self, to_list: &[ListedResult]) -> Vec<(u32, ItemProgressRow)> {
         let items = (0..).zip(&self.items);
         let failed = items.filter(|(number, item)| {
-            item.has_failures_to_keep() && is_left(*number, item, to_list)
+            item.has_unrecorded_failures() && is_unlisted(*number, item, to_list)
         });
         let rows = failed.filter_map(|(number, item)| Some((number, progress_row(item)?)));
         rows.collect()
     }
 
-    /// True if nothing has come of the job here for so long, though runs were tried. Items that wait for slots are not stuck.
-    pub fn is_stuck(&self, patience: Duration) -> bool {
-        let is_recent = |at: Instant| at.elapsed() < patience;
-        let has_moved = |item: &Item| {
+    /// True if runs were tried within `timeout`, but none of them progressed and no result was listed. Items
+    /// that wait for slots are not stuck.
+    pub fn is_stuck(&self, timeout: Duration) -> bool {
+        let is_recent = |at: Instant| at.elapsed() < timeout;
+        let has_progressed = |item: &Item| {
             let is_young = match item.phase {
                 ItemPhase::Running { since, .. } => is_recent(since),
                 ItemPhase::Done { .. } => true,
                 ItemPhase::Waiting { .. } | ItemPhase::Listed => false,
             };
-            is_young || lock(&item.progress).moved_at.is_some_and(is_recent)
+            is_young || lock(&item.progress).last_event_at.is_some_and(is_recent)
         };
         let has_tried = self.broken_run_at.is_some_and(is_recent);
         let has_listed = self.listed_at.is_some_and(is_recent);
-        let has_begun = is_recent(self.entered_at);
-        has_tried && !has_begun && !has_listed && !self.items.iter().any(has_moved)
+        let is_new = is_recent(self.registered_at);
+        has_tried && !is_new && !has_listed && !self.items.iter().any(has_progressed)
     }
 
-    /// Items that have failed as often as their route allows, under an earlier owner, do not run again.
-    pub fn fail_spent_items(&mut self, attempts: u32) {
+    /// Fails items that have used up their route's attempts, possibly under an earlier owner.
+    pub fn fail_exhausted_items(&mut self, attempts: u32) {
         for item in &mut self.items {
-            if item.failures >= attempts && item.may_run_again() {
-                end_run(&item.phase);
+            if item.failures >= attempts && item.is_unfinished() {
+                abort_run(&item.phase);
                 item.phase = ItemPhase::Done { failed: true };
             }
         }
     }
 
-    /// True if items have failed and the head does not count it yet.
-    pub fn has_failures_to_keep(&self) -> bool {
-        self.items.iter().any(Item::has_failures_to_keep)
+    /// True if the header does not count all failures of the items yet.
+    pub fn has_unrecorded_failures(&self) -> bool {
+        self.items.iter().any(Item::has_unrecorded_failures)
     }
 
-    /// Failures of items that are not listed, nor among the results that are to be listed, for the head.
+    /// Returns the failure counts of items that are neither listed nor in `to_list`.
     pub fn failures(&self, to_list: &[ListedResult]) -> Vec<ItemFailuresRow> {
         let items = (0..).zip(&self.items);
         let failed =
-            items.filter(|(number, item)| item.failures > 0 && is_left(*number, item, to_list));
+            items.filter(|(number, item)| item.failures > 0 && is_unlisted(*number, item, to_list));
         let rows = failed.map(|(number, item)| ItemFailuresRow {
             item: number,
             count: item.failures,
@@ -221,15 +223,15 @@
         rows.collect()
     }
 
-    /// Results that wait to be listed, within the bounds of one transaction.
-    pub fn results_to_list(&self, most: usize, bytes: usize) -> Vec<ListedResult> {
+    /// Returns results to be listed, within the limits of one transaction but at least one.
+    pub fn results_to_list(&self, max_results: usize, max_bytes: usize) -> Vec<ListedResult> {
         let mut results = Vec::new();
         let mut size = 0;
         for (number, item) in (0..).zip(&self.items) {
             let ItemPhase::Done { failed } = item.phase else {
                 continue;
             };
-            if self.known.head.listed.contains(&number) {
+            if self.known.header.listed.contains(&number) {
                 continue;
             }
             let text = if failed {
@@ -238,7 +240,7 @@
                 lock(&item.progress).texts.join("\n")
             };
             size += text.len();
-            if !results.is_empty() && (size > bytes || results.len() >= most) {
+            if !results.is_empty() && (size > max_bytes || results.len() >= max_results) {
                 break;
             }
             results.push(ListedResult {
--- a/crates/inline-jobs/src/runner.rs
+++ b/crates/inline-jobs/src/runner.rs
@@ -1,4 +1,5 @@
-//! Starting items where online leaves room, taking their ends, and giving slots back when online needs them.
+//! Starts items on free replica slots, records the outcomes of runs, and preempts runs when online requests need
+//! the slots.
 
 use std::time::Duration;
 
@@ -6,41 +7,41 @@
 use harrierward_serving::{ItemSlack, Mechanism, Placement, Route, RouteTable, WorkClass};
 use tokio::time::{Instant, sleep};
 
-use crate::book::{StartableItem, YieldedItem};
-use crate::item::{ItemPhase, RunPlace};
+use crate::item::{ItemPhase, RunSlot};
 use crate::item_run::{self, RunOutcome};
 use crate::pacing::{RunLength, Urgency, slack, urgency};
-use crate::ready::{ReadyItem, within};
+use crate::ready::{ReadyItem, restrict_to_regions};
+use crate::registry::{PreemptedItem, StartableItem};
 use crate::service::InlineJobs;
 
-/// How often the runner looks for room when nothing wakes it.
+/// Poll interval of the runner when nothing wakes it.
 const TICK: Duration = Duration::from_millis(25);
 
-/// Pause before an item that was not taken, or whose stream broke, is started again.
+/// Pause before an item that was refused, or whose stream broke, is started again.
 const RETRY_PAUSE: Duration = Duration::from_millis(40);
 
-/// How long a route must be missing before its items fail: it may be a moment between two configurations.
-const ROUTE_PATIENCE: Duration = Duration::from_millis(3_000);
+/// How long a route must be missing before its items fail: it may be absent briefly between two configurations.
+const ROUTE_GRACE_PERIOD: Duration = Duration::from_millis(3_000);
 
-/// Pause before an item that a replica failed is started again.
+/// Pause before an item that failed at a replica is started again.
 const FAILURE_PAUSE: Duration = Duration::from_millis(150);
 
-/// Pause before an item that yielded is started again.
-const YIELD_PAUSE: Duration = Duration::from_millis(800);
+/// Pause before a preempted item is started again.
+const PREEMPTION_PAUSE: Duration = Duration::from_millis(800);
 
-/// Items for which a daemon asks for places at the same time.
-const MOST_PLACING: usize = 3;
+/// Placement requests in flight at a daemon.
+const MAX_PLACING: usize = 3;
 
-/// Objective of an item's question for a place: no caller waits for it.
-const PLACE_PATIENCE: Duration = Duration::from_secs(1);
+/// Time limit of an item's placement request; no caller waits for it.
+const PLACEMENT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Least time between two yields at one replica: the other daemons' counts must have come.
-const YIELD_EVERY: Duration = Duration::from_millis(250);
+/// Minimum time between two preemptions at a replica, so that the other daemons' counts arrive in between.
+const PREEMPTION_INTERVAL: Duration = Duration::from_millis(250);
 
 impl InlineJobs {
     pub(crate) async fn run_items(self) {
         loop {
-            self.yield_to_online();
+            self.preempt_for_online();
             if self.may_start_runs() {
                 self.start_items();
             }
@@ -57,44 +58,44 @@
         let Some(routes) = self.inner.forwarder.routes() else {
             return;
         };
-        self.book().fail_items_without_route(
+        self.registry().fail_items_without_route(
             |route| routes.configuration.route(route).is_some(),
             Instant::now(),
-            ROUTE_PATIENCE,
+            ROUTE_GRACE_PERIOD,
         );
-        let mut behind = Vec::new();
+        let mut deferred = Vec::new();
         for (item, urgency, slack) in self.startable(&routes) {
             if !self.is_due(urgency) {
                 return;
             }
             if self.inner.forwarder.is_item_quarantined(&item.request) {
-                self.give_up_held(&routes, &item);
+                self.fail_expired_quarantined(&routes, &item);
                 continue;
             }
-            let room = ItemSlack { slack };
-            let Some(ready) = self.ready(&routes, item, room) else {
-                // It waits, and must not hold up those that can run.
+            let item_slack = ItemSlack { slack };
+            let Some(ready) = self.ready(&routes, item, item_slack) else {
+                // An item that cannot be placed must not block the others.
                 continue;
             };
-            if ready.is_behind {
-                behind.push((ready, urgency));
+            if ready.is_deferred {
+                deferred.push((ready, urgency));
             } else if !self.start_item(&ready) {
                 return;
             }
         }
-        for (ready, urgency) in behind {
+        for (ready, urgency) in deferred {
             if !self.is_due(urgency) || !self.start_item(&ready) {
                 return;
             }
         }
     }
 
-    /// An item that must not run since replicas have ended under its content waits, and is given up when its route allows
-    /// that: its job's caller learns of it then, and not earlier.
-    fn give_up_held(&self, routes: &RouteTable, item: &StartableItem) {
+    /// Fails a quarantined item whose job is older than its route's limit. Until then the item waits, as the
+    /// quarantine may end.
+    fn fail_expired_quarantined(&self, routes: &RouteTable, item: &StartableItem) {
         let route = routes.configuration.route(&item.route);
         let bounds = route.and_then(|route| route.batch());
-        let Some(longest) = bounds.map(|bounds| bounds.give_up_after) else {
+        let Some(limit) = bounds.map(|bounds| bounds.give_up_after) else {
             return;
         };
         let age_ms = self
@@ -102,21 +103,21 @@
             .view
             .store_now_ms()
             .saturating_sub(item.accepted_ms);
-        if longest.is_zero() || Duration::from_millis(age_ms) < longest {
+        if limit.is_zero() || Duration::from_millis(age_ms) < limit {
             return;
         }
-        if let Some(entry) = self.book().item(&item.job, item.number) {
+        if let Some(entry) = self.registry().item(&item.job, item.number) {
             entry.phase = ItemPhase::Done { failed: true };
         }
         self.log_run(item, "", &RunOutcome::NotRun("held back".to_owned()));
     }
 
-    /// The item as it may run by the configuration in force; `None` if nothing takes it now.
+    /// Returns the item as the current configuration allows it to run; `None` if no replica can take it now.
     fn ready(
         &self,
         routes: &RouteTable,
         item: StartableItem,
-        room: ItemSlack,
+        item_slack: ItemSlack,
     ) -> Option<ReadyItem> {
         let route = routes.configuration.route(&item.route)?;
         let entry = routes.find(&route.host, &route.prefix);
@@ -125,27 +126,27 @@
         let regions = routes.configuration.allowed_regions(&item.route, tenant);
         let view = self.inner.forwarder.replicas().view();
         let now = Instant::now();
-        let book = self.book();
-        let is_held = book.no_room.holds(service, &regions, now);
-        let is_behind = book.no_room.is_behind(service, &regions, now);
-        drop(book);
-        if is_held || !view.has_usable(service, &regions) {
+        let registry = self.registry();
+        let is_paused = registry.no_capacity.is_paused(service, &regions, now);
+        let is_deferred = registry.no_capacity.is_deferred(service, &regions, now);
+        drop(registry);
+        if is_paused || !view.has_usable(service, &regions) {
             return None;
         }
 
         Some(ReadyItem {
-            item: within(item, regions),
+            item: restrict_to_regions(item, regions),
             service: service.to_owned(),
-            room,
-            is_behind,
+            item_slack,
+            is_deferred,
         })
     }
 
-    /// Items that may be started now, those that can no longer be in time last, else the oldest first.
+    /// Returns the items that may be started, the oldest first, those that can no longer be in time last.
     fn startable(&self, routes: &RouteTable) -> Vec<(StartableItem, Urgency, Duration)> {
         let (items, run_length) = {
-            let book = self.book();
-            (book.startable(), book.run_length)
+            let registry = self.registry();
+            (registry.startable(), registry.run_length)
         };
         let mut startable: Vec<(StartableItem, Urgency, Duration)> = items
             .into_iter()
@@ -159,7 +160,7 @@
         startable
     }
 
-    /// How urgent an item is, and how long it could rest.
+    /// Returns an item's urgency, and its slack: the time for which it may wait and still be in time.
     fn urgency_of(
         &self,
         item: &StartableItem,
@@ -177,33 +178,33 @@
         )
     }
 
-    /// True if the time between two starts of items this urgent is over.
+    /// True if the start interval of this urgency has passed.
     fn is_due(&self, urgency: Urgency) -> bool {
         if !self.inner.forwarder.policy().has(Mechanism::Pacing) {
             return true;
         }
-        let last = self.book().last_start;
+        let last = self.registry().last_start;
         last.is_none_or(|last| last.elapsed() >= urgency.start_interval())
     }
 
-    /// Asks for a place for an item and runs it there; false if no place is to be asked for now.
+    /// Starts the placement and run of an item; false if too many placements are in flight.
     fn start_item(&self, ready: &ReadyItem) -> bool {
         let item = &ready.item;
-        let mut book = self.book();
-        if book.placing >= MOST_PLACING {
+        let mut registry = self.registry();
+        if registry.placing >= MAX_PLACING {
             return false;
         }
-        if book.item(&item.job, item.number).is_none() {
+        if registry.item(&item.job, item.number).is_none() {
             return true;
         }
-        book.placing += 1;
-        book.last_start = Some(Instant::now());
+        registry.placing += 1;
+        registry.last_start = Some(Instant::now());
         let placing = PlacingGuard { jobs: self.clone() };
         let jobs = self.clone();
         let started = ready.clone();
-        // The task cannot end before its phase is set: it takes the lock that is held here.
+        // The task cannot finish before its phase is set: it needs the lock that is held here.
         let task = tokio::spawn(async move { jobs.place_item(started, placing).await });
-        if let Some(entry) = book.item(&item.job, item.number) {
+        if let Some(entry) = registry.item(&item.job, item.number) {
             entry.phase = ItemPhase::Running {
                 at: None,
                 task: task.abort_handle(),
@@ -217,29 +218,35 @@
         let ReadyItem {
             item,
             service,
-            room,
+            item_slack,
             ..
         } = ready;
         let forwarder = &self.inner.forwarder;
         let placement = forwarder
-            .place(&item.request, &service, &[], PLACE_PATIENCE, Some(room))
+            .place(
+                &item.request,
+                &service,
+                &[],
+                PLACEMENT_TIMEOUT,
+                Some(item_slack),
+            )
             .await;
         drop(placing);
         let Some(mut placement) = placement else {
-            self.note_no_room(&item, &service);
+            self.note_no_capacity(&item, &service);
             return;
         };
-        if let Some(earlier) = item.ran_at {
+        if let Some(earlier) = item.last_replica_instance {
             let view = forwarder.replicas().view();
             let policy = self.inner.forwarder.policy();
             placement.choice.copy_from_previous(&view, earlier, policy);
         }
-        let at = RunPlace {
+        let at = RunSlot {
             replica: placement.choice.replica.record.id.clone(),
-            place: placement.in_progress.lease().unwrap_or_default(),
+            slot: placement.in_progress.lease().unwrap_or_default(),
         };
-        if let Some(entry) = self.book().item(&item.job, item.number) {
-            entry.ran_at = Some(placement.choice.replica.hash);
+        if let Some(entry) = self.registry().item(&item.job, item.number) {
+            entry.last_replica_instance = Some(placement.choice.replica.hash);
             if let ItemPhase::Running {
                 at: known, since, ..
             } = &mut entry.phase
@@ -251,12 +258,14 @@
         self.run_item(item, placement).await;
     }
 
-    /// No replica has room for an item: it waits, and none that may run nowhere else is tried for a moment.
-    fn note_no_room(&self, item: &StartableItem, service: &str) {
+    /// Returns an item to the queue after no replica had capacity, and pauses placements of its kind.
+    fn note_no_capacity(&self, item: &StartableItem, service: &str) {
         let now = Instant::now();
-        let mut book = self.book();
-        book.no_room.note(service, &item.request.regions, now);
-        if let Some(entry) = book.item(&item.job, item.number) {
+        let mut registry = self.registry();
+        registry
+            .no_capacity
+            .note(service, &item.request.regions, now);
+        if let Some(entry) = registry.item(&item.job, item.number) {
             entry.phase = ItemPhase::Waiting { not_before: now };
         }
     }
@@ -279,12 +288,12 @@
     fn finish(&self, item: &StartableItem, replica: &str, outcome: &RunOutcome, started: Instant) {
         self.log_run(item, replica, outcome);
         let attempts = self.attempts_of(&item.route);
-        let mut book = self.book();
-        if *outcome == RunOutcome::Finished && item.began_anew {
+        let mut registry = self.registry();
+        if *outcome == RunOutcome::Finished && item.started_fresh {
             let events = crate::item::lock(&item.progress).texts.len();
-            book.run_length.observe(started.elapsed(), events);
+            registry.run_length.observe(started.elapsed(), events);
         }
-        let Some(job) = book.jobs.get_mut(&item.job) else {
+        let Some(job) = registry.jobs.get_mut(&item.job) else {
             return;
         };
         if matches!(outcome, RunOutcome::NotRun(_) | RunOutcome::Broken(_)) {
@@ -293,7 +302,7 @@
         let Some(entry) = job.items.get_mut(item.number as usize) else {
             return;
         };
-        // An earlier owner's listing may have come in since the run ended.
+        // An earlier owner's listing may have arrived since the run ended.
         if matches!(entry.phase, ItemPhase::Listed) {
             return;
         }
@@ -340,8 +349,8 @@
         });
     }
 
-    /// Ends runs at replicas where requests wait for slots that batch work holds, as far as no coordinator does.
-    fn yield_to_online(&self) {
+    /// Preempts runs at overcommitted replicas whose slots have no coordinator.
+    fn preempt_for_online(&self) {
         let view = self.inner.forwarder.replicas().view();
         let places = self.inner.forwarder.leases();
         for replica in view.all() {
@@ -349,75 +358,79 @@
             if own == 0 {
                 continue;
             }
-            let counted = replica.online() + replica.batch();
+            let in_use = replica.online() + replica.batch();
             let slots = replica.slots();
-            if counted <= slots + slots / 2 || places.is_coordinated(replica) {
+            if in_use <= slots + slots / 2 || places.is_coordinated(replica) {
                 continue;
             }
-            if !self.may_yield_at(&replica.record.id) {
+            if !self.may_preempt_at(&replica.record.id) {
                 continue;
             }
-            // Each daemon gives back its share; the rest follows if it is still needed.
-            let excess = counted - slots;
+            // Each daemon preempts its share; further rounds follow while the excess lasts.
+            let excess = in_use - slots;
             let share = f64::from(excess * own) / f64::from(replica.batch().max(1));
-            self.end_runs(&replica.record.id, round_by_chance(share));
+            self.preempt_runs_at(&replica.record.id, round_stochastically(share));
         }
     }
 
-    /// Online requests need slots at a replica: as many of this daemon's runs there end at once.
-    pub fn yield_slots(&self, replica: &str, slots: u32) {
-        self.end_runs(replica, slots as usize);
+    /// Preempts `slots` of this daemon's runs at a replica.
+    pub fn preempt_slots(&self, replica: &str, slots: u32) {
+        self.preempt_runs_at(replica, slots as usize);
     }
 
-    /// The item that holds a place shall end at once.
-    pub fn yield_lease(&self, place: u32) {
-        let ended = self.book().yield_lease(place, YIELD_PAUSE);
-        self.log_yielded(ended);
+    /// Preempts the run that holds a slot.
+    pub fn preempt_lease(&self, slot: u32) {
+        let preempted_items = self.registry().preempt_lease(slot, PREEMPTION_PAUSE);
+        self.log_preempted(preempted_items);
     }
 
-    fn end_runs(&self, replica: &str, count: usize) {
-        let ended = self.book().yield_runs(replica, count, YIELD_PAUSE);
-        self.log_yielded(ended);
+    fn preempt_runs_at(&self, replica: &str, count: usize) {
+        let preempted_items = self
+            .registry()
+            .preempt_runs(replica, count, PREEMPTION_PAUSE);
+        self.log_preempted(preempted_items);
     }
 
-    fn log_yielded(&self, ended: impl IntoIterator<Item = YieldedItem>) {
-        for yielded in ended {
+    fn log_preempted(&self, preempted_items: impl IntoIterator<Item = PreemptedItem>) {
+        for preempted in preempted_items {
             self.inner.log.record(&Record::ItemRun {
-                job: &yielded.job,
-                item: &yielded.item,
-                replica: &yielded.replica,
+                job: &preempted.job,
+                item: &preempted.item,
+                replica: &preempted.replica,
                 outcome: "yielded to online",
-                events: yielded.events,
+                events: preempted.events,
             });
         }
     }
 
-    /// True if the last yield at the replica has shown its effect; then this one counts.
-    fn may_yield_at(&self, replica: &str) -> bool {
-        let mut book = self.book();
-        let last = book.yielded_at.get(replica);
-        let due = last.is_none_or(|last| last.elapsed() >= YIELD_EVERY);
-        if due {
-            book.yielded_at.insert(replica.to_owned(), Instant::now());
+    /// True if the last preemption at the replica has taken effect; if so, records a new one.
+    fn may_preempt_at(&self, replica: &str) -> bool {
+        let mut registry = self.registry();
+        let last = registry.preempted_at.get(replica);
+        let is_due = last.is_none_or(|last| last.elapsed() >= PREEMPTION_INTERVAL);
+        if is_due {
+            registry
+                .preempted_at
+                .insert(replica.to_owned(), Instant::now());
         }
-        due
+        is_due
     }
 }
 
-/// Rounds so that the daemons' shares add up on the mean.
+/// Rounds stochastically, so that the daemons' shares add up to the excess on average.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn round_by_chance(share: f64) -> usize {
-    let up = rand::random::<f64>() < share.fract();
-    share.floor() as usize + usize::from(up)
+fn round_stochastically(share: f64) -> usize {
+    let rounds_up = rand::random::<f64>() < share.fract();
+    share.floor() as usize + usize::from(rounds_up)
 }
 
-/// Counts an item for which a place is asked.
+/// Decrements the count of placements in flight when dropped.
 struct PlacingGuard {
     jobs: InlineJobs,
 }
 
 impl Drop for PlacingGuard {
     fn drop(&mut self) {
-        self.jobs.book().placing -= 1;
+        self.jobs.registry().placing -= 1;
     }
 }
--- a/crates/inline-jobs/src/service.rs
+++ b/crates/inline-jobs/src/service.rs
@@ -1,4 +1,4 @@
-//! The jobs of one daemon: shared state, and what happens when a head changes.
+//! The jobs of one daemon: shared state, reactions to header changes, load and handover.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,27 +11,28 @@
 use harrierward_ownership::OwnerStatus;
 use harrierward_serving::Forwarder;
 use harrierward_tenants::AllowedRegions;
-use harrierward_wire::{JobHeadRow, QuotaOutcome, decode_head};
+use harrierward_wire::{JobHeaderRow, QuotaOutcome, decode_job_header};
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
 use crate::adoption_order::last_owner;
-use crate::book::JobBook;
-use crate::keys::HEADS;
+use crate::keys::JOB_HEADERS;
 use crate::owned_job::OwnedJob;
-use crate::quota_book::{QuotaBook, QuotaRequest};
+use crate::quota_ledger::{QuotaLedger, QuotaRequest};
+use crate::registry::JobRegistry;
 use crate::store::JobStore;
 use crate::takeover::JobTakeovers;
-use crate::view::{JobView, KnownHead};
+use crate::view::{JobView, KnownHeader};
 
-/// Other daemons, as far as the jobs need them.
+/// The other daemons of the fleet, as the membership protocol shows them.
 #[async_trait]
 pub trait Peers: Send + Sync {
-    /// Lives of the daemons that may own jobs, this one among them; `None` while this daemon has not yet heard of
-    /// the others.
+    /// Returns the instance ids of the daemons that may own jobs, this one included; `None` until the
+    /// membership has settled.
     fn owners(&self) -> Option<Vec<String>>;
 
-    /// Those of them that are in one of these regions: they may read the bodies of jobs that are to stay there.
+    /// Returns those of [`Self::owners`] in one of these regions, which may read the bodies of jobs
+    /// restricted to them.
     fn owners_in(&self, regions: &AllowedRegions) -> Option<Vec<String>> {
         match regions {
             AllowedRegions::Any => self.owners(),
@@ -39,58 +40,59 @@
         }
     }
 
-    /// How this daemon sees another one that owns a job.
-    fn standing(&self, owner: &str) -> OwnerStatus;
+    /// Returns this daemon's view of the owner of a job.
+    fn owner_status(&self, owner: &str) -> OwnerStatus;
 
-    /// Of those, the ones in the region of a daemon that may have died; empty if its region is not known.
+    /// Returns the daemons that may own jobs in the region of `owner`, which may be dead; empty if its region
+    /// is unknown.
     fn owners_near(&self, owner: &str) -> Vec<String>;
 
-    /// Asks another daemon, the coordinator of a route's quota, for a job's tokens: what became of it, and the fence of a
-    /// grant. `None` if it does not answer.
-    async fn ask_quota(
+    /// Requests a job's tokens from the coordinator of its route's quota. Returns the outcome and the fence
+    /// of a grant; `None` without a reply.
+    async fn request_quota(
         &self,
         coordinator: &str,
         request: QuotaRequest<'_>,
     ) -> Option<(QuotaOutcome, u64)>;
 
-    /// Tells the coordinator that a job will certainly not be kept. Does not wait.
-    fn return_quota(&self, coordinator: &str, request: QuotaRequest<'_>);
+    /// Notifies the coordinator that a submission will certainly not be stored. Does not wait for delivery.
+    fn release_quota(&self, coordinator: &str, request: QuotaRequest<'_>);
 }
 
-/// Bounds of the jobs.
+/// Time bounds of jobs, from the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct JobSettings {
     /// How long a job stays readable after it was accepted.
-    pub keep: Duration,
-    /// Time after an acknowledged end within which nothing of the job may start any more.
+    pub retention: Duration,
+    /// Time after an acknowledged cancellation from which none of the job's items may start.
     pub cancel_within: Duration,
 }
 
-/// What the jobs work with.
+/// Dependencies of [`InlineJobs`].
 pub struct JobParts {
-    /// This life of the daemon.
-    pub life: String,
-    /// The store's rows.
+    /// Identifies this start of the daemon; unique in the fleet.
+    pub instance_id: String,
+    /// Rows of the store.
     pub table: Arc<dyn Table>,
-    /// The store's objects.
+    /// Objects of the store, for items too large for rows.
     pub objects: Arc<dyn ObjectStore>,
-    /// The store's rows, watched.
+    /// Consistent reads and watches of the same rows.
     pub watched: Arc<dyn WatchedTable>,
-    /// The path to replicas.
+    /// Sends items to replicas, and holds the current configuration.
     pub forwarder: Forwarder,
-    /// Other daemons.
+    /// The other daemons.
     pub peers: Arc<dyn Peers>,
-    /// Decision log.
+    /// Receives the records of decisions.
     pub log: DecisionLog,
-    /// Settings.
+    /// Time bounds.
     pub settings: JobSettings,
 }
 
 pub(crate) struct Inner {
-    pub life: String,
+    pub instance_id: String,
     pub store: JobStore,
     pub view: JobView,
-    pub book: Mutex<JobBook>,
+    pub registry: Mutex<JobRegistry>,
     pub forwarder: Forwarder,
     pub peers: Arc<dyn Peers>,
     pub log: DecisionLog,
@@ -98,8 +100,8 @@
     pub takeovers: Mutex<JobTakeovers>,
     pub wake: Notify,
     pub stopping: AtomicBool,
-    pub quotas: Mutex<QuotaBook>,
-    /// Held while a fence is written.
+    pub quotas: Mutex<QuotaLedger>,
+    /// Serializes the writes of fences.
     pub fencing: tokio::sync::Mutex<()>,
 }
 
@@ -109,17 +111,17 @@
     pub(crate) inner: Arc<Inner>,
 }
 
-/// Part of the cancel bound that is kept for what is under way.
-const CANCEL_RESERVE: Duration = Duration::from_millis(700);
+/// Margin of the cancellation bound for runs that are being started.
+const CANCEL_MARGIN: Duration = Duration::from_millis(700);
 
 impl InlineJobs {
-    /// Jobs over these parts. Nothing runs until [`InlineJobs::run`] is driven.
+    /// Creates the service. Nothing runs until [`InlineJobs::run`] is polled.
     pub fn new(parts: JobParts) -> Self {
         let inner = Inner {
-            life: parts.life,
+            instance_id: parts.instance_id,
             store: JobStore::new(parts.table, parts.objects, parts.watched),
             view: JobView::default(),
-            book: Mutex::default(),
+            registry: Mutex::default(),
             forwarder: parts.forwarder,
             peers: parts.peers,
             log: parts.log,
@@ -135,21 +137,21 @@
         }
     }
 
-    /// The heads as this daemon knows them.
+    /// Returns the local copy of the job headers.
     pub fn view(&self) -> &JobView {
         &self.inner.view
     }
 
-    pub(crate) fn quotas(&self) -> MutexGuard<'_, QuotaBook> {
+    pub(crate) fn quotas(&self) -> MutexGuard<'_, QuotaLedger> {
         self.inner
             .quotas
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn book(&self) -> MutexGuard<'_, JobBook> {
+    pub(crate) fn registry(&self) -> MutexGuard<'_, JobRegistry> {
         self.inner
-            .book
+            .registry
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
@@ -158,47 +160,48 @@
         self.inner.stopping.load(Ordering::Relaxed)
     }
 
-    /// True if no end of a job can have been acknowledged so long ago that its items must not start any more.
+    /// True if the local copy is recent enough that no cancellation acknowledged longer than the bound ago
+    /// can be missing.
     pub(crate) fn may_start_runs(&self) -> bool {
         let bound = self.inner.settings.cancel_within;
-        let bound = bound.saturating_sub(CANCEL_RESERVE);
+        let bound = bound.saturating_sub(CANCEL_MARGIN);
         let age = self.inner.view.proof_age();
         !self.is_stopping() && age.is_some_and(|age| age < bound)
     }
 
-    /// Regions in which a job's items may run and its bodies be read, by the configuration in force; `None` while none is
-    /// known, and nobody may tell.
+    /// Returns the regions in which a job's items may run and its bodies be read; `None` without a
+    /// configuration.
     pub(crate) fn regions_of(&self, route: &str, tenant: &str) -> Option<AllowedRegions> {
         let routes = self.inner.forwarder.routes()?;
         Some(routes.configuration.allowed_regions(route, tenant))
     }
 
-    pub(crate) fn owns(&self, head: &JobHeadRow) -> bool {
-        head.owner == self.inner.life
+    pub(crate) fn owns(&self, header: &JobHeaderRow) -> bool {
+        header.owner == self.inner.instance_id
     }
 
-    /// Takes a head that was read or written; nothing happens if a newer one is known.
-    pub fn learn(&self, known: KnownHead) {
-        if let Some(change) = self.inner.view.take(known) {
+    /// Applies a header that was read or written, unless a newer one is known.
+    pub fn note_header(&self, known: KnownHeader) {
+        if let Some(change) = self.inner.view.update(known) {
             self.note_owners(&change);
-            self.head_changed(&change.known);
+            self.header_changed(&change.known);
         }
     }
 
-    /// Takes the row of a head; one that cannot be read names no job.
-    pub fn learn_row(&self, value: &Bytes, revision: u64) {
-        if let Some(head) = decode_head(value) {
-            self.learn(KnownHead { head, revision });
+    /// Decodes and applies the row of a header; ignores a row that cannot be decoded.
+    pub fn note_header_row(&self, value: &Bytes, revision: u64) {
+        if let Some(header) = decode_job_header(value) {
+            self.note_header(KnownHeader { header, revision });
         }
     }
 
-    /// A head changed in the store.
-    pub fn head_changed(&self, known: &KnownHead) {
-        let job_id = &known.head.job_id;
-        let mut book = self.book();
-        let Some(job) = book.jobs.get_mut(job_id) else {
-            drop(book);
-            if self.owns(&known.head) && known.is_open() && !self.is_stopping() {
+    /// Updates the registry for a newer header: loads, updates or drops the job.
+    pub fn header_changed(&self, known: &KnownHeader) {
+        let job_id = &known.header.job_id;
+        let mut registry = self.registry();
+        let Some(job) = registry.jobs.get_mut(job_id) else {
+            drop(registry);
+            if self.owns(&known.header) && known.is_open() && !self.is_stopping() {
                 self.load(known.clone());
             }
             return;
@@ -206,42 +209,42 @@
         if job.known.revision >= known.revision {
             return;
         }
-        let before = job.known.head.clone();
-        let lost = !self.owns(&known.head) || known.head.epoch != before.epoch;
-        if known.is_open() && !lost {
-            job.take_head(known.clone());
+        let before = job.known.header.clone();
+        let is_lost = !self.owns(&known.header) || known.header.epoch != before.epoch;
+        if known.is_open() && !is_lost {
+            job.update_header(known.clone());
             return;
         }
         job.stop_runs();
-        book.jobs.remove(job_id);
-        drop(book);
-        let (outcome, reason) = match known.head.owner.as_str() {
-            _ if !lost => ("closed", ""),
+        registry.jobs.remove(job_id);
+        drop(registry);
+        let (outcome, reason) = match known.header.owner.as_str() {
+            _ if !is_lost => ("closed", ""),
             "" => ("released", ""),
             other => ("lost", other),
         };
-        self.log_ownership(&before, &known.head, outcome, reason);
+        self.log_ownership(&before, &known.header, outcome, reason);
     }
 
-    /// A job's row is gone.
-    pub fn head_removed(&self, job_id: &str) {
-        self.inner.view.forget(job_id);
-        if let Some(mut job) = self.book().jobs.remove(job_id) {
+    /// Drops a job whose row was removed from the store.
+    pub fn header_removed(&self, job_id: &str) {
+        self.inner.view.remove(job_id);
+        if let Some(mut job) = self.registry().jobs.remove(job_id) {
             job.stop_runs();
         }
     }
 
     pub(crate) fn log_ownership(
         &self,
-        before: &JobHeadRow,
-        head: &JobHeadRow,
+        before: &JobHeaderRow,
+        header: &JobHeaderRow,
         outcome: &str,
         reason: &str,
     ) {
         self.inner.log.record(&Record::JobOwnership {
-            job: &head.job_id,
+            job: &header.job_id,
             outcome,
-            epoch: head.epoch,
+            epoch: header.epoch,
             owner_before: last_owner(before),
             epoch_before: before.epoch,
             reason,
@@ -249,63 +252,63 @@
         });
     }
 
-    /// Enters a job whose items are known.
-    pub(crate) fn enter(&self, job: OwnedJob) {
-        let job_id = job.known.head.job_id.clone();
-        let mut book = self.book();
-        book.jobs.entry(job_id.clone()).or_insert(job);
-        drop(book);
-        // The head may have changed while the items were read; a change from now on finds the job here.
+    /// Registers a job whose items are loaded.
+    pub(crate) fn register(&self, job: OwnedJob) {
+        let job_id = job.known.header.job_id.clone();
+        let mut registry = self.registry();
+        registry.jobs.entry(job_id.clone()).or_insert(job);
+        drop(registry);
+        // The header may have changed while the items were read; later changes find the job registered.
         if let Some(newest) = self.inner.view.get(&job_id) {
-            self.head_changed(&newest);
+            self.header_changed(&newest);
         }
         self.inner.wake.notify_one();
     }
 
-    /// Reads a job's items, and enters it; nothing happens if that is under way.
-    pub(crate) fn load(&self, known: KnownHead) {
-        if !self.takeovers().begin_load(&known.head.job_id) {
+    /// Starts the load of a job's items, unless one is in flight.
+    pub(crate) fn load(&self, known: KnownHeader) {
+        if !self.takeovers().begin_load(&known.header.job_id) {
             return;
         }
         let jobs = self.clone();
         tokio::spawn(async move {
-            let job_id = known.head.job_id.clone();
-            jobs.read_and_enter(known).await;
-            jobs.takeovers().loaded(&job_id);
-            // Lost and won again meanwhile: the task may have ended on the loss.
+            let job_id = known.header.job_id.clone();
+            jobs.read_and_register(known).await;
+            jobs.takeovers().end_load(&job_id);
+            // The job may have been lost and regained during the load, which stops at the loss.
             if let Some(newest) = jobs.inner.view.get(&job_id) {
-                jobs.head_changed(&newest);
+                jobs.header_changed(&newest);
             }
         });
     }
 
-    async fn read_and_enter(&self, known: KnownHead) {
+    async fn read_and_register(&self, known: KnownHeader) {
         let store = &self.inner.store;
         loop {
-            let current = self.inner.view.get(&known.head.job_id);
+            let current = self.inner.view.get(&known.header.job_id);
             let current = current.unwrap_or_else(|| known.clone());
-            if !self.owns(&current.head) || !current.is_open() || self.is_stopping() {
+            if !self.owns(&current.header) || !current.is_open() || self.is_stopping() {
                 return;
             }
-            let items = store.read_items(&current.head).await;
-            let progress = store.read_progress(&current.head.job_id).await;
+            let items = store.read_items(&current.header).await;
+            let progress = store.read_progress(&current.header.job_id).await;
             if let (Ok(items), Ok(progress)) = (items, progress) {
                 let requests = items
                     .items
                     .into_iter()
-                    .map(|row| crate::model::item_request(row, &current.head))
+                    .map(|row| crate::model::item_request(row, &current.header))
                     .collect();
-                let attempts = self.attempts_of(&current.head.route);
+                let attempts = self.attempts_of(&current.header.route);
                 let mut job = OwnedJob::new(current, requests, progress);
-                job.fail_spent_items(attempts);
-                self.enter(job);
+                job.fail_exhausted_items(attempts);
+                self.register(job);
                 return;
             }
-            tokio::time::sleep(LOAD_PAUSE).await;
+            tokio::time::sleep(LOAD_RETRY_PAUSE).await;
         }
     }
 
-    /// Drives the jobs for as long as the process runs.
+    /// Runs items, adoption and removal until the process ends.
     pub async fn run(self) {
         tokio::join!(
             self.clone().run_items(),
@@ -314,30 +317,30 @@
         );
     }
 
-    /// Gives all jobs up for others; ends at `until` at the latest.
+    /// Releases all jobs to other daemons; returns at `until` at the latest.
     pub async fn hand_over_all(&self, until: Instant) {
         self.inner.stopping.store(true, Ordering::Relaxed);
-        let mut given = Vec::new();
+        let mut released_jobs = Vec::new();
         {
-            let mut book = self.book();
-            for job in book.jobs.values_mut() {
-                given.push((job.known.clone(), job.left_work()));
+            let mut registry = self.registry();
+            for job in registry.jobs.values_mut() {
+                released_jobs.push((job.known.clone(), job.stop_for_handover()));
             }
         }
-        let handing = given
+        let handovers = released_jobs
             .into_iter()
             .map(|(known, left)| self.hand_over(known, left, "stopping", until));
-        // A write that the store does not answer lasts longer than `until`; what it was to hand over is adopted once
-        // this daemon is gone.
-        let handed = timeout_at(until, futures::future::join_all(handing)).await;
-        if handed.is_err() {
+        // A write without a response lasts beyond `until`; the other daemons then adopt the job once this
+        // one has departed.
+        let finished = timeout_at(until, futures::future::join_all(handovers)).await;
+        if finished.is_err() {
             self.inner.log.record(&Record::DependencyLost {
-                dependency: HEADS,
+                dependency: JOB_HEADERS,
                 cause: "no answer while jobs were handed over",
             });
         }
     }
 }
 
-/// Pause before a job's items are read again.
-const LOAD_PAUSE: Duration = Duration::from_millis(150);
+/// Pause before a failed load is retried.
+const LOAD_RETRY_PAUSE: Duration = Duration::from_millis(150);
--- a/crates/inline-jobs/src/store/reads.rs
+++ b/crates/inline-jobs/src/store/reads.rs
@@ -3,61 +3,64 @@
 use harrierward_external::{
     Condition, PlatformError, PlatformErrorKind, RequestClass, Row, Transaction,
 };
-use harrierward_wire::{ItemProgressRow, JobHeadRow, JobItemsRow, ResultPieceRow, decode};
+use harrierward_wire::{ItemProgressRow, JobHeaderRow, JobItemsRow, ResultPieceRow, decode};
 use tokio::time::{Instant, sleep};
 
-use super::settling::LONGEST_PAUSE;
-use super::{HeadReading, JobStore, ReadResult, known};
+use super::settling::MAX_PAUSE;
+use super::{HeaderReading, JobStore, ReadResult, known};
 use crate::keys::{self, RowKind};
-use crate::view::KnownHead;
+use crate::view::KnownHeader;
 
-/// Most rows read at once.
-const READ_ROWS: usize = 500;
+/// Rows per page of a scan.
+const MAX_READ_ROWS: usize = 500;
 
-/// Most rows of results read at once; most results are a row of about 15 kB.
-const RESULT_ROWS: usize = 40;
+/// Rows per page of a scan of results; a typical row has about 15 kB.
+const MAX_RESULT_ROWS: usize = 40;
 
-/// Most rows removed at once.
-const DELETE_ROWS: usize = 80;
+/// Rows removed in one transaction.
+const MAX_DELETE_ROWS: usize = 80;
 
 impl JobStore {
-    /// All heads, as of `revision` at least; `None` if they could not be read before `until`.
-    pub async fn read_heads(&self, revision: u64, until: Instant) -> Option<Vec<KnownHead>> {
+    /// Reads all headers, as of `revision` or later; `None` if that fails until `until`.
+    pub async fn read_headers(&self, revision: u64, until: Instant) -> Option<Vec<KnownHeader>> {
         let partitions = keys::partitions();
         while Instant::now() < until {
-            let read = self.watched.read_space(keys::HEADS, &partitions).await;
-            // A read may be older than what was written before it.
+            let read = self
+                .watched
+                .read_space(keys::JOB_HEADERS, &partitions)
+                .await;
+            // The store may serve a read from before `revision`.
             if let Ok(snapshot) = read.as_ref()
                 && snapshot.revision >= revision
             {
-                let is_head = |row: &&Row| keys::row_kind(&row.key) == RowKind::Head;
-                let heads = snapshot.rows.iter().filter(is_head);
-                return Some(heads.filter_map(known).collect());
+                let is_header = |row: &&Row| keys::row_kind(&row.key) == RowKind::Header;
+                let headers = snapshot.rows.iter().filter(is_header);
+                return Some(headers.filter_map(known).collect());
             }
-            sleep(LONGEST_PAUSE / 2).await;
+            sleep(MAX_PAUSE / 2).await;
         }
         None
     }
 
-    /// A job's head as the store has it.
-    pub async fn read_head(&self, job_id: &str) -> Result<HeadReading, PlatformError> {
-        let reading = self.watched.read_row(&keys::head(job_id)).await?;
-        Ok(HeadReading {
-            head: reading.row.as_ref().and_then(known),
+    /// Reads a job's header from the store.
+    pub async fn read_header(&self, job_id: &str) -> Result<HeaderReading, PlatformError> {
+        let reading = self.watched.read_row(&keys::header(job_id)).await?;
+        Ok(HeaderReading {
+            header: reading.row.as_ref().and_then(known),
             revision: reading.revision,
         })
     }
 
-    /// All rows whose keys begin with `prefix` and are above `after`.
+    /// Reads all rows whose keys begin with `prefix`.
     async fn read_all(&self, prefix: &str) -> Result<Vec<Row>, PlatformError> {
         let mut rows: Vec<Row> = Vec::new();
         loop {
             let after = rows.last().map_or(String::new(), |row| row.key.clone());
             let page = self
                 .table
-                .scan(RequestClass::Commit, prefix, &after, READ_ROWS)
+                .scan(RequestClass::Commit, prefix, &after, MAX_READ_ROWS)
                 .await?;
-            let last = page.len() < READ_ROWS;
+            let last = page.len() < MAX_READ_ROWS;
             rows.extend(page);
             if last {
                 return Ok(rows);
@@ -65,12 +68,12 @@
         }
     }
 
-    /// A job's items.
-    pub async fn read_items(&self, head: &JobHeadRow) -> Result<JobItemsRow, PlatformError> {
+    /// Reads a job's items.
+    pub async fn read_items(&self, header: &JobHeaderRow) -> Result<JobItemsRow, PlatformError> {
         const STEP: &str = "jobs.read_items";
-        let content = if head.item_object.is_empty() {
-            let rows = self.read_all(&keys::items_prefix(&head.job_id)).await?;
-            if rows.len() < head.item_rows as usize {
+        let content = if header.item_object.is_empty() {
+            let rows = self.read_all(&keys::items_prefix(&header.job_id)).await?;
+            if rows.len() < header.item_rows as usize {
                 let kind = PlatformErrorKind::Unknown;
                 return Err(PlatformError::new(STEP, "store", kind, "rows are missing"));
             }
@@ -79,7 +82,7 @@
                 .collect()
         } else {
             self.objects
-                .get(RequestClass::Commit, &head.item_object)
+                .get(RequestClass::Commit, &header.item_object)
                 .await?
         };
         decode(&content).ok_or_else(|| {
@@ -88,7 +91,7 @@
         })
     }
 
-    /// Progress of a job's unfinished items.
+    /// Reads the progress of a job's unfinished items.
     pub async fn read_progress(
         &self,
         job_id: &str,
@@ -98,7 +101,8 @@
         Ok(rows.iter().filter_map(read).collect())
     }
 
-    /// Results from `position` on, in order without gaps; about `bytes` of text at most, but one at least.
+    /// Reads results from `position` on, in order and without gaps: about `bytes` of text at most, but at
+    /// least one.
     pub async fn read_results(
         &self,
         job_id: &str,
@@ -113,9 +117,9 @@
         loop {
             let page = self
                 .table
-                .scan(RequestClass::Commit, &prefix, &after, RESULT_ROWS)
+                .scan(RequestClass::Commit, &prefix, &after, MAX_RESULT_ROWS)
                 .await?;
-            let last_page = page.len() < RESULT_ROWS;
+            let last_page = page.len() < MAX_RESULT_ROWS;
             for row in page {
                 let wanted = position + u32::try_from(results.len()).unwrap_or_default();
                 let piece: Option<ResultPieceRow> = decode(&row.value);
@@ -145,15 +149,15 @@
         }
     }
 
-    /// Removes all rows of a job whose time is over.
-    pub async fn remove(&self, known: &KnownHead) -> Result<(), PlatformError> {
-        let job_id = &known.head.job_id;
+    /// Removes all rows of an expired job, its header last.
+    pub async fn remove(&self, known: &KnownHeader) -> Result<(), PlatformError> {
+        let job_id = &known.header.job_id;
         for prefix in [
             keys::items_prefix(job_id),
             keys::results_prefix(job_id),
             keys::progress_prefix(job_id),
         ] {
-            for rows in self.read_all(&prefix).await?.chunks(DELETE_ROWS) {
+            for rows in self.read_all(&prefix).await?.chunks(MAX_DELETE_ROWS) {
                 let transaction = rows
                     .iter()
                     .fold(Transaction::default(), |transaction, row| {
@@ -164,12 +168,12 @@
                     .await?;
             }
         }
-        if !known.head.item_object.is_empty() {
+        if !known.header.item_object.is_empty() {
             self.objects
-                .delete(RequestClass::Listing, &known.head.item_object)
+                .delete(RequestClass::Listing, &known.header.item_object)
                 .await?;
         }
-        let key = keys::head(job_id);
+        let key = keys::header(job_id);
         let transaction = Transaction::default()
             .require(Condition::AtRevision {
                 key: key.clone(),
--- a/crates/inline-jobs/src/store/settling.rs
+++ b/crates/inline-jobs/src/store/settling.rs
@@ -1,4 +1,4 @@
-//! Sending a transaction until its outcome is known.
+//! Retries of a transaction until its outcome is known.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
 use super::{JobStore, WriteOutcome, known, known_fence};
 use crate::keys::{self, RowKind};
 
-/// Pause after which a last write is sent again beside the one that is not answered, whose answer may be lost; and tries at a time.
-const RESEND_AFTER: Duration = Duration::from_millis(1_500);
-const MOST_TRIES: usize = 4;
+/// Time after which an unanswered attempt is repeated concurrently, and the bound of concurrent attempts.
+const RESEND_DELAY: Duration = Duration::from_millis(1_500);
+const MAX_ATTEMPTS: usize = 4;
 
-/// Pauses between tries of one transaction.
+/// Bounds of the pause between attempts.
 pub(super) const FIRST_PAUSE: Duration = Duration::from_millis(15);
-pub(super) const LONGEST_PAUSE: Duration = Duration::from_millis(250);
+pub(super) const MAX_PAUSE: Duration = Duration::from_millis(250);
 
 impl JobStore {
-    /// Sends a transaction until its outcome is known or `until` has come. Repeating is harmless: the condition on
-    /// the head lets it happen once.
+    /// Sends a transaction until its outcome is known or `until` has passed. Attempts are idempotent: the
+    /// condition on the header allows only one to commit.
     pub(super) async fn settle(
         &self,
         class: RequestClass,
@@ -30,53 +30,53 @@
         until: Instant,
     ) -> WriteOutcome {
         let mut random = SmallRng::from_os_rng();
-        let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
-        let mut in_doubt = false;
+        let mut backoff = Backoff::new(FIRST_PAUSE, MAX_PAUSE);
+        let mut is_indeterminate = false;
         loop {
             match self.table.transact(class, transaction.clone()).await {
                 Ok(outcome) => return write_outcome(outcome),
-                Err(error) => in_doubt |= error.may_have_happened(),
+                Err(error) => is_indeterminate |= error.may_have_happened(),
             }
             let pause = FIRST_PAUSE + backoff.wait(&mut random);
             if Instant::now() + pause >= until {
-                return unsettled(in_doubt);
+                return unsettled(is_indeterminate);
             }
             sleep(pause).await;
         }
     }
 
-    /// The same for a daemon that stops, which has no time for a second patience: a try that is not answered yet goes on while
-    /// others are sent beside it. A slow store does the first one, a lost answer is made up for by the second.
-    pub(super) async fn settle_side_by_side(
+    /// Does the same for a stopping daemon: an attempt without a response continues while others are sent.
+    /// The first one covers a slow store, the later ones a lost response.
+    pub(super) async fn settle_concurrently(
         &self,
         transaction: Transaction,
         until: Instant,
     ) -> WriteOutcome {
         let mut random = SmallRng::from_os_rng();
-        let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
-        let mut tries = FuturesUnordered::new();
+        let mut backoff = Backoff::new(FIRST_PAUSE, MAX_PAUSE);
+        let mut attempts = FuturesUnordered::new();
         let mut next = Instant::now();
-        let mut in_doubt = false;
+        let mut is_indeterminate = false;
         loop {
             tokio::select! {
-                () = sleep_until(next), if tries.len() < MOST_TRIES => {
-                    tries.push(self.table.transact(RequestClass::Handover, transaction.clone()));
-                    next = Instant::now() + RESEND_AFTER;
+                () = sleep_until(next), if attempts.len() < MAX_ATTEMPTS => {
+                    attempts.push(self.table.transact(RequestClass::Handover, transaction.clone()));
+                    next = Instant::now() + RESEND_DELAY;
                 }
-                Some(answer) = tries.next() => match answer {
+                Some(answer) = attempts.next() => match answer {
                     Ok(outcome) => return write_outcome(outcome),
                     Err(error) => {
-                        in_doubt |= error.may_have_happened();
+                        is_indeterminate |= error.may_have_happened();
                         next = Instant::now() + FIRST_PAUSE + backoff.wait(&mut random);
                     }
                 },
-                () = sleep_until(until) => return unsettled(in_doubt || !tries.is_empty()),
+                () = sleep_until(until) => return unsettled(is_indeterminate || !attempts.is_empty()),
             }
         }
     }
 }
 
-/// What a transaction's end says of the write of a head.
+/// Translates the outcome of a transaction into that of a header's write.
 fn write_outcome(outcome: TransactionOutcome) -> WriteOutcome {
     match outcome {
         TransactionOutcome::Committed { revision } => WriteOutcome::Committed { revision },
@@ -91,11 +91,11 @@
     }
 }
 
-/// A write whose end is not known in time.
-fn unsettled(in_doubt: bool) -> WriteOutcome {
-    if in_doubt {
-        WriteOutcome::InDoubt
+/// Returns the outcome of a write without a definite response until its deadline.
+fn unsettled(is_indeterminate: bool) -> WriteOutcome {
+    if is_indeterminate {
+        WriteOutcome::Indeterminate
     } else {
-        WriteOutcome::NotDone
+        WriteOutcome::NotCommitted
     }
 }
