--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -210,11 +210,11 @@
         members.set_relay(relay.clone());
         let fleet = members.clone();
         let intervals = WatchIntervals::new(&settings, relay.clone(), move || fleet.fleet_size());
-        let heads = JobRowHandler {
+        let headers = JobRowHandler {
             jobs: jobs.clone(),
             quarantine: quarantine.clone(),
         };
-        start_watches(&discovery, source.as_ref(), heads, &intervals, &log);
+        start_watches(&discovery, source.as_ref(), headers, &intervals, &log);
         let clock = jobs.clone();
         let store_now_ms = move || clock.view().store_now_ms();
         tokio::spawn(quarantine.clone().keep_stored(table, store_now_ms));
--- a/crates/edge/src/members/peers.rs
+++ b/crates/edge/src/members/peers.rs
@@ -140,12 +140,12 @@
         let view = self.view();
         let peer = view.member(coordinator);
         let peer = peer.map_or(own, |one| Location::new(&one.zone, &one.region));
-        let place = PeerLocation::from(own, peer);
+        let location = PeerLocation::from(own, peer);
         let ask = self.quota_message(request);
         let send = || self.send_to(node_datagram::Kind::QuotaAsk(ask.clone()), address);
         let answer = self
             .quota_calls
-            .call(ask.number, place, QUOTA_TIMEOUTS, send)
+            .call(ask.number, location, QUOTA_TIMEOUTS, send)
             .await?;
         Some((answer.outcome(), answer.fence))
     }
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -9,7 +9,7 @@
 
 use crate::server::{HttpService, ResponseBody};
 
-/// Answers every request with all metrics in text format.
+/// Responds to every request with all metrics in text format.
 pub struct MetricsService {
     log: DecisionLog,
 }
--- a/crates/edge/src/server/connection.rs
+++ b/crates/edge/src/server/connection.rs
@@ -75,7 +75,7 @@
         service_fn(move |request| {
             let guard = RequestGuard::begin(control.clone(), activity.clone());
             let service = service.clone();
-            async move { Ok::<_, std::convert::Infallible>(guard.answer(service, request).await) }
+            async move { Ok::<_, std::convert::Infallible>(guard.respond(service, request).await) }
         })
     };
     let connection = http1::Builder::new()
@@ -142,7 +142,7 @@
         Self { control, activity }
     }
 
-    async fn answer<S: HttpService>(
+    async fn respond<S: HttpService>(
         self,
         service: Arc<S>,
         request: Request<Incoming>,
--- a/crates/edge/src/server/mod.rs
+++ b/crates/edge/src/server/mod.rs
@@ -37,7 +37,7 @@
 /// Handler of the requests of a server.
 #[async_trait]
 pub trait HttpService: Send + Sync + 'static {
-    /// Answers one request. The future is dropped when the caller disconnects.
+    /// Handles one request. The future is dropped when the caller disconnects.
     async fn call(&self, request: Request<Incoming>) -> Response<ResponseBody>;
 }
 
--- a/crates/edge/src/watches.rs
+++ b/crates/edge/src/watches.rs
@@ -129,7 +129,7 @@
     let copy = intervals.copy(source.replica_space());
     tokio::spawn(replicas.run_shared(copy, move |update| target.apply_replicas(&update)));
     let wait = WatchSettings::default().wait;
-    let heads = watch(
+    let headers = watch(
         JOB_HEADERS,
         partitions(),
         intervals.coalescing(JOB_HEADERS),
@@ -141,7 +141,7 @@
         // When all daemons start at once the store is overloaded: what callers wait for is read first.
         wait_until_complete(&discovery).await;
         let apply = move |update| job_rows.apply(&update);
-        heads.run_shared(copy, apply).await;
+        headers.run_shared(copy, apply).await;
     });
 }
 
