--- a/crates/inline-jobs/src/registry.rs
+++ b/crates/inline-jobs/src/registry.rs
@@ -7,7 +7,7 @@
 use harrierward_serving::ServingRequest;
 use tokio::time::Instant;
 
-use crate::item::{Item, ItemPhase, RunSlot, SharedProgress, abort_run, lock};
+use crate::item::{Item, ItemPhase, RunLease, SharedProgress, abort_run, lock};
 use crate::no_capacity::NoCapacity;
 use crate::owned_job::OwnedJob;
 use crate::pacing::RunLength;
@@ -27,7 +27,7 @@
     pub started_fresh: bool,
     /// Hash of the replica instance at which it last ran; `None` if it has not run at this daemon.
     pub last_replica_instance: Option<u32>,
-    /// Runs that a replica answered with a failure.
+    /// Runs that a replica ended with a failure response.
     pub failures: u32,
     /// The request to send to a replica.
     pub request: Arc<ServingRequest>,
@@ -41,7 +41,7 @@
     /// When an item was last started; `None` before the first.
     pub last_start: Option<Instant>,
     /// Placement requests in flight.
-    pub placing: usize,
+    pub placements_in_flight: usize,
     /// Where placements recently found no free slot.
     pub no_capacity: NoCapacity,
     /// Mean length of item runs, for the urgency of items.
@@ -81,8 +81,8 @@
         startable
     }
 
-    /// Records which jobs' routes are missing from the configuration, and fails the items of a route that has
-    /// been missing for `grace_period`.
+    /// Records which jobs' routes are missing from the configuration, and fails the items of a route that has been
+    /// missing for `grace_period`.
     pub fn fail_items_without_route(
         &mut self,
         is_known: impl Fn(&str) -> bool,
@@ -132,31 +132,33 @@
         count: usize,
         pause: Duration,
     ) -> Vec<PreemptedItem> {
-        let mut runs = self.runs_where(|at| at.replica == replica);
+        let mut runs = self.runs_where(|lease| lease.replica == replica);
         runs.sort_by_key(|run| std::cmp::Reverse(run.since));
         let selected = runs.into_iter().take(count);
         selected.map(|run| run.preempt(pause)).collect()
     }
 
-    /// Aborts the run that holds a slot; its item waits for `pause`. Returns the item.
-    pub fn preempt_lease(&mut self, slot: u32, pause: Duration) -> Option<PreemptedItem> {
-        let run = self.runs_where(|at| at.slot == slot).pop()?;
+    /// Aborts the run that holds a lease; its item waits for `pause`. Returns the item.
+    pub fn preempt_lease(&mut self, lease: u32, pause: Duration) -> Option<PreemptedItem> {
+        let run = self
+            .runs_where(|run_lease| run_lease.lease == lease)
+            .pop()?;
         Some(run.preempt(pause))
     }
 
-    fn runs_where(&mut self, is_selected: impl Fn(&RunSlot) -> bool) -> Vec<RunInProgress<'_>> {
+    fn runs_where(&mut self, is_selected: impl Fn(&RunLease) -> bool) -> Vec<RunInProgress<'_>> {
         let mut runs = Vec::new();
         for job in self.jobs.values_mut() {
             for item in &mut job.items {
                 let ItemPhase::Running {
-                    at: Some(at),
+                    lease: Some(run_lease),
                     since,
                     ..
                 } = &item.phase
                 else {
                     continue;
                 };
-                if !is_selected(at) {
+                if !is_selected(run_lease) {
                     continue;
                 }
                 runs.push(RunInProgress {
@@ -164,7 +166,7 @@
                     preempted: PreemptedItem {
                         job: job.known.header.job_id.clone(),
                         item: item.request.id.clone(),
-                        replica: at.replica.clone(),
+                        replica: run_lease.replica.clone(),
                         events: lock(&item.progress).last_event.unwrap_or_default(),
                     },
                     phase: &mut item.phase,
--- a/crates/inline-jobs/src/service.rs
+++ b/crates/inline-jobs/src/service.rs
@@ -11,7 +11,7 @@
 use harrierward_ownership::OwnerStatus;
 use harrierward_serving::Forwarder;
 use harrierward_tenants::AllowedRegions;
-use harrierward_wire::{JobHeaderRow, QuotaOutcome, decode_job_header};
+use harrierward_wire::{JobHeadRow, QuotaOutcome, decode_job_header};
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
@@ -27,12 +27,12 @@
 /// The other daemons of the fleet, as the membership protocol shows them.
 #[async_trait]
 pub trait Peers: Send + Sync {
-    /// Returns the instance ids of the daemons that may own jobs, this one included; `None` until the
-    /// membership has settled.
+    /// Returns the instance ids of the daemons that may own jobs, this one included; `None` until the membership has
+    /// settled.
     fn owners(&self) -> Option<Vec<String>>;
 
-    /// Returns those of [`Self::owners`] in one of these regions, which may read the bodies of jobs
-    /// restricted to them.
+    /// Returns those of [`Self::owners`] in one of these regions, which may read the bodies of jobs restricted to
+    /// them.
     fn owners_in(&self, regions: &AllowedRegions) -> Option<Vec<String>> {
         match regions {
             AllowedRegions::Any => self.owners(),
@@ -43,12 +43,12 @@
     /// Returns this daemon's view of the owner of a job.
     fn owner_status(&self, owner: &str) -> OwnerStatus;
 
-    /// Returns the daemons that may own jobs in the region of `owner`, which may be dead; empty if its region
-    /// is unknown.
+    /// Returns the daemons that may own jobs in the region of `owner`, which may be dead; empty if its region is
+    /// unknown.
     fn owners_near(&self, owner: &str) -> Vec<String>;
 
-    /// Requests a job's tokens from the coordinator of its route's quota. Returns the outcome and the fence
-    /// of a grant; `None` without a reply.
+    /// Requests a job's tokens from the coordinator of its route's quota. Returns the outcome and the fence of a
+    /// grant; `None` without a reply.
     async fn request_quota(
         &self,
         coordinator: &str,
@@ -160,8 +160,8 @@
         self.inner.stopping.load(Ordering::Relaxed)
     }
 
-    /// True if the local copy is recent enough that no cancellation acknowledged longer than the bound ago
-    /// can be missing.
+    /// True if the local copy is recent enough that no cancellation acknowledged longer than the bound ago can be
+    /// missing.
     pub(crate) fn may_start_runs(&self) -> bool {
         let bound = self.inner.settings.cancel_within;
         let bound = bound.saturating_sub(CANCEL_MARGIN);
@@ -169,14 +169,13 @@
         !self.is_stopping() && age.is_some_and(|age| age < bound)
     }
 
-    /// Returns the regions in which a job's items may run and its bodies be read; `None` without a
-    /// configuration.
+    /// Returns the regions in which a job's items may run and its bodies be read; `None` without a configuration.
     pub(crate) fn regions_of(&self, route: &str, tenant: &str) -> Option<AllowedRegions> {
         let routes = self.inner.forwarder.routes()?;
         Some(routes.configuration.allowed_regions(route, tenant))
     }
 
-    pub(crate) fn owns(&self, header: &JobHeaderRow) -> bool {
+    pub(crate) fn owns(&self, header: &JobHeadRow) -> bool {
         header.owner == self.inner.instance_id
     }
 
@@ -236,8 +235,8 @@
 
     pub(crate) fn log_ownership(
         &self,
-        before: &JobHeaderRow,
-        header: &JobHeaderRow,
+        before: &JobHeadRow,
+        header: &JobHeadRow,
         outcome: &str,
         reason: &str,
     ) {
@@ -329,9 +328,9 @@
         }
         let handovers = released_jobs
             .into_iter()
-            .map(|(known, left)| self.hand_over(known, left, "stopping", until));
-        // A write without a response lasts beyond `until`; the other daemons then adopt the job once this
-        // one has departed.
+            .map(|(known, state)| self.hand_over(known, state, "stopping", until));
+        // A write without a response lasts beyond `until`; the other daemons then adopt the job once this one has
+        // departed.
         let finished = timeout_at(until, futures::future::join_all(handovers)).await;
         if finished.is_err() {
             self.inner.log.record(&Record::DependencyLost {
