--- a/crates/edge/src/peer_updates.rs
+++ b/crates/edge/src/peer_updates.rs
@@ -77,9 +77,8 @@
             .merge_evacuations(&evacuations_from_message(received), peer);
     }
 
-    /// Notes a version announced by a peer whose control address is `address`. It is fetched once this daemon's proof
-    /// is stale, or the peer has been ahead for long: a feed may skip a change and still prove contact. Until then
-    /// the store is expected to deliver it.
+    /// Notes a version announced by a peer whose control address is `address`; ignored unless this daemon's proof is
+    /// stale or its feed lags, since a working feed delivers the version itself.
     pub fn note_peer_version(&self, version: u64, address: impl FnOnce() -> Option<String>) {
         let own = self.discovery.configuration_version();
         if version <= own || !(self.is_feed_lagging(own) || self.discovery.is_stale()) {
--- a/crates/edge/src/server/mod.rs
+++ b/crates/edge/src/server/mod.rs
@@ -26,9 +26,8 @@
 /// Pause after a failed accept, for example when file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// How long a caller may leave bytes unacknowledged or its receive window closed before its connection is dropped.
-/// Without this limit its request would keep a replica's slot. Longer than towards replicas, since callers may read
-/// slowly.
+/// How long a caller may acknowledge no bytes or keep its receive window closed before it is disconnected; until then
+/// its request keeps a replica's slot. Longer than towards replicas, since callers may read slowly.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Body of a response; an error aborts the connection.
--- a/crates/edge/src/stop.rs
+++ b/crates/edge/src/stop.rs
@@ -49,9 +49,8 @@
         self.log.flush();
     }
 
-    /// Hands jobs over to other daemons. The daemon leaves the membership when this is done, at the latest when
-    /// callers are refused, so that remaining jobs are adopted; a concurrent hand-over then fails at the store's
-    /// conditional write.
+    /// Hands jobs over, then leaves the membership, at the latest when callers are refused: remaining jobs are
+    /// adopted. A concurrent hand-over then fails at the store's conditional write.
     async fn hand_over_jobs(&self, requested_at: Instant, deadline: Instant) {
         let mut hand_over = pin!(self.service.jobs.hand_over_all(deadline));
         let in_time = timeout_at(requested_at + READINESS_PROPAGATION, hand_over.as_mut()).await;
