--- a/crates/edge/src/stall.rs
+++ b/crates/edge/src/stall.rs
@@ -60,7 +60,7 @@
         let Some(last_received_at) = self.last_received_at else {
             return;
         };
-        if harrierward_clock::age(last_received_at) >= self.pool.silent_after() {
+        if harrierward_clock::age(last_received_at) >= self.pool.stall_timeout() {
             self.pool.close_stalled(&self.address, last_received_at);
         }
     }
