--- a/crates/claims/src/verdict.rs
+++ b/crates/claims/src/claim.rs
@@ -73,11 +73,11 @@
 
 /// Answer to an attempt to claim.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Verdict {
+pub enum ClaimOutcome {
     /// The claim is this attempt's: dispatch.
     Granted(Claim),
     /// The request has run; this is its stored answer.
-    Answered(Vec<u8>),
+    Completed(Vec<u8>),
     /// Another attempt holds the claim: the request may be running, or may have run.
     Held(Holder),
     /// The key was used with another body.
@@ -87,7 +87,7 @@
 /// The claim could not be made, so the request was certainly not dispatched by this attempt.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("claim not made: {0}")]
-pub struct ClaimRefused(pub PlatformError);
+pub struct ClaimError(pub PlatformError);
 
 fn is_same_request(present: &ClaimRow, wanted: &ClaimRow) -> bool {
     let has_content = !present.content_digest.is_empty();
@@ -96,24 +96,24 @@
 }
 
 /// Judges the row that stands where `wanted` should go.
-pub fn judge(key: &ClaimKey, wanted: &ClaimRow, current: &Row) -> Verdict {
+pub fn existing_outcome(key: &ClaimKey, wanted: &ClaimRow, current: &Row) -> ClaimOutcome {
     let Some(present) = decode::<ClaimRow>(&current.value) else {
-        return Verdict::Held(Holder::default());
+        return ClaimOutcome::Held(Holder::default());
     };
     if !is_same_request(&present, wanted) {
-        return Verdict::Mismatch;
+        return ClaimOutcome::Mismatch;
     }
     if present.state == ClaimState::Done as i32 {
-        return Verdict::Answered(present.answer);
+        return ClaimOutcome::Completed(present.answer);
     }
     if present.attempt == wanted.attempt {
-        return Verdict::Granted(Claim {
+        return ClaimOutcome::Granted(Claim {
             key: key.clone(),
             row: present,
             revision: current.revision,
         });
     }
-    Verdict::Held(Holder {
+    ClaimOutcome::Held(Holder {
         attempt: present.attempt,
         created_at_ms: present.created_at_ms,
     })
--- a/crates/claims/src/group.rs
+++ b/crates/claims/src/group.rs
@@ -6,7 +6,7 @@
 use harrierward_external::{Condition, Transaction, TransactionOutcome};
 use harrierward_wire::{ClaimRow, encode};
 
-use crate::verdict::{Claim, ClaimKey, Verdict, judge};
+use crate::claim::{Claim, ClaimKey, ClaimOutcome, existing_outcome};
 
 /// A claim that waits for its commit.
 #[derive(Debug, Clone, PartialEq)]
@@ -23,7 +23,7 @@
     /// The claim.
     pub pending: PendingClaim,
     /// What was decided.
-    pub verdict: Verdict,
+    pub outcome: ClaimOutcome,
 }
 
 /// Claims that are committed together.
@@ -34,7 +34,7 @@
 
 impl ClaimGroup {
     /// True if the group holds a claim of this key; another of the same key must wait for the next group.
-    pub fn holds(&self, key: &ClaimKey) -> bool {
+    pub fn contains(&self, key: &ClaimKey) -> bool {
         self.pending.iter().any(|pending| pending.key == *key)
     }
 
@@ -82,8 +82,8 @@
                     return Vec::new();
                 };
                 let pending = self.pending.swap_remove(index);
-                let verdict = judge(&pending.key, &pending.row, &row);
-                vec![Resolution { pending, verdict }]
+                let outcome = existing_outcome(&pending.key, &pending.row, &row);
+                vec![Resolution { pending, outcome }]
             }
         }
     }
@@ -102,6 +102,6 @@
     };
     Resolution {
         pending,
-        verdict: Verdict::Granted(claim),
+        outcome: ClaimOutcome::Granted(claim),
     }
 }
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -3,12 +3,14 @@
 //! Why a row and not a lock: the claim must outlive the machine that took it. A claim whose holder vanished
 //! stays open for good, and a resend is told "unknown", because the request may have run.
 
+mod claim;
 mod group;
 mod service;
-mod verdict;
 mod watch;
 
+pub use claim::{
+    Claim, ClaimError, ClaimKey, ClaimOutcome, Holder, RequestDigest, existing_outcome,
+};
 pub use group::{ClaimGroup, PendingClaim, Resolution};
 pub use service::{ClaimSettings, Claims};
-pub use verdict::{Claim, ClaimKey, ClaimRefused, Holder, RequestDigest, Verdict, judge};
-pub use watch::{MOST_WATCHED, Waited};
+pub use watch::{MAX_WAITERS, WaitOutcome};
--- a/crates/claims/src/service.rs
+++ b/crates/claims/src/service.rs
@@ -13,9 +13,9 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout_at};
 
+use crate::claim::{Claim, ClaimError, ClaimKey, ClaimOutcome, RequestDigest};
 use crate::group::{ClaimGroup, PendingClaim};
-use crate::verdict::{Claim, ClaimKey, ClaimRefused, RequestDigest, Verdict};
-use crate::watch::{ClaimWatch, Waited};
+use crate::watch::{ClaimWatch, WaitOutcome};
 
 const PREFIX: &str = "claims:";
 
@@ -25,11 +25,11 @@
     /// Most claims in one transaction.
     pub group_size: usize,
     /// Longest time to try for a claim before the request is refused as not run.
-    pub claim_deadline: Duration,
+    pub claim_timeout: Duration,
     /// Longest time to try to store an answer or release a claim.
-    pub settle_deadline: Duration,
+    pub settle_timeout: Duration,
     /// Largest answer kept for resends, bytes; of a larger one a resend only learns that it ran.
-    pub largest_answer: usize,
+    pub max_response_bytes: usize,
     /// Seed of the back-off's jitter.
     pub seed: u64,
 }
@@ -38,9 +38,9 @@
     fn default() -> Self {
         Self {
             group_size: 64,
-            claim_deadline: Duration::from_millis(800),
-            settle_deadline: Duration::from_secs(120),
-            largest_answer: 64 * 1024,
+            claim_timeout: Duration::from_millis(800),
+            settle_timeout: Duration::from_secs(120),
+            max_response_bytes: 64 * 1024,
             seed: 0,
         }
     }
@@ -52,7 +52,7 @@
 
 struct Waiting {
     pending: PendingClaim,
-    reply: oneshot::Sender<Result<Verdict, PlatformError>>,
+    reply: oneshot::Sender<Result<ClaimOutcome, PlatformError>>,
 }
 
 /// Changes claims that exist already.
@@ -84,15 +84,15 @@
         }
     }
 
-    /// Claims a request for `attempt`. Nothing may be dispatched unless the verdict is `Granted`.
+    /// Claims a request for `attempt`. Nothing may be dispatched unless the outcome is `Granted`.
     pub async fn begin(
         &self,
         key: ClaimKey,
         digest: RequestDigest,
         attempt: String,
         now_ms: u64,
-    ) -> Result<Verdict, ClaimRefused> {
-        let deadline = Instant::now() + self.settler.settings.claim_deadline;
+    ) -> Result<ClaimOutcome, ClaimError> {
+        let deadline = Instant::now() + self.settler.settings.claim_timeout;
         let row = ClaimRow {
             digest: digest.body,
             attempt,
@@ -108,20 +108,20 @@
             reply,
         };
         if self.queue.send(waiting).is_err() {
-            return Err(ClaimRefused(not_done("claim service has stopped")));
+            return Err(ClaimError(not_done("claim service has stopped")));
         }
         let error = match timeout_at(deadline, receiver).await {
-            Ok(Ok(Ok(verdict))) => return Ok(verdict),
+            Ok(Ok(Ok(outcome))) => return Ok(outcome),
             Ok(Ok(Err(error))) => error,
             Ok(Err(_)) => not_done("claim service has stopped"),
             Err(_) => not_done("the table did not answer in time"),
         };
         self.settler.clean_up(pending);
-        Err(ClaimRefused(error))
+        Err(ClaimError(error))
     }
 
     /// Waits while another attempt's claim of this key is open, until `deadline` at the longest.
-    pub async fn wait_while_open(&self, key: &ClaimKey, deadline: Instant) -> Waited {
+    pub async fn wait_while_open(&self, key: &ClaimKey, deadline: Instant) -> WaitOutcome {
         self.watch.wait_while_open(key, deadline).await
     }
 
@@ -149,7 +149,7 @@
     async fn finish(&self, claim: &Claim, answer: &[u8]) {
         let mut row = claim.row.clone();
         row.state = ClaimState::Done as i32;
-        row.answer = if answer.len() <= self.settings.largest_answer {
+        row.answer = if answer.len() <= self.settings.max_response_bytes {
             answer.to_vec()
         } else {
             Vec::new()
@@ -166,7 +166,7 @@
 
     /// Applies `write` to the claim's row while the row is still the claim's own.
     async fn settle(&self, claim: &Claim, what: &str, write: Transaction) {
-        let deadline = Instant::now() + self.settings.settle_deadline;
+        let deadline = Instant::now() + self.settings.settle_timeout;
         let mut random = StdRng::seed_from_u64(self.settings.seed ^ claim.revision);
         let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_SETTLE_WAIT);
         let condition = Condition::AtRevision {
@@ -188,7 +188,7 @@
     }
 
     async fn release_attempt(&self, key: &ClaimKey, attempt: &str) {
-        let deadline = Instant::now() + self.settings.settle_deadline;
+        let deadline = Instant::now() + self.settings.settle_timeout;
         let mut random = StdRng::seed_from_u64(self.settings.seed);
         let mut backoff = Backoff::new(LONGEST_CLAIM_WAIT, LONGEST_SETTLE_WAIT);
         let row_key = key.row_key();
@@ -262,14 +262,14 @@
         if claim.reply.is_closed() {
             continue;
         }
-        if group.holds(&claim.pending.key) {
+        if group.contains(&claim.pending.key) {
             later.push(claim);
             continue;
         }
         replies.insert(claim.pending.key.clone(), claim.reply);
         group.add(claim.pending);
     }
-    let deadline = Instant::now() + settler.settings.claim_deadline;
+    let deadline = Instant::now() + settler.settings.claim_timeout;
     let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_CLAIM_WAIT);
     let mut last_error = None;
     while !group.is_empty() && Instant::now() < deadline {
@@ -284,7 +284,7 @@
                         continue;
                     };
                     // Nobody waits any more, so nobody will dispatch: the claim must not stand.
-                    if reply.send(Ok(resolution.verdict)).is_err() {
+                    if reply.send(Ok(resolution.outcome)).is_err() {
                         settler.clean_up(resolution.pending);
                     }
                 }
--- a/crates/claims/src/watch.rs
+++ b/crates/claims/src/watch.rs
@@ -12,12 +12,12 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout_at};
 
-use crate::verdict::ClaimKey;
+use crate::claim::ClaimKey;
 
 const PREFIX: &str = "claims:";
 
 /// Resends that wait at one daemon at most: as many rows as one read asks for.
-pub const MOST_WATCHED: usize = 64;
+pub const MAX_WAITERS: usize = 64;
 
 /// Pause before the first look after somebody began to wait. Most resends of a finished request meet the moment in
 /// which its answer is being stored.
@@ -28,13 +28,13 @@
 
 /// How a wait for another attempt's claim ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Waited {
+pub enum WaitOutcome {
     /// The claim is not open any more: it holds an answer, or it is gone.
     Settled,
     /// It was open to the end.
     StillOpen,
     /// Too many wait here already; this one did not.
-    TooMany,
+    TooManyWaiters,
 }
 
 struct Watched {
@@ -57,14 +57,14 @@
         tokio::spawn(run_looks(table, receiver));
         Self {
             queue,
-            places: Arc::new(Semaphore::new(MOST_WATCHED)),
+            places: Arc::new(Semaphore::new(MAX_WAITERS)),
         }
     }
 
     /// Waits while the claim is open, until `deadline` at the longest.
-    pub async fn wait_while_open(&self, key: &ClaimKey, deadline: Instant) -> Waited {
+    pub async fn wait_while_open(&self, key: &ClaimKey, deadline: Instant) -> WaitOutcome {
         let Ok(_place) = self.places.try_acquire() else {
-            return Waited::TooMany;
+            return WaitOutcome::TooManyWaiters;
         };
         let (settled, receiver) = oneshot::channel();
         let watched = Watched {
@@ -72,11 +72,11 @@
             settled,
         };
         if self.queue.send(watched).is_err() {
-            return Waited::StillOpen;
+            return WaitOutcome::StillOpen;
         }
         match timeout_at(deadline, receiver).await {
-            Ok(Ok(())) => Waited::Settled,
-            Ok(Err(_)) | Err(_) => Waited::StillOpen,
+            Ok(Ok(())) => WaitOutcome::Settled,
+            Ok(Err(_)) | Err(_) => WaitOutcome::StillOpen,
         }
     }
 }
@@ -120,7 +120,7 @@
 
 /// Reads the rows and tells those whose claim is settled.
 async fn look(table: &dyn Table, watchers: &mut Watchers) {
-    let keys: Vec<String> = watchers.keys().take(MOST_WATCHED).cloned().collect();
+    let keys: Vec<String> = watchers.keys().take(MAX_WAITERS).cloned().collect();
     if keys.is_empty() {
         return;
     }
--- a/crates/claims/tests/group.rs
+++ b/crates/claims/tests/group.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use harrierward_claims::{ClaimGroup, ClaimKey, PendingClaim, Verdict};
+use harrierward_claims::{ClaimGroup, ClaimKey, ClaimOutcome, PendingClaim};
 use harrierward_external::{Condition, Row, Transaction, TransactionOutcome, Write};
 use harrierward_wire::{ClaimRow, ClaimState, decode};
 use proptest::prelude::*;
@@ -88,7 +88,7 @@
             let mut later = Vec::new();
             let mut answer_lost = false;
             for (claim, lost) in next {
-                if group.len() >= group_size || group.holds(&claim.key) {
+                if group.len() >= group_size || group.contains(&claim.key) {
                     later.push((claim, lost));
                 } else {
                     answer_lost |= lost;
@@ -104,18 +104,18 @@
                     decided += 1;
                     let key = resolution.pending.key.row_key();
                     let standing: ClaimRow = decode(&table.rows[&key].value).unwrap_or_default();
-                    match resolution.verdict {
-                        Verdict::Granted(claim) => {
+                    match resolution.outcome {
+                        ClaimOutcome::Granted(claim) => {
                             prop_assert_eq!(&standing.attempt, &claim.row.attempt);
                             let earlier = granted.insert(key, claim.row.attempt);
                             prop_assert!(earlier.is_none(), "granted twice");
                         }
-                        Verdict::Mismatch => prop_assert_ne!(standing.digest, resolution.pending.row.digest),
-                        Verdict::Held(holder) => {
+                        ClaimOutcome::Mismatch => prop_assert_ne!(standing.digest, resolution.pending.row.digest),
+                        ClaimOutcome::Held(holder) => {
                             prop_assert_eq!(&standing.attempt, &holder.attempt);
                             prop_assert_ne!(standing.attempt, resolution.pending.row.attempt);
                         }
-                        Verdict::Answered(_) => prop_assert!(false, "nothing was answered"),
+                        ClaimOutcome::Completed(_) => prop_assert!(false, "nothing was answered"),
                     }
                 }
             }
--- a/crates/claims/tests/watch.rs
+++ b/crates/claims/tests/watch.rs
@@ -8,7 +8,8 @@
 
 use async_trait::async_trait;
 use harrierward_claims::{
-    Claim, ClaimKey, ClaimSettings, Claims, Holder, MOST_WATCHED, RequestDigest, Verdict, Waited,
+    Claim, ClaimKey, ClaimOutcome, ClaimSettings, Claims, Holder, MAX_WAITERS, RequestDigest,
+    WaitOutcome,
 };
 use harrierward_external::{
     Condition, PlatformError, PlatformErrorKind, RequestClass, Row, Table, Transaction,
@@ -102,8 +103,8 @@
 }
 
 /// What others are told of the claim of `holder`.
-fn held() -> Verdict {
-    Verdict::Held(Holder {
+fn held() -> ClaimOutcome {
+    ClaimOutcome::Held(Holder {
         attempt: "holder".to_owned(),
         created_at_ms: 1,
     })
@@ -113,15 +114,15 @@
     RequestDigest::of("/v1/completions", body.as_bytes(), content.as_bytes())
 }
 
-async fn begin(claims: &Claims, number: usize, attempt: &str) -> Verdict {
+async fn begin(claims: &Claims, number: usize, attempt: &str) -> ClaimOutcome {
     let digest = digest("body", "content");
-    let verdict = claims.begin(key(number), digest, attempt.to_owned(), 1);
-    verdict.await.expect("the table answers")
+    let outcome = claims.begin(key(number), digest, attempt.to_owned(), 1);
+    outcome.await.expect("the table answers")
 }
 
 async fn open_claim(claims: &Claims, number: usize) -> Claim {
     match begin(claims, number, "holder").await {
-        Verdict::Granted(claim) => claim,
+        ClaimOutcome::Granted(claim) => claim,
         other => panic!("{other:?}"),
     }
 }
@@ -134,7 +135,7 @@
     (table, holder, other)
 }
 
-fn wait(claims: &Claims, number: usize) -> tokio::task::JoinHandle<(Waited, Duration)> {
+fn wait(claims: &Claims, number: usize) -> tokio::task::JoinHandle<(WaitOutcome, Duration)> {
     let claims = claims.clone();
     tokio::spawn(async move {
         let asked_at = Instant::now();
@@ -153,10 +154,10 @@
     sleep(Duration::from_millis(400)).await;
     holder.finish(&claim, b"the answer").await;
     let (waited, took) = waiting.await.expect("the wait ends");
-    assert_eq!(waited, Waited::Settled);
+    assert_eq!(waited, WaitOutcome::Settled);
     assert!(took < Duration::from_millis(600), "{took:?}");
-    let verdict = begin(&other, 0, "resend").await;
-    assert_eq!(verdict, Verdict::Answered(b"the answer".to_vec()));
+    let outcome = begin(&other, 0, "resend").await;
+    assert_eq!(outcome, ClaimOutcome::Completed(b"the answer".to_vec()));
 }
 
 #[tokio::test(start_paused = true)]
@@ -167,7 +168,7 @@
     sleep(Duration::from_millis(2)).await;
     holder.finish(&claim, b"the answer").await;
     let (waited, took) = waiting.await.expect("the wait ends");
-    assert_eq!(waited, Waited::Settled);
+    assert_eq!(waited, WaitOutcome::Settled);
     assert!(took <= Duration::from_millis(25), "{took:?}");
 }
 
@@ -179,9 +180,9 @@
     sleep(Duration::from_millis(200)).await;
     holder.release(&claim).await;
     let (waited, _) = waiting.await.expect("the wait ends");
-    assert_eq!(waited, Waited::Settled);
-    let verdict = begin(&other, 0, "resend").await;
-    assert!(matches!(verdict, Verdict::Granted(_)), "{verdict:?}");
+    assert_eq!(waited, WaitOutcome::Settled);
+    let outcome = begin(&other, 0, "resend").await;
+    assert!(matches!(outcome, ClaimOutcome::Granted(_)), "{outcome:?}");
 }
 
 #[tokio::test(start_paused = true)]
@@ -189,7 +190,7 @@
     let (_, holder, other) = two_daemons();
     open_claim(&holder, 0).await;
     let (waited, took) = wait(&other, 0).await.expect("the wait ends");
-    assert_eq!((waited, took), (Waited::StillOpen, LONGEST_WAIT));
+    assert_eq!((waited, took), (WaitOutcome::StillOpen, LONGEST_WAIT));
 }
 
 #[tokio::test(start_paused = true)]
@@ -198,33 +199,36 @@
     let claim = open_claim(&holder, 0).await;
     table.is_down.store(true, Ordering::Relaxed);
     let (waited, took) = wait(&other, 0).await.expect("the wait ends");
-    assert_eq!((waited, took), (Waited::StillOpen, LONGEST_WAIT));
+    assert_eq!((waited, took), (WaitOutcome::StillOpen, LONGEST_WAIT));
     let waiting = wait(&other, 0);
     sleep(Duration::from_millis(500)).await;
     holder.finish(&claim, b"the answer").await;
     table.is_down.store(false, Ordering::Relaxed);
     let (waited, _) = waiting.await.expect("the wait ends");
-    assert_eq!(waited, Waited::Settled);
+    assert_eq!(waited, WaitOutcome::Settled);
 }
 
 #[tokio::test(start_paused = true)]
 async fn many_who_wait_cost_the_reads_of_one_and_too_many_do_not_wait() {
     let (table, holder, other) = two_daemons();
-    for number in 0..=MOST_WATCHED {
+    for number in 0..=MAX_WAITERS {
         open_claim(&holder, number).await;
     }
     let alone = wait(&other, 0).await.expect("the wait ends");
-    assert_eq!(alone.0, Waited::StillOpen);
+    assert_eq!(alone.0, WaitOutcome::StillOpen);
     let reads_alone = table.reads.swap(0, Ordering::Relaxed);
 
-    let waiting: Vec<_> = (0..MOST_WATCHED)
+    let waiting: Vec<_> = (0..MAX_WAITERS)
         .map(|number| wait(&other, number))
         .collect();
     sleep(Duration::from_millis(1)).await;
-    let (waited, took) = wait(&other, MOST_WATCHED).await.expect("it ends at once");
-    assert_eq!((waited, took), (Waited::TooMany, Duration::ZERO));
+    let (waited, took) = wait(&other, MAX_WAITERS).await.expect("it ends at once");
+    assert_eq!(
+        (waited, took),
+        (WaitOutcome::TooManyWaiters, Duration::ZERO)
+    );
     for one in waiting {
-        assert_eq!(one.await.expect("the wait ends").0, Waited::StillOpen);
+        assert_eq!(one.await.expect("the wait ends").0, WaitOutcome::StillOpen);
     }
     let reads = table.reads.load(Ordering::Relaxed);
     assert!(
@@ -233,7 +237,7 @@
     );
     // Places are free again.
     let (waited, _) = wait(&other, 0).await.expect("the wait ends");
-    assert_eq!(waited, Waited::StillOpen);
+    assert_eq!(waited, WaitOutcome::StillOpen);
 }
 
 #[tokio::test(start_paused = true)]
@@ -241,18 +245,21 @@
     let (_, holder, other) = two_daemons();
     let first = digest("whole", "content");
     let granted = holder.begin(key(0), first, "holder".to_owned(), 1).await;
-    assert!(matches!(granted, Ok(Verdict::Granted(_))), "{granted:?}");
+    assert!(
+        matches!(granted, Ok(ClaimOutcome::Granted(_))),
+        "{granted:?}"
+    );
     let cases = [
         ("whole", "content", held()),
         ("streamed", "content", held()),
         // As an earlier version that knew no content wrote or compares it.
         ("whole", "another content", held()),
-        ("streamed", "another content", Verdict::Mismatch),
+        ("streamed", "another content", ClaimOutcome::Mismatch),
     ];
     for (body, content, expected) in cases {
         let resend = digest(body, content);
-        let verdict = other.begin(key(0), resend, "resend".to_owned(), 2).await;
-        assert_eq!(verdict, Ok(expected), "{body}, {content}");
+        let outcome = other.begin(key(0), resend, "resend".to_owned(), 2).await;
+        assert_eq!(outcome, Ok(expected), "{body}, {content}");
     }
 }
 
@@ -262,16 +269,19 @@
     let mut first = digest("whole", "content");
     first.content.clear();
     let granted = holder.begin(key(0), first, "holder".to_owned(), 1).await;
-    assert!(matches!(granted, Ok(Verdict::Granted(_))), "{granted:?}");
+    assert!(
+        matches!(granted, Ok(ClaimOutcome::Granted(_))),
+        "{granted:?}"
+    );
     assert_eq!(table.rows.lock().expect("not poisoned").len(), 1);
     let mut other_body = digest("other", "content");
     other_body.content.clear();
     for (resend, expected) in [
         (digest("whole", "content"), held()),
-        (digest("streamed", "content"), Verdict::Mismatch),
-        (other_body, Verdict::Mismatch),
+        (digest("streamed", "content"), ClaimOutcome::Mismatch),
+        (other_body, ClaimOutcome::Mismatch),
     ] {
-        let verdict = other.begin(key(0), resend, "resend".to_owned(), 2).await;
-        assert_eq!(verdict, Ok(expected));
+        let outcome = other.begin(key(0), resend, "resend".to_owned(), 2).await;
+        assert_eq!(outcome, Ok(expected));
     }
 }
--- a/crates/gateway/src/gateway/claiming.rs
+++ b/crates/gateway/src/gateway/claiming.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use harrierward_claims::{Claim, Holder, Verdict, Waited};
+use harrierward_claims::{Claim, ClaimOutcome, Holder, WaitOutcome};
 use harrierward_decisions::Record;
 use harrierward_execution::Execution;
 use tokio::time::Instant;
@@ -104,10 +104,10 @@
                     .after(Duration::from_secs(1))
             })?;
         match verdict {
-            Verdict::Granted(claim) => Ok(Claimed::Granted(claim)),
-            Verdict::Answered(bytes) => stored_answer(&bytes).map(Claimed::Answered),
-            Verdict::Held(holder) => Ok(Claimed::Held(holder)),
-            Verdict::Mismatch => {
+            ClaimOutcome::Granted(claim) => Ok(Claimed::Granted(claim)),
+            ClaimOutcome::Completed(bytes) => stored_answer(&bytes).map(Claimed::Answered),
+            ClaimOutcome::Held(holder) => Ok(Claimed::Held(holder)),
+            ClaimOutcome::Mismatch => {
                 let message = "Idempotency-Key: was used with another body";
                 Err(GatewayError::not_run(STEP, 422, "key_reused", message))
             }
@@ -128,9 +128,9 @@
         let _waiting = WaitingResend::count(&self.inner);
         let claims = &self.inner.parts.claims;
         let outcome = match claims.wait_while_open(&marked.key, wait.until).await {
-            Waited::Settled => return Ok(()),
-            Waited::StillOpen => "still_open",
-            Waited::TooMany => "too_many_wait",
+            WaitOutcome::Settled => return Ok(()),
+            WaitOutcome::StillOpen => "still_open",
+            WaitOutcome::TooManyWaiters => "too_many_wait",
         };
         self.note_resend(marked, wait, outcome);
         let message = "the request is running, or may have run; it is not run again";
