--- a/crates/api/src/batches.rs
+++ b/crates/api/src/batches.rs
@@ -5,7 +5,7 @@
 use axum::extract::rejection::BytesRejection;
 use axum::extract::{Path, Query, State};
 use axum::http::{HeaderMap, StatusCode};
-use harrierward_batch::{CreateJob, JobView, batch_id_at};
+use harrierward_batch::{CreateJob, JobView, new_batch_id};
 use harrierward_gateway::EndpointKind;
 use harrierward_node::{Node, now_ms};
 use harrierward_wire::{FileRow, JobState};
@@ -137,7 +137,7 @@
     let service = service_of(&node, &caller.tenant, &file)?;
     let now_ms = now_ms();
     let create = CreateJob {
-        job_id: batch_id_at(now_ms, node.random_id()),
+        job_id: new_batch_id(now_ms, node.random_id()),
         client_key: idempotency_key(&headers)?,
         url: body.endpoint,
         service,
--- a/crates/api/src/errors.rs
+++ b/crates/api/src/errors.rs
@@ -166,10 +166,10 @@
             BatchError::KeyReused => {
                 Self::new(StatusCode::UNPROCESSABLE_ENTITY, "key_reused", message)
             }
-            BatchError::Ended { .. } => Self::new(StatusCode::CONFLICT, "ended", message),
+            BatchError::NotCancellable { .. } => Self::new(StatusCode::CONFLICT, "ended", message),
             BatchError::Store(error) => error.into(),
             // An earlier try may have been done, whatever the last one came to.
-            BatchError::Unsettled(_) => Self::in_doubt("store_in_doubt", message),
+            BatchError::Indeterminate(_) => Self::in_doubt("store_in_doubt", message),
         }
     }
 }
--- a/crates/batch/src/core/chunk.rs
+++ b/crates/batch/src/core/chunk.rs
@@ -345,12 +345,13 @@
             return false;
         };
         let spacing = COMMIT_SPACING.pow(self.commits.min(MOST_SPACINGS));
-        let waited = now.saturating_sub(since) >= settings.commit_after * spacing;
+        let waited = now.saturating_sub(since) >= settings.commit_delay * spacing;
         hurry || waited || self.all_finished()
     }
 
     pub fn wants_intents(&self, settings: &super::owner::OwnerSettings) -> bool {
-        !self.wants_intent.is_empty() && self.intent_ready.len() < settings.intents_ahead / 2 + 1
+        !self.wants_intent.is_empty()
+            && self.intent_ready.len() < settings.max_intents_ahead / 2 + 1
     }
 
     /// Moves the next items into the intents in flight.
--- a/crates/batch/src/core/commit.rs
+++ b/crates/batch/src/core/commit.rs
@@ -83,7 +83,7 @@
 
 /// The last change of a job, conditional on the shard's ownership row and the job row being unchanged.
 #[derive(Debug, Clone, PartialEq)]
-pub struct JobEnding {
+pub struct JobFinalization {
     /// Shard.
     pub shard: u32,
     /// Revision of the shard's ownership row.
@@ -94,7 +94,7 @@
     pub row: JobRow,
 }
 
-impl JobEnding {
+impl JobFinalization {
     /// The transaction.
     pub fn transaction(&self) -> Transaction {
         let key = job_key(&self.row.tenant, &self.row.job_id);
@@ -129,5 +129,5 @@
     /// The chunk or job row is not what this owner knew: it must be read again.
     Stale,
     /// Certainly not committed; may be tried again.
-    NotDone,
+    NotCommitted,
 }
--- a/crates/batch/src/core/endings.rs
+++ b/crates/batch/src/core/endings.rs
@@ -4,7 +4,7 @@
 
 use harrierward_wire::{JobState, ProgressRow};
 
-use super::commit::{ChunkCommit, CommitKind, CommitOutcome, JobEnding};
+use super::commit::{ChunkCommit, CommitKind, CommitOutcome, JobFinalization};
 use super::job::{ChunkState, JobWork};
 use super::owner::OwnerCore;
 use crate::item_set::ItemSet;
@@ -13,7 +13,7 @@
     /// Chunk rows to write now. Each stays in flight until [`Self::commit_finished`].
     pub fn plan_commits(&mut self, now: Duration) -> Vec<ChunkCommit> {
         let mut commits = Vec::new();
-        let pressed = self.buffered * 2 > self.settings.buffer_bytes;
+        let pressed = self.buffered * 2 > self.settings.max_buffered_bytes;
         let job_ids: Vec<String> = self.jobs.keys().cloned().collect();
         for job_id in job_ids {
             self.plan_job_commits(&job_id, now, pressed, &mut commits);
@@ -70,7 +70,7 @@
             } else if !cancelled && chunk.wants_intents(&settings) {
                 self.next_attempt += 1;
                 chunk.in_flight = Some(self.next_attempt);
-                let intents = chunk.start_intents(settings.intents_ahead);
+                let intents = chunk.start_intents(settings.max_intents_ahead);
                 ChunkCommit {
                     id: self.next_attempt,
                     kind: CommitKind::Intents,
@@ -151,7 +151,7 @@
                 let freed: usize = commit.items.iter().map(|item| item.line.len()).sum();
                 self.buffered = self.buffered.saturating_sub(freed);
             }
-            CommitOutcome::NotDone => chunk.commit_failed(),
+            CommitOutcome::NotCommitted => chunk.commit_failed(),
             // Somebody else wrote the row under our epoch's revision: only possible for an earlier write of
             // our own. The job is read again from the table.
             CommitOutcome::Stale => self.forget_job(&commit.job_id),
@@ -161,7 +161,7 @@
     }
 
     /// Jobs that can end now: complete, or cancelled with nothing left to commit.
-    pub fn plan_endings(&mut self) -> Vec<JobEnding> {
+    pub fn plan_finalizations(&mut self) -> Vec<JobFinalization> {
         let mut endings = Vec::new();
         for job in self.jobs.values_mut() {
             let Some(shard) = self.shards.get(&job.row.shard) else {
@@ -183,7 +183,7 @@
                 JobState::Completed
             };
             row.state = state as i32;
-            endings.push(JobEnding {
+            endings.push(JobFinalization {
                 shard: job.row.shard,
                 shard_revision: shard.revision,
                 job_revision: job.revision,
@@ -194,7 +194,11 @@
     }
 
     /// Takes what became of a job's ending; true if the shard turned out to be lost.
-    pub fn ending_finished(&mut self, ending: &JobEnding, outcome: CommitOutcome) -> bool {
+    pub fn finalization_finished(
+        &mut self,
+        ending: &JobFinalization,
+        outcome: CommitOutcome,
+    ) -> bool {
         if outcome == CommitOutcome::ShardLost {
             return self.lose_shard(ending.shard, ending.shard_revision);
         }
@@ -206,7 +210,7 @@
             CommitOutcome::Committed { .. } | CommitOutcome::Stale => {
                 self.forget_job(&ending.row.job_id);
             }
-            CommitOutcome::NotDone | CommitOutcome::ShardLost => {
+            CommitOutcome::NotCommitted | CommitOutcome::ShardLost => {
                 if let Some(job) = self.jobs.get_mut(&ending.row.job_id) {
                     job.ending = false;
                 }
--- a/crates/batch/src/core/grants.rs
+++ b/crates/batch/src/core/grants.rs
@@ -16,7 +16,9 @@
     pub fn pull(&mut self, request: &PullRequest, now: Duration) -> PullReply {
         let stop = self.renew(request, now);
         let mut grants = Vec::new();
-        while grants.len() < request.slots as usize && self.buffered < self.settings.buffer_bytes {
+        while grants.len() < request.slots as usize
+            && self.buffered < self.settings.max_buffered_bytes
+        {
             match self.grant_one(request, now) {
                 Some(grant) => grants.push(grant),
                 None => break,
@@ -119,13 +121,13 @@
     }
 
     /// Chunks whose input lines the driver should load; each is named once.
-    pub fn take_wanted(&mut self) -> Vec<ChunkRef> {
+    pub fn take_chunk_loads(&mut self) -> Vec<ChunkRef> {
         std::mem::take(&mut self.wanted)
     }
 
     /// Takes a chunk's input lines.
-    pub fn body_loaded(&mut self, wanted: &ChunkRef, lines: Vec<InputLine>, now: Duration) {
-        let doubtful_until = now + self.settings.doubt_lease;
+    pub fn input_loaded(&mut self, wanted: &ChunkRef, lines: Vec<InputLine>, now: Duration) {
+        let doubtful_until = now + self.settings.indeterminate_timeout;
         let Some(job) = self.jobs.get_mut(&wanted.job_id) else {
             return;
         };
@@ -146,7 +148,7 @@
     }
 
     /// The input lines could not be read; they are asked for again later.
-    pub fn body_failed(&mut self, wanted: &ChunkRef) {
+    pub fn input_load_failed(&mut self, wanted: &ChunkRef) {
         let job = self.jobs.get_mut(&wanted.job_id);
         if let Some(chunk) = job.and_then(|job| job.active_mut(wanted.chunk)) {
             chunk.body = Body::Wanted;
@@ -229,7 +231,7 @@
 
     /// Ends grants whose lease ran out, and doubts whose time is up.
     pub fn expire(&mut self, now: Duration) {
-        let doubtful_until = now + self.settings.doubt_lease;
+        let doubtful_until = now + self.settings.indeterminate_timeout;
         let mut buffered = 0;
         for job in self.jobs.values_mut() {
             for (_, chunk) in job.actives_mut() {
--- a/crates/batch/src/core/job.rs
+++ b/crates/batch/src/core/job.rs
@@ -18,7 +18,7 @@
 
 /// A job as read from the table.
 #[derive(Debug, Clone, PartialEq)]
-pub struct JobLoad {
+pub struct StoredJob {
     /// The job row.
     pub row: JobRow,
     /// The job row's revision.
--- a/crates/batch/src/core/mod.rs
+++ b/crates/batch/src/core/mod.rs
@@ -12,6 +12,6 @@
 mod owner;
 
 pub use chunk::FinishedItem;
-pub use commit::{ChunkCommit, CommitKind, CommitOutcome, JobEnding};
-pub use job::{JobLoad, StoredChunk};
+pub use commit::{ChunkCommit, CommitKind, CommitOutcome, JobFinalization};
+pub use job::{StoredChunk, StoredJob};
 pub use owner::{ChunkRef, InputLine, OwnerCore, OwnerSettings};
--- a/crates/batch/src/core/owner.rs
+++ b/crates/batch/src/core/owner.rs
@@ -6,7 +6,7 @@
 
 use harrierward_wire::JobState;
 
-use super::job::{JobLoad, JobWork};
+use super::job::{JobWork, StoredJob};
 
 /// Bounds of a shard owner.
 #[derive(Debug, Clone, Copy)]
@@ -14,26 +14,26 @@
     /// How long a grant lasts unless its holder names it in a pull.
     pub grant_lease: Duration,
     /// How long a result is awaited of an at-most-once item whose holder is unknown.
-    pub doubt_lease: Duration,
+    pub indeterminate_timeout: Duration,
     /// Age at which finished items of an unfinished chunk are committed; three times longer after each commit.
-    pub commit_after: Duration,
+    pub commit_delay: Duration,
     /// Bytes of uncommitted results above which nothing more is granted.
-    pub buffer_bytes: usize,
+    pub max_buffered_bytes: usize,
     /// Loaded but ungranted items of a job that are enough not to load another chunk.
     pub ready_target: u32,
     /// Most at-most-once items of a chunk whose intent is committed ahead of their grants.
-    pub intents_ahead: usize,
+    pub max_intents_ahead: usize,
 }
 
 impl Default for OwnerSettings {
     fn default() -> Self {
         Self {
             grant_lease: Duration::from_secs(15),
-            doubt_lease: Duration::from_secs(30),
-            commit_after: Duration::from_secs(4),
-            buffer_bytes: 16 << 20,
+            indeterminate_timeout: Duration::from_secs(30),
+            commit_delay: Duration::from_secs(4),
+            max_buffered_bytes: 16 << 20,
             ready_target: 100,
-            intents_ahead: 16,
+            max_intents_ahead: 16,
         }
     }
 }
@@ -161,7 +161,7 @@
     }
 
     /// Takes a job as read from the table. A job already held only takes over its cancel.
-    pub fn load_job(&mut self, load: JobLoad) {
+    pub fn load_job(&mut self, load: StoredJob) {
         if !self.shards.contains_key(&load.row.shard) {
             return;
         }
--- a/crates/batch/src/errors.rs
+++ b/crates/batch/src/errors.rs
@@ -5,7 +5,7 @@
 /// What is wrong with a line of an uploaded file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {detail}")]
-pub struct LineProblem {
+pub struct LineError {
     /// Number of the line, from 1.
     pub line: u32,
     /// What is wrong, naming the field.
@@ -17,7 +17,7 @@
 pub enum BatchError {
     /// A line of the file is wrong; nothing of the file was kept.
     #[error(transparent)]
-    BadLine(#[from] LineProblem),
+    BadLine(#[from] LineError),
     /// A field of the call is wrong.
     #[error("{field}: {detail}")]
     BadField {
@@ -39,7 +39,7 @@
     KeyReused,
     /// The job has ended, so that it cannot be cancelled.
     #[error("the job is {state} and cannot be cancelled")]
-    Ended {
+    NotCancellable {
         /// The job's state.
         state: String,
     },
@@ -48,7 +48,7 @@
     Store(PlatformError),
     /// The store's answer was lost; the call may be sent again with its client key.
     #[error("the call may have been accepted: {0}")]
-    Unsettled(PlatformError),
+    Indeterminate(PlatformError),
 }
 
 impl From<PlatformError> for BatchError {
--- a/crates/batch/src/files.rs
+++ b/crates/batch/src/files.rs
@@ -14,8 +14,8 @@
 use serde::Deserialize;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
-use crate::errors::{BatchError, LineProblem};
-use crate::keys::{CHUNK_ITEMS, MOST_ITEMS, client_key, file_key, file_prefix, part_name};
+use crate::errors::{BatchError, LineError};
+use crate::keys::{CHUNK_ITEMS, MAX_ITEMS, client_key, file_key, file_prefix, part_name};
 use crate::patience::at_the_rate;
 
 /// Longest line, bytes.
@@ -181,7 +181,7 @@
     }
 
     fn problem(&self, detail: impl Into<String>) -> BatchError {
-        BatchError::BadLine(LineProblem {
+        BatchError::BadLine(LineError {
             line: self.lines + 1,
             detail: detail.into(),
         })
@@ -195,8 +195,8 @@
         if line.len() > LONGEST_LINE {
             return Err(self.problem(format!("longer than {LONGEST_LINE} bytes")));
         }
-        if self.lines == MOST_ITEMS {
-            return Err(self.problem(format!("a file holds at most {MOST_ITEMS} lines")));
+        if self.lines == MAX_ITEMS {
+            return Err(self.problem(format!("a file holds at most {MAX_ITEMS} lines")));
         }
         if self.purpose == BATCH_PURPOSE {
             self.check_line(line)?;
@@ -251,7 +251,7 @@
         let finished = self.try_finish().await;
         match &finished {
             // The file may exist, and a resend would be given it: its parts must stay.
-            Ok(_) | Err(BatchError::Unsettled(_)) => {}
+            Ok(_) | Err(BatchError::Indeterminate(_)) => {}
             Err(_) => self.abandon().await,
         }
         finished
@@ -374,7 +374,7 @@
         }
     }
     match lost {
-        Some(error) => Err(BatchError::Unsettled(error)),
+        Some(error) => Err(BatchError::Indeterminate(error)),
         None => Ok(None),
     }
 }
--- a/crates/batch/src/jobs.rs
+++ b/crates/batch/src/jobs.rs
@@ -16,7 +16,7 @@
 const MOST_TRIES: usize = 8;
 
 /// A job id that sorts newest first: batches are listed in that order.
-pub fn batch_id_at(now_ms: u64, random: u64) -> String {
+pub fn new_batch_id(now_ms: u64, random: u64) -> String {
     let newest_first = u64::MAX - now_ms;
     format!("batch_{newest_first:016x}{random:016x}")
 }
@@ -32,7 +32,7 @@
 pub struct CreateJob {
     /// Tenant of the caller.
     pub tenant: String,
-    /// Id for the job, unique; see [`batch_id_at`].
+    /// Id for the job, unique; see [`new_batch_id`].
     pub job_id: String,
     /// The caller's idempotency key.
     pub client_key: Option<String>,
@@ -207,12 +207,12 @@
         for _ in 0..MOST_TRIES {
             let (stored, mut row) = match self.read(tenant, job_id).await {
                 Ok(read) => read,
-                Err(error) => return Err(lost.map_or(error, BatchError::Unsettled)),
+                Err(error) => return Err(lost.map_or(error, BatchError::Indeterminate)),
             };
             match JobState::try_from(row.state) {
                 Ok(JobState::InProgress) => {}
                 Ok(JobState::Completed) => {
-                    return Err(BatchError::Ended {
+                    return Err(BatchError::NotCancellable {
                         state: "completed".to_owned(),
                     });
                 }
@@ -230,11 +230,11 @@
                 Ok(TransactionOutcome::Committed { .. }) => return Ok(JobView { row }),
                 Ok(TransactionOutcome::Conflict { .. }) => {}
                 Err(error) if error.may_have_happened() => lost = Some(error),
-                Err(error) => return Err(lost.map_or(error.into(), BatchError::Unsettled)),
+                Err(error) => return Err(lost.map_or(error.into(), BatchError::Indeterminate)),
             }
         }
         Err(match lost {
-            Some(error) => BatchError::Unsettled(error),
+            Some(error) => BatchError::Indeterminate(error),
             None => BatchError::BadField {
                 field: "id",
                 detail: "the job kept changing; try again".to_owned(),
--- a/crates/batch/src/keys.rs
+++ b/crates/batch/src/keys.rs
@@ -4,7 +4,7 @@
 pub const CHUNK_ITEMS: u32 = 200;
 
 /// Most items in a job.
-pub const MOST_ITEMS: u32 = 190_000;
+pub const MAX_ITEMS: u32 = 190_000;
 
 pub(crate) fn job_prefix(tenant: &str) -> String {
     format!("job/{tenant}/")
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -13,12 +13,12 @@
 mod patience;
 mod results;
 
-pub use errors::{BatchError, LineProblem};
+pub use errors::{BatchError, LineError};
 pub use files::{FileService, FileUpload, LineCheck, UploadRequest};
 pub use item_set::ItemSet;
-pub use jobs::{CreateJob, JobService, JobView, batch_id_at, shard_of};
+pub use jobs::{CreateJob, JobService, JobView, new_batch_id, shard_of};
 pub use keys::{
-    CHUNK_ITEMS, MOST_ITEMS, job_key as job_row_key, ownership_key, replica_key, shard_key,
+    CHUNK_ITEMS, MAX_ITEMS, job_key as job_row_key, ownership_key, replica_key, shard_key,
 };
 pub use owner::{OwnerDriver, OwnerDriverSettings, OwnerEvents};
 pub use results::ResultReader;
--- a/crates/batch/src/owner.rs
+++ b/crates/batch/src/owner.rs
@@ -17,8 +17,8 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::core::{
-    ChunkCommit, ChunkRef, CommitOutcome, InputLine, JobEnding, JobLoad, OwnerCore, OwnerSettings,
-    StoredChunk,
+    ChunkCommit, ChunkRef, CommitOutcome, InputLine, JobFinalization, OwnerCore, OwnerSettings,
+    StoredChunk, StoredJob,
 };
 use crate::keys::{chunk_prefix, job_key, open_prefix, part_name, shard_key};
 
@@ -39,7 +39,7 @@
     /// How often timers are looked at.
     pub tick: Duration,
     /// How often owned shards are searched for jobs whose notice was lost.
-    pub discover_every: Duration,
+    pub discovery_interval: Duration,
     /// Store calls in flight at once.
     pub concurrency: usize,
     /// Seed of the back-off's jitter.
@@ -51,7 +51,7 @@
         Self {
             core: OwnerSettings::default(),
             tick: Duration::from_millis(50),
-            discover_every: Duration::from_secs(10),
+            discovery_interval: Duration::from_secs(10),
             concurrency: 16,
             seed: 0,
         }
@@ -260,7 +260,7 @@
         } else {
             Some(self.read_chunks(job_id).await?)
         };
-        self.lock().load_job(JobLoad {
+        self.lock().load_job(StoredJob {
             row,
             revision: stored.revision,
             chunks,
@@ -304,12 +304,12 @@
             Ok(text) => {
                 let lines = text.lines().map(input_line).collect();
                 let now = self.now();
-                self.lock().body_loaded(&wanted, lines, now);
+                self.lock().input_loaded(&wanted, lines, now);
             }
             Err(error) => {
                 log::debug!("{PREFIX} cannot read input {name} yet: {error}");
                 sleep(FIRST_WAIT).await;
-                self.lock().body_failed(&wanted);
+                self.lock().input_load_failed(&wanted);
             }
         }
         self.wake.notify_one();
@@ -367,7 +367,7 @@
         }
     }
 
-    async fn end_job(&self, mut ending: JobEnding) {
+    async fn end_job(&self, mut ending: JobFinalization) {
         let now_ms = self.events.now_ms();
         ending.row.ended_at_ms = now_ms;
         let outcome = self.try_end(&ending).await.unwrap_or_else(|error| {
@@ -375,22 +375,22 @@
                 "{PREFIX} ending of {} not done yet: {error}",
                 ending.row.job_id
             );
-            CommitOutcome::NotDone
+            CommitOutcome::NotCommitted
         });
         if matches!(outcome, CommitOutcome::Committed { .. }) {
             let state = JobState::try_from(ending.row.state).unwrap_or(JobState::Completed);
             log::info!(job = ending.row.job_id.as_str(); "{PREFIX} job ended as {state:?}");
         }
-        if outcome == CommitOutcome::NotDone {
+        if outcome == CommitOutcome::NotCommitted {
             sleep(FIRST_WAIT * 4).await;
         }
-        let lost = self.lock().ending_finished(&ending, outcome);
+        let lost = self.lock().finalization_finished(&ending, outcome);
         self.report_lost(ending.shard, lost);
     }
 
     /// A lost answer leaves the outcome "not done": the next try finds the job row changed and forgets the job,
     /// which is right, because only this owner ends jobs of its shard.
-    async fn try_end(&self, ending: &JobEnding) -> Result<CommitOutcome, PlatformError> {
+    async fn try_end(&self, ending: &JobFinalization) -> Result<CommitOutcome, PlatformError> {
         let transaction = ending.transaction();
         let outcome = self
             .table
@@ -435,8 +435,8 @@
         let (wanted, commits, endings) = {
             let mut core = shared.lock();
             core.expire(now);
-            let wanted = core.take_wanted();
-            (wanted, core.plan_commits(now), core.plan_endings())
+            let wanted = core.take_chunk_loads();
+            (wanted, core.plan_commits(now), core.plan_finalizations())
         };
         for wanted in wanted {
             let shared = shared.clone();
@@ -462,7 +462,7 @@
 /// Finds jobs whose notice was lost, and cancels that were committed by a daemon that then died.
 async fn run_discovery(shared: Arc<Shared>) {
     loop {
-        sleep(shared.settings.discover_every).await;
+        sleep(shared.settings.discovery_interval).await;
         let shards = shared.lock().shards();
         for shard in shards {
             if let Err(error) = shared.discover(shard).await {
--- a/crates/batch/tests/lost_runs.rs
+++ b/crates/batch/tests/lost_runs.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use harrierward_batch::core::{InputLine, JobLoad, OwnerCore, OwnerSettings};
+use harrierward_batch::core::{InputLine, OwnerCore, OwnerSettings, StoredJob};
 use harrierward_wire::{Grant, HandBack, JobRow, PullRequest, ResultsRequest, RunningItem};
 
 /// Items of the job; the first one ends what runs it.
@@ -11,7 +11,7 @@
 fn owner() -> OwnerCore {
     let mut owner = OwnerCore::new("owner".to_owned(), OwnerSettings::default());
     owner.take_shard(0, 1, 1);
-    owner.load_job(JobLoad {
+    owner.load_job(StoredJob {
         row: JobRow {
             job_id: "job".to_owned(),
             tenant: "tenant".to_owned(),
@@ -23,12 +23,12 @@
         chunks: Some(Vec::new()),
     });
     pull(&mut owner, Duration::ZERO, 1);
-    for wanted in owner.take_wanted() {
+    for wanted in owner.take_chunk_loads() {
         let lines = (0..ITEMS).map(|item| InputLine {
             text: format!("{{\"custom_id\":\"{item}\"}}"),
             at_most_once: false,
         });
-        owner.body_loaded(&wanted, lines.collect(), Duration::ZERO);
+        owner.input_loaded(&wanted, lines.collect(), Duration::ZERO);
     }
     owner
 }
--- a/crates/batch/tests/owner.rs
+++ b/crates/batch/tests/owner.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use harrierward_batch::core::{
-    ChunkCommit, CommitOutcome, InputLine, JobLoad, OwnerCore, OwnerSettings, StoredChunk,
+    ChunkCommit, CommitOutcome, InputLine, OwnerCore, OwnerSettings, StoredChunk, StoredJob,
 };
 use harrierward_wire::{
     ChunkRow, Grant, HandBack, ItemResult, JobRow, PullRequest, ResultsRequest, RunningItem,
@@ -161,7 +161,7 @@
                 row: row.clone(),
                 revision: *revision,
             });
-        core.load_job(JobLoad {
+        core.load_job(StoredJob {
             row: JobRow {
                 job_id: "job".to_owned(),
                 tenant: "tenant".to_owned(),
@@ -175,13 +175,13 @@
     }
 
     fn load_bodies(&mut self, owner: usize) {
-        for wanted in self.owners[owner].take_wanted() {
+        for wanted in self.owners[owner].take_chunk_loads() {
             let first = wanted.chunk * CHUNK;
             let lines = (first..(first + CHUNK).min(ITEMS)).map(|item| InputLine {
                 text: format!("{{\"custom_id\":\"{item}\"}}"),
                 at_most_once: is_once(item),
             });
-            self.owners[owner].body_loaded(&wanted, lines.collect(), self.now);
+            self.owners[owner].input_loaded(&wanted, lines.collect(), self.now);
         }
     }
 
@@ -222,7 +222,7 @@
             } else if lands {
                 self.table.apply(&commit)
             } else {
-                CommitOutcome::NotDone
+                CommitOutcome::NotCommitted
             };
             self.owners[planner].commit_finished(&commit, outcome);
         }
--- a/crates/bench/src/faults/clients.rs
+++ b/crates/bench/src/faults/clients.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures::StreamExt;
-use harrierward_batch::{BatchError, CreateJob, UploadRequest, batch_id_at};
+use harrierward_batch::{BatchError, CreateJob, UploadRequest, new_batch_id};
 use harrierward_claims::{ClaimKey, RequestDigest};
 use harrierward_config::{
     ApplyRequest, ConfigError, ConfigObject, LimitsSpec, RequestedChange, Spec,
@@ -332,7 +332,7 @@
     let file = upload.finish().await?;
     let create = CreateJob {
         tenant: tenant.to_owned(),
-        job_id: batch_id_at(now_ms, random),
+        job_id: new_batch_id(now_ms, random),
         client_key: Some(key.to_owned()),
         url: "/v1/completions".to_owned(),
         service: model.to_owned(),
@@ -395,7 +395,7 @@
                 }
                 return;
             }
-            Some(Err(BatchError::Ended { .. })) => return,
+            Some(Err(BatchError::NotCancellable { .. })) => return,
             _ => sleep(Duration::from_millis(500)).await,
         }
     }
--- a/crates/bench/src/faults/world.rs
+++ b/crates/bench/src/faults/world.rs
@@ -272,7 +272,7 @@
         settings.slots.maximum_running = ENGINE_SEQUENCES as u32;
         settings.gateway.seed = number;
         settings.gateway.stall_timeout = Duration::from_secs(4);
-        settings.owner.core.commit_after = Duration::from_secs(1);
+        settings.owner.core.commit_delay = Duration::from_secs(1);
         settings
     }
 
--- a/crates/harrierward/src/settings.rs
+++ b/crates/harrierward/src/settings.rs
@@ -334,11 +334,11 @@
     );
     slots.prefill_share = reader.number("batch.prefill_share", 0.0..=1.0, slots.prefill_share);
     slots.burst_micros = reader.number("batch.burst_micros", 0.0..=1e9, slots.burst_micros);
-    let commit_after = node.owner.core.commit_after;
-    node.owner.core.commit_after =
+    let commit_after = node.owner.core.commit_delay;
+    node.owner.core.commit_delay =
         reader.millis("batch.commit_after_millis", 10..=600_000, commit_after);
     let buffer = reader.integer("batch.buffer_mib", 1..=1024, 16);
-    node.owner.core.buffer_bytes = usize::try_from(buffer << 20).unwrap_or(usize::MAX);
+    node.owner.core.max_buffered_bytes = usize::try_from(buffer << 20).unwrap_or(usize::MAX);
     let gateway = &mut node.gateway;
     let per_replica = u64::from(gateway.requests_a_replica);
     gateway.requests_a_replica =
