--- a/crates/claims/src/claim.rs
+++ b/crates/claims/src/claim.rs
@@ -1,20 +1,20 @@
-//! What a claim row means to somebody who wants to run the same request.
+//! Claims of requests: their keys, digests and outcomes.
 
 use harrierward_external::{PlatformError, Row};
 use harrierward_wire::{ClaimRow, ClaimState, decode};
 use sha2::{Digest, Sha256};
 
-/// Identity of a marked request: the tenant and the key it sent.
+/// Identity of a request that carries an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimKey {
     /// Tenant of the caller.
     pub tenant: String,
-    /// The caller's `Idempotency-Key`.
+    /// Value of the request's `Idempotency-Key` header.
     pub key: String,
 }
 
 impl ClaimKey {
-    /// Key of the claim's row. The caller's key is hashed, so that no character of it matters.
+    /// Returns the key of the claim's row. The idempotency key is hashed, so it may contain any character.
     pub fn row_key(&self) -> String {
         let digest = Sha256::digest(self.key.as_bytes());
         let hex: String = digest.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -22,28 +22,28 @@
     }
 }
 
-/// Digests by which a resend is told from another request: it is one if either is equal.
+/// Digests of a request: a resend matches the claimed request if either digest is equal.
 ///
-/// Why two: daemons of an earlier version compare the digest of the body's bytes only, and claims outlive an upgrade.
+/// Older daemons store and compare only `body`, and claims outlive an upgrade.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestDigest {
-    /// Of the path and the body's bytes.
+    /// SHA-256 of the path and the body's bytes.
     pub body: Vec<u8>,
-    /// Of the path and what is asked for, whichever way the answer is to be sent.
+    /// SHA-256 of the path and the requested content, which is the same for streamed and full responses.
     pub content: Vec<u8>,
 }
 
 impl RequestDigest {
-    /// The digests of a request whose body asks for `content`.
+    /// Computes the digests of a request whose body requests `content`.
     pub fn of(path: &str, body: &[u8], content: &[u8]) -> Self {
         Self {
-            body: digest_of(path, body),
-            content: digest_of(path, content),
+            body: hash_request(path, body),
+            content: hash_request(path, content),
         }
     }
 }
 
-fn digest_of(path: &str, body: &[u8]) -> Vec<u8> {
+fn hash_request(path: &str, body: &[u8]) -> Vec<u8> {
     let mut hasher = Sha256::new();
     hasher.update(path.as_bytes());
     hasher.update([0]);
@@ -51,70 +51,70 @@
     hasher.finalize().to_vec()
 }
 
-/// A claim held by this attempt: the request may be dispatched, once.
+/// A claim granted to an attempt: permits dispatching the request once.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Claim {
-    /// Whose request.
+    /// Tenant and idempotency key of the request.
     pub key: ClaimKey,
-    /// The row as committed.
+    /// Row as committed.
     pub row: ClaimRow,
-    /// Revision of the row.
+    /// Revision of the committed row; fences later writes to it.
     pub revision: u64,
 }
 
-/// Who holds a claim that is open.
+/// The attempt that holds an open claim.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Holder {
-    /// Attempt, whose name begins with its daemon's member id; empty if the row cannot be read.
+    /// Attempt id, which begins with its daemon's member id; empty if the row cannot be decoded.
     pub attempt: String,
-    /// When it claimed, milliseconds since 1970 by its daemon's clock.
+    /// Time of the claim by its daemon's clock, milliseconds since 1970; 0 if the row cannot be decoded.
     pub created_at_ms: u64,
 }
 
-/// Answer to an attempt to claim.
+/// Outcome of an attempt to claim a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClaimOutcome {
-    /// The claim is this attempt's: dispatch.
+    /// This attempt holds the claim and may dispatch the request.
     Granted(Claim),
-    /// The request has run; this is its stored answer.
+    /// The request has run. Holds the stored response; empty if that was too large to store.
     Completed(Vec<u8>),
     /// Another attempt holds the claim: the request may be running, or may have run.
     Held(Holder),
-    /// The key was used with another body.
+    /// The idempotency key was used with another request.
     Mismatch,
 }
 
-/// The claim could not be made, so the request was certainly not dispatched by this attempt.
+/// The claim could not be committed or read, so this attempt did not dispatch the request.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("claim not made: {0}")]
 pub struct ClaimError(pub PlatformError);
 
-fn is_same_request(present: &ClaimRow, wanted: &ClaimRow) -> bool {
-    let has_content = !present.content_digest.is_empty();
-    present.digest == wanted.digest
-        || (has_content && present.content_digest == wanted.content_digest)
+fn is_same_request(existing: &ClaimRow, requested: &ClaimRow) -> bool {
+    let has_content = !existing.content_digest.is_empty();
+    existing.digest == requested.digest
+        || (has_content && existing.content_digest == requested.content_digest)
 }
 
-/// Judges the row that stands where `wanted` should go.
-pub fn existing_outcome(key: &ClaimKey, wanted: &ClaimRow, current: &Row) -> ClaimOutcome {
-    let Some(present) = decode::<ClaimRow>(&current.value) else {
+/// Returns the outcome of inserting `requested` where the row `current` exists already.
+pub fn existing_outcome(key: &ClaimKey, requested: &ClaimRow, current: &Row) -> ClaimOutcome {
+    let Some(existing) = decode::<ClaimRow>(&current.value) else {
         return ClaimOutcome::Held(Holder::default());
     };
-    if !is_same_request(&present, wanted) {
+    if !is_same_request(&existing, requested) {
         return ClaimOutcome::Mismatch;
     }
-    if present.state == ClaimState::Done as i32 {
-        return ClaimOutcome::Completed(present.answer);
+    if existing.state == ClaimState::Done as i32 {
+        return ClaimOutcome::Completed(existing.answer);
     }
-    if present.attempt == wanted.attempt {
+    if existing.attempt == requested.attempt {
         return ClaimOutcome::Granted(Claim {
             key: key.clone(),
-            row: present,
+            row: existing,
             revision: current.revision,
         });
     }
     ClaimOutcome::Held(Holder {
-        attempt: present.attempt,
-        created_at_ms: present.created_at_ms,
+        attempt: existing.attempt,
+        created_at_ms: existing.created_at_ms,
     })
 }
--- a/crates/claims/src/group.rs
+++ b/crates/claims/src/group.rs
@@ -1,59 +1,59 @@
 //! Group commit of claims as a pure state machine: many claims share one transaction.
 //!
-//! Invariant: a claim is granted only on a committed transaction that holds it, or on reading back a row that
-//! carries its own attempt id.
+//! Invariant: a claim is granted only if a committed transaction contains it, or if the stored row carries its own
+//! attempt id.
 
 use harrierward_external::{Condition, Transaction, TransactionOutcome};
 use harrierward_wire::{ClaimRow, encode};
 
 use crate::claim::{Claim, ClaimKey, ClaimOutcome, existing_outcome};
 
-/// A claim that waits for its commit.
+/// A claim that is not yet committed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PendingClaim {
-    /// Whose request.
+    /// Tenant and idempotency key of the request.
     pub key: ClaimKey,
-    /// The row to insert.
+    /// Row to insert under [`ClaimKey::row_key`].
     pub row: ClaimRow,
 }
 
-/// A claim of the group that is decided.
+/// A claim of the group with its outcome.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Resolution {
-    /// The claim.
+    /// The claim as it was added to the group.
     pub pending: PendingClaim,
-    /// What was decided.
+    /// Grant, or the state of the row that was stored already.
     pub outcome: ClaimOutcome,
 }
 
-/// Claims that are committed together.
+/// Claims that are committed together, at most one for each key.
 #[derive(Debug, Clone, Default)]
 pub struct ClaimGroup {
     pending: Vec<PendingClaim>,
 }
 
 impl ClaimGroup {
-    /// True if the group holds a claim of this key; another of the same key must wait for the next group.
+    /// True if the group contains a claim of this key; another claim of the key must wait for the next group.
     pub fn contains(&self, key: &ClaimKey) -> bool {
         self.pending.iter().any(|pending| pending.key == *key)
     }
 
-    /// Adds a claim, whose key the group must not hold yet.
+    /// Adds a claim. The group must not contain its key yet.
     pub fn add(&mut self, claim: PendingClaim) {
         self.pending.push(claim);
     }
 
-    /// Number of claims not yet decided.
+    /// Returns the number of claims without an outcome.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// True if every claim is decided.
+    /// True if every claim has its outcome.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// The transaction that would commit all claims of the group.
+    /// Returns the transaction that inserts the rows of all claims without an outcome.
     pub fn transaction(&self) -> Transaction {
         let mut transaction = Transaction::default();
         for pending in &self.pending {
@@ -65,13 +65,13 @@
         transaction
     }
 
-    /// Takes the transaction's outcome; claims that stay undecided go into the next transaction.
+    /// Applies the transaction's outcome. A conflict resolves at most one claim; the others go into the next transaction.
     pub fn resolve(&mut self, outcome: TransactionOutcome) -> Vec<Resolution> {
         match outcome {
             TransactionOutcome::Committed { revision } => self
                 .pending
                 .drain(..)
-                .map(|pending| granted(pending, revision))
+                .map(|pending| grant(pending, revision))
                 .collect(),
             TransactionOutcome::Conflict { key, current } => {
                 let index = self
@@ -88,13 +88,13 @@
         }
     }
 
-    /// Gives up: the claims that are not decided.
-    pub fn abandon(&mut self) -> Vec<PendingClaim> {
+    /// Removes and returns the claims without an outcome.
+    pub fn take_unresolved(&mut self) -> Vec<PendingClaim> {
         std::mem::take(&mut self.pending)
     }
 }
 
-fn granted(pending: PendingClaim, revision: u64) -> Resolution {
+fn grant(pending: PendingClaim, revision: u64) -> Resolution {
     let claim = Claim {
         key: pending.key.clone(),
         row: pending.row.clone(),
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -1,7 +1,7 @@
-//! At-most-once execution claims: a marked request is dispatched only under a claim that is committed first.
+//! At-most-once execution claims: a request with an idempotency key is dispatched only after its claim is committed.
 //!
-//! Why a row and not a lock: the claim must outlive the machine that took it. A claim whose holder vanished
-//! stays open for good, and a resend is told "unknown", because the request may have run.
+//! The claim is a row because it must outlive its daemon. A claim whose holder crashed stays open, and resends get
+//! the outcome "unknown", because the request may have run.
 
 mod claim;
 mod group;
--- a/crates/claims/src/service.rs
+++ b/crates/claims/src/service.rs
@@ -1,4 +1,4 @@
-//! Drives claim groups against the table, and stores answers or releases claims afterwards.
+//! Commits claim groups to the table, then stores responses or releases claims.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,15 +22,15 @@
 /// Bounds of the claim service.
 #[derive(Debug, Clone, Copy)]
 pub struct ClaimSettings {
-    /// Most claims in one transaction.
+    /// Maximum number of claims in one transaction.
     pub group_size: usize,
-    /// Longest time to try for a claim before the request is refused as not run.
+    /// Time after which a request whose claim is not committed is refused as not run.
     pub claim_timeout: Duration,
-    /// Longest time to try to store an answer or release a claim.
+    /// Time for which storing a response or releasing a claim is retried.
     pub settle_timeout: Duration,
-    /// Largest answer kept for resends, bytes; of a larger one a resend only learns that it ran.
+    /// Size limit of a stored response, bytes. Of a larger one only the completion is stored.
     pub max_response_bytes: usize,
-    /// Seed of the back-off's jitter.
+    /// Seed of the backoff jitter.
     pub seed: u64,
 }
 
@@ -46,26 +46,26 @@
     }
 }
 
-const FIRST_WAIT: Duration = Duration::from_millis(20);
-const LONGEST_CLAIM_WAIT: Duration = Duration::from_millis(200);
-const LONGEST_SETTLE_WAIT: Duration = Duration::from_secs(10);
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_CLAIM_BACKOFF: Duration = Duration::from_millis(200);
+const MAX_SETTLE_BACKOFF: Duration = Duration::from_secs(10);
 
-struct Waiting {
+struct QueuedClaim {
     pending: PendingClaim,
     reply: oneshot::Sender<Result<ClaimOutcome, PlatformError>>,
 }
 
-/// Changes claims that exist already.
+/// Completes and releases committed claims.
 #[derive(Clone)]
 struct Settler {
     table: Arc<dyn Table>,
     settings: ClaimSettings,
 }
 
-/// The claim service of one daemon; cheap to clone.
+/// Claim service of one daemon; cheap to clone.
 #[derive(Clone)]
 pub struct Claims {
-    queue: mpsc::UnboundedSender<Waiting>,
+    queue: mpsc::UnboundedSender<QueuedClaim>,
     settler: Settler,
     watch: ClaimWatch,
 }
@@ -84,7 +84,10 @@
         }
     }
 
-    /// Claims a request for `attempt`. Nothing may be dispatched unless the outcome is `Granted`.
+    /// Claims a request for `attempt`, which may dispatch it only if the outcome is `Granted`.
+    ///
+    /// # Errors
+    /// The claim was not committed in time. A late commit is released in the background.
     pub async fn begin(
         &self,
         key: ClaimKey,
@@ -103,11 +106,11 @@
         };
         let pending = PendingClaim { key, row };
         let (reply, receiver) = oneshot::channel();
-        let waiting = Waiting {
+        let queued = QueuedClaim {
             pending: pending.clone(),
             reply,
         };
-        if self.queue.send(waiting).is_err() {
+        if self.queue.send(queued).is_err() {
             return Err(ClaimError(not_done("claim service has stopped")));
         }
         let error = match timeout_at(deadline, receiver).await {
@@ -116,29 +119,29 @@
             Ok(Err(_)) => not_done("claim service has stopped"),
             Err(_) => not_done("the table did not answer in time"),
         };
-        self.settler.clean_up(pending);
+        self.settler.release_in_background(pending);
         Err(ClaimError(error))
     }
 
-    /// Waits while another attempt's claim of this key is open, until `deadline` at the longest.
+    /// Waits until another attempt settles its claim of this key, at most until `deadline`.
     pub async fn wait_while_open(&self, key: &ClaimKey, deadline: Instant) -> WaitOutcome {
         self.watch.wait_while_open(key, deadline).await
     }
 
-    /// Stores the answer for resends. Keeps trying for the settle deadline, in the background of the answer.
-    pub async fn finish(&self, claim: &Claim, answer: &[u8]) {
-        self.settler.finish(claim, answer).await;
+    /// Stores the response for resends; retries until the settle timeout.
+    pub async fn finish(&self, claim: &Claim, response: &[u8]) {
+        self.settler.finish(claim, response).await;
     }
 
-    /// Removes a claim whose request certainly did not run, so that a resend may run it.
+    /// Removes the claim of a request that did not run, so that a resend may run it; retries until the settle timeout.
     pub async fn release(&self, claim: &Claim) {
         self.settler.release(claim).await;
     }
 }
 
 impl Settler {
-    /// Removes later a claim that may yet have been committed although its attempt gave up undispatched.
-    fn clean_up(&self, pending: PendingClaim) {
+    /// Releases in the background a claim whose attempt gave up before dispatch but which may be committed.
+    fn release_in_background(&self, pending: PendingClaim) {
         let settler = self.clone();
         tokio::spawn(async move {
             let attempt = &pending.row.attempt;
@@ -146,29 +149,29 @@
         });
     }
 
-    async fn finish(&self, claim: &Claim, answer: &[u8]) {
+    async fn finish(&self, claim: &Claim, response: &[u8]) {
         let mut row = claim.row.clone();
         row.state = ClaimState::Done as i32;
-        row.answer = if answer.len() <= self.settings.max_response_bytes {
-            answer.to_vec()
+        row.answer = if response.len() <= self.settings.max_response_bytes {
+            response.to_vec()
         } else {
             Vec::new()
         };
         let key = claim.key.row_key();
         let write = Transaction::default().put(key, encode(&row));
-        self.settle(claim, "stored answer", write).await;
+        self.settle(claim, "store a response", write).await;
     }
 
     async fn release(&self, claim: &Claim) {
         let write = Transaction::default().delete(claim.key.row_key());
-        self.settle(claim, "release", write).await;
+        self.settle(claim, "release a claim", write).await;
     }
 
-    /// Applies `write` to the claim's row while the row is still the claim's own.
-    async fn settle(&self, claim: &Claim, what: &str, write: Transaction) {
+    /// Applies `write` to the claim's row, on condition that the row is unchanged since the claim.
+    async fn settle(&self, claim: &Claim, operation: &str, write: Transaction) {
         let deadline = Instant::now() + self.settings.settle_timeout;
         let mut random = StdRng::seed_from_u64(self.settings.seed ^ claim.revision);
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_SETTLE_WAIT);
+        let mut backoff = Backoff::new(MIN_BACKOFF, MAX_SETTLE_BACKOFF);
         let condition = Condition::AtRevision {
             key: claim.key.row_key(),
             revision: claim.revision,
@@ -176,21 +179,21 @@
         while Instant::now() < deadline {
             let transaction = write.clone().require(condition.clone());
             match self.table.transact(RequestClass::Urgent, transaction).await {
-                // A conflict means that an earlier try took effect: nobody else changes the row.
+                // A conflict means that an earlier try was committed: only this attempt changes the row.
                 Ok(_) => return,
                 Err(error) => {
-                    log::debug!("{PREFIX} {what} not settled yet: {error}");
+                    log::debug!("{PREFIX} cannot {operation}, will retry: {error}");
                     sleep(backoff.wait(&mut random)).await;
                 }
             }
         }
-        log::warn!("{PREFIX} gave up on {what}; resends will be told unknown");
+        log::warn!("{PREFIX} gave up trying to {operation}: resends will get an unknown outcome");
     }
 
     async fn release_attempt(&self, key: &ClaimKey, attempt: &str) {
         let deadline = Instant::now() + self.settings.settle_timeout;
         let mut random = StdRng::seed_from_u64(self.settings.seed);
-        let mut backoff = Backoff::new(LONGEST_CLAIM_WAIT, LONGEST_SETTLE_WAIT);
+        let mut backoff = Backoff::new(MAX_CLAIM_BACKOFF, MAX_SETTLE_BACKOFF);
         let row_key = key.row_key();
         while Instant::now() < deadline {
             sleep(backoff.wait(&mut random)).await;
@@ -202,7 +205,7 @@
                 .into_iter()
                 .flatten()
                 .next()
-                .and_then(|row| own_claim(key, attempt, &row))
+                .and_then(|row| decode_own_claim(key, attempt, &row))
             else {
                 return;
             };
@@ -212,12 +215,12 @@
     }
 }
 
-fn own_claim(key: &ClaimKey, attempt: &str, row: &Row) -> Option<Claim> {
-    let present: ClaimRow = decode(&row.value)?;
-    let own = present.attempt == attempt && present.state == ClaimState::Open as i32;
-    own.then(|| Claim {
+fn decode_own_claim(key: &ClaimKey, attempt: &str, row: &Row) -> Option<Claim> {
+    let existing: ClaimRow = decode(&row.value)?;
+    let is_own = existing.attempt == attempt && existing.state == ClaimState::Open as i32;
+    is_own.then(|| Claim {
         key: key.clone(),
-        row: present,
+        row: existing,
         revision: row.revision,
     })
 }
@@ -226,21 +229,21 @@
     PlatformError::new("claims.begin", "table", PlatformErrorKind::NotDone, detail)
 }
 
-/// Collects waiting claims into groups and commits one group after the other.
-async fn run_groups(settler: Settler, mut queue: mpsc::UnboundedReceiver<Waiting>) {
+/// Collects queued claims into groups and commits one group at a time.
+async fn run_groups(settler: Settler, mut queue: mpsc::UnboundedReceiver<QueuedClaim>) {
     let settings = settler.settings;
     let mut random = StdRng::seed_from_u64(settings.seed);
     let mut next = Vec::new();
     loop {
         if next.is_empty() {
             match queue.recv().await {
-                Some(waiting) => next.push(waiting),
+                Some(queued) => next.push(queued),
                 None => return,
             }
         }
         while next.len() < settings.group_size {
             match queue.try_recv() {
-                Ok(waiting) => next.push(waiting),
+                Ok(queued) => next.push(queued),
                 Err(_) => break,
             }
         }
@@ -248,29 +251,29 @@
     }
 }
 
-/// Commits one group; returns the claims that must wait for the next.
+/// Commits one group; returns the claims whose key is in the group already, for the next one.
 async fn commit_group(
     settler: &Settler,
-    waiting: Vec<Waiting>,
+    queued: Vec<QueuedClaim>,
     random: &mut StdRng,
-) -> Vec<Waiting> {
+) -> Vec<QueuedClaim> {
     let mut group = ClaimGroup::default();
     let mut replies = HashMap::new();
-    let mut later = Vec::new();
-    for claim in waiting {
-        // A caller that gave up must not be claimed for.
+    let mut deferred = Vec::new();
+    for claim in queued {
+        // The caller timed out and won't dispatch the request.
         if claim.reply.is_closed() {
             continue;
         }
         if group.contains(&claim.pending.key) {
-            later.push(claim);
+            deferred.push(claim);
             continue;
         }
         replies.insert(claim.pending.key.clone(), claim.reply);
         group.add(claim.pending);
     }
     let deadline = Instant::now() + settler.settings.claim_timeout;
-    let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_CLAIM_WAIT);
+    let mut backoff = Backoff::new(MIN_BACKOFF, MAX_CLAIM_BACKOFF);
     let mut last_error = None;
     while !group.is_empty() && Instant::now() < deadline {
         let outcome = settler
@@ -283,13 +286,13 @@
                     let Some(reply) = replies.remove(&resolution.pending.key) else {
                         continue;
                     };
-                    // Nobody waits any more, so nobody will dispatch: the claim must not stand.
+                    // The caller timed out and won't dispatch the request, so the claim is released.
                     if reply.send(Ok(resolution.outcome)).is_err() {
-                        settler.clean_up(resolution.pending);
+                        settler.release_in_background(resolution.pending);
                     }
                 }
             }
-            // Sending the same rows again settles a lost answer: the row then carries our attempt id.
+            // If the store committed but its response was lost, the retry conflicts with a row of our own attempt id.
             Err(error) => {
                 last_error = Some(error);
                 sleep(backoff.wait(random)).await;
@@ -297,10 +300,10 @@
         }
     }
     let error = last_error.unwrap_or_else(|| not_done("the table kept conflicting"));
-    for pending in group.abandon() {
+    for pending in group.take_unresolved() {
         if let Some(reply) = replies.remove(&pending.key) {
             let _ = reply.send(Err(error.clone()));
         }
     }
-    later
+    deferred
 }
--- a/crates/claims/src/watch.rs
+++ b/crates/claims/src/watch.rs
@@ -1,7 +1,7 @@
-//! Waits for another attempt's claim to be settled: one task reads the claims that anybody waits for, together.
+//! Waits until another attempt settles its claim, by polling the claim's row.
 //!
-//! Why reads and not messages: the attempt may run at any daemon, and the row is what outlives it. Why one task: the
-//! number of reads follows the time, not the number of resends.
+//! The attempt may run at any daemon, and only the row outlives it. One task polls for all waiters, so the number of
+//! reads doesn't grow with the number of resends.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,62 +16,61 @@
 
 const PREFIX: &str = "claims:";
 
-/// Resends that wait at one daemon at most: as many rows as one read asks for.
+/// Maximum number of resends that wait at one daemon, and of rows in one read.
 pub const MAX_WAITERS: usize = 64;
 
-/// Pause before the first look after somebody began to wait. Most resends of a finished request meet the moment in
-/// which its answer is being stored.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
+/// Interval before the first poll after a waiter was added: short, because a resend often arrives while the response
+/// is being stored.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest pause between looks.
-const LONGEST_PAUSE: Duration = Duration::from_millis(160);
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(160);
 
-/// How a wait for another attempt's claim ended.
+/// Outcome of a wait for another attempt's claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitOutcome {
-    /// The claim is not open any more: it holds an answer, or it is gone.
+    /// The claim is no longer open: its row holds a response, or was removed.
     Settled,
-    /// It was open to the end.
+    /// The claim was open, or could not be read, until the deadline.
     StillOpen,
-    /// Too many wait here already; this one did not.
+    /// [`MAX_WAITERS`] resends wait at this daemon already; returned without waiting.
     TooManyWaiters,
 }
 
-struct Watched {
+struct Waiter {
     row_key: String,
-    settled: oneshot::Sender<()>,
+    notify: oneshot::Sender<()>,
 }
 
-/// The watch of one daemon; cheap to clone.
+/// Polls the claims that resends at one daemon wait for; cheap to clone.
 #[derive(Clone)]
 pub(crate) struct ClaimWatch {
-    queue: mpsc::UnboundedSender<Watched>,
-    places: Arc<Semaphore>,
+    queue: mpsc::UnboundedSender<Waiter>,
+    permits: Arc<Semaphore>,
 }
 
 impl ClaimWatch {
-    /// Starts the watch on the current tokio runtime.
+    /// Starts the polling task on the current tokio runtime.
     pub fn start(table: Arc<dyn Table>) -> Self {
-        // As many entries as there are places, and those whose waiter has gone until the next look.
+        // Bounded by the permits, apart from waiters that timed out since the last poll.
         let (queue, receiver) = mpsc::unbounded_channel();
-        tokio::spawn(run_looks(table, receiver));
+        tokio::spawn(run_polls(table, receiver));
         Self {
             queue,
-            places: Arc::new(Semaphore::new(MAX_WAITERS)),
+            permits: Arc::new(Semaphore::new(MAX_WAITERS)),
         }
     }
 
-    /// Waits while the claim is open, until `deadline` at the longest.
+    /// Waits until the claim is settled, at most until `deadline`.
     pub async fn wait_while_open(&self, key: &ClaimKey, deadline: Instant) -> WaitOutcome {
-        let Ok(_place) = self.places.try_acquire() else {
+        let Ok(_permit) = self.permits.try_acquire() else {
             return WaitOutcome::TooManyWaiters;
         };
-        let (settled, receiver) = oneshot::channel();
-        let watched = Watched {
+        let (notify, receiver) = oneshot::channel();
+        let waiter = Waiter {
             row_key: key.row_key(),
-            settled,
+            notify,
         };
-        if self.queue.send(watched).is_err() {
+        if self.queue.send(waiter).is_err() {
             return WaitOutcome::StillOpen;
         }
         match timeout_at(deadline, receiver).await {
@@ -81,54 +80,54 @@
     }
 }
 
-/// Those who wait, by the row they wait for.
-type Watchers = BTreeMap<String, Vec<oneshot::Sender<()>>>;
+/// Notifies waiters, by the key of the row they wait for.
+type Waiters = BTreeMap<String, Vec<oneshot::Sender<()>>>;
 
-async fn run_looks(table: Arc<dyn Table>, mut queue: mpsc::UnboundedReceiver<Watched>) {
-    let mut watchers = Watchers::new();
-    let mut pause = FIRST_PAUSE;
+async fn run_polls(table: Arc<dyn Table>, mut queue: mpsc::UnboundedReceiver<Waiter>) {
+    let mut waiters = Waiters::new();
+    let mut interval = MIN_POLL_INTERVAL;
     loop {
-        if watchers.is_empty() {
+        if waiters.is_empty() {
             match queue.recv().await {
-                Some(watched) => add(&mut watchers, watched),
+                Some(waiter) => add(&mut waiters, waiter),
                 None => return,
             }
-            pause = FIRST_PAUSE;
+            interval = MIN_POLL_INTERVAL;
         }
-        sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
-        while let Ok(watched) = queue.try_recv() {
-            add(&mut watchers, watched);
-            pause = FIRST_PAUSE;
+        sleep(interval).await;
+        interval = (interval * 2).min(MAX_POLL_INTERVAL);
+        while let Ok(waiter) = queue.try_recv() {
+            add(&mut waiters, waiter);
+            interval = MIN_POLL_INTERVAL;
         }
-        drop_gone(&mut watchers);
-        look(table.as_ref(), &mut watchers).await;
+        remove_closed(&mut waiters);
+        poll(table.as_ref(), &mut waiters).await;
     }
 }
 
-fn add(watchers: &mut Watchers, watched: Watched) {
-    let waiting = watchers.entry(watched.row_key).or_default();
-    waiting.push(watched.settled);
+fn add(waiters: &mut Waiters, waiter: Waiter) {
+    let senders = waiters.entry(waiter.row_key).or_default();
+    senders.push(waiter.notify);
 }
 
-fn drop_gone(watchers: &mut Watchers) {
-    for waiting in watchers.values_mut() {
-        waiting.retain(|settled| !settled.is_closed());
+fn remove_closed(waiters: &mut Waiters) {
+    for senders in waiters.values_mut() {
+        senders.retain(|sender| !sender.is_closed());
     }
-    watchers.retain(|_, waiting| !waiting.is_empty());
+    waiters.retain(|_, senders| !senders.is_empty());
 }
 
-/// Reads the rows and tells those whose claim is settled.
-async fn look(table: &dyn Table, watchers: &mut Watchers) {
-    let keys: Vec<String> = watchers.keys().take(MAX_WAITERS).cloned().collect();
+/// Reads the rows and notifies the waiters whose claim is settled.
+async fn poll(table: &dyn Table, waiters: &mut Waiters) {
+    let keys: Vec<String> = waiters.keys().take(MAX_WAITERS).cloned().collect();
     if keys.is_empty() {
         return;
     }
-    // Claims and stored answers come first: a look that finds no budget is made up for by the next.
+    // New claims and stored responses take precedence over this class; the next poll makes up for a refused read.
     let rows = match table.get(RequestClass::Listing, &keys).await {
         Ok(rows) => rows,
         Err(error) => {
-            log::debug!("{PREFIX} open claims not read: {error}");
+            log::debug!("{PREFIX} cannot read open claims, will retry: {error}");
             return;
         }
     };
@@ -136,14 +135,14 @@
         if row.as_ref().is_some_and(is_open) {
             continue;
         }
-        for settled in watchers.remove(key).unwrap_or_default() {
-            // One that has just gone needs no news.
-            let _ = settled.send(());
+        for sender in waiters.remove(key).unwrap_or_default() {
+            // The waiter may have timed out.
+            let _ = sender.send(());
         }
     }
 }
 
-/// True for a row of which nothing but that it stands is known, too: its attempt may run.
+/// A row that cannot be decoded counts as open, because its attempt may be running.
 fn is_open(row: &Row) -> bool {
     decode::<ClaimRow>(&row.value).is_none_or(|claim| claim.state != ClaimState::Done as i32)
 }
--- a/crates/claims/tests/group.rs
+++ b/crates/claims/tests/group.rs
@@ -1,5 +1,5 @@
-//! Group commit of claims against a table that conflicts: every claim is decided once, and a claim is granted only
-//! if the row that stands carries its attempt.
+//! Group commit of claims against a table that conflicts: each claim gets one outcome, and a claim is granted only
+//! if the stored row carries its attempt id.
 
 use std::collections::BTreeMap;
 
@@ -85,41 +85,41 @@
             .collect();
         while !next.is_empty() {
             let mut group = ClaimGroup::default();
-            let mut later = Vec::new();
-            let mut answer_lost = false;
+            let mut deferred = Vec::new();
+            let mut response_lost = false;
             for (claim, lost) in next {
                 if group.len() >= group_size || group.contains(&claim.key) {
-                    later.push((claim, lost));
+                    deferred.push((claim, lost));
                 } else {
-                    answer_lost |= lost;
+                    response_lost |= lost;
                     group.add(claim);
                 }
             }
             while !group.is_empty() {
                 let outcome = table.apply(&group.transaction());
-                if std::mem::take(&mut answer_lost) {
+                if std::mem::take(&mut response_lost) {
                     continue;
                 }
                 for resolution in group.resolve(outcome) {
                     decided += 1;
                     let key = resolution.pending.key.row_key();
-                    let standing: ClaimRow = decode(&table.rows[&key].value).unwrap_or_default();
+                    let stored: ClaimRow = decode(&table.rows[&key].value).unwrap_or_default();
                     match resolution.outcome {
                         ClaimOutcome::Granted(claim) => {
-                            prop_assert_eq!(&standing.attempt, &claim.row.attempt);
+                            prop_assert_eq!(&stored.attempt, &claim.row.attempt);
                             let earlier = granted.insert(key, claim.row.attempt);
                             prop_assert!(earlier.is_none(), "granted twice");
                         }
-                        ClaimOutcome::Mismatch => prop_assert_ne!(standing.digest, resolution.pending.row.digest),
+                        ClaimOutcome::Mismatch => prop_assert_ne!(stored.digest, resolution.pending.row.digest),
                         ClaimOutcome::Held(holder) => {
-                            prop_assert_eq!(&standing.attempt, &holder.attempt);
-                            prop_assert_ne!(standing.attempt, resolution.pending.row.attempt);
+                            prop_assert_eq!(&stored.attempt, &holder.attempt);
+                            prop_assert_ne!(stored.attempt, resolution.pending.row.attempt);
                         }
                         ClaimOutcome::Completed(_) => prop_assert!(false, "nothing was answered"),
                     }
                 }
             }
-            next = later;
+            next = deferred;
         }
         prop_assert_eq!(decided, requests.len());
     }
--- a/crates/claims/tests/watch.rs
+++ b/crates/claims/tests/watch.rs
@@ -1,5 +1,5 @@
-//! Waiting for another attempt's claim: it ends when the claim is settled or released, in time when it is not, and
-//! costs no more reads the more wait.
+//! Waits for another attempt's claim: they end when it is settled or released, or at their deadline, and the number of
+//! reads doesn't grow with the number of waiters.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -17,14 +17,14 @@
 };
 use tokio::time::{Instant, sleep};
 
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(1);
 
 #[derive(Default)]
 struct FakeTable {
     rows: Mutex<BTreeMap<String, Row>>,
     revision: AtomicUsize,
     reads: AtomicUsize,
-    /// Reads fail.
+    /// True if reads fail.
     is_down: AtomicBool,
 }
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// What others are told of the claim of `holder`.
+/// Outcome for another attempt while `holder` has the claim.
 fn held() -> ClaimOutcome {
     ClaimOutcome::Held(Holder {
         attempt: "holder".to_owned(),
@@ -127,7 +127,7 @@
     }
 }
 
-/// The claim services of two daemons at one table.
+/// Returns the claim services of two daemons that share one table.
 fn two_daemons() -> (Arc<FakeTable>, Claims, Claims) {
     let table = Arc::new(FakeTable::default());
     let holder = Claims::start(table.clone(), ClaimSettings::default());
@@ -138,16 +138,16 @@
 fn wait(claims: &Claims, number: usize) -> tokio::task::JoinHandle<(WaitOutcome, Duration)> {
     let claims = claims.clone();
     tokio::spawn(async move {
-        let asked_at = Instant::now();
+        let started_at = Instant::now();
         let waited = claims
-            .wait_while_open(&key(number), asked_at + LONGEST_WAIT)
+            .wait_while_open(&key(number), started_at + WAIT_TIMEOUT)
             .await;
-        (waited, asked_at.elapsed())
+        (waited, started_at.elapsed())
     })
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_wait_at_another_daemon_ends_with_the_stored_answer() {
+async fn a_wait_at_another_daemon_ends_when_the_response_is_stored() {
     let (_, holder, other) = two_daemons();
     let claim = open_claim(&holder, 0).await;
     let waiting = wait(&other, 0);
@@ -161,7 +161,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_is_just_being_stored_is_found_at_once() {
+async fn a_response_stored_right_after_the_wait_began_ends_it_early() {
     let (_, holder, other) = two_daemons();
     let claim = open_claim(&holder, 0).await;
     let waiting = wait(&other, 0);
@@ -173,7 +173,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_released_claim_is_the_waiting_resends_to_take() {
+async fn a_waiting_resend_can_claim_after_a_release() {
     let (_, holder, other) = two_daemons();
     let claim = open_claim(&holder, 0).await;
     let waiting = wait(&other, 0);
@@ -186,20 +186,20 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_claim_that_stays_open_is_waited_for_in_vain() {
+async fn a_wait_for_an_open_claim_times_out() {
     let (_, holder, other) = two_daemons();
     open_claim(&holder, 0).await;
     let (waited, took) = wait(&other, 0).await.expect("the wait ends");
-    assert_eq!((waited, took), (WaitOutcome::StillOpen, LONGEST_WAIT));
+    assert_eq!((waited, took), (WaitOutcome::StillOpen, WAIT_TIMEOUT));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_table_that_cannot_be_read_proves_nothing() {
+async fn failed_reads_do_not_settle_a_wait() {
     let (table, holder, other) = two_daemons();
     let claim = open_claim(&holder, 0).await;
     table.is_down.store(true, Ordering::Relaxed);
     let (waited, took) = wait(&other, 0).await.expect("the wait ends");
-    assert_eq!((waited, took), (WaitOutcome::StillOpen, LONGEST_WAIT));
+    assert_eq!((waited, took), (WaitOutcome::StillOpen, WAIT_TIMEOUT));
     let waiting = wait(&other, 0);
     sleep(Duration::from_millis(500)).await;
     holder.finish(&claim, b"the answer").await;
@@ -209,7 +209,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn many_who_wait_cost_the_reads_of_one_and_too_many_do_not_wait() {
+async fn waiters_share_reads_and_their_number_is_bounded() {
     let (table, holder, other) = two_daemons();
     for number in 0..=MAX_WAITERS {
         open_claim(&holder, number).await;
@@ -227,21 +227,24 @@
         (waited, took),
         (WaitOutcome::TooManyWaiters, Duration::ZERO)
     );
-    for one in waiting {
-        assert_eq!(one.await.expect("the wait ends").0, WaitOutcome::StillOpen);
+    for waiter in waiting {
+        assert_eq!(
+            waiter.await.expect("the wait ends").0,
+            WaitOutcome::StillOpen
+        );
     }
     let reads = table.reads.load(Ordering::Relaxed);
     assert!(
         reads <= reads_alone + 1,
         "{reads} reads, {reads_alone} for one"
     );
-    // Places are free again.
+    // The permits were returned.
     let (waited, _) = wait(&other, 0).await.expect("the wait ends");
     assert_eq!(waited, WaitOutcome::StillOpen);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_resend_is_known_by_its_body_or_by_what_it_asks_for() {
+async fn a_resend_matches_by_its_body_or_its_content() {
     let (_, holder, other) = two_daemons();
     let first = digest("whole", "content");
     let granted = holder.begin(key(0), first, "holder".to_owned(), 1).await;
@@ -252,7 +255,7 @@
     let cases = [
         ("whole", "content", held()),
         ("streamed", "content", held()),
-        // As an earlier version that knew no content wrote or compares it.
+        // Older daemons compare only the body.
         ("whole", "another content", held()),
         ("streamed", "another content", ClaimOutcome::Mismatch),
     ];
@@ -264,7 +267,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn rows_without_a_content_digest_are_judged_by_the_body() {
+async fn rows_without_a_content_digest_match_by_the_body() {
     let (table, holder, other) = two_daemons();
     let mut first = digest("whole", "content");
     first.content.clear();
