--- a/crates/batch/src/core/mod.rs
+++ b/crates/batch/src/core/mod.rs
@@ -6,10 +6,10 @@
 
 mod chunk;
 mod commit;
-mod endings;
 mod grants;
 mod job;
 mod owner;
+mod planning;
 
 pub use chunk::FinishedItem;
 pub use commit::{ChunkCommit, CommitKind, CommitOutcome, JobFinalization};
--- a/crates/batch/src/errors.rs
+++ b/crates/batch/src/errors.rs
@@ -2,51 +2,51 @@
 
 use harrierward_external::PlatformError;
 
-/// What is wrong with a line of an uploaded file.
+/// An invalid line of an uploaded file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {detail}")]
 pub struct LineError {
-    /// Number of the line, from 1.
+    /// Line number, from 1; empty lines are not counted.
     pub line: u32,
-    /// What is wrong, naming the field.
+    /// Name of the invalid field, if any, and what is wrong with it.
     pub detail: String,
 }
 
-/// Why a batch call failed.
+/// Error of a call to the file or job service.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum BatchError {
-    /// A line of the file is wrong; nothing of the file was kept.
+    /// A line of the file is invalid; the file is not stored.
     #[error(transparent)]
     BadLine(#[from] LineError),
-    /// A field of the call is wrong.
+    /// A field of the call is invalid.
     #[error("{field}: {detail}")]
     BadField {
-        /// The field.
+        /// Name of the field, as the caller sent it.
         field: &'static str,
-        /// What is wrong.
+        /// What is wrong with its value.
         detail: String,
     },
-    /// No such object of this tenant.
+    /// The tenant has no such object.
     #[error("no {kind} with id {id}")]
     NotFound {
-        /// Kind of object.
+        /// Kind of object: `file` or `batch`.
         kind: &'static str,
-        /// Id asked for.
+        /// Requested id.
         id: String,
     },
-    /// The client key was used for another body.
+    /// The idempotency key was used with another body.
     #[error("the idempotency key was used with another body")]
     KeyReused,
-    /// The job has ended, so that it cannot be cancelled.
+    /// The job is completed, so it cannot be cancelled.
     #[error("the job is {state} and cannot be cancelled")]
     NotCancellable {
-        /// The job's state.
+        /// State of the job.
         state: String,
     },
-    /// The store failed and nothing was accepted.
+    /// The store failed, and nothing was committed.
     #[error("nothing was accepted: {0}")]
     Store(PlatformError),
-    /// The store's answer was lost; the call may be sent again with its client key.
+    /// The store's response was lost; the call may be resent with its idempotency key.
     #[error("the call may have been accepted: {0}")]
     Indeterminate(PlatformError),
 }
--- a/crates/batch/src/files.rs
+++ b/crates/batch/src/files.rs
@@ -1,6 +1,6 @@
-//! Uploaded files: streamed in, checked line by line, stored as parts of [`CHUNK_ITEMS`] lines.
+//! Uploaded files: streamed, validated line by line, and stored as parts of [`CHUNK_ITEMS`] lines.
 //!
-//! Why parts: part n of an input file is chunk n of a job, so that nobody ever holds a whole file.
+//! Part `n` of an input file is the input of chunk `n` of a job, so no process keeps a full file in memory.
 
 use std::collections::{BTreeSet, HashSet};
 use std::sync::Arc;
@@ -16,30 +16,30 @@
 
 use crate::errors::{BatchError, LineError};
 use crate::keys::{CHUNK_ITEMS, MAX_ITEMS, client_key, file_key, file_prefix, part_name};
-use crate::patience::at_the_rate;
+use crate::rate_limit::retry_rate_limited;
 
-/// Longest line, bytes.
-const LONGEST_LINE: usize = 1 << 20;
+/// Maximum length of a line, bytes.
+const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Most different models named in one file.
-const MOST_MODELS: usize = 1;
+/// Maximum number of different models in one file.
+const MAX_MODELS: usize = 1;
 
-/// Purpose of files that are checked as batch input.
+/// Purpose of files whose lines are validated as batch input.
 const BATCH_PURPOSE: &str = "batch";
 
-/// Checks the body of a line for a URL; gives the model it names.
+/// Validates the body of a line against its URL and returns the requested model; the error says what is invalid.
 pub type LineCheck = Arc<dyn Fn(&str, &serde_json::Value) -> Result<String, String> + Send + Sync>;
 
-/// An upload about to start.
+/// Request to upload a file.
 #[derive(Debug, Clone)]
 pub struct UploadRequest {
     /// Tenant of the caller.
     pub tenant: String,
-    /// Id for the file, unique.
+    /// Unique id for the file.
     pub file_id: String,
-    /// The caller's idempotency key.
+    /// The caller's idempotency key, if any.
     pub client_key: Option<String>,
-    /// Time, milliseconds since 1970.
+    /// Current time, milliseconds since 1970.
     pub now_ms: u64,
 }
 
@@ -51,7 +51,7 @@
     body: serde_json::Value,
 }
 
-/// The file service of one daemon; cheap to clone.
+/// File service of one daemon; cheap to clone.
 #[derive(Clone)]
 pub struct FileService {
     table: Arc<dyn Table>,
@@ -60,7 +60,7 @@
 }
 
 impl FileService {
-    /// A service on the given stores.
+    /// Creates a service on the given stores; `check` validates lines of batch input.
     pub fn new(table: Arc<dyn Table>, objects: Arc<dyn ObjectStore>, check: LineCheck) -> Self {
         Self {
             table,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Starts an upload.
+    /// Starts an upload of batch input; nothing is stored until its first part is full.
     pub fn upload(&self, request: UploadRequest) -> FileUpload {
         let object_prefix = format!("input/{}/{}", request.tenant, request.file_id);
         FileUpload {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// One file of the tenant.
+    /// Returns a file of the tenant, unless it was deleted.
     pub async fn get(&self, tenant: &str, file_id: &str) -> Result<FileRow, BatchError> {
         let keys = [file_key(tenant, file_id)];
         let rows = self.table.get(RequestClass::Commit, &keys).await?;
@@ -106,7 +106,7 @@
             })
     }
 
-    /// Files of the tenant after `after`, up to `limit`.
+    /// Lists files of the tenant after the file id `after`. Deleted ones count towards `limit` but are left out.
     pub async fn list(
         &self,
         tenant: &str,
@@ -123,7 +123,7 @@
         Ok(files.filter(|file| !file.deleted).collect())
     }
 
-    /// Marks a file as deleted. Its parts stay, since jobs may still read them.
+    /// Marks a file as deleted. Its parts stay, because jobs may still read them.
     pub async fn delete(&self, tenant: &str, file_id: &str) -> Result<(), BatchError> {
         let mut file = self.get(tenant, file_id).await?;
         file.deleted = true;
@@ -132,15 +132,15 @@
         Ok(())
     }
 
-    /// One part of a file's content.
+    /// Reads one part of a file; parts are numbered from 0.
     pub async fn part(&self, file: &FileRow, part: u32) -> Result<Bytes, BatchError> {
         let name = part_name(&file.object_prefix, part);
-        let read = at_the_rate(|| self.objects.get(RequestClass::Commit, &name));
+        let read = retry_rate_limited(|| self.objects.get(RequestClass::Commit, &name));
         Ok(read.await?)
     }
 }
 
-/// An upload in progress. Memory stays at one part, whatever the file's size.
+/// An upload in progress; buffers at most one part of the file.
 pub struct FileUpload {
     service: FileService,
     request: UploadRequest,
@@ -160,43 +160,43 @@
 }
 
 impl FileUpload {
-    /// Sets the file's name.
+    /// Sets the name that listings show; empty by default.
     pub fn set_filename(&mut self, filename: &str) {
         self.filename = filename.to_owned();
     }
 
-    /// Takes some content. After an error the upload must be abandoned by [`Self::abandon`].
+    /// Appends content. After an error the caller must call [`Self::abandon`].
     pub async fn write(&mut self, content: &[u8]) -> Result<(), BatchError> {
         self.bytes += content.len() as u64;
         self.digest.update(content);
         self.partial.extend_from_slice(content);
         while let Some(end) = self.partial.iter().position(|byte| *byte == b'\n') {
             let line = self.partial.split_to(end + 1);
-            self.take_line(&line[..end]).await?;
+            self.add_line(&line[..end]).await?;
         }
-        if self.partial.len() > LONGEST_LINE {
-            return Err(self.problem(format!("longer than {LONGEST_LINE} bytes")));
+        if self.partial.len() > MAX_LINE_BYTES {
+            return Err(self.line_error(format!("longer than {MAX_LINE_BYTES} bytes")));
         }
         Ok(())
     }
 
-    fn problem(&self, detail: impl Into<String>) -> BatchError {
+    fn line_error(&self, detail: impl Into<String>) -> BatchError {
         BatchError::BadLine(LineError {
             line: self.lines + 1,
             detail: detail.into(),
         })
     }
 
-    async fn take_line(&mut self, line: &[u8]) -> Result<(), BatchError> {
+    async fn add_line(&mut self, line: &[u8]) -> Result<(), BatchError> {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
         if line.iter().all(u8::is_ascii_whitespace) {
             return Ok(());
         }
-        if line.len() > LONGEST_LINE {
-            return Err(self.problem(format!("longer than {LONGEST_LINE} bytes")));
+        if line.len() > MAX_LINE_BYTES {
+            return Err(self.line_error(format!("longer than {MAX_LINE_BYTES} bytes")));
         }
         if self.lines == MAX_ITEMS {
-            return Err(self.problem(format!("a file holds at most {MAX_ITEMS} lines")));
+            return Err(self.line_error(format!("a file holds at most {MAX_ITEMS} lines")));
         }
         if self.purpose == BATCH_PURPOSE {
             self.check_line(line)?;
@@ -213,25 +213,25 @@
 
     fn check_line(&mut self, line: &[u8]) -> Result<(), BatchError> {
         let input: InputLine =
-            serde_json::from_slice(line).map_err(|error| self.problem(error.to_string()))?;
+            serde_json::from_slice(line).map_err(|error| self.line_error(error.to_string()))?;
         if input.custom_id.is_empty() {
-            return Err(self.problem("custom_id: must not be empty"));
+            return Err(self.line_error("custom_id: must not be empty"));
         }
         if input.method != "POST" {
-            return Err(self.problem("method: must be POST"));
+            return Err(self.line_error("method: must be POST"));
         }
         let checked = (self.service.check)(&input.url, &input.body);
-        let model = checked.map_err(|detail| self.problem(detail))?;
+        let model = checked.map_err(|detail| self.line_error(detail))?;
         if !self.custom_ids.insert(xxh3_64(input.custom_id.as_bytes())) {
-            return Err(self.problem(format!("custom_id: {} came before", input.custom_id)));
+            return Err(self.line_error(format!("custom_id: {} came before", input.custom_id)));
         }
         self.models.insert(model);
         self.urls.insert(input.url);
-        if self.models.len() > MOST_MODELS {
-            return Err(self.problem("body.model: differs from the lines before"));
+        if self.models.len() > MAX_MODELS {
+            return Err(self.line_error("body.model: differs from the lines before"));
         }
         if self.urls.len() > 1 {
-            return Err(self.problem("url: differs from the lines before"));
+            return Err(self.line_error("url: differs from the lines before"));
         }
         Ok(())
     }
@@ -239,18 +239,18 @@
     async fn store_part(&mut self) -> Result<(), BatchError> {
         let name = part_name(&self.object_prefix, self.parts);
         let body = self.part.split().freeze();
-        // The name is this upload's own, so a put whose answer was lost can simply be sent again.
-        put_again(self.service.objects.as_ref(), &name, body).await?;
+        // The name is unique to this upload, so a put whose response was lost can be resent.
+        put_with_retries(self.service.objects.as_ref(), &name, body).await?;
         self.parts += 1;
         self.lines_in_part = 0;
         Ok(())
     }
 
-    /// Ends the upload: the file exists once this returns.
+    /// Commits the file and returns its row; for a resend, the row of the first upload.
     pub async fn finish(mut self) -> Result<FileRow, BatchError> {
         let finished = self.try_finish().await;
         match &finished {
-            // The file may exist, and a resend would be given it: its parts must stay.
+            // The file may be committed, and a resend would return it, so its parts must stay.
             Ok(_) | Err(BatchError::Indeterminate(_)) => {}
             Err(_) => self.abandon().await,
         }
@@ -258,8 +258,8 @@
     }
 
     async fn try_finish(&mut self) -> Result<FileRow, BatchError> {
-        let rest = self.partial.split();
-        self.take_line(&rest).await?;
+        let last_line = self.partial.split();
+        self.add_line(&last_line).await?;
         if self.lines_in_part > 0 {
             self.store_part().await?;
         }
@@ -291,7 +291,7 @@
         let id = file.file_id.clone();
         let mut transaction = Transaction::default().put(file_key(tenant, &id), encode(&file));
         let Some(client) = &self.request.client_key else {
-            settle_insert(
+            insert_if_absent(
                 self.service.table.as_ref(),
                 transaction,
                 &file_key(tenant, &id),
@@ -305,8 +305,8 @@
             digest: file.digest.clone(),
         };
         transaction = transaction.put(&key, encode(&key_row));
-        let standing = settle_insert(self.service.table.as_ref(), transaction, &key).await?;
-        let first = standing.map(|row| decode::<JobKeyRow>(&row.value).unwrap_or_default());
+        let existing = insert_if_absent(self.service.table.as_ref(), transaction, &key).await?;
+        let first = existing.map(|row| decode::<JobKeyRow>(&row.value).unwrap_or_default());
         match first {
             None => Ok(file),
             Some(first) if first.id == file.file_id => Ok(file),
@@ -318,7 +318,7 @@
         }
     }
 
-    /// Removes what was stored of an upload that failed.
+    /// Deletes the stored parts of a failed upload; errors are ignored.
     pub async fn abandon(&self) {
         for part in 0..self.parts {
             let name = part_name(&self.object_prefix, part);
@@ -331,17 +331,17 @@
     }
 }
 
-/// Tries of a call whose answer may be lost.
-const SETTLE_TRIES: usize = 4;
+/// Maximum number of tries of a call whose response may be lost.
+const MAX_TRIES: usize = 4;
 
-async fn put_again(
+async fn put_with_retries(
     objects: &dyn ObjectStore,
     name: &str,
     body: Bytes,
 ) -> Result<(), PlatformError> {
     let mut result = Ok(());
-    for _ in 0..SETTLE_TRIES {
-        result = at_the_rate(|| objects.put(RequestClass::Commit, name, body.clone())).await;
+    for _ in 0..MAX_TRIES {
+        result = retry_rate_limited(|| objects.put(RequestClass::Commit, name, body.clone())).await;
         match &result {
             Err(error) if error.may_have_happened() => {}
             _ => return result,
@@ -350,9 +350,9 @@
     result
 }
 
-/// Inserts a row that must not exist yet, together with the rest of `transaction`. Lost answers are settled by
-/// sending it again. Gives the row that stands instead, which may be this call's own earlier try.
-pub(crate) async fn settle_insert(
+/// Commits `transaction` if no row exists at `key`, with retries after lost responses. Otherwise returns the existing
+/// row, which an earlier try of this call may have written.
+pub(crate) async fn insert_if_absent(
     table: &dyn Table,
     transaction: Transaction,
     key: &str,
@@ -360,20 +360,20 @@
     let transaction = transaction.require(Condition::Absent {
         key: key.to_owned(),
     });
-    let mut lost = None;
-    for _ in 0..SETTLE_TRIES {
+    let mut lost_error = None;
+    for _ in 0..MAX_TRIES {
         let outcome = table
             .transact(RequestClass::Commit, transaction.clone())
             .await;
         match outcome {
             Ok(TransactionOutcome::Committed { .. }) => return Ok(None),
             Ok(TransactionOutcome::Conflict { current, .. }) => return Ok(current),
-            Err(error) if error.may_have_happened() => lost = Some(error),
-            Err(error) if lost.is_none() => return Err(BatchError::Store(error)),
+            Err(error) if error.may_have_happened() => lost_error = Some(error),
+            Err(error) if lost_error.is_none() => return Err(BatchError::Store(error)),
             Err(_) => {}
         }
     }
-    match lost {
+    match lost_error {
         Some(error) => Err(BatchError::Indeterminate(error)),
         None => Ok(None),
     }
--- a/crates/batch/src/item_set.rs
+++ b/crates/batch/src/item_set.rs
@@ -1,4 +1,4 @@
-//! A set of item numbers within a chunk.
+//! Bit set of item numbers within a chunk.
 
 use crate::keys::CHUNK_ITEMS;
 
@@ -11,7 +11,7 @@
 }
 
 impl ItemSet {
-    /// Reads a set as stored in a row; missing bytes are empty.
+    /// Decodes a set from its stored form, in which trailing zero bytes are left out.
     pub fn from_bytes(bytes: &[u8]) -> Self {
         let mut words = [0; WORDS];
         for (index, byte) in bytes.iter().take(WORDS * 8).enumerate() {
@@ -20,7 +20,7 @@
         Self { words }
     }
 
-    /// The set as stored in a row.
+    /// Encodes the set for a row: little-endian bits without trailing zero bytes.
     pub fn to_bytes(self) -> Vec<u8> {
         let mut bytes: Vec<u8> = self
             .words
@@ -33,7 +33,7 @@
         bytes
     }
 
-    /// True if the set holds `item`.
+    /// True if the set contains `item`.
     pub fn contains(&self, item: u32) -> bool {
         let item = item as usize;
         self.words
@@ -41,7 +41,7 @@
             .is_some_and(|word| word >> (item % 64) & 1 == 1)
     }
 
-    /// Adds an item; true if it was not in the set. Items beyond a chunk are not added.
+    /// Adds an item; true if it was not in the set. Numbers beyond the set's words are ignored.
     pub fn insert(&mut self, item: u32) -> bool {
         let item = item as usize;
         let Some(word) = self.words.get_mut(item / 64) else {
@@ -53,7 +53,7 @@
         added
     }
 
-    /// Removes an item.
+    /// Removes an item, if it is in the set.
     pub fn remove(&mut self, item: u32) {
         let item = item as usize;
         if let Some(word) = self.words.get_mut(item / 64) {
@@ -61,25 +61,25 @@
         }
     }
 
-    /// Number of items in the set.
+    /// Returns the number of items.
     pub fn len(&self) -> u32 {
         self.words.iter().map(|word| word.count_ones()).sum()
     }
 
-    /// True if the set is empty.
+    /// True if the set contains no item.
     pub fn is_empty(&self) -> bool {
         self.words.iter().all(|word| *word == 0)
     }
 
-    /// Items of either set.
+    /// Returns the items that are in either set.
     pub fn union(mut self, other: Self) -> Self {
-        for (word, more) in self.words.iter_mut().zip(other.words) {
-            *word |= more;
+        for (word, other_word) in self.words.iter_mut().zip(other.words) {
+            *word |= other_word;
         }
         self
     }
 
-    /// The items in order.
+    /// Iterates over the items in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         (0..CHUNK_ITEMS).filter(|item| self.contains(*item))
     }
--- a/crates/batch/src/jobs.rs
+++ b/crates/batch/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as callers see them: accept, get, list, cancel.
+//! The callers' operations on jobs: create, get, list and cancel.
 
 use std::sync::Arc;
 
@@ -9,46 +9,46 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_128};
 
 use crate::errors::BatchError;
-use crate::files::settle_insert;
+use crate::files::insert_if_absent;
 use crate::keys::{client_key, job_key, job_prefix, open_key, progress_key};
 
-/// Tries against racing changes of a job row.
-const MOST_TRIES: usize = 8;
+/// Maximum number of tries to change a job row that others change concurrently.
+const MAX_TRIES: usize = 8;
 
-/// A job id that sorts newest first: batches are listed in that order.
+/// Returns a job id that sorts before those of earlier jobs, so that listings are newest first.
 pub fn new_batch_id(now_ms: u64, random: u64) -> String {
     let newest_first = u64::MAX - now_ms;
     format!("batch_{newest_first:016x}{random:016x}")
 }
 
-/// Shard of a job.
+/// Returns the shard of a job, by the hash of its id.
 pub fn shard_of(job_id: &str, shards: u32) -> u32 {
     let shards = u64::from(shards.max(1));
     u32::try_from(xxh3_64(job_id.as_bytes()) % shards).unwrap_or_default()
 }
 
-/// A job to accept.
+/// Request to create a job.
 #[derive(Debug, Clone)]
 pub struct CreateJob {
     /// Tenant of the caller.
     pub tenant: String,
-    /// Id for the job, unique; see [`new_batch_id`].
+    /// Unique id for the job; see [`new_batch_id`].
     pub job_id: String,
-    /// The caller's idempotency key.
+    /// The caller's idempotency key, if any.
     pub client_key: Option<String>,
     /// URL that each item calls.
     pub url: String,
     /// Service that runs the items.
     pub service: String,
-    /// Input file.
+    /// Row of the input file.
     pub file: FileRow,
-    /// Completion window as the caller gave it.
+    /// Completion window in the caller's own format.
     pub completion_window: String,
-    /// Time allowed, milliseconds.
+    /// Completion window, milliseconds.
     pub window_ms: u64,
-    /// Caller's metadata as JSON.
+    /// The caller's metadata as JSON.
     pub metadata: String,
-    /// Time, milliseconds since 1970.
+    /// Current time, milliseconds since 1970.
     pub now_ms: u64,
 }
 
@@ -84,14 +84,14 @@
     }
 }
 
-/// A job with its counts so far.
+/// A job with the counts of its committed items.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobView {
-    /// The job row; its counts are those committed so far.
+    /// Job row. While the job is open, its counts are those of the progress row.
     pub row: JobRow,
 }
 
-/// The job service of one daemon; cheap to clone.
+/// Job service of one daemon; cheap to clone.
 #[derive(Clone)]
 pub struct JobService {
     table: Arc<dyn Table>,
@@ -99,12 +99,12 @@
 }
 
 impl JobService {
-    /// A service on `table` for a fleet of `shards` shards.
+    /// Creates a service on `table` for a fleet of `shards` shards.
     pub fn new(table: Arc<dyn Table>, shards: u32) -> Self {
         Self { table, shards }
     }
 
-    /// Accepts a job: it is committed once this returns. A resend with the same client key gives the first job.
+    /// Creates and commits a job. A resend with the same idempotency key returns the first job.
     pub async fn create(&self, create: CreateJob) -> Result<JobView, BatchError> {
         let row = create.row(self.shards);
         let key = job_key(&row.tenant, &row.job_id);
@@ -115,7 +115,7 @@
             .put(&key, encode(&row))
             .put(open_key(row.shard, &row.job_id), encode(&open));
         let Some(client) = &create.client_key else {
-            settle_insert(self.table.as_ref(), transaction, &key).await?;
+            insert_if_absent(self.table.as_ref(), transaction, &key).await?;
             return Ok(JobView { row });
         };
         let client_key = client_key("job", &row.tenant, client);
@@ -125,8 +125,8 @@
             digest: digest.clone(),
         };
         transaction = transaction.put(&client_key, encode(&key_row));
-        let standing = settle_insert(self.table.as_ref(), transaction, &client_key).await?;
-        let first = standing.map(|row| decode::<JobKeyRow>(&row.value).unwrap_or_default());
+        let existing = insert_if_absent(self.table.as_ref(), transaction, &client_key).await?;
+        let first = existing.map(|row| decode::<JobKeyRow>(&row.value).unwrap_or_default());
         match first {
             None => Ok(JobView { row }),
             Some(first) if first.digest != digest => Err(BatchError::KeyReused),
@@ -148,7 +148,7 @@
         })
     }
 
-    /// One job of the tenant, with its progress.
+    /// Returns a job of the tenant, with its progress.
     pub async fn get(&self, tenant: &str, job_id: &str) -> Result<JobView, BatchError> {
         let (_, row) = self.read(tenant, job_id).await?;
         self.with_progress(vec![row])
@@ -180,7 +180,7 @@
         Ok(jobs.into_iter().map(|row| JobView { row }).collect())
     }
 
-    /// Jobs of the tenant, newest first, after `after`, up to `limit`.
+    /// Lists up to `limit` jobs of the tenant, newest first, from the one after the job id `after`.
     pub async fn list(
         &self,
         tenant: &str,
@@ -196,7 +196,10 @@
         self.with_progress(jobs).await
     }
 
-    /// Commits a cancel. Cancelling again is no error; a completed job cannot be cancelled.
+    /// Commits a cancellation. Cancelling twice is no error.
+    ///
+    /// # Errors
+    /// The job does not exist, is completed, or its row could not be changed.
     pub async fn cancel(
         &self,
         tenant: &str,
@@ -204,7 +207,7 @@
         now_ms: u64,
     ) -> Result<JobView, BatchError> {
         let mut lost = None;
-        for _ in 0..MOST_TRIES {
+        for _ in 0..MAX_TRIES {
             let (stored, mut row) = match self.read(tenant, job_id).await {
                 Ok(read) => read,
                 Err(error) => return Err(lost.map_or(error, BatchError::Indeterminate)),
--- a/crates/batch/src/keys.rs
+++ b/crates/batch/src/keys.rs
@@ -1,16 +1,16 @@
-//! Keys of the batch rows, and the sizes they depend on.
+//! Store keys of batch rows and objects, and the size limits of jobs.
 
-/// Items in a chunk. Part objects of files and chunk rows of jobs use the same number.
+/// Number of items in a chunk; part `n` of an input file contains the items of chunk `n`.
 pub const CHUNK_ITEMS: u32 = 200;
 
-/// Most items in a job.
+/// Maximum number of items in a job, and of lines in a file.
 pub const MAX_ITEMS: u32 = 190_000;
 
 pub(crate) fn job_prefix(tenant: &str) -> String {
     format!("job/{tenant}/")
 }
 
-/// Key of a job's row.
+/// Returns the key of a job's row.
 pub fn job_key(tenant: &str, job_id: &str) -> String {
     format!("job/{tenant}/{job_id}")
 }
@@ -52,17 +52,17 @@
     format!("{object_prefix}/{part:06}")
 }
 
-/// Key of the row that says who owns a shard.
+/// Returns the key of a shard's ownership row.
 pub fn shard_key(shard: u32) -> String {
     ownership_key("shard", &format!("{shard:05}"))
 }
 
-/// Key of the row that says who owns a replica.
+/// Returns the key of a replica's ownership row.
 pub fn replica_key(replica: &str) -> String {
     ownership_key("replica", replica)
 }
 
-/// Key of an ownership row.
+/// Returns the key of the ownership row of the resource `name`, whose `kind` is `shard` or `replica`.
 pub fn ownership_key(kind: &str, name: &str) -> String {
     format!("owner/{kind}/{name}")
 }
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -1,7 +1,7 @@
-//! Batch jobs: files, acceptance, shards of jobs under fenced ownership, grants, commits and results.
+//! Batch jobs: input files, job acceptance, shards of jobs under fenced ownership, grants, commits and results.
 //!
-//! Why chunks: a job may hold 190,000 items, and the table is rate-limited. A chunk of up to 200 items costs one
-//! row, its results one object, and a commit moves both in one transaction.
+//! The table is rate-limited, so a job is divided into chunks of up to [`CHUNK_ITEMS`] items: one transaction commits many
+//! results, which are stored as one object.
 
 pub mod core;
 mod errors;
@@ -10,7 +10,7 @@
 mod jobs;
 mod keys;
 mod owner;
-mod patience;
+mod rate_limit;
 mod results;
 
 pub use errors::{BatchError, LineError};
--- a/crates/batch/src/results.rs
+++ b/crates/batch/src/results.rs
@@ -1,4 +1,4 @@
-//! Reads a job's committed results, object by object, in order of chunks.
+//! Streams a job's committed results, in order of chunks.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,23 +9,23 @@
 
 use crate::errors::BatchError;
 use crate::keys::chunk_prefix;
-use crate::patience::at_the_rate;
+use crate::rate_limit::retry_rate_limited;
 
-/// Chunk rows read at once.
-const PAGE: usize = 50;
+/// Number of chunk rows in one scan.
+const SCAN_PAGE: usize = 50;
 
-/// Streams the results of a job; holds one object at a time.
+/// Reader of the results of a job; keeps one object in memory at a time.
 pub struct ResultReader {
     table: Arc<dyn Table>,
     objects: Arc<dyn ObjectStore>,
     prefix: String,
     after: String,
     names: VecDeque<String>,
-    ended: bool,
+    all_listed: bool,
 }
 
 impl ResultReader {
-    /// A reader of what is committed of the job.
+    /// Creates a reader of the job's committed results.
     pub fn new(table: Arc<dyn Table>, objects: Arc<dyn ObjectStore>, job_id: &str) -> Self {
         Self {
             table,
@@ -33,29 +33,30 @@
             prefix: chunk_prefix(job_id),
             after: String::new(),
             names: VecDeque::new(),
-            ended: false,
+            all_listed: false,
         }
     }
 
-    /// The next object's lines; `None` at the end.
+    /// Returns the lines of the next result object; `None` after the last one.
     pub async fn next(&mut self) -> Result<Option<Bytes>, BatchError> {
-        while self.names.is_empty() && !self.ended {
+        while self.names.is_empty() && !self.all_listed {
             self.read_page().await?;
         }
         let Some(name) = self.names.pop_front() else {
             return Ok(None);
         };
-        let read = at_the_rate(|| self.objects.get(RequestClass::Commit, &name));
+        let read = retry_rate_limited(|| self.objects.get(RequestClass::Commit, &name));
         Ok(Some(read.await?))
     }
 
     async fn read_page(&mut self) -> Result<(), BatchError> {
         let scan = || {
             let (prefix, after) = (&self.prefix, &self.after);
-            self.table.scan(RequestClass::Commit, prefix, after, PAGE)
+            self.table
+                .scan(RequestClass::Commit, prefix, after, SCAN_PAGE)
         };
-        let rows = at_the_rate(scan).await?;
-        self.ended = rows.len() < PAGE;
+        let rows = retry_rate_limited(scan).await?;
+        self.all_listed = rows.len() < SCAN_PAGE;
         for row in rows {
             let chunk: ChunkRow = decode(&row.value).unwrap_or_default();
             let names = chunk.results.into_iter().map(|result| result.name);
