--- a/crates/batch/src/core/chunk.rs
+++ b/crates/batch/src/core/chunk.rs
@@ -1,4 +1,4 @@
-//! One chunk of a job in work.
+//! State of a chunk that has items left to run or to commit.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,18 +7,18 @@
 
 use crate::item_set::ItemSet;
 
-/// A result that waits for its commit.
+/// A result that is not committed yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FinishedItem {
     /// Item number within the chunk.
     pub item: u32,
-    /// Result line.
+    /// Result line, without the newline.
     pub line: String,
-    /// The item failed for good.
+    /// True if the item failed and is not run again.
     pub failed: bool,
 }
 
-/// An item that somebody holds.
+/// Lease of an item by the member that runs it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct GrantState {
     pub attempt: String,
@@ -26,53 +26,51 @@
     pub expires_at: Duration,
 }
 
-/// One input line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct InputItem {
     pub line: String,
     pub at_most_once: bool,
 }
 
-/// Where the input lines are.
+/// Input lines of a chunk.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Body {
-    Wanted,
+pub(super) enum ChunkInput {
+    NotRequested,
     Loading,
     Loaded(Vec<InputItem>),
 }
 
-/// A chunk with items left to run or to commit.
 #[derive(Debug, Clone)]
 pub(super) struct ActiveChunk {
     pub size: u32,
     /// Revision of the chunk row; `None` while it does not exist.
     pub revision: Option<u64>,
-    /// Committed.
+    /// Items whose results are committed.
     pub done: ItemSet,
-    /// Committed intents.
+    /// At-most-once items whose intent is committed.
     pub intents: ItemSet,
     pub results: Vec<ResultObject>,
     pub completed: u32,
     pub failed: u32,
-    pub body: Body,
-    /// Ordinary items that may be granted.
+    pub input: ChunkInput,
+    /// Items that may run repeatedly and are ready to be granted.
     pub ready: VecDeque<u32>,
-    /// Ordinary items whose runs broke off too often to be granted at once: until when they rest.
-    pub resting: BTreeMap<u32, Duration>,
-    /// How often runs of an item broke off.
+    /// Items that were interrupted repeatedly, with the end of their cooldown.
+    pub cooldowns: BTreeMap<u32, Duration>,
+    /// Number of interrupted runs of each item.
     pub lost_runs: BTreeMap<u32, u32>,
-    /// At-most-once items whose intent is yet to be committed.
-    pub wants_intent: VecDeque<u32>,
-    /// Intents in the commit that is in flight.
+    /// At-most-once items whose intent is neither committed nor in flight.
+    pub awaiting_intent: VecDeque<u32>,
+    /// At-most-once items whose intent is in the commit in flight.
     pub intents_in_flight: ItemSet,
-    /// At-most-once items that may be granted: intent committed by this owner, certainly not run.
+    /// At-most-once items that may be granted: their intent was committed by this owner, and they have not run.
     pub intent_ready: VecDeque<u32>,
     pub grants: BTreeMap<u32, GrantState>,
-    /// Intents of an earlier owner, or of grants that ran out: a result may still come until this time.
-    pub doubtful: BTreeMap<u32, Duration>,
+    /// At-most-once items that may have run, with the time until which their result is awaited.
+    pub indeterminate: BTreeMap<u32, Duration>,
     pub finished: Vec<FinishedItem>,
     pub finished_since: Option<Duration>,
-    /// Id of the commit in flight. The outcome of any other commit, of an earlier ownership, must not be taken.
+    /// Id of the commit in flight. Outcomes of other commits are of an earlier ownership and are ignored.
     pub in_flight: Option<u64>,
     pub commits: u32,
 }
@@ -87,15 +85,15 @@
             results: Vec::new(),
             completed: 0,
             failed: 0,
-            body: Body::Wanted,
+            input: ChunkInput::NotRequested,
             ready: VecDeque::new(),
-            resting: BTreeMap::new(),
+            cooldowns: BTreeMap::new(),
             lost_runs: BTreeMap::new(),
-            wants_intent: VecDeque::new(),
+            awaiting_intent: VecDeque::new(),
             intents_in_flight: ItemSet::default(),
             intent_ready: VecDeque::new(),
             grants: BTreeMap::new(),
-            doubtful: BTreeMap::new(),
+            indeterminate: BTreeMap::new(),
             finished: Vec::new(),
             finished_since: None,
             in_flight: None,
@@ -114,8 +112,8 @@
         chunk
     }
 
-    /// Takes the input lines and sorts the items by what may be done with them.
-    pub fn load_body(&mut self, items: Vec<InputItem>, doubtful_until: Duration) {
+    /// Sets the input lines and queues the unfinished items.
+    pub fn load_input(&mut self, items: Vec<InputItem>, indeterminate_until: Duration) {
         for (number, item) in (0..self.size).zip(&items) {
             if self.is_finished(number) || self.grants.contains_key(&number) {
                 continue;
@@ -123,22 +121,22 @@
             if !item.at_most_once {
                 self.ready.push_back(number);
             } else if self.intents.contains(number) {
-                self.doubtful.insert(number, doubtful_until);
+                self.indeterminate.insert(number, indeterminate_until);
             } else {
-                self.wants_intent.push_back(number);
+                self.awaiting_intent.push_back(number);
             }
         }
-        self.body = Body::Loaded(items);
+        self.input = ChunkInput::Loaded(items);
     }
 
     pub fn item(&self, number: u32) -> Option<&InputItem> {
-        match &self.body {
-            Body::Loaded(items) => items.get(number as usize),
-            Body::Wanted | Body::Loading => None,
+        match &self.input {
+            ChunkInput::Loaded(items) => items.get(number as usize),
+            ChunkInput::NotRequested | ChunkInput::Loading => None,
         }
     }
 
-    /// True if the item's result is committed or waits for its commit.
+    /// True if the item has a result, committed or not.
     pub fn is_finished(&self, number: u32) -> bool {
         self.done.contains(number) || self.finished.iter().any(|item| item.item == number)
     }
@@ -147,28 +145,28 @@
         self.done.len() == self.size
     }
 
-    /// True if only commits are left.
+    /// True if every item has a result, committed or not.
     pub fn all_finished(&self) -> bool {
         self.done.len() as usize + self.finished.len() == self.size as usize
     }
 
-    /// Items that may be granted, or could be after an intent.
+    /// Returns the number of items that may be granted now or after their intent is committed.
     pub fn open_items(&self) -> u32 {
-        let waiting = self.ready.len() + self.intent_ready.len() + self.wants_intent.len();
+        let waiting = self.ready.len() + self.intent_ready.len() + self.awaiting_intent.len();
         u32::try_from(waiting).unwrap_or(u32::MAX)
     }
 
     pub fn finish(&mut self, item: FinishedItem, now: Duration) {
         self.grants.remove(&item.item);
-        self.doubtful.remove(&item.item);
+        self.indeterminate.remove(&item.item);
         self.ready.retain(|number| *number != item.item);
-        self.resting.remove(&item.item);
+        self.cooldowns.remove(&item.item);
         self.lost_runs.remove(&item.item);
         self.finished.push(item);
         self.finished_since.get_or_insert(now);
     }
 
-    /// The row as it would be after committing `items` under `object`.
+    /// Returns the chunk row with `intents` and with the results `items`, which are stored in `object`.
     pub fn row_with(
         &self,
         epoch: u64,
@@ -200,7 +198,7 @@
         }
     }
 
-    /// Takes over what a committed row says, after this owner's own commit.
+    /// Updates the state from a row that this owner committed.
     pub fn apply_row(&mut self, row: &ChunkRow, revision: u64) {
         self.revision = Some(revision);
         self.done = ItemSet::from_bytes(&row.done);
@@ -217,43 +215,43 @@
     }
 }
 
-/// Runs of an item that may break off before it rests: engines end for other reasons too.
-const RUNS_BEFORE_REST: u32 = 3;
+/// Number of interrupted runs from which an item gets a cooldown. Fewer may have another cause than the item.
+const LOST_RUNS_BEFORE_COOLDOWN: u32 = 3;
 
-/// How long an item then rests; twice as long after each further run, 11 minutes at the most. An item that ends the engine which
-/// runs it costs 6 engines in the first minute and 6 an hour later on, where it was granted 200 times a minute.
-const FIRST_REST: Duration = Duration::from_secs(5);
-const MOST_DOUBLINGS: u32 = 7;
+/// First cooldown; doubles after each further interrupted run, so that an item which crashes its engine is granted ever
+/// less often.
+const MIN_COOLDOWN: Duration = Duration::from_secs(5);
+const MAX_DOUBLINGS: u32 = 7;
 
-/// How much longer each further commit of an unfinished chunk waits.
-const COMMIT_SPACING: u32 = 3;
+/// Factor by which the commit delay of an unfinished chunk grows with each commit.
+const COMMIT_DELAY_FACTOR: u32 = 3;
 
-/// Most commits that the spacing counts.
-const MOST_SPACINGS: u32 = 4;
+/// Number of commits after which the delay stops growing.
+const MAX_DELAY_STEPS: u32 = 4;
 
 impl ActiveChunk {
-    /// A run of an ordinary item broke off: it may be granted again, at once or after a rest.
-    pub fn lose_run(&mut self, number: u32, now: Duration) {
+    /// Notes an interrupted run of an item that may run again: makes it ready, or starts its cooldown.
+    pub fn note_lost_run(&mut self, number: u32, now: Duration) {
         let lost = self.lost_runs.entry(number).or_default();
         *lost += 1;
-        let Some(rests) = lost.checked_sub(RUNS_BEFORE_REST) else {
+        let Some(doublings) = lost.checked_sub(LOST_RUNS_BEFORE_COOLDOWN) else {
             self.ready.push_front(number);
             return;
         };
-        let rest = FIRST_REST * (1 << rests.min(MOST_DOUBLINGS));
-        self.resting.insert(number, now + rest);
+        let cooldown = MIN_COOLDOWN * (1 << doublings.min(MAX_DOUBLINGS));
+        self.cooldowns.insert(number, now + cooldown);
     }
 
-    /// Items that have rested may be granted again.
-    pub fn end_rests(&mut self, now: Duration) {
-        let rested: Vec<u32> = self
-            .resting
+    /// Returns items to the ready queue after their cooldown.
+    pub fn end_cooldowns(&mut self, now: Duration) {
+        let expired: Vec<u32> = self
+            .cooldowns
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(number, _)| *number)
             .collect();
-        for number in rested {
-            self.resting.remove(&number);
+        for number in expired {
+            self.cooldowns.remove(&number);
             self.ready.push_back(number);
         }
     }
@@ -262,14 +260,14 @@
         !self.ready.is_empty() || !self.intent_ready.is_empty()
     }
 
-    /// True for an at-most-once item that certainly has not been granted: no true result of it can exist.
+    /// True for an at-most-once item that has certainly not run: a result of it is invalid.
     pub fn is_unrun(&self, number: u32) -> bool {
-        self.wants_intent.contains(&number)
+        self.awaiting_intent.contains(&number)
             || self.intent_ready.contains(&number)
             || self.intents_in_flight.contains(number)
     }
 
-    /// Takes over an item that an earlier owner granted and whose holder still works on it.
+    /// Adds the grant of an earlier owner whose holder still runs the item.
     pub fn adopt_grant(
         &mut self,
         number: u32,
@@ -281,8 +279,8 @@
             return;
         }
         self.ready.retain(|ready| *ready != number);
-        self.resting.remove(&number);
-        self.doubtful.remove(&number);
+        self.cooldowns.remove(&number);
+        self.indeterminate.remove(&number);
         let grant = GrantState {
             attempt: held.attempt.clone(),
             member: member.to_owned(),
@@ -291,8 +289,8 @@
         self.grants.insert(number, grant);
     }
 
-    /// Ends grants that ran out: ordinary items may be granted again, at-most-once items become doubtful.
-    pub fn expire_grants(&mut self, now: Duration, doubtful_until: Duration) {
+    /// Expires grants: at-most-once items become indeterminate, the others ready.
+    pub fn expire_grants(&mut self, now: Duration, indeterminate_until: Duration) {
         let expired: Vec<u32> = self
             .grants
             .iter()
@@ -302,23 +300,23 @@
         for number in expired {
             self.grants.remove(&number);
             if self.item(number).is_some_and(|item| item.at_most_once) {
-                self.doubtful.insert(number, doubtful_until);
-            } else if matches!(self.body, Body::Loaded(_)) {
+                self.indeterminate.insert(number, indeterminate_until);
+            } else if matches!(self.input, ChunkInput::Loaded(_)) {
                 self.ready.push_front(number);
             }
         }
     }
 
-    /// Gives up on doubtful items whose time is up: they end as "unknown". Bytes of the lines added.
-    pub fn expire_doubts(&mut self, now: Duration) -> usize {
-        let over: Vec<u32> = self
-            .doubtful
+    /// Fails the indeterminate items whose result did not arrive in time; returns the bytes of their result lines.
+    pub fn expire_indeterminate(&mut self, now: Duration) -> usize {
+        let expired: Vec<u32> = self
+            .indeterminate
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(number, _)| *number)
             .collect();
         let mut bytes = 0;
-        for number in over {
+        for number in expired {
             let line = self
                 .item(number)
                 .map(|item| unknown_line(&item.line))
@@ -334,30 +332,30 @@
         bytes
     }
 
-    /// True if the finished items should be committed now.
+    /// True if the finished items must be committed now; `flush` skips the commit delay.
     pub fn results_due(
         &self,
         now: Duration,
-        hurry: bool,
+        flush: bool,
         settings: &super::owner::OwnerSettings,
     ) -> bool {
         let Some(since) = self.finished_since else {
             return false;
         };
-        let spacing = COMMIT_SPACING.pow(self.commits.min(MOST_SPACINGS));
-        let waited = now.saturating_sub(since) >= settings.commit_delay * spacing;
-        hurry || waited || self.all_finished()
+        let factor = COMMIT_DELAY_FACTOR.pow(self.commits.min(MAX_DELAY_STEPS));
+        let waited = now.saturating_sub(since) >= settings.commit_delay * factor;
+        flush || waited || self.all_finished()
     }
 
-    pub fn wants_intents(&self, settings: &super::owner::OwnerSettings) -> bool {
-        !self.wants_intent.is_empty()
+    pub fn needs_intents(&self, settings: &super::owner::OwnerSettings) -> bool {
+        !self.awaiting_intent.is_empty()
             && self.intent_ready.len() < settings.max_intents_ahead / 2 + 1
     }
 
-    /// Moves the next items into the intents in flight.
-    pub fn start_intents(&mut self, most: usize) -> ItemSet {
-        for _ in 0..most {
-            let Some(number) = self.wants_intent.pop_front() else {
+    /// Moves up to `max` items into the intents in flight.
+    pub fn start_intents(&mut self, max: usize) -> ItemSet {
+        for _ in 0..max {
+            let Some(number) = self.awaiting_intent.pop_front() else {
                 break;
             };
             self.intents_in_flight.insert(number);
@@ -365,25 +363,25 @@
         self.intents_in_flight
     }
 
-    /// The intents are committed: their items may be granted, once.
+    /// Makes the items whose intents were committed ready.
     pub fn intents_committed(&mut self) {
         let items: Vec<u32> = self.intents_in_flight.iter().collect();
         self.intent_ready.extend(items);
         self.intents_in_flight = ItemSet::default();
     }
 
-    /// The write certainly did not happen.
+    /// Ends a commit that was not executed; its intents are queued again.
     pub fn commit_failed(&mut self) {
         self.in_flight = None;
         let items: Vec<u32> = self.intents_in_flight.iter().collect();
         for number in items.into_iter().rev() {
-            self.wants_intent.push_front(number);
+            self.awaiting_intent.push_front(number);
         }
         self.intents_in_flight = ItemSet::default();
     }
 }
 
-/// Result line of an at-most-once item that may or may not have run.
+/// Returns the result line of an at-most-once item that may have run.
 fn unknown_line(input: &str) -> String {
     let custom_id = serde_json::from_str::<serde_json::Value>(input)
         .ok()
--- a/crates/batch/src/core/commit.rs
+++ b/crates/batch/src/core/commit.rs
@@ -1,4 +1,4 @@
-//! What the owner wants written, and what became of it.
+//! Conditional writes of a shard owner, and their outcomes.
 
 use harrierward_external::{Condition, Transaction};
 use harrierward_wire::{ChunkRow, JobRow, ProgressRow, encode};
@@ -6,44 +6,44 @@
 use super::chunk::FinishedItem;
 use crate::keys::{chunk_key, job_key, open_key, progress_key, shard_key};
 
-/// Why a chunk row is written.
+/// Reason for a write of a chunk row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitKind {
-    /// At-most-once items are about to be granted.
+    /// Records at-most-once items before they are granted.
     Intents,
-    /// Results are to count.
+    /// Records results, whose object is stored first.
     Results,
 }
 
 /// A chunk row to write, conditional on the shard's ownership row and the chunk row being unchanged.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChunkCommit {
-    /// Id, by which the chunk knows its commit again.
+    /// Id, unique within this owner; matches the outcome to the chunk's commit in flight.
     pub id: u64,
-    /// Why.
+    /// Reason for the write.
     pub kind: CommitKind,
-    /// Shard.
+    /// Shard of the job.
     pub shard: u32,
-    /// Revision of the shard's ownership row.
+    /// Revision of the shard's ownership row; fences writes of earlier owners.
     pub shard_revision: u64,
-    /// Job.
+    /// Id of the job.
     pub job_id: String,
-    /// Chunk number.
+    /// Chunk number within the job, from 0.
     pub chunk: u32,
     /// Revision of the chunk row; `None` if it does not exist yet.
     pub chunk_revision: Option<u64>,
     /// The row to write.
     pub row: ChunkRow,
-    /// Progress of the job after the commit.
+    /// Counts of the job after the commit; written only with results.
     pub progress: ProgressRow,
-    /// Object to store first, for results.
+    /// Name of the object for the results; `None` for intents.
     pub object: Option<String>,
-    /// Results in the object.
+    /// Results in the object; empty for intents.
     pub items: Vec<FinishedItem>,
 }
 
 impl ChunkCommit {
-    /// Body of the result object: one line a result.
+    /// Returns the body of the result object: one line for each result.
     pub fn object_body(&self) -> Vec<u8> {
         let mut body = Vec::new();
         for item in &self.items {
@@ -53,12 +53,12 @@
         body
     }
 
-    /// Key of the chunk row.
+    /// Returns the key of the chunk row.
     pub fn row_key(&self) -> String {
         chunk_key(&self.job_id, self.chunk)
     }
 
-    /// The transaction.
+    /// Returns the transaction that writes the row, and the progress row for results.
     pub fn transaction(&self) -> Transaction {
         let key = self.row_key();
         let chunk_unchanged = match self.chunk_revision {
@@ -69,7 +69,7 @@
             },
         };
         let transaction = Transaction::default()
-            .require(still_owner(self.shard, self.shard_revision))
+            .require(owner_unchanged(self.shard, self.shard_revision))
             .require(chunk_unchanged)
             .put(key, encode(&self.row));
         match self.kind {
@@ -81,25 +81,25 @@
     }
 }
 
-/// The last change of a job, conditional on the shard's ownership row and the job row being unchanged.
+/// The last write of a job row, conditional on the shard's ownership row and the job row being unchanged.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobFinalization {
-    /// Shard.
+    /// Shard of the job.
     pub shard: u32,
-    /// Revision of the shard's ownership row.
+    /// Revision of the shard's ownership row; fences writes of earlier owners.
     pub shard_revision: u64,
-    /// Revision of the job row.
+    /// Revision of the job row that `row` replaces.
     pub job_revision: u64,
-    /// The row to write; its end time is set by the driver.
+    /// The row to write; the driver sets its end time.
     pub row: JobRow,
 }
 
 impl JobFinalization {
-    /// The transaction.
+    /// Returns the transaction that writes the job row and removes the job from the open jobs.
     pub fn transaction(&self) -> Transaction {
         let key = job_key(&self.row.tenant, &self.row.job_id);
         Transaction::default()
-            .require(still_owner(self.shard, self.shard_revision))
+            .require(owner_unchanged(self.shard, self.shard_revision))
             .require(Condition::AtRevision {
                 key: key.clone(),
                 revision: self.job_revision,
@@ -109,25 +109,25 @@
     }
 }
 
-fn still_owner(shard: u32, revision: u64) -> Condition {
+fn owner_unchanged(shard: u32, revision: u64) -> Condition {
     Condition::AtRevision {
         key: shard_key(shard),
         revision,
     }
 }
 
-/// What became of a write.
+/// Outcome of a conditional write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// Committed; the row has this revision.
+    /// The write was committed.
     Committed {
-        /// New revision.
+        /// Revision of the written row.
         revision: u64,
     },
-    /// The shard is no longer this owner's.
+    /// The ownership row changed: another member owns the shard.
     ShardLost,
-    /// The chunk or job row is not what this owner knew: it must be read again.
+    /// The chunk or job row changed, so the job must be read again.
     Stale,
-    /// Certainly not committed; may be tried again.
+    /// The write was not committed and may be retried.
     NotCommitted,
 }
--- a/crates/batch/src/core/grants.rs
+++ b/crates/batch/src/core/grants.rs
@@ -1,4 +1,4 @@
-//! Items out and results in: pulls, renewals, grants, hand-backs and what runs out.
+//! Grants of items and their results: pulls, renewals, returned items and expiry.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
     Grant, ItemResult, PullReply, PullRequest, ResultsReply, ResultsRequest, RunningItem,
 };
 
-use super::chunk::{ActiveChunk, Body, FinishedItem, GrantState, InputItem};
-use super::job::{ChunkState, JobWork, chunk_size};
+use super::chunk::{ActiveChunk, ChunkInput, FinishedItem, GrantState, InputItem};
+use super::job::{ActiveJob, ChunkState, chunk_size};
 use super::owner::{ChunkRef, InputLine, OwnerCore, OwnerSettings};
 use crate::keys::CHUNK_ITEMS;
 
 impl OwnerCore {
-    /// Renews what the caller holds and grants it up to `slots` items: fair between tenants, then by deadline.
+    /// Renews the caller's grants and grants up to `slots` items: fair between tenants, then by deadline.
     pub fn pull(&mut self, request: &PullRequest, now: Duration) -> PullReply {
         let stop = self.renew(request, now);
         let mut grants = Vec::new();
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Held items that must be stopped; the others' grants last longer.
+    /// Extends the grants of the held items and returns the items that the caller must stop.
     fn renew(&mut self, request: &PullRequest, now: Duration) -> Vec<RunningItem> {
         let expires_at = now + self.settings.grant_lease;
         let mut stop = Vec::new();
@@ -42,7 +42,7 @@
             };
             let cancelled = job.cancelled;
             let number = held.item % CHUNK_ITEMS;
-            let Some(chunk) = job.touch(held.item / CHUNK_ITEMS) else {
+            let Some(chunk) = job.activate(held.item / CHUNK_ITEMS) else {
                 stop.push(held.clone());
                 continue;
             };
@@ -51,7 +51,7 @@
                 Some(grant) if grant.attempt == held.attempt && !cancelled => {
                     grant.expires_at = expires_at;
                 }
-                // An earlier owner's grant: the item is in good hands, unless another holds it now.
+                // Granted by an earlier owner and still held: the grant is kept.
                 None if !finished && !cancelled => {
                     chunk.adopt_grant(number, held, &request.member, expires_at);
                 }
@@ -67,7 +67,9 @@
         self.next_attempt += 1;
         let attempt = format!("{}-{}", self.member, self.next_attempt);
         let job = self.jobs.get_mut(&job_id)?;
-        let (chunk_number, chunk) = job.actives_mut().find(|(_, chunk)| chunk.has_grantable())?;
+        let (chunk_number, chunk) = job
+            .active_chunks_mut()
+            .find(|(_, chunk)| chunk.has_grantable())?;
         let number = chunk
             .intent_ready
             .pop_front()
@@ -79,7 +81,7 @@
             expires_at,
         };
         chunk.grants.insert(number, grant);
-        *self.served.entry(job.row.tenant.clone()).or_default() += 1;
+        *self.grant_counts.entry(job.row.tenant.clone()).or_default() += 1;
         let grant = Grant {
             job_id,
             tenant: job.row.tenant.clone(),
@@ -93,7 +95,7 @@
         Some(grant)
     }
 
-    /// The job to grant from next; on the way, asks for chunks of jobs that run out of loaded items.
+    /// Selects the job to grant from next, and requests chunks of jobs that have few loaded items left.
     fn next_job(&mut self, request: &PullRequest) -> Option<String> {
         let settings = self.settings;
         let mut best: Option<(u64, u64, String)> = None;
@@ -103,16 +105,16 @@
             if closing || job.cancelled || job.row.service != request.service || !allowed {
                 continue;
             }
-            want_chunks(job, &settings, &mut self.wanted);
-            if !job.actives().any(|(_, chunk)| chunk.has_grantable()) {
+            request_chunks(job, &settings, &mut self.chunk_loads);
+            if !job.active_chunks().any(|(_, chunk)| chunk.has_grantable()) {
                 continue;
             }
-            let served = self
-                .served
+            let grant_count = self
+                .grant_counts
                 .get(&job.row.tenant)
                 .copied()
                 .unwrap_or_default();
-            let rank = (served, job.row.deadline_at_ms, job_id.clone());
+            let rank = (grant_count, job.row.deadline_at_ms, job_id.clone());
             if best.as_ref().is_none_or(|best| rank < *best) {
                 best = Some(rank);
             }
@@ -120,21 +122,21 @@
         best.map(|(_, _, job_id)| job_id)
     }
 
-    /// Chunks whose input lines the driver should load; each is named once.
+    /// Returns the chunks whose input lines must be loaded, each one once until [`Self::input_load_failed`].
     pub fn take_chunk_loads(&mut self) -> Vec<ChunkRef> {
-        std::mem::take(&mut self.wanted)
+        std::mem::take(&mut self.chunk_loads)
     }
 
-    /// Takes a chunk's input lines.
-    pub fn input_loaded(&mut self, wanted: &ChunkRef, lines: Vec<InputLine>, now: Duration) {
-        let doubtful_until = now + self.settings.indeterminate_timeout;
-        let Some(job) = self.jobs.get_mut(&wanted.job_id) else {
+    /// Adds a chunk's input lines, unless they are loaded already.
+    pub fn input_loaded(&mut self, loaded: &ChunkRef, lines: Vec<InputLine>, now: Duration) {
+        let indeterminate_until = now + self.settings.indeterminate_timeout;
+        let Some(job) = self.jobs.get_mut(&loaded.job_id) else {
             return;
         };
-        let Some(chunk) = job.active_mut(wanted.chunk) else {
+        let Some(chunk) = job.active_mut(loaded.chunk) else {
             return;
         };
-        if matches!(chunk.body, Body::Loaded(_)) {
+        if matches!(chunk.input, ChunkInput::Loaded(_)) {
             return;
         }
         let items = lines
@@ -144,18 +146,18 @@
                 at_most_once: line.at_most_once,
             })
             .collect();
-        chunk.load_body(items, doubtful_until);
+        chunk.load_input(items, indeterminate_until);
     }
 
-    /// The input lines could not be read; they are asked for again later.
-    pub fn input_load_failed(&mut self, wanted: &ChunkRef) {
-        let job = self.jobs.get_mut(&wanted.job_id);
-        if let Some(chunk) = job.and_then(|job| job.active_mut(wanted.chunk)) {
-            chunk.body = Body::Wanted;
+    /// Notes that the input lines could not be read; a later pull requests them again.
+    pub fn input_load_failed(&mut self, requested: &ChunkRef) {
+        let job = self.jobs.get_mut(&requested.job_id);
+        if let Some(chunk) = job.and_then(|job| job.active_mut(requested.chunk)) {
+            chunk.input = ChunkInput::NotRequested;
         }
     }
 
-    /// Takes results and items handed back.
+    /// Accepts results and returned items; the reply names the shards that this owner doesn't hold.
     pub fn results(&mut self, request: &ResultsRequest, now: Duration) -> ResultsReply {
         let mut refused_shards = Vec::new();
         for result in &request.results {
@@ -163,11 +165,11 @@
                 refused_shards.push(result.shard);
                 continue;
             }
-            self.take_result(result, now);
+            self.accept_result(result, now);
         }
-        for handed_back in &request.handed_back {
-            if let Some(item) = &handed_back.item {
-                self.take_back(item, handed_back.may_have_run, now);
+        for returned in &request.handed_back {
+            if let Some(item) = &returned.item {
+                self.accept_returned(item, returned.may_have_run, now);
             }
         }
         refused_shards.sort_unstable();
@@ -175,7 +177,7 @@
         ResultsReply { refused_shards }
     }
 
-    fn take_result(&mut self, result: &ItemResult, now: Duration) {
+    fn accept_result(&mut self, result: &ItemResult, now: Duration) {
         let Some(job) = self.jobs.get_mut(&result.job_id) else {
             return;
         };
@@ -183,7 +185,7 @@
             return;
         }
         let number = result.item % CHUNK_ITEMS;
-        let Some(chunk) = job.touch(result.item / CHUNK_ITEMS) else {
+        let Some(chunk) = job.activate(result.item / CHUNK_ITEMS) else {
             return;
         };
         if number >= chunk.size || chunk.is_finished(number) || chunk.is_unrun(number) {
@@ -198,7 +200,7 @@
         chunk.finish(item, now);
     }
 
-    fn take_back(&mut self, item: &RunningItem, may_have_run: bool, now: Duration) {
+    fn accept_returned(&mut self, item: &RunningItem, may_have_run: bool, now: Duration) {
         let Some(job) = self.jobs.get_mut(&item.job_id) else {
             return;
         };
@@ -206,7 +208,7 @@
         let Some(chunk) = job.active_mut(item.item / CHUNK_ITEMS) else {
             return;
         };
-        // Only the present attempt may be handed back: a repeated message must not free a later one.
+        // A duplicate message must not release the grant of a later attempt.
         let current = chunk
             .grants
             .get(&number)
@@ -215,65 +217,65 @@
             return;
         }
         chunk.grants.remove(&number);
-        // Before the input lines are here nobody knows whether the item may run again; loading them decides.
+        // Until the input lines are loaded it is unknown whether the item is at most once; loading them decides.
         let Some(input) = chunk.item(number) else {
             return;
         };
         match (input.at_most_once, may_have_run) {
             (false, false) => chunk.ready.push_front(number),
-            (false, true) => chunk.lose_run(number, now),
+            (false, true) => chunk.note_lost_run(number, now),
             (true, false) => chunk.intent_ready.push_front(number),
             (true, true) => {
-                chunk.doubtful.insert(number, Duration::ZERO);
+                chunk.indeterminate.insert(number, Duration::ZERO);
             }
         }
     }
 
-    /// Ends grants whose lease ran out, and doubts whose time is up.
+    /// Expires grants and cooldowns, and fails indeterminate items whose result didn't arrive in time.
     pub fn expire(&mut self, now: Duration) {
-        let doubtful_until = now + self.settings.indeterminate_timeout;
+        let indeterminate_until = now + self.settings.indeterminate_timeout;
         let mut buffered = 0;
         for job in self.jobs.values_mut() {
-            for (_, chunk) in job.actives_mut() {
-                chunk.expire_grants(now, doubtful_until);
-                chunk.end_rests(now);
-                buffered += chunk.expire_doubts(now);
+            for (_, chunk) in job.active_chunks_mut() {
+                chunk.expire_grants(now, indeterminate_until);
+                chunk.end_cooldowns(now);
+                buffered += chunk.expire_indeterminate(now);
             }
         }
         self.buffered += buffered;
     }
 }
 
-/// Asks for the next chunks of a job that has few loaded items left.
-fn want_chunks(job: &mut JobWork, settings: &OwnerSettings, wanted: &mut Vec<ChunkRef>) {
-    let mut open = 0;
-    let mut wanted_now = Vec::new();
-    for (number, chunk) in job.actives_mut() {
-        match chunk.body {
-            Body::Wanted => {
-                chunk.body = Body::Loading;
-                wanted_now.push(number);
-                open += chunk.size - chunk.done.len();
+/// Requests the next chunks of a job that has fewer loaded items than the ready target.
+fn request_chunks(job: &mut ActiveJob, settings: &OwnerSettings, chunk_loads: &mut Vec<ChunkRef>) {
+    let mut ungranted = 0;
+    let mut requested = Vec::new();
+    for (number, chunk) in job.active_chunks_mut() {
+        match chunk.input {
+            ChunkInput::NotRequested => {
+                chunk.input = ChunkInput::Loading;
+                requested.push(number);
+                ungranted += chunk.size - chunk.done.len();
             }
-            Body::Loading => open += chunk.size - chunk.done.len(),
-            Body::Loaded(_) => open += chunk.open_items(),
+            ChunkInput::Loading => ungranted += chunk.size - chunk.done.len(),
+            ChunkInput::Loaded(_) => ungranted += chunk.open_items(),
         }
     }
     let items = job.row.items;
     for (number, state) in (0u32..).zip(&mut job.chunks) {
-        if open >= settings.ready_target {
+        if ungranted >= settings.ready_target {
             break;
         }
-        if !matches!(state, ChunkState::Untouched) {
+        if !matches!(state, ChunkState::NotStarted) {
             continue;
         }
         let mut chunk = ActiveChunk::new(chunk_size(items, number));
-        chunk.body = Body::Loading;
-        open += chunk.size;
+        chunk.input = ChunkInput::Loading;
+        ungranted += chunk.size;
         *state = ChunkState::Active(Box::new(chunk));
-        wanted_now.push(number);
+        requested.push(number);
     }
-    wanted.extend(wanted_now.into_iter().map(|chunk| ChunkRef {
+    chunk_loads.extend(requested.into_iter().map(|chunk| ChunkRef {
         job_id: job.row.job_id.clone(),
         chunk,
         object_prefix: job.row.object_prefix.clone(),
--- a/crates/batch/src/core/job.rs
+++ b/crates/batch/src/core/job.rs
@@ -1,4 +1,4 @@
-//! One open job of an owned shard.
+//! State of an open job of an owned shard.
 
 use harrierward_wire::{ChunkRow, JobRow, JobState};
 
@@ -8,58 +8,60 @@
 /// A chunk row as read from the table.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredChunk {
-    /// Chunk number.
+    /// Chunk number within the job, from 0.
     pub number: u32,
-    /// The row.
+    /// Chunk row.
     pub row: ChunkRow,
-    /// The row's revision.
+    /// Revision of the row; condition of the next write.
     pub revision: u64,
 }
 
 /// A job as read from the table.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredJob {
-    /// The job row.
+    /// Job row.
     pub row: JobRow,
-    /// The job row's revision.
+    /// Revision of the job row; a loaded job is updated only by a newer one.
     pub revision: u64,
-    /// Chunk rows that exist; `None` if they were not read, because the job was held already.
+    /// Existing chunk rows; `None` if they were not read, because the job is loaded already.
     pub chunks: Option<Vec<StoredChunk>>,
 }
 
 #[derive(Debug, Clone)]
 pub(super) enum ChunkState {
-    /// Nothing of it is done or in work.
-    Untouched,
-    /// In work.
+    /// The chunk has no row, and none of its items was granted.
+    NotStarted,
     Active(Box<ActiveChunk>),
-    /// All committed.
-    Complete { completed: u32, failed: u32 },
+    /// All results are committed.
+    Complete {
+        completed: u32,
+        failed: u32,
+    },
 }
 
 #[derive(Debug, Clone)]
-pub(super) struct JobWork {
+pub(super) struct ActiveJob {
     pub row: JobRow,
     pub revision: u64,
     pub chunks: Vec<ChunkState>,
     pub cancelled: bool,
-    /// The ending is being written.
-    pub ending: bool,
-    /// An ending was written or may have been: its counts stand, so nothing more is committed.
+    /// True while the finalization is in flight.
+    pub finalizing: bool,
+    /// True once a finalization was planned: its counts are final, so later results are ignored.
     pub closed: bool,
 }
 
-impl JobWork {
+impl ActiveJob {
     pub fn new(row: JobRow, revision: u64, stored_chunks: Vec<StoredChunk>) -> Self {
         let count = row.items.div_ceil(CHUNK_ITEMS) as usize;
-        let mut chunks = vec![ChunkState::Untouched; count];
+        let mut chunks = vec![ChunkState::NotStarted; count];
         for stored in stored_chunks {
             let size = chunk_size(row.items, stored.number);
-            let Some(slot) = chunks.get_mut(stored.number as usize) else {
+            let Some(state) = chunks.get_mut(stored.number as usize) else {
                 continue;
             };
             let chunk = ActiveChunk::from_row(size, &stored.row, stored.revision);
-            *slot = if chunk.all_done() {
+            *state = if chunk.all_done() {
                 ChunkState::Complete {
                     completed: chunk.completed,
                     failed: chunk.failed,
@@ -74,7 +76,7 @@
             revision,
             chunks,
             cancelled,
-            ending: false,
+            finalizing: false,
             closed: false,
         }
     }
@@ -86,17 +88,17 @@
         }
     }
 
-    /// The chunk in work; one that nobody touched under this owner is opened, since an earlier owner may have.
-    pub fn touch(&mut self, chunk: u32) -> Option<&mut ActiveChunk> {
+    /// Returns the chunk unless it is complete; starts it if needed, as an earlier owner may have granted its items.
+    pub fn activate(&mut self, chunk: u32) -> Option<&mut ActiveChunk> {
         let size = chunk_size(self.row.items, chunk);
         let state = self.chunks.get_mut(chunk as usize)?;
-        if matches!(state, ChunkState::Untouched) {
+        if matches!(state, ChunkState::NotStarted) {
             *state = ChunkState::Active(Box::new(ActiveChunk::new(size)));
         }
         self.active_mut(chunk)
     }
 
-    pub fn actives(&self) -> impl Iterator<Item = (u32, &ActiveChunk)> {
+    pub fn active_chunks(&self) -> impl Iterator<Item = (u32, &ActiveChunk)> {
         (0u32..)
             .zip(&self.chunks)
             .filter_map(|(number, chunk)| match chunk {
@@ -105,7 +107,7 @@
             })
     }
 
-    pub fn actives_mut(&mut self) -> impl Iterator<Item = (u32, &mut ActiveChunk)> {
+    pub fn active_chunks_mut(&mut self) -> impl Iterator<Item = (u32, &mut ActiveChunk)> {
         (0u32..)
             .zip(&mut self.chunks)
             .filter_map(|(number, chunk)| match chunk {
@@ -114,7 +116,7 @@
             })
     }
 
-    /// Items that nobody holds and that are not finished.
+    /// Returns the number of unfinished items without a grant; an upper bound for chunks whose input is not loaded.
     pub fn open_items(&self) -> u32 {
         if self.cancelled {
             return 0;
@@ -122,9 +124,9 @@
         (0u32..)
             .zip(&self.chunks)
             .map(|(number, chunk)| match chunk {
-                ChunkState::Untouched => chunk_size(self.row.items, number),
-                ChunkState::Active(active) => match active.body {
-                    super::chunk::Body::Loaded(_) => active.open_items(),
+                ChunkState::NotStarted => chunk_size(self.row.items, number),
+                ChunkState::Active(active) => match active.input {
+                    super::chunk::ChunkInput::Loaded(_) => active.open_items(),
                     _ => active.size - active.done.len(),
                 },
                 ChunkState::Complete { .. } => 0,
@@ -132,12 +134,12 @@
             .sum()
     }
 
-    /// Committed counts: completed and failed.
+    /// Returns the counts of committed results.
     pub fn committed(&self) -> Counts {
         let mut counts = Counts::default();
         for chunk in &self.chunks {
             let (completed, failed) = match chunk {
-                ChunkState::Untouched => (0, 0),
+                ChunkState::NotStarted => (0, 0),
                 ChunkState::Active(active) => (active.completed, active.failed),
                 ChunkState::Complete { completed, failed } => (*completed, *failed),
             };
@@ -154,7 +156,6 @@
     }
 }
 
-/// Committed items of a job.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct Counts {
     pub completed: u32,
--- a/crates/batch/src/core/mod.rs
+++ b/crates/batch/src/core/mod.rs
@@ -1,8 +1,8 @@
 //! The shard owner as a pure state machine: jobs, chunks, grants and commits, without clock or I/O.
 //!
-//! Invariants: an item's result counts once, by the chunk row's done set; an at-most-once item is granted only
-//! after its intent is committed under the present epoch, and never granted again unless it was handed back
-//! unrun by the holder of its present attempt; a cancelled job grants nothing.
+//! Invariants: an item's result counts once, by the chunk row's `done` set; an at-most-once item is granted only after
+//! its intent is committed under the current epoch, and granted again only if the holder of its current attempt
+//! returned it unrun; a cancelled job grants nothing.
 
 mod chunk;
 mod commit;
--- a/crates/batch/src/core/owner.rs
+++ b/crates/batch/src/core/owner.rs
@@ -1,27 +1,26 @@
-//! All shards that one member owns: what is held, and what of it is open. Grants and commits are in their own
-//! modules.
+//! State of the shards that one member owns, and their open jobs.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 use harrierward_wire::JobState;
 
-use super::job::{JobWork, StoredJob};
+use super::job::{ActiveJob, StoredJob};
 
 /// Bounds of a shard owner.
 #[derive(Debug, Clone, Copy)]
 pub struct OwnerSettings {
-    /// How long a grant lasts unless its holder names it in a pull.
+    /// Lease of a grant; a pull that names the grant renews it.
     pub grant_lease: Duration,
-    /// How long a result is awaited of an at-most-once item whose holder is unknown.
+    /// Time for which the result of an at-most-once item without a grant is awaited before the item fails.
     pub indeterminate_timeout: Duration,
-    /// Age at which finished items of an unfinished chunk are committed; three times longer after each commit.
+    /// Age at which results of an unfinished chunk are committed; triples with each of its first commits.
     pub commit_delay: Duration,
-    /// Bytes of uncommitted results above which nothing more is granted.
+    /// Size of uncommitted results above which no items are granted, bytes.
     pub max_buffered_bytes: usize,
-    /// Loaded but ungranted items of a job that are enough not to load another chunk.
+    /// Number of ungranted items of a job below which another chunk is loaded.
     pub ready_target: u32,
-    /// Most at-most-once items of a chunk whose intent is committed ahead of their grants.
+    /// Maximum number of intents in one commit of a chunk, ahead of the grants.
     pub max_intents_ahead: usize,
 }
 
@@ -38,17 +37,17 @@
     }
 }
 
-/// Cancels remembered for jobs that are not loaded yet.
-const MOST_CANCELS_REMEMBERED: usize = 1024;
+/// Maximum number of recent cancellations that are kept for jobs that are not loaded yet.
+const MAX_RECENT_CANCELLATIONS: usize = 1024;
 
-/// Names a chunk whose input lines are wanted.
+/// Reference to a chunk whose input lines must be loaded.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChunkRef {
-    /// Job.
+    /// Id of the job.
     pub job_id: String,
-    /// Chunk number.
+    /// Chunk number within the job, from 0.
     pub chunk: u32,
-    /// Prefix of the input's part objects.
+    /// Name prefix of the input file's part objects.
     pub object_prefix: String,
 }
 
@@ -58,50 +57,50 @@
     pub(super) revision: u64,
 }
 
-/// State of the owner of some shards.
+/// Owner of some shards and their jobs; the caller passes the time and executes the planned writes.
 #[derive(Debug, Clone)]
 pub struct OwnerCore {
     pub(super) member: String,
     pub(super) settings: OwnerSettings,
     pub(super) shards: BTreeMap<u32, ShardState>,
-    pub(super) jobs: BTreeMap<String, JobWork>,
-    /// Items granted so far by tenant, for fairness.
-    pub(super) served: BTreeMap<String, u64>,
-    pub(super) wanted: Vec<ChunkRef>,
+    pub(super) jobs: BTreeMap<String, ActiveJob>,
+    /// Number of items granted by tenant, for fairness.
+    pub(super) grant_counts: BTreeMap<String, u64>,
+    pub(super) chunk_loads: Vec<ChunkRef>,
     pub(super) closing: BTreeSet<u32>,
-    pub(super) cancelled: VecDeque<String>,
-    /// Commits whose outcome is not known yet, by job. A job is neither read again nor ended while there are any,
-    /// because what was read could be older than what they wrote.
-    pub(super) outstanding: BTreeMap<String, u32>,
+    pub(super) recent_cancellations: VecDeque<String>,
+    /// Number of commits without an outcome, by job. While there are any, the job is neither loaded, because the rows
+    /// read may be older than the commits, nor finalized.
+    pub(super) outstanding_commits: BTreeMap<String, u32>,
     pub(super) next_attempt: u64,
     pub(super) buffered: usize,
 }
 
 impl OwnerCore {
-    /// An owner of nothing; `member` makes its attempt ids unique.
+    /// Creates an owner without shards; `member` makes its attempt ids unique in the fleet.
     pub fn new(member: impl Into<String>, settings: OwnerSettings) -> Self {
         Self {
             member: member.into(),
             settings,
             shards: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            served: BTreeMap::new(),
-            wanted: Vec::new(),
+            grant_counts: BTreeMap::new(),
+            chunk_loads: Vec::new(),
             closing: BTreeSet::new(),
-            cancelled: VecDeque::new(),
-            outstanding: BTreeMap::new(),
+            recent_cancellations: VecDeque::new(),
+            outstanding_commits: BTreeMap::new(),
             next_attempt: 0,
             buffered: 0,
         }
     }
 
-    /// Takes a shard whose ownership row this member wrote at `revision`.
+    /// Adds a shard whose ownership row this member wrote at `revision`.
     pub fn take_shard(&mut self, shard: u32, epoch: u64, revision: u64) {
         self.closing.remove(&shard);
         self.shards.insert(shard, ShardState { epoch, revision });
     }
 
-    /// Forgets a shard and its jobs; what was not committed is lost and will be run again by the next owner.
+    /// Removes a shard and its jobs. Uncommitted results are lost; the next owner decides whether the items run again.
     pub fn drop_shard(&mut self, shard: u32) {
         self.shards.remove(&shard);
         self.closing.remove(&shard);
@@ -112,28 +111,28 @@
             .map(|(id, _)| id.clone())
             .collect();
         for job_id in dropped {
-            self.forget_job(&job_id);
+            self.remove_job(&job_id);
         }
     }
 
-    pub(super) fn forget_job(&mut self, job_id: &str) {
+    pub(super) fn remove_job(&mut self, job_id: &str) {
         let Some(job) = self.jobs.remove(job_id) else {
             return;
         };
         let freed: usize = job
-            .actives()
+            .active_chunks()
             .flat_map(|(_, chunk)| &chunk.finished)
             .map(|item| item.line.len())
             .sum();
         self.buffered = self.buffered.saturating_sub(freed);
     }
 
-    /// True if the shard is this owner's, as far as it knows.
+    /// True if this owner holds the shard; another member may have taken it over since.
     pub fn owns(&self, shard: u32) -> bool {
         self.shards.contains_key(&shard)
     }
 
-    /// Shards held.
+    /// Returns the owned shards in ascending order.
     pub fn shards(&self) -> Vec<u32> {
         self.shards.keys().copied().collect()
     }
@@ -143,24 +142,24 @@
         self.jobs.contains_key(job_id)
     }
 
-    /// Tenants of the jobs held.
+    /// Returns the tenant of each loaded job, by job id.
     pub fn job_tenants(&self) -> BTreeMap<String, String> {
         let jobs = self.jobs.iter();
         jobs.map(|(id, job)| (id.clone(), job.row.tenant.clone()))
             .collect()
     }
 
-    /// Number of open jobs.
+    /// Returns the number of loaded jobs.
     pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Bytes of results not yet committed.
+    /// Returns the size of uncommitted results, bytes.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered
     }
 
-    /// Takes a job as read from the table. A job already held only takes over its cancel.
+    /// Loads a job of an owned shard. Of a job that is loaded already, only the job row is updated.
     pub fn load_job(&mut self, load: StoredJob) {
         if !self.shards.contains_key(&load.row.shard) {
             return;
@@ -173,44 +172,44 @@
             }
             return;
         }
-        if self.outstanding.contains_key(&load.row.job_id) {
+        if self.outstanding_commits.contains_key(&load.row.job_id) {
             return;
         }
         let Some(chunks) = load.chunks else {
             return;
         };
-        self.join_round(&load.row.tenant);
+        self.raise_to_lowest_grant_count(&load.row.tenant);
         let job_id = load.row.job_id.clone();
-        let mut job = JobWork::new(load.row, load.revision, chunks);
-        job.cancelled |= self.cancelled.contains(&job_id);
+        let mut job = ActiveJob::new(load.row, load.revision, chunks);
+        job.cancelled |= self.recent_cancellations.contains(&job_id);
         self.jobs.insert(job_id, job);
     }
 
-    /// Lets a tenant that comes back start level with the others, not with a lead for its idle time.
-    fn join_round(&mut self, tenant: &str) {
+    /// Raises the tenant's grant count to the lowest of the active tenants, so that idle time gives it no precedence.
+    fn raise_to_lowest_grant_count(&mut self, tenant: &str) {
         let active = self.jobs.values().map(|job| &job.row.tenant);
-        let floor = active
-            .filter_map(|tenant| self.served.get(tenant))
+        let lowest = active
+            .filter_map(|tenant| self.grant_counts.get(tenant))
             .min()
             .copied()
             .unwrap_or_default();
-        let served = self.served.entry(tenant.to_owned()).or_default();
-        *served = floor.max(*served);
+        let grant_count = self.grant_counts.entry(tenant.to_owned()).or_default();
+        *grant_count = lowest.max(*grant_count);
     }
 
-    /// Stops granting a job whose cancel is committed; the members that hold items of it.
+    /// Stops granting a job whose cancellation is committed; returns the members that hold items of it.
     pub fn cancel_job(&mut self, job_id: &str) -> Vec<String> {
-        // The notice may come before the job is loaded from a row read earlier.
-        if self.cancelled.len() >= MOST_CANCELS_REMEMBERED {
-            self.cancelled.pop_front();
+        // The job may be loaded later, from a row that was read before the cancellation.
+        if self.recent_cancellations.len() >= MAX_RECENT_CANCELLATIONS {
+            self.recent_cancellations.pop_front();
         }
-        self.cancelled.push_back(job_id.to_owned());
+        self.recent_cancellations.push_back(job_id.to_owned());
         let Some(job) = self.jobs.get_mut(job_id) else {
             return Vec::new();
         };
         job.cancelled = true;
         let mut holders: Vec<String> = job
-            .actives()
+            .active_chunks()
             .flat_map(|(_, chunk)| chunk.grants.values())
             .map(|grant| grant.member.clone())
             .collect();
@@ -219,7 +218,7 @@
         holders
     }
 
-    /// Items ready to be granted, by service.
+    /// Returns the number of unfinished, ungranted items by service; services without any are left out.
     pub fn backlog(&self) -> BTreeMap<String, u32> {
         let mut backlog = BTreeMap::new();
         for job in self.jobs.values() {
@@ -231,7 +230,7 @@
         backlog
     }
 
-    /// Items ready to be granted, by service and tenant.
+    /// Returns the number of unfinished, ungranted items by service and tenant.
     pub fn backlog_by_tenant(&self) -> BTreeMap<String, BTreeMap<String, u32>> {
         let mut backlog: BTreeMap<String, BTreeMap<String, u32>> = BTreeMap::new();
         for job in self.jobs.values() {
@@ -241,15 +240,15 @@
         backlog
     }
 
-    /// Prepares to hand a shard back: nothing more of it is granted, and results are committed at once.
+    /// Prepares to release a shard: stops granting its items and commits results without delay.
     pub fn close_shard(&mut self, shard: u32) {
         self.closing.insert(shard);
     }
 
-    /// True if nothing of the shard waits for a commit.
+    /// True if the shard has no uncommitted results and no commit in flight.
     pub fn is_flushed(&self, shard: u32) -> bool {
         let jobs = self.jobs.values().filter(|job| job.row.shard == shard);
-        jobs.flat_map(JobWork::actives)
+        jobs.flat_map(ActiveJob::active_chunks)
             .all(|(_, chunk)| chunk.finished.is_empty() && chunk.in_flight.is_none())
     }
 
@@ -257,16 +256,16 @@
         self.jobs
             .values()
             .filter(|job| job.row.service == service)
-            .map(JobWork::open_items)
+            .map(ActiveJob::open_items)
             .sum()
     }
 }
 
-/// One input line of a chunk.
+/// Input line of an item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InputLine {
-    /// The line.
+    /// The line as uploaded, without the newline.
     pub text: String,
-    /// The item must run at most once.
+    /// True if the item must not run more than once.
     pub at_most_once: bool,
 }
--- a/crates/batch/src/core/planning.rs
+++ b/crates/batch/src/core/planning.rs
@@ -1,22 +1,22 @@
-//! What is to be written and what became of it: chunk commits and endings of jobs.
+//! Planning of chunk commits and job finalizations, and handling of their outcomes.
 
 use std::time::Duration;
 
 use harrierward_wire::{JobState, ProgressRow};
 
 use super::commit::{ChunkCommit, CommitKind, CommitOutcome, JobFinalization};
-use super::job::{ChunkState, JobWork};
+use super::job::{ActiveJob, ChunkState};
 use super::owner::OwnerCore;
 use crate::item_set::ItemSet;
 
 impl OwnerCore {
-    /// Chunk rows to write now. Each stays in flight until [`Self::commit_finished`].
+    /// Returns the chunk rows to write now. Each commit is in flight until [`Self::commit_finished`].
     pub fn plan_commits(&mut self, now: Duration) -> Vec<ChunkCommit> {
         let mut commits = Vec::new();
-        let pressed = self.buffered * 2 > self.settings.max_buffered_bytes;
+        let buffer_pressure = self.buffered * 2 > self.settings.max_buffered_bytes;
         let job_ids: Vec<String> = self.jobs.keys().cloned().collect();
         for job_id in job_ids {
-            self.plan_job_commits(&job_id, now, pressed, &mut commits);
+            self.plan_job_commits(&job_id, now, buffer_pressure, &mut commits);
         }
         commits
     }
@@ -25,7 +25,7 @@
         &mut self,
         job_id: &str,
         now: Duration,
-        pressed: bool,
+        buffer_pressure: bool,
         commits: &mut Vec<ChunkCommit>,
     ) {
         let settings = self.settings;
@@ -36,14 +36,14 @@
             return;
         };
         let mut counts = job.committed();
-        let hurry = pressed || job.cancelled || self.closing.contains(&job.row.shard);
+        let flush = buffer_pressure || job.cancelled || self.closing.contains(&job.row.shard);
         let cancelled = job.cancelled;
         let shard_number = job.row.shard;
-        for (number, chunk) in job.actives_mut() {
+        for (number, chunk) in job.active_chunks_mut() {
             if chunk.in_flight.is_some() {
                 continue;
             }
-            let commit = if chunk.results_due(now, hurry, &settings) {
+            let commit = if chunk.results_due(now, flush, &settings) {
                 self.next_attempt += 1;
                 chunk.in_flight = Some(self.next_attempt);
                 let object = format!(
@@ -67,7 +67,7 @@
                     object: Some(object),
                     items,
                 }
-            } else if !cancelled && chunk.wants_intents(&settings) {
+            } else if !cancelled && chunk.needs_intents(&settings) {
                 self.next_attempt += 1;
                 chunk.in_flight = Some(self.next_attempt);
                 let intents = chunk.start_intents(settings.max_intents_ahead);
@@ -87,7 +87,10 @@
             } else {
                 continue;
             };
-            *self.outstanding.entry(job_id.to_owned()).or_default() += 1;
+            *self
+                .outstanding_commits
+                .entry(job_id.to_owned())
+                .or_default() += 1;
             commits.push(commit);
             if let Some(last) = commits.last_mut() {
                 last.progress = ProgressRow {
@@ -98,8 +101,8 @@
         }
     }
 
-    /// Forgets a shard that a write of the present ownership found lost; true if it was held until now.
-    fn lose_shard(&mut self, shard: u32, shard_revision: u64) -> bool {
+    /// Removes a shard after a write found it lost; false if the write was of an earlier ownership.
+    fn remove_lost_shard(&mut self, shard: u32, shard_revision: u64) -> bool {
         let current = self.shards.get(&shard);
         let lost = current.is_some_and(|state| state.revision == shard_revision);
         if lost {
@@ -108,22 +111,22 @@
         lost
     }
 
-    /// The outcome of a commit is known, or no longer matters because the shard is not held any more.
-    fn settle_outstanding(&mut self, job_id: &str) {
-        let Some(count) = self.outstanding.get_mut(job_id) else {
+    /// Removes a commit whose outcome is known, or whose shard was lost, from the outstanding ones.
+    fn settle_commit(&mut self, job_id: &str) {
+        let Some(count) = self.outstanding_commits.get_mut(job_id) else {
             return;
         };
         *count -= 1;
         if *count == 0 {
-            self.outstanding.remove(job_id);
+            self.outstanding_commits.remove(job_id);
         }
     }
 
-    /// Takes what became of a chunk commit; true if the shard turned out to be lost.
+    /// Applies the outcome of a chunk commit; true if the shard was lost.
     pub fn commit_finished(&mut self, commit: &ChunkCommit, outcome: CommitOutcome) -> bool {
-        self.settle_outstanding(&commit.job_id);
+        self.settle_commit(&commit.job_id);
         if outcome == CommitOutcome::ShardLost {
-            return self.lose_shard(commit.shard, commit.shard_revision);
+            return self.remove_lost_shard(commit.shard, commit.shard_revision);
         }
         let Some(job) = self.jobs.get_mut(&commit.job_id) else {
             return false;
@@ -152,26 +155,26 @@
                 self.buffered = self.buffered.saturating_sub(freed);
             }
             CommitOutcome::NotCommitted => chunk.commit_failed(),
-            // Somebody else wrote the row under our epoch's revision: only possible for an earlier write of
-            // our own. The job is read again from the table.
-            CommitOutcome::Stale => self.forget_job(&commit.job_id),
+            // The ownership row is unchanged, so the conflicting write was an earlier one of this owner. Discovery
+            // loads the job again.
+            CommitOutcome::Stale => self.remove_job(&commit.job_id),
             CommitOutcome::ShardLost => {}
         }
         false
     }
 
-    /// Jobs that can end now: complete, or cancelled with nothing left to commit.
+    /// Returns the final rows of the jobs that are complete, or cancelled with nothing left to commit.
     pub fn plan_finalizations(&mut self) -> Vec<JobFinalization> {
-        let mut endings = Vec::new();
+        let mut finalizations = Vec::new();
         for job in self.jobs.values_mut() {
             let Some(shard) = self.shards.get(&job.row.shard) else {
                 continue;
             };
-            let outstanding = self.outstanding.contains_key(&job.row.job_id);
-            if job.ending || outstanding || !can_end(job) {
+            let outstanding = self.outstanding_commits.contains_key(&job.row.job_id);
+            if job.finalizing || outstanding || !can_finalize(job) {
                 continue;
             }
-            job.ending = true;
+            job.finalizing = true;
             job.closed = true;
             let counts = job.committed();
             let mut row = job.row.clone();
@@ -183,36 +186,36 @@
                 JobState::Completed
             };
             row.state = state as i32;
-            endings.push(JobFinalization {
+            finalizations.push(JobFinalization {
                 shard: job.row.shard,
                 shard_revision: shard.revision,
                 job_revision: job.revision,
                 row,
             });
         }
-        endings
+        finalizations
     }
 
-    /// Takes what became of a job's ending; true if the shard turned out to be lost.
+    /// Applies the outcome of a job's finalization; true if the shard was lost.
     pub fn finalization_finished(
         &mut self,
-        ending: &JobFinalization,
+        finalization: &JobFinalization,
         outcome: CommitOutcome,
     ) -> bool {
         if outcome == CommitOutcome::ShardLost {
-            return self.lose_shard(ending.shard, ending.shard_revision);
+            return self.remove_lost_shard(finalization.shard, finalization.shard_revision);
         }
-        let current = self.shards.get(&ending.shard);
-        if current.is_none_or(|state| state.revision != ending.shard_revision) {
+        let current = self.shards.get(&finalization.shard);
+        if current.is_none_or(|state| state.revision != finalization.shard_revision) {
             return false;
         }
         match outcome {
             CommitOutcome::Committed { .. } | CommitOutcome::Stale => {
-                self.forget_job(&ending.row.job_id);
+                self.remove_job(&finalization.row.job_id);
             }
             CommitOutcome::NotCommitted | CommitOutcome::ShardLost => {
-                if let Some(job) = self.jobs.get_mut(&ending.row.job_id) {
-                    job.ending = false;
+                if let Some(job) = self.jobs.get_mut(&finalization.row.job_id) {
+                    job.finalizing = false;
                 }
             }
         }
@@ -220,12 +223,12 @@
     }
 }
 
-fn can_end(job: &JobWork) -> bool {
+fn can_finalize(job: &ActiveJob) -> bool {
     if job.all_complete() {
         return true;
     }
     job.cancelled
         && job
-            .actives()
+            .active_chunks()
             .all(|(_, chunk)| chunk.in_flight.is_none() && chunk.finished.is_empty())
 }
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -1,7 +1,7 @@
 //! Batch jobs: input files, job acceptance, shards of jobs under fenced ownership, grants, commits and results.
 //!
-//! The table is rate-limited, so a job is divided into chunks of up to [`CHUNK_ITEMS`] items: one transaction commits many
-//! results, which are stored as one object.
+//! The table is rate-limited, so a job is divided into chunks of up to [`CHUNK_ITEMS`] items: one transaction commits
+//! many results, which are stored as one object.
 
 pub mod core;
 mod errors;
--- a/crates/batch/src/owner.rs
+++ b/crates/batch/src/owner.rs
@@ -1,4 +1,4 @@
-//! Drives [`OwnerCore`] against the stores: loads jobs and input lines, commits chunks, ends jobs.
+//! Runs [`OwnerCore`] on the stores: loads jobs and input lines, commits chunks and finalizes jobs.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -23,11 +23,11 @@
 use crate::keys::{chunk_prefix, job_key, open_prefix, part_name, shard_key};
 
 const PREFIX: &str = "shards:";
-const FIRST_WAIT: Duration = Duration::from_millis(50);
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(10);
 const SCAN_PAGE: usize = 200;
 
-/// Field of an input line that marks it as at most once.
+/// Field of an input line whose value [`AT_MOST_ONCE`] forbids repeated runs.
 const EXECUTION_FIELD: &str = "execution";
 const AT_MOST_ONCE: &str = "at-most-once";
 
@@ -36,13 +36,13 @@
 pub struct OwnerDriverSettings {
     /// Bounds of the core.
     pub core: OwnerSettings,
-    /// How often timers are looked at.
+    /// Interval at which expiry and due commits are checked.
     pub tick: Duration,
-    /// How often owned shards are searched for jobs whose notice was lost.
+    /// Interval between scans of the owned shards for jobs and cancellations whose notice was lost.
     pub discovery_interval: Duration,
-    /// Store calls in flight at once.
+    /// Maximum number of concurrent input loads and commits.
     pub concurrency: usize,
-    /// Seed of the back-off's jitter.
+    /// Seed of the backoff jitter.
     pub seed: u64,
 }
 
@@ -58,15 +58,15 @@
     }
 }
 
-/// What the driver tells the rest of the daemon.
+/// The daemon's side of the driver: receives lost shards and supplies the wall clock.
 pub trait OwnerEvents: Send + Sync {
-    /// The shard turned out to belong to another member.
+    /// Called when a write showed that another member owns the shard; the driver has dropped it.
     fn shard_lost(&self, shard: u32);
-    /// Milliseconds since 1970.
+    /// Returns the current time, milliseconds since 1970.
     fn now_ms(&self) -> u64;
 }
 
-/// The shard owner of one daemon; cheap to clone.
+/// Shard owner of one daemon; cheap to clone.
 #[derive(Clone)]
 pub struct OwnerDriver {
     shared: Arc<Shared>,
@@ -107,24 +107,24 @@
         Self { shared }
     }
 
-    /// Takes a shard whose ownership row was just written by this member, and loads its jobs.
+    /// Adds a shard whose ownership row this member wrote at `revision`, and loads its jobs in the background.
     pub fn take_shard(&self, shard: u32, epoch: u64, revision: u64) {
         self.shared.lock().take_shard(shard, epoch, revision);
         let shared = self.shared.clone();
         tokio::spawn(async move { shared.discover_until_done(shard).await });
     }
 
-    /// Forgets a shard.
+    /// Removes a shard and its jobs; uncommitted results are lost.
     pub fn drop_shard(&self, shard: u32) {
         self.shared.lock().drop_shard(shard);
     }
 
-    /// Shards held.
+    /// Returns the owned shards in ascending order.
     pub fn shards(&self) -> Vec<u32> {
         self.shared.lock().shards()
     }
 
-    /// Answers a pull.
+    /// Renews the caller's grants and grants items; see [`OwnerCore::pull`].
     pub fn pull(&self, request: &PullRequest) -> PullReply {
         let now = self.shared.now();
         let reply = self.shared.lock().pull(request, now);
@@ -132,7 +132,7 @@
         reply
     }
 
-    /// Takes results.
+    /// Accepts results and returned items; see [`OwnerCore::results`].
     pub fn results(&self, request: &ResultsRequest) -> ResultsReply {
         let now = self.shared.now();
         let reply = self.shared.lock().results(request, now);
@@ -140,7 +140,7 @@
         reply
     }
 
-    /// Loads a job that was just accepted.
+    /// Loads a new job if this member owns its shard; a failed load is left to discovery.
     pub async fn job_accepted(&self, notice: &JobNotice) {
         let owned = self.shared.lock().owns(notice.shard);
         if owned {
@@ -148,29 +148,29 @@
         }
     }
 
-    /// Stops a job whose cancel is committed; the members that hold items of it.
+    /// Stops granting a job whose cancellation is committed; returns the members that hold items of it.
     pub fn cancel_job(&self, job_id: &str) -> Vec<String> {
         let holders = self.shared.lock().cancel_job(job_id);
         self.shared.wake.notify_one();
         holders
     }
 
-    /// Items ready to be granted, by service.
+    /// Returns the number of unfinished, ungranted items by service; services without any are left out.
     pub fn backlog(&self) -> BTreeMap<String, u32> {
         self.shared.lock().backlog()
     }
 
-    /// Tenants of the jobs held.
+    /// Returns the tenant of each loaded job, by job id.
     pub fn job_tenants(&self) -> BTreeMap<String, String> {
         self.shared.lock().job_tenants()
     }
 
-    /// Items ready to be granted, by service and tenant.
+    /// Returns the number of unfinished, ungranted items by service and tenant.
     pub fn backlog_by_tenant(&self) -> BTreeMap<String, BTreeMap<String, u32>> {
         self.shared.lock().backlog_by_tenant()
     }
 
-    /// Commits what is finished of a shard that is about to be handed back, within `limit`.
+    /// Stops granting items of a shard that will be released and waits, at most for `limit`, for its commits.
     pub async fn flush_shard(&self, shard: u32, limit: Duration) {
         self.shared.lock().close_shard(shard);
         let deadline = Instant::now() + limit;
@@ -180,12 +180,12 @@
         }
     }
 
-    /// Number of open jobs held.
+    /// Returns the number of loaded jobs.
     pub fn job_count(&self) -> usize {
         self.shared.lock().job_count()
     }
 
-    /// Bytes of results not yet committed.
+    /// Returns the size of uncommitted results, bytes.
     pub fn buffered_bytes(&self) -> usize {
         self.shared.lock().buffered_bytes()
     }
@@ -204,12 +204,12 @@
 
     async fn discover_until_done(&self, shard: u32) {
         let mut random = StdRng::seed_from_u64(self.settings.seed ^ u64::from(shard));
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         while self.lock().owns(shard) {
             match self.discover(shard).await {
                 Ok(()) => return,
                 Err(error) => {
-                    log::debug!("{PREFIX} cannot list jobs of shard {shard}: {error}");
+                    log::debug!("{PREFIX} cannot list jobs of shard {shard}, will retry: {error}");
                     sleep(backoff.wait(&mut random)).await;
                 }
             }
@@ -238,11 +238,11 @@
 
     async fn load_job(&self, tenant: &str, job_id: &str) {
         if let Err(error) = self.try_load_job(tenant, job_id).await {
-            log::debug!("{PREFIX} cannot load job {job_id} yet: {error}");
+            log::debug!("{PREFIX} cannot load job {job_id}, left to the next discovery: {error}");
         }
     }
 
-    /// Reads the job row and, if the job is not held yet, its chunk rows.
+    /// Reads the job row and, unless the job is loaded already, its chunk rows.
     async fn try_load_job(&self, tenant: &str, job_id: &str) -> Result<(), PlatformError> {
         let keys = [job_key(tenant, job_id)];
         let rows = self.table.get(RequestClass::Commit, &keys).await?;
@@ -296,34 +296,37 @@
         }
     }
 
-    async fn load_body(&self, wanted: ChunkRef) {
-        let name = part_name(&wanted.object_prefix, wanted.chunk);
+    async fn load_input(&self, chunk_ref: ChunkRef) {
+        let name = part_name(&chunk_ref.object_prefix, chunk_ref.chunk);
         let body = self.objects.get(RequestClass::Commit, &name).await;
         let text = body.map(|body| String::from_utf8_lossy(&body).into_owned());
         match text {
             Ok(text) => {
                 let lines = text.lines().map(input_line).collect();
                 let now = self.now();
-                self.lock().input_loaded(&wanted, lines, now);
+                self.lock().input_loaded(&chunk_ref, lines, now);
             }
             Err(error) => {
-                log::debug!("{PREFIX} cannot read input {name} yet: {error}");
-                sleep(FIRST_WAIT).await;
-                self.lock().input_load_failed(&wanted);
+                log::debug!("{PREFIX} cannot read input {name}, will retry: {error}");
+                sleep(MIN_BACKOFF).await;
+                self.lock().input_load_failed(&chunk_ref);
             }
         }
         self.wake.notify_one();
     }
 
-    /// Stores the result object and commits the chunk row; keeps at it until the outcome is known.
+    /// Stores the result object and commits the chunk row; retries until the outcome is known.
     async fn commit(&self, commit: ChunkCommit) {
         let mut random = StdRng::seed_from_u64(self.settings.seed ^ u64::from(commit.chunk));
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         let outcome = loop {
             match self.try_commit(&commit).await {
                 Ok(outcome) => break outcome,
                 Err(error) => {
-                    log::debug!("{PREFIX} commit of {} not done yet: {error}", commit.job_id);
+                    log::debug!(
+                        "{PREFIX} cannot commit a chunk of job {}, will retry: {error}",
+                        commit.job_id
+                    );
                     sleep(backoff.wait(&mut random)).await;
                 }
             }
@@ -350,7 +353,7 @@
             Ok(TransactionOutcome::Conflict { key, .. }) if key == shard_key(commit.shard) => {
                 Ok(CommitOutcome::ShardLost)
             }
-            // Perhaps an earlier try of this very commit took effect and its answer was lost.
+            // An earlier try of this commit may have succeeded and its response been lost.
             Ok(TransactionOutcome::Conflict { current, .. }) => {
                 let own = current.filter(|row| {
                     row.key == row_key
@@ -367,38 +370,44 @@
         }
     }
 
-    async fn end_job(&self, mut ending: JobFinalization) {
+    async fn finalize_job(&self, mut finalization: JobFinalization) {
         let now_ms = self.events.now_ms();
-        ending.row.ended_at_ms = now_ms;
-        let outcome = self.try_end(&ending).await.unwrap_or_else(|error| {
-            log::debug!(
-                "{PREFIX} ending of {} not done yet: {error}",
-                ending.row.job_id
-            );
-            CommitOutcome::NotCommitted
-        });
+        finalization.row.ended_at_ms = now_ms;
+        let outcome = self
+            .try_finalize(&finalization)
+            .await
+            .unwrap_or_else(|error| {
+                log::debug!(
+                    "{PREFIX} cannot finalize job {}, will retry: {error}",
+                    finalization.row.job_id
+                );
+                CommitOutcome::NotCommitted
+            });
         if matches!(outcome, CommitOutcome::Committed { .. }) {
-            let state = JobState::try_from(ending.row.state).unwrap_or(JobState::Completed);
-            log::info!(job = ending.row.job_id.as_str(); "{PREFIX} job ended as {state:?}");
+            let state = JobState::try_from(finalization.row.state).unwrap_or(JobState::Completed);
+            log::info!(job = finalization.row.job_id.as_str(); "{PREFIX} job ended as {state:?}");
         }
         if outcome == CommitOutcome::NotCommitted {
-            sleep(FIRST_WAIT * 4).await;
+            sleep(MIN_BACKOFF * 4).await;
         }
-        let lost = self.lock().finalization_finished(&ending, outcome);
-        self.report_lost(ending.shard, lost);
+        let lost = self.lock().finalization_finished(&finalization, outcome);
+        self.report_lost(finalization.shard, lost);
     }
 
-    /// A lost answer leaves the outcome "not done": the next try finds the job row changed and forgets the job,
-    /// which is right, because only this owner ends jobs of its shard.
-    async fn try_end(&self, ending: &JobFinalization) -> Result<CommitOutcome, PlatformError> {
-        let transaction = ending.transaction();
+    /// Writes the final job row. After a lost response the next try conflicts and removes the job, which is correct,
+    /// because only this owner finalizes jobs of its shard.
+    async fn try_finalize(
+        &self,
+        finalization: &JobFinalization,
+    ) -> Result<CommitOutcome, PlatformError> {
+        let transaction = finalization.transaction();
         let outcome = self
             .table
             .transact(RequestClass::Commit, transaction)
             .await?;
         Ok(match outcome {
             TransactionOutcome::Committed { revision } => CommitOutcome::Committed { revision },
-            TransactionOutcome::Conflict { key, .. } if key == shard_key(ending.shard) => {
+            TransactionOutcome::Conflict { key, .. } if key == shard_key(finalization.shard) => {
                 CommitOutcome::ShardLost
             }
             TransactionOutcome::Conflict { .. } => CommitOutcome::Stale,
@@ -407,7 +416,7 @@
 
     fn report_lost(&self, shard: u32, lost: bool) {
         if lost {
-            log::info!("{PREFIX} shard {shard} belongs to another member now");
+            log::info!("{PREFIX} dropped shard {shard}: another member owns it");
             self.events.shard_lost(shard);
         }
     }
@@ -432,17 +441,21 @@
     loop {
         let _ = timeout(shared.settings.tick, shared.wake.notified()).await;
         let now = shared.now();
-        let (wanted, commits, endings) = {
+        let (chunk_loads, commits, finalizations) = {
             let mut core = shared.lock();
             core.expire(now);
-            let wanted = core.take_chunk_loads();
-            (wanted, core.plan_commits(now), core.plan_finalizations())
+            let chunk_loads = core.take_chunk_loads();
+            (
+                chunk_loads,
+                core.plan_commits(now),
+                core.plan_finalizations(),
+            )
         };
-        for wanted in wanted {
+        for chunk_ref in chunk_loads {
             let shared = shared.clone();
             tokio::spawn(async move {
                 let _permit = shared.permits.clone().acquire_owned().await;
-                shared.load_body(wanted).await;
+                shared.load_input(chunk_ref).await;
             });
         }
         for commit in commits {
@@ -452,14 +465,14 @@
                 shared.commit(commit).await;
             });
         }
-        for ending in endings {
+        for finalization in finalizations {
             let shared = shared.clone();
-            tokio::spawn(async move { shared.end_job(ending).await });
+            tokio::spawn(async move { shared.finalize_job(finalization).await });
         }
     }
 }
 
-/// Finds jobs whose notice was lost, and cancels that were committed by a daemon that then died.
+/// Finds jobs and cancellations whose notice was lost, for example because its sender crashed.
 async fn run_discovery(shared: Arc<Shared>) {
     loop {
         sleep(shared.settings.discovery_interval).await;
--- a/crates/batch/tests/lost_runs.rs
+++ b/crates/batch/tests/lost_runs.rs
@@ -1,11 +1,11 @@
-//! An item whose runs break off again and again: each may have ended the engine that ran it, so it rests longer each time.
+//! An item whose runs are interrupted repeatedly may crash its engines: it gets growing cooldowns, but is not dropped.
 
 use std::time::Duration;
 
 use harrierward_batch::core::{InputLine, OwnerCore, OwnerSettings, StoredJob};
 use harrierward_wire::{Grant, HandBack, JobRow, PullRequest, ResultsRequest, RunningItem};
 
-/// Items of the job; the first one ends what runs it.
+/// Number of items of the job; the runs of the first one are interrupted.
 const ITEMS: u32 = 5;
 
 fn owner() -> OwnerCore {
@@ -23,12 +23,12 @@
         chunks: Some(Vec::new()),
     });
     pull(&mut owner, Duration::ZERO, 1);
-    for wanted in owner.take_chunk_loads() {
+    for chunk_ref in owner.take_chunk_loads() {
         let lines = (0..ITEMS).map(|item| InputLine {
             text: format!("{{\"custom_id\":\"{item}\"}}"),
             at_most_once: false,
         });
-        owner.input_loaded(&wanted, lines.collect(), Duration::ZERO);
+        owner.input_loaded(&chunk_ref, lines.collect(), Duration::ZERO);
     }
     owner
 }
@@ -43,7 +43,7 @@
     owner.pull(&request, now).grants
 }
 
-fn hand_back(owner: &mut OwnerCore, grant: &Grant, may_have_run: bool, now: Duration) {
+fn return_item(owner: &mut OwnerCore, grant: &Grant, may_have_run: bool, now: Duration) {
     let handed_back = HandBack {
         item: Some(RunningItem {
             job_id: grant.job_id.clone(),
@@ -60,7 +60,7 @@
     owner.results(&request, now);
 }
 
-/// Grants of the first item in so many seconds, each handed back after 0.3 s; the others are granted and kept.
+/// Counts the grants of the first item within `seconds`; each is returned after 0.3 s, and the other items are kept.
 fn grants_of_first(owner: &mut OwnerCore, seconds: u64, may_have_run: bool) -> usize {
     let mut count = 0;
     let tick = Duration::from_millis(300);
@@ -70,7 +70,7 @@
         for grant in pull(owner, now, ITEMS) {
             if grant.item == 0 {
                 count += 1;
-                hand_back(owner, &grant, may_have_run, now + tick);
+                return_item(owner, &grant, may_have_run, now + tick);
             }
         }
         now += tick;
@@ -78,23 +78,23 @@
     count
 }
 
-/// Unbounded it was granted 200 times in a minute, and ended an engine each time.
+/// An item that crashes its engine must not be granted again at every pull.
 #[test]
-fn an_item_whose_runs_break_off_rests_longer_each_time() {
+fn interrupted_runs_lengthen_the_cooldown() {
     let mut owner = owner();
     let first = grants_of_first(&mut owner, 60, true);
     assert!((3..=8).contains(&first), "{first} grants in a minute");
 }
 
 #[test]
-fn it_is_not_lost() {
+fn an_interrupted_item_is_granted_again() {
     let mut owner = owner();
     let hour = grants_of_first(&mut owner, 3_600, true);
     assert!((8..=24).contains(&hour), "{hour} grants in an hour");
 }
 
 #[test]
-fn an_item_that_certainly_has_not_run_does_not_rest() {
+fn an_item_returned_unrun_has_no_cooldown() {
     let mut owner = owner();
     let first = grants_of_first(&mut owner, 10, false);
     assert!(first > 25, "{first} grants in ten seconds");
--- a/crates/batch/tests/owner.rs
+++ b/crates/batch/tests/owner.rs
@@ -1,5 +1,5 @@
-//! The shard owner's core under takeovers, lost outcomes, expiring grants and late results: no item's result counts
-//! twice, and no at-most-once item is given out again unless it was handed back unrun.
+//! The shard owner under takeovers, lost outcomes, expired grants and late results: no item's result counts twice, and
+//! no at-most-once item is granted again unless it was returned unrun.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 const CHUNK: u32 = 200;
 const OWNERS: usize = 2;
 
-/// Every fifth item must run at most once.
+/// Marks every fifth item as at most once.
 fn is_once(item: u32) -> bool {
     item % 5 == 2
 }
@@ -42,13 +42,13 @@
     Reload {
         owner: usize,
     },
-    Pass {
+    AdvanceTime {
         seconds: u64,
     },
     Commit {
         owner: usize,
-        lands: bool,
-        answered: bool,
+        committed: bool,
+        acknowledged: bool,
     },
     TakeOver {
         owner: usize,
@@ -71,11 +71,12 @@
             6 => (owner.clone(), 1..40u32).prop_map(|(owner, slots)| Transition::Pull { owner, slots }),
             8 => (any::<usize>(), owner.clone()).prop_map(|(grant, owner)| Transition::Finish { grant, owner }),
             3 => (any::<usize>(), owner.clone(), any::<bool>(), any::<bool>())
-                .prop_map(|(grant, owner, may_have_run, repeated)| Transition::HandBack { grant, owner, may_have_run, repeated }),
+                .prop_map(|(grant, owner, may_have_run, repeated)|
+                    Transition::HandBack { grant, owner, may_have_run, repeated }),
             1 => owner.clone().prop_map(|owner| Transition::Reload { owner }),
-            2 => (1..20u64).prop_map(|seconds| Transition::Pass { seconds }),
+            2 => (1..20u64).prop_map(|seconds| Transition::AdvanceTime { seconds }),
             5 => (owner.clone(), any::<bool>(), any::<bool>())
-                .prop_map(|(owner, lands, answered)| Transition::Commit { owner, lands, answered }),
+                .prop_map(|(owner, committed, acknowledged)| Transition::Commit { owner, committed, acknowledged }),
             1 => owner.prop_map(|owner| Transition::TakeOver { owner }),
         ]
         .boxed()
@@ -86,7 +87,7 @@
     }
 }
 
-/// The table's part of the protocol.
+/// Model of the table: applies chunk commits on the conditions of their transaction.
 #[derive(Default)]
 struct TableModel {
     revision: u64,
@@ -127,10 +128,10 @@
     owners: Vec<OwnerCore>,
     table: TableModel,
     now: Duration,
-    /// Grants out, with whether their holder may still act on them.
+    /// Grants whose holder may still send a result or return the item.
     grants: Vec<Grant>,
-    handed_back_unrun: BTreeSet<String>,
-    /// Attempts of each at-most-once item that may have run.
+    returned_unrun: BTreeSet<String>,
+    /// Attempts that were granted for each at-most-once item.
     attempts: BTreeMap<u32, BTreeSet<String>>,
     in_flight: Vec<(usize, ChunkCommit)>,
 }
@@ -146,7 +147,7 @@
         self.reload(owner);
     }
 
-    /// Reads the job from the table, as discovery does for a job that is not held.
+    /// Loads the job from the table unless it is loaded already, as discovery does.
     fn reload(&mut self, owner: usize) {
         let core = &mut self.owners[owner];
         if core.has_job("job") {
@@ -174,14 +175,14 @@
         });
     }
 
-    fn load_bodies(&mut self, owner: usize) {
-        for wanted in self.owners[owner].take_chunk_loads() {
-            let first = wanted.chunk * CHUNK;
+    fn load_inputs(&mut self, owner: usize) {
+        for chunk_ref in self.owners[owner].take_chunk_loads() {
+            let first = chunk_ref.chunk * CHUNK;
             let lines = (first..(first + CHUNK).min(ITEMS)).map(|item| InputLine {
                 text: format!("{{\"custom_id\":\"{item}\"}}"),
                 at_most_once: is_once(item),
             });
-            self.owners[owner].input_loaded(&wanted, lines.collect(), self.now);
+            self.owners[owner].input_loaded(&chunk_ref, lines.collect(), self.now);
         }
     }
 
@@ -202,24 +203,24 @@
         }
     }
 
-    fn settle(&mut self, owner: usize, lands: bool, answered: bool) {
+    fn settle(&mut self, owner: usize, committed: bool, acknowledged: bool) {
         let plans = self.owners[owner].plan_commits(self.now);
         self.in_flight
             .extend(plans.into_iter().map(|plan| (owner, plan)));
         let commits = std::mem::take(&mut self.in_flight);
         for (planner, commit) in commits {
-            if planner != owner || !answered {
-                // Its outcome stays open: the driver sends the same commit again later.
-                if lands && planner == owner {
-                    self.land_unseen(&commit);
+            if planner != owner || !acknowledged {
+                // The outcome stays unknown, so the driver sends the same commit again later.
+                if committed && planner == owner {
+                    self.apply_unacknowledged(&commit);
                 }
                 self.in_flight.push((planner, commit));
                 continue;
             }
-            let outcome = if self.is_landed(&commit) {
+            let outcome = if self.is_applied(&commit) {
                 let (revision, _) = self.table.chunks[&commit.chunk];
                 CommitOutcome::Committed { revision }
-            } else if lands {
+            } else if committed {
                 self.table.apply(&commit)
             } else {
                 CommitOutcome::NotCommitted
@@ -228,14 +229,14 @@
         }
     }
 
-    fn is_landed(&self, commit: &ChunkCommit) -> bool {
+    fn is_applied(&self, commit: &ChunkCommit) -> bool {
         let current = self.table.chunks.get(&commit.chunk);
         let same = current.is_some_and(|(_, row)| *row == commit.row);
         same && commit.shard_revision == self.table.shard_revision
     }
 
-    fn land_unseen(&mut self, commit: &ChunkCommit) {
-        if !self.is_landed(commit) {
+    fn apply_unacknowledged(&mut self, commit: &ChunkCommit) {
+        if !self.is_applied(commit) {
             self.table.apply(commit);
         }
     }
@@ -253,7 +254,7 @@
             table: TableModel::default(),
             now: Duration::from_secs(1),
             grants: Vec::new(),
-            handed_back_unrun: BTreeSet::new(),
+            returned_unrun: BTreeSet::new(),
             attempts: BTreeMap::new(),
             in_flight: Vec::new(),
         };
@@ -265,14 +266,14 @@
         match transition {
             Transition::Pull { owner, slots } => {
                 system.pull(owner, slots);
-                system.load_bodies(owner);
+                system.load_inputs(owner);
             }
             Transition::Finish { grant, owner } => {
                 if system.grants.is_empty() {
                     return system;
                 }
                 let grant = system.grants.swap_remove(grant % system.grants.len());
-                if system.handed_back_unrun.contains(&grant.attempt) {
+                if system.returned_unrun.contains(&grant.attempt) {
                     return system;
                 }
                 let result = ItemResult {
@@ -300,14 +301,14 @@
                     return system;
                 }
                 let index = grant % system.grants.len();
-                // The message may come again later; its holder has stopped all the same.
+                // The message may be duplicated later, although its holder has stopped the run.
                 let grant = if repeated && !may_have_run {
                     system.grants[index].clone()
                 } else {
                     system.grants.swap_remove(index)
                 };
                 if !may_have_run {
-                    system.handed_back_unrun.insert(grant.attempt.clone());
+                    system.returned_unrun.insert(grant.attempt.clone());
                 }
                 let request = ResultsRequest {
                     results: Vec::new(),
@@ -324,7 +325,7 @@
                 let now = system.now;
                 system.owners[owner].results(&request, now);
             }
-            Transition::Pass { seconds } => {
+            Transition::AdvanceTime { seconds } => {
                 system.now += Duration::from_secs(seconds);
                 let now = system.now;
                 for owner in &mut system.owners {
@@ -333,9 +334,9 @@
             }
             Transition::Commit {
                 owner,
-                lands,
-                answered,
-            } => system.settle(owner, lands, answered),
+                committed,
+                acknowledged,
+            } => system.settle(owner, committed, acknowledged),
             Transition::TakeOver { owner } => system.take_over(owner),
             Transition::Reload { owner } => system.reload(owner),
         }
@@ -349,7 +350,7 @@
         for (item, attempts) in &system.attempts {
             let may_have_run = attempts
                 .iter()
-                .filter(|attempt| !system.handed_back_unrun.contains(*attempt));
+                .filter(|attempt| !system.returned_unrun.contains(*attempt));
             let may_have_run = may_have_run.count();
             assert!(
                 may_have_run <= 1,
