--- a/crates/batch/src/jobs.rs
+++ b/crates/batch/src/jobs.rs
@@ -42,7 +42,7 @@
     pub service: String,
     /// Row of the input file.
     pub file: FileRow,
-    /// Completion window in the caller's own format.
+    /// Completion window as the caller sent it.
     pub completion_window: String,
     /// Completion window, milliseconds.
     pub window_ms: u64,
@@ -87,7 +87,7 @@
 /// A job with the counts of its committed items.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobView {
-    /// Job row. While the job is open, its counts are those of the progress row.
+    /// Job row; [`JobService::get`] and [`JobService::list`] set the counts of an open job from its progress row.
     pub row: JobRow,
 }
 
