--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -121,7 +121,7 @@
 pub struct ReportedContent {
     /// Digest of the request.
     pub content: ContentId,
-    /// Crashes while the content was in progress; at most 16.
+    /// Crashes while the content was in progress.
     pub crashes: Vec<ReportedCrash>,
     /// The latest complete response or release; `None` if there was none.
     pub cleared: Option<ReportedClearing>,
@@ -136,7 +136,7 @@
     }
 }
 
-/// Known crashes and clearings by content. Merging is commutative and idempotent, so that the ledgers of all daemons
+/// Known crashes and clearings by content. Reports may be merged in any order and repeatedly: the ledgers of all daemons
 /// converge.
 #[derive(Debug, Clone, Default)]
 pub struct CrashLedger {
@@ -167,8 +167,8 @@
         let Some(entry) = self.entries.get_mut(&content) else {
             return false;
         };
-        let had_ends = !entry.crashes.is_empty();
-        if had_ends && entry.clear(Clearing { number, at }) {
+        let had_crashes = !entry.crashes.is_empty();
+        if had_crashes && entry.clear(Clearing { number, at }) {
             entry.changed_at = Some(at);
             return true;
         }
@@ -289,11 +289,11 @@
 
     /// Removes what has expired; true if a status may have changed.
     pub fn expire(&mut self, now: Instant) -> bool {
-        let is_old = |at: Instant| now.saturating_duration_since(at) >= CRASH_TTL;
+        let is_expired = |at: Instant| now.saturating_duration_since(at) >= CRASH_TTL;
         let mut has_changed = false;
         for entry in self.entries.values_mut() {
             let before = entry.crashes.len();
-            entry.crashes.retain(|crash| !is_old(crash.at));
+            entry.crashes.retain(|crash| !is_expired(crash.at));
             has_changed |= entry.crashes.len() < before;
         }
         // Clearings are kept for as long as other daemons or the store may still report the crashes.
--- a/crates/slots/src/ejection.rs
+++ b/crates/slots/src/ejection.rs
@@ -49,7 +49,7 @@
 /// The outcome of one request, reported by its holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestOutcome {
-    /// Hash of the replica's id.
+    /// Hash that identifies the replica.
     pub replica: u32,
     /// Lease under which the request ran.
     pub lease: LeaseId,
@@ -73,7 +73,7 @@
 /// A change of a replica's status, with the evidence for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StatusChange {
-    /// Hash of the replica's id.
+    /// Hash that identifies the replica.
     pub replica: u32,
     /// The transition.
     pub event: StatusEvent,
--- a/crates/slots/src/ledger.rs
+++ b/crates/slots/src/ledger.rs
@@ -75,7 +75,7 @@
 /// A released lease of an online request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReleasedLease {
-    /// Hash of the replica's id.
+    /// Hash that identifies the replica.
     pub replica: u32,
     /// Time from the grant to the release.
     pub held: Duration,
