--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -22,12 +22,12 @@
 use crate::peer_rows::{PeerRows, bootstrap};
 use crate::peer_updates::PeerUpdates;
 use crate::pool::ConnectionPool;
-use crate::quarantine::{HeldContents, QuarantineService};
+use crate::quarantine::{QuarantineService, QuarantinedContents};
 use crate::rates::RateService;
 use crate::relay::{HttpPeers, SpaceReplies};
 use crate::server::{HttpService, ServerControl, ServerStage, serve};
 use crate::settings::EdgeSettings;
-use crate::slots::{Pacing, SlotService, YieldItems};
+use crate::slots::{Pacing, PreemptItems, SlotService};
 use crate::watches::{JobRowHandler, WatchIntervals, start_watches};
 
 /// Parts from which a daemon is built.
@@ -194,7 +194,7 @@
             },
         });
         members.set_jobs(jobs.clone());
-        slots.set_yielding(Box::new(BatchPreemption {
+        slots.set_preemption(Box::new(BatchPreemption {
             jobs: jobs.clone(),
             members: members.clone(),
         }));
@@ -217,7 +217,7 @@
         start_watches(&discovery, source.as_ref(), heads, &intervals, &log);
         let clock = jobs.clone();
         let store_now_ms = move || clock.view().store_now_ms();
-        tokio::spawn(quarantine.clone().keep_stored(table, store_now_ms));
+        tokio::spawn(quarantine.clone().run_row_writer(table, store_now_ms));
         tokio::spawn(jobs.clone().run());
         tokio::spawn(peer_updates.catch_up(pool.clone()));
         tokio::spawn(discovery.clone().watch_evacuated());
@@ -277,7 +277,7 @@
         if !self.settings.control_address.is_empty() {
             let listener = TcpListener::bind(&self.settings.control_address).await?;
             let peer_rows = Arc::new(PeerRows::new(self.service.discovery.clone()));
-            let held = HeldContents::new(self.service.quarantine.clone(), peer_rows);
+            let held = QuarantinedContents::new(self.service.quarantine.clone(), peer_rows);
             let spaces = SpaceReplies::new(self.relay.clone(), Arc::new(held));
             tokio::spawn(serve(listener, inner_control, Arc::new(spaces)));
         }
@@ -291,16 +291,16 @@
     members: Arc<Members>,
 }
 
-impl YieldItems for BatchPreemption {
-    fn yield_lease(&self, place: u32) {
+impl PreemptItems for BatchPreemption {
+    fn preempt_lease(&self, place: u32) {
         self.jobs.preempt_lease(place);
     }
 
-    fn yield_at(&self, replica: &str, count: u32) {
+    fn preempt_at(&self, replica: &str, count: u32) {
         self.jobs.preempt_slots(replica, count);
     }
 
-    fn ask_peer(&self, replica: &Arc<Replica>) {
+    fn preempt_peer(&self, replica: &Arc<Replica>) {
         self.members.ask_peer_to_yield(replica);
     }
 }
--- a/crates/edge/src/pool.rs
+++ b/crates/edge/src/pool.rs
@@ -22,7 +22,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout};
 
-use crate::stall::{SilenceWatch, set_probes};
+use crate::stall::{StallWatch, set_probes};
 
 /// Limits and timeouts of the pool.
 #[derive(Debug, Clone, Copy)]
@@ -152,7 +152,7 @@
     address: String,
     connection: Connection,
     keep_for: Option<Duration>,
-    stall_watch: SilenceWatch,
+    stall_watch: StallWatch,
 }
 
 impl PooledBody {
@@ -179,7 +179,7 @@
             match frame {
                 Some(Ok(frame)) => {
                     if let Some(lease) = &mut self.lease {
-                        lease.stall_watch.heard();
+                        lease.stall_watch.note_received();
                     }
                     if let Ok(data) = frame.into_data() {
                         return Poll::Ready(Some(Ok(data)));
@@ -202,7 +202,7 @@
 
 impl Lease {
     fn release(mut self) {
-        self.stall_watch.end();
+        self.stall_watch.finish();
         let Some(keep_for) = self.keep_for else {
             return;
         };
@@ -356,12 +356,12 @@
             is_sent: is_sent.clone(),
         };
         let request = Request::from_parts(head, body);
-        let mut stall_watch = SilenceWatch::begin(self, address);
+        let mut stall_watch = StallWatch::begin(self, address);
         let response = connection.sender.send_request(request).await;
         let (head, body) = response
             .map_err(|error| PoolError::Lost(error.to_string()))?
             .into_parts();
-        stall_watch.heard();
+        stall_watch.note_received();
         // A response that precedes the end of the request's body leaves the connection in an indeterminate state.
         let is_fully_sent = is_sent.load(Ordering::Relaxed);
         let keep_for = self.keep_for(&head.headers).filter(|_| is_fully_sent);
--- a/crates/edge/src/watches.rs
+++ b/crates/edge/src/watches.rs
@@ -177,7 +177,7 @@
                 RowKind::Fence => view.update_fence_row(&row.value, row.revision),
                 // Before the store's time is published to writers of such rows: a new instance must not overwrite the
                 // state of its predecessor before reading it.
-                RowKind::CrashUpdates => self.quarantine.take_stored(row, update.store_time_ms),
+                RowKind::CrashUpdates => self.quarantine.apply_stored(row, update.store_time_ms),
             }
         }
         for key in &update.removed {
--- a/crates/edge/tests/peer_loads.rs
+++ b/crates/edge/tests/peer_loads.rs
@@ -1,4 +1,4 @@
-//! What follows from the peers' words for each replica.
+//! Sums of the peers' load notices for each replica.
 
 use std::time::Duration;
 
@@ -24,37 +24,38 @@
 }
 
 #[test]
-fn old_words_are_forgotten_and_unheard_peers_are_like_the_others() {
+fn old_notices_expire_and_sums_are_scaled_to_peers_without_one() {
     let now = Instant::now();
     let mut loads = PeerLoads::default();
-    assert!(loads.take(notice("a", 5, vec![count(7, 2)]), now));
+    assert!(loads.apply(notice("a", 5, vec![count(7, 2)]), now));
     assert!(
-        !loads.take(notice("a", 4, vec![]), now),
+        !loads.apply(notice("a", 4, vec![]), now),
         "an older notice that came late"
     );
     assert_eq!(loads.sums(3)[&7].online, 6);
     assert!(!loads.expire(now + Duration::from_millis(1_400)));
     assert!(loads.expire(now + Duration::from_millis(1_500)));
-    assert_eq!(loads.heard(), 0);
+    assert_eq!(loads.reporting(), 0);
 }
 
-/// A daemon whose machine was suspended has an old proof itself; peers' proofs from before must not make it look cut off alone.
+/// Guards against a resumed daemon that compares its outdated proof with peers' notices from before the suspension, and
+/// considers itself isolated.
 #[test]
-fn what_peers_said_of_their_proofs_before_a_suspension_does_not_count_after_it() {
+fn proof_ages_from_before_a_suspension_are_ignored() {
     let now = Instant::now();
     let mut loads = PeerLoads::default();
     let fresh = LoadNotice {
         proof_age_ms: 40,
         ..notice("a", 1, Vec::new())
     };
-    loads.take(fresh, now);
+    loads.apply(fresh, now);
     let ages = |at: Instant| loads.proof_ages_ms(at).collect::<Vec<u32>>();
     assert_eq!(ages(now + Duration::from_millis(1_400)), [40]);
     assert_eq!(ages(now + Duration::from_millis(4_000)), Vec::<u32>::new());
 }
 
 #[test]
-fn the_peers_that_run_items_at_a_replica_are_asked_for_its_slots_and_each_item_once() {
+fn batch_slots_are_taken_once_each_from_the_peers_that_hold_them() {
     let now = Instant::now();
     let mut loads = PeerLoads::default();
     let batch = |replica, batch| ReplicaCount {
@@ -62,15 +63,15 @@
         online: 1,
         batch,
     };
-    loads.take(notice("a", 1, vec![batch(7, 2), batch(8, 5)]), now);
-    loads.take(notice("b", 1, vec![batch(7, 1)]), now);
-    loads.take(notice("c", 1, vec![count(7, 3)]), now);
+    loads.apply(notice("a", 1, vec![batch(7, 2), batch(8, 5)]), now);
+    loads.apply(notice("b", 1, vec![batch(7, 1)]), now);
+    loads.apply(notice("c", 1, vec![count(7, 3)]), now);
     let mut random = rand::rng();
-    let mut asked: Vec<String> = (0..3)
+    let mut peers: Vec<String> = (0..3)
         .filter_map(|_| loads.take_batch_slot(7, &mut random))
         .collect();
-    asked.sort_unstable();
-    assert_eq!(asked, ["a", "a", "b"]);
+    peers.sort_unstable();
+    assert_eq!(peers, ["a", "a", "b"]);
     assert_eq!(loads.take_batch_slot(7, &mut random), None);
     assert_eq!(loads.sums(3)[&8].batch, 5);
 }
--- a/crates/serving/src/replica_set.rs
+++ b/crates/serving/src/replica_set.rs
@@ -1,4 +1,4 @@
-//! The replicas that discovery names, as a whole: read without locks, replaced when the list or the evacuated zones change.
+//! Set of all listed replicas, read without locks and replaced when the list or the evacuated zones change.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,30 +13,30 @@
 use crate::selection::preference_weight;
 use crate::topology::Location;
 
-/// How long a replica whose record vanished is still used if its service has no other: records also vanish while
-/// the store is down.
-const VANISHED_LIFETIME: Duration = Duration::from_millis(1_700);
+/// Time for which a replica whose record vanished is still used if its service has no other; records also vanish
+/// while the store is down.
+const VANISHED_TTL: Duration = Duration::from_millis(1_700);
 
 #[derive(Debug, Clone)]
 struct Vanished {
     replica: Arc<Replica>,
-    at: Instant,
+    vanished_at: Instant,
 }
 
-/// The listed replicas of one service.
+/// Listed replicas of one service.
 #[derive(Debug, Default)]
 struct ServiceReplicas {
-    /// In order of id.
+    /// Ordered by id.
     list: Vec<Arc<Replica>>,
-    /// Hashes of the zones that they are in, in order, each once.
+    /// Hashes of their zones, ordered, without duplicates.
     zones: Vec<u32>,
-    /// Hashes of their regions, likewise.
+    /// Hashes of their regions, ordered, without duplicates.
     regions: Vec<u32>,
-    /// Found when first asked for: most daemons never choose for long prompts of most services.
+    /// Ids of the replicas for long prompts; computed on first use, as most daemons need it for few services.
     long_prompt_affinity: OnceLock<HashSet<String>>,
 }
 
-/// All replicas at one moment. The next view shares with this one what has not changed.
+/// Snapshot of all replicas; shares unchanged parts with its successor.
 #[derive(Debug, Default, Clone)]
 pub struct ReplicaView {
     by_id: imbl::HashMap<String, Arc<Replica>>,
@@ -46,7 +46,7 @@
 }
 
 impl ReplicaView {
-    /// Replicas of a service that take new work, ready ones first; those that vanished only if there are no others.
+    /// Returns the replicas of a service that accept work; vanished ones only if there are no others.
     pub fn usable(&self, service: &str) -> Vec<Arc<Replica>> {
         let listed = self.listed(service);
         let ready: Vec<Arc<Replica>> = listed
@@ -60,21 +60,22 @@
         let vanished = self.vanished.get(service).map_or(&[][..], Vec::as_slice);
         vanished
             .iter()
-            .filter(|gone| {
-                harrierward_clock::age(gone.at) < VANISHED_LIFETIME && gone.replica.accepts_work()
+            .filter(|entry| {
+                harrierward_clock::age(entry.vanished_at) < VANISHED_TTL
+                    && entry.replica.accepts_work()
             })
-            .map(|gone| gone.replica.clone())
+            .map(|entry| entry.replica.clone())
             .collect()
     }
 
-    /// True if any replica of the service takes new work in these regions.
+    /// True if a replica of the service accepts work in one of these regions.
     pub fn has_usable(&self, service: &str, regions: &AllowedRegions) -> bool {
         let fits = |replica: &Arc<Replica>| regions.allows(&replica.record.region);
         let is_ready = |replica: &Arc<Replica>| replica.accepts_work() && fits(replica);
         self.listed(service).iter().any(is_ready) || self.usable(service).iter().any(fits)
     }
 
-    /// The name of a service and its listed replicas, from the hash of the name.
+    /// Returns the name and the listed replicas of the service whose name has this hash.
     pub fn service_by_hash(&self, hash: u32) -> Option<(&str, &[Arc<Replica>])> {
         let named = self.by_service.iter();
         let mut named = named.filter(|(name, _)| short_hash(name) == hash);
@@ -83,52 +84,52 @@
             .map(|(name, replicas)| (name.as_str(), &replicas.list[..]))
     }
 
-    /// All listed replicas of a service.
+    /// Returns the listed replicas of a service, ordered by id.
     pub fn listed(&self, service: &str) -> &[Arc<Replica>] {
         let replicas = self.by_service.get(service);
         replicas.map_or(&[][..], |replicas| &replicas.list)
     }
 
-    /// Hashes of the zones in which the service has replicas, each once.
+    /// Returns the hashes of the zones in which the service has replicas, without duplicates.
     pub fn zones(&self, service: &str) -> &[u32] {
         let replicas = self.by_service.get(service);
         replicas.map_or(&[][..], |replicas| &replicas.zones)
     }
 
-    /// Hashes of the regions in which the service has replicas, each once.
+    /// Returns the hashes of the regions in which the service has replicas, without duplicates.
     pub fn regions(&self, service: &str) -> &[u32] {
         let replicas = self.by_service.get(service);
         replicas.map_or(&[][..], |replicas| &replicas.regions)
     }
 
-    /// Names of the services that have replicas.
+    /// Returns the names of the services with listed replicas.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         self.by_service.keys().map(String::as_str)
     }
 
-    /// A replica by the hash of its start.
+    /// Returns a replica by the hash of its instance.
     pub fn by_hash(&self, hash: u32) -> Option<&Arc<Replica>> {
         self.by_hash.get(&hash)
     }
 
-    /// True if the replica is among those for long prompts.
+    /// True if the replica is one of those for long prompts.
     pub fn has_long_prompt_affinity(&self, id: &str) -> bool {
         let service = self.by_id.get(id).map(|one| &one.record.service);
         let replicas = service.and_then(|service| self.by_service.get(service));
         replicas.is_some_and(|replicas| replicas.long_prompt_affinity().contains(id))
     }
 
-    /// All listed replicas.
+    /// Returns all listed replicas, in no particular order.
     pub fn all(&self) -> impl Iterator<Item = &Arc<Replica>> {
         self.by_id.values()
     }
 
-    /// A replica by id.
+    /// Returns a replica by id.
     pub fn get(&self, id: &str) -> Option<&Arc<Replica>> {
         self.by_id.get(id)
     }
 
-    /// Number of replicas listed.
+    /// Returns the number of listed replicas.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
@@ -139,68 +140,67 @@
     }
 }
 
-/// The replicas, read without locks.
+/// Current [`ReplicaView`], read without locks.
 #[derive(Debug, Default)]
 pub struct ReplicaSet {
     view: ArcSwap<ReplicaView>,
     evacuated_zones: ArcSwap<HashSet<String>>,
     in_progress: Arc<AtomicUsize>,
-    /// Held while a view is made from the one before: a new list and a change of the zones come from different tasks.
-    changing: Mutex<()>,
+    /// Serializes updates: the list and the evacuated zones are changed by different tasks.
+    update_lock: Mutex<()>,
 }
 
 impl ReplicaSet {
-    /// The replicas now.
+    /// Returns the current snapshot.
     pub fn view(&self) -> Arc<ReplicaView> {
         self.view.load_full()
     }
 
-    /// True if no request of this daemon is in progress at any replica, also at none that is no longer listed: nobody then needs to look
-    /// through all replicas for those that have some.
+    /// True if no request of this daemon is in progress at any replica, listed or not.
     pub fn is_idle(&self) -> bool {
         self.in_progress.load(Ordering::Relaxed) == 0
     }
 
-    /// Takes a whole new list; counts and memory of replicas that stay are kept. None is seen in service while its zone
-    /// is evacuated.
+    /// Replaces the full list; the state of replicas that stay is kept.
     pub fn replace(&self, records: Vec<ReplicaRecord>, memory_tokens: impl Fn(&str) -> u64) {
         let old = self.view();
         let named: HashSet<&str> = records.iter().map(|record| record.id.as_str()).collect();
-        let gone = old.by_id.keys().filter(|id| !named.contains(id.as_str()));
-        let gone: Vec<String> = gone.cloned().collect();
-        self.update(records, &gone, memory_tokens);
+        let removed = old.by_id.keys().filter(|id| !named.contains(id.as_str()));
+        let removed: Vec<String> = removed.cloned().collect();
+        self.update(records, &removed, memory_tokens);
     }
 
-    /// Takes what has changed: records that are new or other than before, and ids of replicas that are not listed any more. What
-    /// this costs follows from the changes, and only a copy of pointers from the number of replicas.
+    /// Applies new or changed records, and the ids of removed replicas. Apart from copying pointers, the cost depends
+    /// on the number of changes only.
     pub fn update(
         &self,
         changed: Vec<ReplicaRecord>,
-        gone: &[String],
+        removed: &[String],
         memory_tokens: impl Fn(&str) -> u64,
     ) {
-        let _changing = lock(&self.changing);
+        let _guard = lock(&self.update_lock);
         let old = self.view();
         let evacuated = self.evacuated_zones.load();
-        let last_words = changed
+        let latest = changed
             .into_iter()
             .map(|record| (record.id.clone(), record));
-        let last_words: HashMap<String, ReplicaRecord> = last_words.collect();
-        let changed = last_words.into_values().map(|record| {
+        let latest: HashMap<String, ReplicaRecord> = latest.collect();
+        let changed = latest.into_values().map(|record| {
             let replica = keep_or_create(&old, record, &memory_tokens, &self.in_progress);
             replica.set_zone_evacuated(evacuated.contains(&replica.record.zone));
             replica
         });
         let changed: Vec<Arc<Replica>> = changed.collect();
-        self.view.store(Arc::new(next_view(&old, &changed, gone)));
+        self.view
+            .store(Arc::new(next_view(&old, &changed, removed)));
     }
 
-    /// Takes the names of all zones that are evacuated; it holds for replicas that are listed later too.
+    /// Sets the evacuated zones, which also apply to replicas listed later.
     pub fn set_evacuated_zones(&self, zones: HashSet<String>) {
-        let _changing = lock(&self.changing);
+        let _guard = lock(&self.update_lock);
         let mut view = ReplicaView::clone(&self.view());
         let vanished = view.vanished.values().flatten();
-        let vanished = vanished.map(|gone| &gone.replica);
+        let vanished = vanished.map(|entry| &entry.replica);
         for replica in view.by_id.values().chain(vanished) {
             replica.set_zone_evacuated(zones.contains(&replica.record.zone));
         }
@@ -213,42 +213,42 @@
     }
 }
 
-/// The view that follows from `old` by these changes.
-fn next_view(old: &ReplicaView, changed: &[Arc<Replica>], gone: &[String]) -> ReplicaView {
+/// Applies changes to the view `old`.
+fn next_view(old: &ReplicaView, changed: &[Arc<Replica>], removed: &[String]) -> ReplicaView {
     let mut view = old.clone();
     let mut edits: HashMap<String, ServiceEdit> = HashMap::new();
-    for id in gone {
+    for id in removed {
         let Some(replica) = view.by_id.remove(id) else {
             continue;
         };
-        view.forget_hash(&replica);
-        edit_of(&mut edits, &replica).gone.insert(id.clone());
+        view.remove_hash(&replica);
+        edit_for(&mut edits, &replica).removed.insert(id.clone());
     }
     for replica in changed {
         let id = &replica.record.id;
         let before = view.by_id.insert(id.clone(), replica.clone());
         if let Some(before) = before {
-            view.forget_hash(&before);
-            edit_of(&mut edits, &before).gone.insert(id.clone());
+            view.remove_hash(&before);
+            edit_for(&mut edits, &before).removed.insert(id.clone());
         }
         view.by_hash.insert(replica.hash, replica.clone());
-        edit_of(&mut edits, replica).listed.push(replica.clone());
+        edit_for(&mut edits, replica).listed.push(replica.clone());
     }
-    view.vanished = still_vanished(old, &view.by_id, changed, gone);
+    view.vanished = vanished_replicas(old, &view.by_id, changed, removed);
     for (service, edit) in edits {
         view.edit_service(service, edit);
     }
     view
 }
 
-/// What changes in the list of one service.
+/// Changes to the list of one service.
 #[derive(Default)]
 struct ServiceEdit {
-    gone: HashSet<String>,
+    removed: HashSet<String>,
     listed: Vec<Arc<Replica>>,
 }
 
-fn edit_of<'a>(
+fn edit_for<'a>(
     edits: &'a mut HashMap<String, ServiceEdit>,
     replica: &Replica,
 ) -> &'a mut ServiceEdit {
@@ -256,8 +256,8 @@
 }
 
 impl ReplicaView {
-    /// Another start may have taken the hash meanwhile.
-    fn forget_hash(&mut self, replica: &Arc<Replica>) {
+    /// Removes the hash unless another instance already uses it.
+    fn remove_hash(&mut self, replica: &Arc<Replica>) {
         let known = self.by_hash.get(&replica.hash);
         if known.is_some_and(|known| Arc::ptr_eq(known, replica)) {
             self.by_hash.remove(&replica.hash);
@@ -267,7 +267,7 @@
     fn edit_service(&mut self, service: String, edit: ServiceEdit) {
         let before = self.listed(&service);
         let kept = before.iter();
-        let kept = kept.filter(|replica| !edit.gone.contains(&replica.record.id));
+        let kept = kept.filter(|replica| !edit.removed.contains(&replica.record.id));
         let mut list = Vec::with_capacity(before.len() + edit.listed.len());
         list.extend(kept.cloned());
         list.extend(edit.listed);
@@ -275,7 +275,7 @@
             self.by_service.remove(&service);
             return;
         }
-        // Nearly sorted: what stays is in order.
+        // Cheap, since the remaining replicas are in order already.
         list.sort_by(|left, right| left.record.id.cmp(&right.record.id));
         let replicas = ServiceReplicas {
             zones: areas_of(&list, |location| location.zone),
@@ -289,27 +289,28 @@
 
 impl ServiceReplicas {
     fn long_prompt_affinity(&self) -> &HashSet<String> {
-        let found = || homes(&self.list).into_iter().collect();
+        let found = || long_prompt_replicas(&self.list).into_iter().collect();
         self.long_prompt_affinity.get_or_init(found)
     }
 }
 
-/// The areas that replicas are in, in order, each once.
+/// Hashes of the replicas' areas, ordered, without duplicates.
 fn areas_of(list: &[Arc<Replica>], area: impl Fn(Location) -> u32) -> Vec<u32> {
     let areas: BTreeSet<u32> = list.iter().map(|one| area(one.location)).collect();
     areas.into_iter().collect()
 }
 
 /// Share of a service's replicas that take the long prompts, in percent.
-const HOME_PERCENT: usize = 33;
+const LONG_PROMPT_PERCENT: usize = 33;
 
-/// Fewest replicas that take the long prompts.
-const FEWEST_HOMES: usize = 2;
+/// Minimum number of replicas that take the long prompts.
+const MIN_LONG_PROMPT_REPLICAS: usize = 2;
 
-/// Replicas for long prompts: the first in an order that all daemons share. A service with too few replicas has none.
-fn homes(list: &[Arc<Replica>]) -> Vec<String> {
+/// Ids of the replicas for long prompts: the first of a ranking that is the same on all daemons. Empty if the service
+/// has too few replicas.
+fn long_prompt_replicas(list: &[Arc<Replica>]) -> Vec<String> {
     let mut ready: Vec<&Arc<Replica>> = list.iter().filter(|one| one.accepts_work()).collect();
-    let count = (ready.len() * HOME_PERCENT / 100).max(FEWEST_HOMES);
+    let count = (ready.len() * LONG_PROMPT_PERCENT / 100).max(MIN_LONG_PROMPT_REPLICAS);
     if ready.len() < count * 2 {
         return Vec::new();
     }
@@ -325,11 +326,11 @@
     in_progress: &Arc<AtomicUsize>,
 ) -> Arc<Replica> {
     let kept = old.by_id.get(&record.id).cloned().or_else(|| {
-        let gone = old.vanished.get(&record.service)?;
-        let same = gone
+        let vanished = old.vanished.get(&record.service)?;
+        let same = vanished
             .iter()
-            .find(|gone| gone.replica.record.id == record.id)?;
-        // It comes back with a row that nobody has taken into account, and may have turned cold meanwhile.
+            .find(|entry| entry.replica.record.id == record.id)?;
+        // The new row has not been applied to the vanished replica, which may have become cold meanwhile.
         same.replica
             .note_row_warmup(record.warmup, harrierward_clock::now());
         Some(same.replica.clone())
@@ -352,31 +353,31 @@
     }
 }
 
-fn still_vanished(
+fn vanished_replicas(
     old: &ReplicaView,
     by_id: &imbl::HashMap<String, Arc<Replica>>,
     changed: &[Arc<Replica>],
-    gone: &[String],
+    removed: &[String],
 ) -> HashMap<String, Vec<Vanished>> {
     let now = harrierward_clock::now();
-    // One whose place another start has taken is listed by its name, and so is not among them.
+    // A replica replaced by another instance stays listed under its id, so it isn't among the vanished ones.
     let named = changed.iter().map(|replica| &replica.record.id);
-    let named = named.chain(gone).filter(|id| !by_id.contains_key(*id));
-    let just_gone = named
+    let named = named.chain(removed).filter(|id| !by_id.contains_key(*id));
+    let just_vanished = named
         .filter_map(|id| old.by_id.get(id))
         .map(|replica| Vanished {
             replica: replica.clone(),
-            at: now,
+            vanished_at: now,
         });
     let earlier = old.vanished.values().flatten().cloned();
     let mut vanished: HashMap<String, Vec<Vanished>> = HashMap::new();
-    for gone in earlier.chain(just_gone) {
-        let listed = by_id.contains_key(&gone.replica.record.id);
-        if listed || harrierward_clock::age(gone.at) >= VANISHED_LIFETIME {
+    for entry in earlier.chain(just_vanished) {
+        let listed = by_id.contains_key(&entry.replica.record.id);
+        if listed || harrierward_clock::age(entry.vanished_at) >= VANISHED_TTL {
             continue;
         }
-        let service = gone.replica.record.service.clone();
-        vanished.entry(service).or_default().push(gone);
+        let service = entry.replica.record.service.clone();
+        vanished.entry(service).or_default().push(entry);
     }
     vanished
 }
--- a/crates/serving/tests/choice.rs
+++ b/crates/serving/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which replica a request goes to in a large service.
+//! Guards the choice of a replica: prefix affinity, preemption, reserved slots, cold replicas and regions.
 
 mod support;
 
@@ -22,7 +22,7 @@
 use support::NoLimits;
 use tokio::time::Instant;
 
-/// Replicas of the service, more than are looked at for one request.
+/// More replicas than the maximum number of candidates.
 const REPLICAS: usize = 120;
 
 const ZONE: &str = "zone-a";
@@ -40,10 +40,10 @@
     }
 }
 
-/// Coordinators that do not answer; counts the slots asked for and the places held.
+/// Leases without a responsive coordinator; counts requested preemptions and leases held.
 #[derive(Default)]
 struct NoCoordinators {
-    asked: AtomicUsize,
+    preemptions: AtomicUsize,
     held: AtomicUsize,
 }
 
@@ -58,7 +58,7 @@
         1
     }
 
-    fn release(&self, _place: u32, _end: ReleaseReport) {
+    fn release(&self, _lease: u32, _report: ReleaseReport) {
         self.held.fetch_sub(1, Ordering::Relaxed);
     }
 
@@ -67,16 +67,16 @@
     }
 
     fn preempt_item(&self, _replica: &Arc<Replica>) {
-        self.asked.fetch_add(1, Ordering::Relaxed);
+        self.preemptions.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 fn forwarder() -> Forwarder {
-    forwarder_over(Arc::default())
+    forwarder_with_leases(Arc::default())
 }
 
-fn forwarder_over(places: Arc<NoCoordinators>) -> Forwarder {
-    forwarder_with(places, (0..REPLICAS).map(record).collect())
+fn forwarder_with_leases(leases: Arc<NoCoordinators>) -> Forwarder {
+    forwarder_with(leases, (0..REPLICAS).map(record).collect())
 }
 
 fn record(number: usize) -> ReplicaRecord {
@@ -93,14 +93,14 @@
     }
 }
 
-fn forwarder_with(places: Arc<NoCoordinators>, records: Vec<ReplicaRecord>) -> Forwarder {
+fn forwarder_with(leases: Arc<NoCoordinators>, records: Vec<ReplicaRecord>) -> Forwarder {
     let replicas = ReplicaSet::default();
     replicas.replace(records, |_| 100_000);
     Forwarder::new(ForwarderParts {
         routes: Arc::new(ArcSwapOption::empty()),
         replicas: Arc::new(replicas),
         client: Arc::new(NoClient),
-        leases: places,
+        leases,
         rates: Arc::new(NoLimits),
         quarantine: Arc::new(NoQuarantine),
         proof: Arc::default(),
@@ -151,7 +151,7 @@
 async fn daemons_send_prompts_that_share_a_part_to_the_same_replica_however_many_there_are() {
     for part in 0..20 {
         let mut chosen: HashMap<String, usize> = HashMap::new();
-        // Each daemon sees one request of the part, and nothing of the others'.
+        // Each daemon receives one request and knows nothing of the others'.
         for _ in 0..10 {
             let forwarder = forwarder();
             let request = request(part);
@@ -160,15 +160,15 @@
             let id = placement.choice.replica.record.id.clone();
             *chosen.entry(id).or_default() += 1;
         }
-        let most = chosen.values().max().copied().unwrap_or_default();
-        assert_eq!(most, 10, "part {part}: {chosen:?}");
+        let max = chosen.values().max().copied().unwrap_or_default();
+        assert_eq!(max, 10, "part {part}: {chosen:?}");
     }
 }
 
-/// Slots that are asked for when a request goes to a replica with so many others of peers.
-async fn slots_asked_for(item: Option<ItemSlack>, online: u32, batch: u32) -> usize {
-    let places = Arc::new(NoCoordinators::default());
-    let forwarder = forwarder_over(places.clone());
+/// Number of preemptions requested when a request goes to replicas with these counts of peers.
+async fn preemptions_requested(item: Option<ItemSlack>, online: u32, batch: u32) -> usize {
+    let leases = Arc::new(NoCoordinators::default());
+    let forwarder = forwarder_with_leases(leases.clone());
     for replica in forwarder.replicas().view().all() {
         replica.set_peer_counts(online, batch);
     }
@@ -177,23 +177,23 @@
         .place(&request, "model", &[], OBJECTIVE, item)
         .await;
     let placed = usize::from(placement.is_some());
-    assert_eq!(places.held.load(Ordering::Relaxed), placed);
+    assert_eq!(leases.held.load(Ordering::Relaxed), placed);
     drop(placement);
-    assert_eq!(places.held.load(Ordering::Relaxed), 0, "a place is kept");
-    places.asked.load(Ordering::Relaxed)
+    assert_eq!(leases.held.load(Ordering::Relaxed), 0, "a place is kept");
+    leases.preemptions.load(Ordering::Relaxed)
 }
 
 #[tokio::test]
-async fn without_a_coordinator_an_online_request_asks_for_a_slot_where_batch_items_hold_the_last_ones()
- {
+async fn without_a_coordinator_an_online_request_preempts_an_item_where_items_hold_the_last_slots()
+{
     let item = ItemSlack {
         slack: Duration::from_secs(1),
     };
-    assert_eq!(slots_asked_for(None, 3, 5).await, 1);
-    assert_eq!(slots_asked_for(None, 3, 4).await, 0);
-    assert_eq!(slots_asked_for(None, 9, 0).await, 0);
-    assert_eq!(slots_asked_for(Some(item), 3, 5).await, 0);
-    assert_eq!(slots_asked_for(Some(item), 3, 2).await, 0);
+    assert_eq!(preemptions_requested(None, 3, 5).await, 1);
+    assert_eq!(preemptions_requested(None, 3, 4).await, 0);
+    assert_eq!(preemptions_requested(None, 9, 0).await, 0);
+    assert_eq!(preemptions_requested(Some(item), 3, 5).await, 0);
+    assert_eq!(preemptions_requested(Some(item), 3, 2).await, 0);
 }
 
 #[tokio::test]
@@ -207,7 +207,7 @@
         (25..40).contains(&reserved),
         "the root of {online}: {reserved}"
     );
-    for (free, has_room) in [(reserved / 2, false), (reserved * 2, true)] {
+    for (free, has_capacity) in [(reserved / 2, false), (reserved * 2, true)] {
         let forwarder = forwarder();
         let view = forwarder.replicas().view();
         for (number, replica) in (0..).zip(view.all()) {
@@ -215,7 +215,7 @@
         }
         let request = request(1);
         let placement = forwarder.place(&request, "model", &[], OBJECTIVE, Some(item));
-        assert_eq!(placement.await.is_some(), has_room, "{free} slots free");
+        assert_eq!(placement.await.is_some(), has_capacity, "{free} slots free");
     }
 }
 
@@ -243,7 +243,7 @@
     assert!(cost(&costs, &free) < cost(&costs, &of_batch));
 }
 
-/// A kept connection decides among replicas that are alike, and is no reason to wait for a slot.
+/// A connection must decide only between replicas of similar load, not outweigh the wait for a slot.
 #[test]
 fn a_kept_connection_is_worth_less_than_a_free_slot() {
     let costs = SelectionCosts::default();
@@ -276,7 +276,7 @@
     assert!(cost(&costs, &idle) < cost(&costs, &far), "zones first");
 }
 
-/// Nobody counts what a daemon sends that chooses alone, so a cold replica gets nothing from it.
+/// Without a coordinator requests at a cold replica are not counted, so it must get none.
 #[tokio::test]
 async fn without_a_coordinator_nothing_goes_to_a_cold_replica() {
     const WARM: usize = 3;
@@ -304,10 +304,10 @@
     assert!(placement.await.is_none(), "all are cold");
 }
 
-/// Of 24 replicas, a third in each of three regions, five of which a choice looks at: a daemon that finds no
-/// coordinator stays in its region while a replica there answers. Items stay even then.
+/// With more replicas than candidates, requests must not leave the region while a replica there responds, and items
+/// never.
 #[tokio::test]
-async fn a_daemon_that_chooses_itself_stays_in_its_region_while_a_replica_there_answers() {
+async fn a_daemon_that_chooses_itself_stays_in_its_region_while_a_replica_there_responds() {
     let in_region = |number: usize| {
         let own = number.is_multiple_of(3);
         let (zone, region) = if own { (ZONE, "") } else { ("far", "far") };
--- a/crates/serving/tests/gate.rs
+++ b/crates/serving/tests/gate.rs
@@ -1,5 +1,4 @@
-//! What was granted or chosen earlier is no permission: the gate is asked again when a lease comes and before a request
-//! leaves.
+//! Guards against requests sent on the basis of an outdated choice or lease.
 
 mod support;
 
@@ -24,10 +23,10 @@
 use support::NoLimits;
 use tokio::time::Instant;
 
-/// Replicas in the zone that is evacuated, more than a request is refused by before it is given up.
+/// Replicas in the evacuated zone, more than the maximum number of refusals per request.
 const EVACUATED_REPLICAS: usize = 6;
 
-/// A request as a replica got it: the replica, and where it was to copy its prompt from.
+/// Request received by a replica: the replica's id, and the address of the prefix cache to copy.
 type Sent = (String, Option<String>);
 
 #[derive(Default)]
@@ -61,23 +60,23 @@
     }
 }
 
-/// A coordinator that has not heard of any evacuation.
-struct Deaf {
+/// Coordinator that has not received any evacuation.
+struct OutdatedCoordinator {
     replicas: Arc<ReplicaSet>,
-    /// It says that all of the zone is cold.
+    /// True if it reports the whole zone as cold.
     is_all_cold: bool,
 }
 
 #[async_trait]
-impl SlotLeases for Deaf {
+impl SlotLeases for OutdatedCoordinator {
     async fn acquire(&self, query: SlotQuery<'_>) -> SlotReply {
         if self.is_all_cold {
             return SlotReply::AllCold;
         }
         let view = self.replicas.view();
         let in_zone = view.all().filter(|one| one.record.zone == "zone-a");
-        let mut left = in_zone.filter(|one| !query.excluded.contains(&one.record.id));
-        let Some(replica) = left.next() else {
+        let mut remaining = in_zone.filter(|one| !query.excluded.contains(&one.record.id));
+        let Some(replica) = remaining.next() else {
             return SlotReply::NoCoordinator;
         };
         SlotReply::Granted {
@@ -90,7 +89,7 @@
         1
     }
 
-    fn release(&self, _place: u32, _end: ReleaseReport) {}
+    fn release(&self, _lease: u32, _report: ReleaseReport) {}
 
     fn is_coordinated(&self, _replica: &Replica) -> bool {
         true
@@ -163,10 +162,10 @@
 }
 
 fn fixture() -> Fixture {
-    fixture_before(false)
+    fixture_with(false)
 }
 
-fn fixture_before(is_all_cold: bool) -> Fixture {
+fn fixture_with(is_all_cold: bool) -> Fixture {
     let replicas = Arc::new(ReplicaSet::default());
     let mut records: Vec<ReplicaRecord> = (0..EVACUATED_REPLICAS)
         .map(|number| record(&format!("a-{number}"), "zone-a", "near"))
@@ -178,7 +177,7 @@
         routes: Arc::new(ArcSwapOption::from_pointee(routes())),
         replicas: replicas.clone(),
         client: client.clone(),
-        leases: Arc::new(Deaf {
+        leases: Arc::new(OutdatedCoordinator {
             replicas: replicas.clone(),
             is_all_cold,
         }),
@@ -206,10 +205,10 @@
         self.replicas.set_evacuated_zones(zones);
     }
 
-    /// Sends a request to a replica that was chosen for it.
+    /// Sends a request to a chosen replica.
     async fn send_to(&self, choice: Choice) -> Result<(), AttemptFailure> {
-        let place = SlotLease::new(self.forwarder.leases().clone(), 1);
-        let placement = choice.enter(WorkClass::Online, place);
+        let lease = SlotLease::new(self.forwarder.leases().clone(), 1);
+        let placement = choice.enter(WorkClass::Online, lease);
         let long = Duration::from_secs(1);
         let times = AttemptTimeouts {
             time_left: None,
@@ -248,7 +247,7 @@
 }
 
 #[tokio::test]
-async fn a_coordinator_that_has_not_heard_does_not_keep_a_request_from_the_zones_left() {
+async fn an_outdated_coordinator_does_not_keep_a_request_from_other_zones() {
     let fixture = fixture();
     fixture.evacuate("zone-a");
     let reply = fixture.forwarder.forward(request(), Instant::now()).await;
@@ -256,10 +255,10 @@
     assert_eq!(fixture.client.sent(), [("b".to_owned(), None)]);
 }
 
-/// The coordinator has heard sooner than this daemon that the zone's replicas are cold.
+/// A daemon that chooses itself must avoid a group that its coordinator reports as cold.
 #[tokio::test]
-async fn a_daemon_that_chooses_itself_believes_a_coordinator_that_calls_a_group_cold() {
-    let fixture = fixture_before(true);
+async fn a_daemon_that_chooses_itself_avoids_a_group_that_its_coordinator_reports_cold() {
+    let fixture = fixture_with(true);
     let reply = fixture.forwarder.forward(request(), Instant::now()).await;
     assert!(matches!(reply, Reply::Response(_)), "an answer");
     assert_eq!(fixture.client.sent(), [("b".to_owned(), None)]);
@@ -293,9 +292,9 @@
     assert_eq!(copies, [Some("a-0:80".to_owned()), None]);
 }
 
-/// Replicas that are listed anew, or come back after they vanished, are in the state of their zone.
+/// Replicas that are listed later, or that vanished and return, must inherit their zone's evacuation.
 #[tokio::test]
-async fn replicas_listed_later_find_their_zone_evacuated() {
+async fn replicas_listed_later_inherit_the_evacuation_of_their_zone() {
     let fixture = fixture();
     fixture.evacuate("zone-a");
     let later = vec![
@@ -306,7 +305,7 @@
     let view = fixture.replicas.view();
     let any = AllowedRegions::Any;
     assert!(view.all().all(|one| !one.accepts_work()));
-    // The replica of the other zone has just vanished from the list, and is used meanwhile.
+    // The replica of the other zone has just vanished from the list and is still used.
     assert!(view.has_usable("model", &any));
     assert!(!view.has_usable("model", &AllowedRegions::only(["near".to_owned()])));
     fixture
