--- a/crates/edge/src/rates/requests.rs
+++ b/crates/edge/src/rates/requests.rs
@@ -24,7 +24,7 @@
 /// How long a coordinator that didn't reply is skipped.
 const UNRESPONSIVE_COOLDOWN: Duration = Duration::from_millis(1_000);
 
-/// Longest wait for an unresponsive coordinator after which the fallback is still asked for the same request.
+/// Longest wait for an unresponsive coordinator after which the same request is still sent to the fallback.
 const MAX_FIRST_WAIT: Duration = Duration::from_millis(60);
 
 /// The result of a token request.
--- a/crates/edge/src/rendezvous.rs
+++ b/crates/edge/src/rendezvous.rs
@@ -12,7 +12,7 @@
     top_two_by(tenant, members.iter(), |member| &member.id)
 }
 
-/// Same as [`top_two`], over member ids alone.
+/// Returns the two ids with the highest weights, in the order of [`top_two`].
 pub fn top_two_ids<'a>(tenant: &str, ids: impl Iterator<Item = &'a str>) -> [Option<&'a str>; 2] {
     top_two_by(tenant, ids, |id| id)
 }
--- a/crates/edge/src/slots/pacing.rs
+++ b/crates/edge/src/slots/pacing.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Called on the membership's tick: updates the coordinated groups and the share, and logs refusals and warmth.
+    /// Updates the coordinated groups and the share, and logs refusals and warmth; called on the membership's tick.
     pub(super) fn tick_pacing(&self, now: Instant) {
         let Some(pacing) = self.pacing.get() else {
             return;
--- a/crates/edge/src/slots/reports.rs
+++ b/crates/edge/src/slots/reports.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Called on the membership's tick: expires unresponsive holders and reports held leases to coordinators.
+    /// Expires unresponsive holders and reports held leases to coordinators; called on the membership's tick.
     pub fn tick(&self) {
         let now = harrierward_clock::now();
         let layouts_digest = self.index().layouts_digest;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// After a suspension, expires outdated leases before any is counted, without waiting for the next tick.
+    /// Expires outdated leases after a suspension, before any is counted, without waiting for the next tick.
     pub(super) fn expire_after_suspension(&self) {
         if self.suspensions.take().is_some() {
             self.lock().ledger.expire(harrierward_clock::now());
