--- a/crates/edge/src/fleet.rs
+++ b/crates/edge/src/fleet.rs
@@ -9,7 +9,7 @@
 /// Recently observed fleet sizes, shared by the rate and slot services.
 #[derive(Debug)]
 pub struct SharedFleet {
-    memory: Mutex<FleetSizes>,
+    sizes: Mutex<FleetSizes>,
 }
 
 impl SharedFleet {
@@ -17,12 +17,12 @@
     /// times out.
     pub fn new(expects_others: bool) -> Self {
         Self {
-            memory: Mutex::new(FleetSizes::new(expects_others, harrierward_clock::now())),
+            sizes: Mutex::new(FleetSizes::new(expects_others, harrierward_clock::now())),
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, FleetSizes> {
-        self.memory.lock().unwrap_or_else(PoisonError::into_inner)
+        self.sizes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records the current number of members, this daemon included.
