--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -74,7 +74,7 @@
     /// True if the daemon accepts new connections: it is discovered, not stopping and not isolated from the store.
     pub fn is_ready(&self) -> bool {
         let stopping = self.stopping.load(Ordering::Relaxed);
-        !stopping && self.discovery.is_complete() && !self.members.is_cut_off_alone()
+        !stopping && self.discovery.is_complete() && !self.members.is_isolated_from_store()
     }
 
     /// True if the daemon is closing and starts no new work.
@@ -189,7 +189,7 @@
             peers: members.clone(),
             log: log.clone(),
             settings: JobSettings {
-                retention: settings.keep_jobs,
+                retention: settings.job_retention,
                 cancel_within: settings.cancel_within,
             },
         });
@@ -210,17 +210,17 @@
         members.set_relay(relay.clone());
         let fleet = members.clone();
         let intervals = WatchIntervals::new(&settings, relay.clone(), move || fleet.fleet_size());
-        let heads = JobRowHandler {
+        let headers = JobRowHandler {
             jobs: jobs.clone(),
             quarantine: quarantine.clone(),
         };
-        start_watches(&discovery, source.as_ref(), heads, &intervals, &log);
+        start_watches(&discovery, source.as_ref(), headers, &intervals, &log);
         let clock = jobs.clone();
         let store_now_ms = move || clock.view().store_now_ms();
         tokio::spawn(quarantine.clone().run_row_writer(table, store_now_ms));
         tokio::spawn(jobs.clone().run());
         tokio::spawn(peer_updates.catch_up(pool.clone()));
-        tokio::spawn(discovery.clone().watch_evacuated());
+        tokio::spawn(discovery.clone().report_evacuated_zones());
         let bootstrapping = bootstrap(
             discovery.clone(),
             members.clone(),
@@ -301,6 +301,6 @@
     }
 
     fn preempt_peer(&self, replica: &Arc<Replica>) {
-        self.members.ask_peer_to_yield(replica);
+        self.members.request_peer_preemption(replica);
     }
 }
--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -31,13 +31,13 @@
     ///
     /// # Errors
     /// The row holds an invalid configuration: the field and its value. Keys are not included.
-    fn configuration_of(&self, row: &Row) -> Result<Option<ServingConfiguration>, String>;
+    fn parse_configuration(&self, row: &Row) -> Result<Option<ServingConfiguration>, String>;
 
     /// Parses the replica of a row.
     ///
     /// # Errors
     /// The row holds no usable replica: the part that is invalid. The row's own text is not included.
-    fn replica_of(&self, row: &Row) -> Result<ReplicaRecord, String>;
+    fn parse_replica(&self, row: &Row) -> Result<ReplicaRecord, String>;
 
     /// Returns the zone that a configuration row with this key evacuates; `None` for other rows.
     fn evacuated_zone_of(&self, _key: &str) -> Option<String> {
@@ -45,7 +45,7 @@
     }
 
     /// True if the zone is part of the configured topology.
-    fn knows_zone(&self, _zone: &str) -> bool {
+    fn is_configured_zone(&self, _zone: &str) -> bool {
         true
     }
 }
@@ -143,18 +143,18 @@
 
     /// Applies an update of the configuration's space. Evacuations are applied first, so that they are in force
     /// before the configuration admits requests.
-    pub fn take_configuration(&self, update: &SpaceUpdate, origin: &str) {
-        self.take_evacuation_rows(update, origin);
+    pub fn apply_configuration(&self, update: &SpaceUpdate, origin: &str) {
+        self.apply_evacuation_rows(update, origin);
         for row in &update.written {
-            self.adopt(row, origin);
+            self.adopt_configuration(row, origin);
         }
         if let Some(as_of) = update.as_of {
             self.proof.prove(as_of);
         }
     }
 
-    fn adopt(&self, row: &Row, origin: &str) {
-        let configuration = match self.source.configuration_of(row) {
+    fn adopt_configuration(&self, row: &Row, origin: &str) {
+        let configuration = match self.source.parse_configuration(row) {
             Ok(Some(configuration)) => configuration,
             Ok(None) => return,
             Err(cause) => {
@@ -198,7 +198,7 @@
     }
 
     /// Applies an update of the replicas' space from the store.
-    pub fn take_replicas(&self, update: &SpaceUpdate) {
+    pub fn apply_replicas(&self, update: &SpaceUpdate) {
         let mut rows = self.rows();
         let is_first_read = !std::mem::replace(&mut rows.replicas_read, true);
         let mut changes = ReplicaChanges::default();
@@ -223,7 +223,7 @@
     }
 
     /// Applies replicas from a peer, unless replicas have been read already.
-    pub fn take_replicas_of_peer(&self, peer_rows: &[Row]) {
+    pub fn apply_peer_replicas(&self, peer_rows: &[Row]) {
         let mut rows = self.rows();
         if rows.replicas_read {
             return;
@@ -247,7 +247,7 @@
         is_first_read: bool,
         changes: &mut ReplicaChanges,
     ) {
-        let mut record = match self.source.replica_of(row) {
+        let mut record = match self.source.parse_replica(row) {
             Ok(record) => record,
             Err(cause) => {
                 self.reject_replica(rows, row, &cause, changes);
@@ -324,7 +324,7 @@
         let view = self.replicas.view();
         let readable = written
             .iter()
-            .filter_map(|row| self.source.replica_of(row).ok());
+            .filter_map(|row| self.source.parse_replica(row).ok());
         for record in readable {
             if let Some(replica) = view.get(&record.id) {
                 // Another replica instance takes its warmup from its own record.
--- a/crates/edge/src/watches.rs
+++ b/crates/edge/src/watches.rs
@@ -28,7 +28,7 @@
     coalesces: bool,
     fleet_size: Arc<dyn Fn() -> usize + Send + Sync>,
     relay: Arc<Relay>,
-    reads_a_second: f64,
+    reads_per_second: f64,
     configuration_wait: Duration,
 }
 
@@ -55,7 +55,7 @@
             coalesces: settings.policy.has(Mechanism::GatheredChanges),
             fleet_size: Arc::new(fleet_size),
             relay,
-            reads_a_second: settings.store_reads_a_second,
+            reads_per_second: settings.store_reads_per_second,
             configuration_wait: configuration_wait(settings.key_trust),
         }
     }
@@ -64,7 +64,7 @@
         if !self.coalesces {
             return unpaced();
         }
-        let (fleet_size, reads) = (self.fleet_size.clone(), self.reads_a_second);
+        let (fleet_size, reads) = (self.fleet_size.clone(), self.reads_per_second);
         let relay = self.relay.clone();
         Arc::new(move || {
             let relayed = relay.interval(space);
@@ -73,7 +73,7 @@
     }
 
     fn full_reads(&self, space: &'static str) -> WholeReadPace {
-        let (fleet_size, reads) = (self.fleet_size.clone(), self.reads_a_second);
+        let (fleet_size, reads) = (self.fleet_size.clone(), self.reads_per_second);
         let relay = self.relay.clone();
         Arc::new(move |calls| {
             if relay.is_follower(space) {
@@ -117,7 +117,7 @@
     );
     let target = discovery.clone();
     let copy = intervals.copy(source.configuration_space());
-    let apply = move |update| target.take_configuration(&update, "store");
+    let apply = move |update| target.apply_configuration(&update, "store");
     tokio::spawn(configuration.run_shared(copy, apply));
     let replicas = watch(
         source.replica_space(),
@@ -127,9 +127,9 @@
     );
     let target = discovery.clone();
     let copy = intervals.copy(source.replica_space());
-    tokio::spawn(replicas.run_shared(copy, move |update| target.take_replicas(&update)));
+    tokio::spawn(replicas.run_shared(copy, move |update| target.apply_replicas(&update)));
     let wait = WatchSettings::default().wait;
-    let heads = watch(
+    let headers = watch(
         JOB_HEADERS,
         partitions(),
         intervals.coalescing(JOB_HEADERS),
@@ -140,8 +140,8 @@
     tokio::spawn(async move {
         // When all daemons start at once the store is overloaded: what callers wait for is read first.
         wait_until_complete(&discovery).await;
-        let apply = move |update| job_rows.take(&update);
-        heads.run_shared(copy, apply).await;
+        let apply = move |update| job_rows.apply(&update);
+        headers.run_shared(copy, apply).await;
     });
 }
 
@@ -168,7 +168,7 @@
 }
 
 impl JobRowHandler {
-    fn take(&self, update: &SpaceUpdate) {
+    fn apply(&self, update: &SpaceUpdate) {
         let view = self.jobs.view();
         view.note_revision(update.revision);
         for row in &update.written {
--- a/crates/serving/src/evacuation.rs
+++ b/crates/serving/src/evacuation.rs
@@ -1,55 +1,53 @@
-//! Zones that an operator has taken out of service, as one daemon knows them: pure, and the same for all daemons that
-//! have heard the same, in whatever order.
+//! Evacuated zones as one daemon knows them: a state that converges on all daemons whatever the order of updates.
 //!
-//! A zone is evacuated by a row and comes back when the row goes. What is known of a zone is the revision of its newest
-//! row and whether that row is gone, so news from the store and from peers can be merged without asking who was first:
-//! a row that is gone stays gone, and only a newer one evacuates the zone again.
+//! A zone is evacuated by a row in the store and returns to service when the row is removed. Per zone the revision of
+//! the newest row and whether it was removed are kept, so updates from the store and from peers merge without
+//! conflicts.
 
 use std::collections::{BTreeMap, HashSet};
 
 use tokio::time::Instant;
 
-/// Most zones of which something is kept: far above the number that a fleet has, so that rows with made-up names cannot
-/// fill the notices between daemons.
-const MOST_ZONES: usize = 64;
+/// Maximum number of zones tracked; bounds the size of notices between daemons.
+const MAX_ZONES: usize = 64;
 
-/// What is known of a zone's evacuation. A greater mark is the newer knowledge.
+/// State of a zone's evacuation, ordered from older to newer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvacuationState {
     /// Revision at which the row was written.
     pub revision: u64,
-    /// That row is gone: the zone is back in service.
+    /// True if that row was removed: the zone is back in service.
     pub is_over: bool,
 }
 
-/// What somebody knows of all zones.
+/// Evacuation states to merge, from the store or from a peer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EvacuationUpdate {
-    /// Revision at which all rows were read together: an older row that is not named here is gone. 0 if never.
+    /// Revision of a full read of the rows: rows up to it that are missing here were removed. 0 without a full read.
     pub complete_at: u64,
-    /// Zones by name.
+    /// States by zone name.
     pub zones: BTreeMap<String, EvacuationState>,
 }
 
-/// A zone went out of service, or came back.
+/// Change of a zone's state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneChange {
-    /// Zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Revision of the row that was written, or that is gone.
+    /// Revision of the row that was written or removed.
     pub revision: u64,
-    /// It takes nothing from now on; otherwise it is back.
+    /// True if the zone went out of service, false if it returned.
     pub is_evacuated: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct KnownZone {
-    mark: EvacuationState,
+    state: EvacuationState,
     learned_at: Instant,
     returned_at: Option<Instant>,
 }
 
-/// The zones, with what is known of each; nothing goes back.
+/// Merged state of all zones; never reverts to an older state.
 #[derive(Debug, Clone, Default)]
 pub struct EvacuatedZones {
     complete_at: u64,
@@ -57,84 +55,84 @@
 }
 
 impl EvacuatedZones {
-    /// Takes what somebody else knows; tells what changes here.
-    pub fn merge(&mut self, news: &EvacuationUpdate, now: Instant) -> Vec<ZoneChange> {
-        let mut changes = self.end_those_missing(news, now);
-        for (zone, mark) in &news.zones {
-            changes.extend(self.raise(zone, self.judged(zone, *mark), now));
+    /// Merges an update; returns the resulting changes.
+    pub fn merge(&mut self, update: &EvacuationUpdate, now: Instant) -> Vec<ZoneChange> {
+        let mut changes = self.end_missing(update, now);
+        for (zone, state) in &update.zones {
+            changes.extend(self.advance(zone, self.reconcile(zone, *state), now));
         }
-        self.complete_at = self.complete_at.max(news.complete_at);
+        self.complete_at = self.complete_at.max(update.complete_at);
         changes
     }
 
-    /// Rows that the news should name and does not are gone.
-    fn end_those_missing(&mut self, news: &EvacuationUpdate, now: Instant) -> Vec<ZoneChange> {
-        let is_missing = |zone: &String, mark: EvacuationState| {
-            let told = news.zones.get(zone);
-            !mark.is_over
-                && mark.revision <= news.complete_at
-                && told.is_none_or(|told| told.revision < mark.revision)
+    /// Ends evacuations whose rows the full read no longer contains.
+    fn end_missing(&mut self, update: &EvacuationUpdate, now: Instant) -> Vec<ZoneChange> {
+        let is_missing = |zone: &String, state: EvacuationState| {
+            let reported = update.zones.get(zone);
+            !state.is_over
+                && state.revision <= update.complete_at
+                && reported.is_none_or(|reported| reported.revision < state.revision)
         };
         let missing: Vec<(String, EvacuationState)> = self
             .zones
             .iter()
-            .filter(|(zone, known)| is_missing(zone, known.mark))
-            .map(|(zone, known)| (zone.clone(), known.mark))
+            .filter(|(zone, known)| is_missing(zone, known.state))
+            .map(|(zone, known)| (zone.clone(), known.state))
             .collect();
-        let ended = missing.into_iter().filter_map(|(zone, mark)| {
+        let ended = missing.into_iter().filter_map(|(zone, state)| {
             let over = EvacuationState {
                 is_over: true,
-                ..mark
+                ..state
             };
-            self.raise(&zone, over, now)
+            self.advance(&zone, over, now)
         });
         ended.collect()
     }
 
-    /// A mark in the light of what was read here: an older row that was not there then is gone.
-    fn judged(&self, zone: &str, mark: EvacuationState) -> EvacuationState {
-        let known = self.zones.get(zone).map_or(0, |known| known.mark.revision);
-        let was_gone = mark.revision <= self.complete_at && known < mark.revision;
+    /// Marks a row as removed if the last full read did not contain it.
+    fn reconcile(&self, zone: &str, state: EvacuationState) -> EvacuationState {
+        let known = self.zones.get(zone).map_or(0, |known| known.state.revision);
+        let was_removed = state.revision <= self.complete_at && known < state.revision;
         EvacuationState {
-            is_over: mark.is_over || was_gone,
-            ..mark
+            is_over: state.is_over || was_removed,
+            ..state
         }
     }
 
-    fn raise(&mut self, zone: &str, mark: EvacuationState, now: Instant) -> Option<ZoneChange> {
+    fn advance(&mut self, zone: &str, state: EvacuationState, now: Instant) -> Option<ZoneChange> {
         let known = self.zones.get(zone).copied();
-        if known.is_some_and(|known| known.mark >= mark) {
+        if known.is_some_and(|known| known.state >= state) {
             return None;
         }
-        if known.is_none() && !self.has_room() {
+        if known.is_none() && !self.has_capacity() {
             return None;
         }
-        let was_evacuated = known.is_some_and(|known| !known.mark.is_over);
-        // Of an evacuation that was over before this daemon knew anything nobody needs the end.
-        let ends_now = mark.is_over && (was_evacuated || self.complete_at > 0);
+        let was_evacuated = known.is_some_and(|known| !known.state.is_over);
+        // An end is reported only if the evacuation, or any full read, was known here before.
+        let ends_now = state.is_over && (was_evacuated || self.complete_at > 0);
         let entry = KnownZone {
-            mark,
+            state,
             learned_at: now,
             returned_at: ends_now
                 .then_some(now)
                 .or_else(|| known.and_then(|known| known.returned_at)),
         };
         self.zones.insert(zone.to_owned(), entry);
-        let is_evacuated = !mark.is_over;
+        let is_evacuated = !state.is_over;
         (is_evacuated != was_evacuated).then(|| ZoneChange {
             zone: zone.to_owned(),
-            revision: mark.revision,
+            revision: state.revision,
             is_evacuated,
         })
     }
 
-    /// True if a further zone may be kept; the oldest one that is over gives way.
-    fn has_room(&mut self) -> bool {
-        if self.zones.len() < MOST_ZONES {
+    /// True if a further zone can be tracked; evicts the oldest zone that is back in service.
+    fn has_capacity(&mut self) -> bool {
+        if self.zones.len() < MAX_ZONES {
             return true;
         }
-        let over = self.zones.iter().filter(|(_, known)| known.mark.is_over);
-        let oldest = over.min_by_key(|(_, known)| known.mark.revision);
+        let over = self.zones.iter().filter(|(_, known)| known.state.is_over);
+        let oldest = over.min_by_key(|(_, known)| known.state.revision);
         let Some(oldest) = oldest.map(|(zone, _)| zone.clone()) else {
             return false;
         };
@@ -142,62 +140,62 @@
         true
     }
 
-    /// All that is known, for others.
+    /// Returns the full state, to be sent to peers.
     pub fn to_update(&self) -> EvacuationUpdate {
         let zones = self.zones.iter();
         EvacuationUpdate {
             complete_at: self.complete_at,
             zones: zones
-                .map(|(zone, known)| (zone.clone(), known.mark))
+                .map(|(zone, known)| (zone.clone(), known.state))
                 .collect(),
         }
     }
 
-    /// True if something is kept of the zone; a row of one that found no room is not in force.
+    /// True if a state of the zone is tracked; a row that exceeded the limit is not in force.
     pub fn is_tracked(&self, zone: &str) -> bool {
         self.zones.contains_key(zone)
     }
 
-    /// True if the zone takes nothing.
+    /// True if the zone is out of service.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         self.zones
             .get(zone)
-            .is_some_and(|known| !known.mark.is_over)
+            .is_some_and(|known| !known.state.is_over)
     }
 
-    /// Names of the zones that take nothing.
+    /// Returns the names of the zones that are out of service.
     pub fn evacuated(&self) -> HashSet<String> {
         let zones = self.zones.iter();
-        let evacuated = zones.filter(|(_, known)| !known.mark.is_over);
+        let evacuated = zones.filter(|(_, known)| !known.state.is_over);
         evacuated.map(|(zone, _)| zone.clone()).collect()
     }
 
-    /// When this daemon learned of the zone's present state.
+    /// Returns when this daemon learned the zone's current state.
     pub fn learned_at(&self, zone: &str) -> Option<Instant> {
         self.zones.get(zone).map(|known| known.learned_at)
     }
 
-    /// When this daemon learned that the zone's last evacuation was over: its replicas may be cold from then on. `None`
-    /// if there was none, or if it was over before this daemon knew anything.
+    /// Returns when this daemon learned that the zone's last evacuation was over, since when its replicas may be
+    /// cold. `None` if none ended while this daemon ran.
     pub fn returned_at(&self, zone: &str) -> Option<Instant> {
         self.zones.get(zone).and_then(|known| known.returned_at)
     }
 }
 
-/// The store's rows of evacuations, as one daemon has read them.
+/// Evacuation rows of the store, as last read by this daemon.
 #[derive(Debug, Clone, Default)]
 pub struct EvacuationRows {
-    /// Revision of each zone's row.
+    /// Revisions by zone.
     rows: BTreeMap<String, u64>,
 }
 
 impl EvacuationRows {
-    /// Takes rows that were written, then those that are gone. `complete_at` is the revision of a read of all rows, if
-    /// this follows from one. Gives what the store has told by that.
+    /// Applies written rows, then removed ones. `complete_at` is the revision if this follows a full read. Returns
+    /// the update to merge.
     pub fn apply(
         &mut self,
         written: Vec<(String, u64)>,
-        gone: &[String],
+        removed: &[String],
         complete_at: Option<u64>,
     ) -> EvacuationUpdate {
         let mut zones = BTreeMap::new();
@@ -205,7 +203,7 @@
             self.rows.insert(zone.clone(), revision);
             zones.insert(zone, in_force(revision));
         }
-        for zone in gone {
+        for zone in removed {
             let Some(revision) = self.rows.remove(zone) else {
                 continue;
             };
@@ -213,8 +211,8 @@
             zones.insert(zone.clone(), EvacuationState { revision, is_over });
         }
         if complete_at.is_some() {
-            let standing = self.rows.iter();
-            zones.extend(standing.map(|(zone, revision)| (zone.clone(), in_force(*revision))));
+            let current = self.rows.iter();
+            zones.extend(current.map(|(zone, revision)| (zone.clone(), in_force(*revision))));
         }
         EvacuationUpdate {
             complete_at: complete_at.unwrap_or_default(),
--- a/crates/serving/tests/ranking.rs
+++ b/crates/serving/tests/ranking.rs
@@ -1,10 +1,10 @@
-//! Orders that all daemons derive for themselves stay what they are: another order in another build would give jobs and prompts two
-//! owners for as long as builds run side by side. The values are those of the build 9319f89.
+//! Guards the stability of rankings and hashes: builds that disagree would give jobs and prompts two owners during an
+//! upgrade.
 
 use harrierward_serving::{preference_weight, short_hash};
 
 #[test]
-fn weights_and_hashes_are_those_of_earlier_builds() {
+fn weights_and_hashes_are_stable() {
     let weights = [
         preference_weight(5, "node-1@1a2b-0001"),
         preference_weight(0, "i-7f3a91c2"),
--- a/crates/tenants/src/token_pool.rs
+++ b/crates/tenants/src/token_pool.rs
@@ -1,4 +1,4 @@
-//! Tokens that a daemon holds for one tenant's next requests.
+//! Tokens that a daemon holds for the next requests of one tenant.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,30 +7,30 @@
 
 use crate::rate::TOKEN_LIFETIME;
 
-/// Time ahead for which tokens are asked. Half of their lifetime, so that few of them lapse unused.
+/// Time ahead for which tokens are requested; half of their lifetime, so that few expire unused.
 const LOOKAHEAD: Duration = Duration::from_millis(250);
 
-/// Most tokens asked for at once.
+/// Maximum number of tokens per request to the coordinator.
 const MAX_WANTED: u32 = 64;
 
-/// Time over which the rate of requests is averaged.
+/// Averaging window of the request rate.
 const AVERAGING_WINDOW: Duration = Duration::from_secs(1);
 
-/// Longest time for which a daemon refuses by itself after its coordinator had nothing: bounds the questions of a
-/// tenant far above its limit.
+/// How long a daemon refuses without asking the coordinator again; bounds the queries for a tenant far above its
+/// limit.
 const MAX_REFUSAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Clone, Copy)]
-struct Batch {
+struct Grant {
     tokens: u32,
     expires_at: Instant,
 }
 
-/// The stock.
+/// Unexpired tokens of one tenant, its request rate, and the last refusal by the coordinator.
 #[derive(Debug, Default)]
 pub struct TokenPool {
-    batches: VecDeque<Batch>,
-    /// Requests a second, averaged.
+    grants: VecDeque<Grant>,
+    /// Mean request rate, per second.
     demand: f64,
     last_request: Option<Instant>,
     refusal: Option<Refusal>,
@@ -43,53 +43,53 @@
 }
 
 impl TokenPool {
-    /// Counts a request of the tenant.
+    /// Records a request of the tenant in its rate.
     pub fn note_request(&mut self, now: Instant) {
-        let averaged = AVERAGING_WINDOW.as_secs_f64();
-        let since = self.last_request.map_or(averaged, |last| {
+        let window = AVERAGING_WINDOW.as_secs_f64();
+        let elapsed = self.last_request.map_or(window, |last| {
             now.saturating_duration_since(last).as_secs_f64()
         });
-        self.demand = self.demand * (-since / averaged).exp() + 1.0 / averaged;
+        self.demand = self.demand * (-elapsed / window).exp() + 1.0 / window;
         self.last_request = Some(now);
     }
 
-    /// Takes a token, if one is there.
+    /// Takes a token; false if there is none.
     pub fn take(&mut self, now: Instant) -> bool {
-        self.batches.retain(|batch| batch.expires_at > now);
-        let Some(batch) = self.batches.front_mut() else {
+        self.grants.retain(|grant| grant.expires_at > now);
+        let Some(grant) = self.grants.front_mut() else {
             return false;
         };
-        batch.tokens -= 1;
-        if batch.tokens == 0 {
-            self.batches.pop_front();
+        grant.tokens -= 1;
+        if grant.tokens == 0 {
+            self.grants.pop_front();
         }
         true
     }
 
-    /// True if it holds nothing that a request could need.
+    /// True if the pool has neither tokens nor a refusal in force and can be dropped.
     pub fn is_idle(&self, now: Instant) -> bool {
-        let lapsed = self.batches.iter().all(|batch| batch.expires_at <= now);
-        lapsed && self.refusal(now).is_none()
+        let expired = self.grants.iter().all(|grant| grant.expires_at <= now);
+        expired && self.refusal(now).is_none()
     }
 
-    /// Tokens to ask for: those of the next requests, one at least.
+    /// Returns the number of tokens to request: those expected to be needed soon, at least one.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn wanted(&self) -> u32 {
         let expected = (self.demand * LOOKAHEAD.as_secs_f64()).floor();
         (expected as u32).clamp(1, MAX_WANTED)
     }
 
-    /// Keeps tokens that were asked for at `asked_at`; they lapse a fixed time after that, however late they come.
-    pub fn keep(&mut self, tokens: u32, asked_at: Instant) {
+    /// Adds tokens that were requested at `requested_at`; their lifetime starts then, however late they arrive.
+    pub fn add(&mut self, tokens: u32, requested_at: Instant) {
         if tokens > 0 {
-            self.batches.push_back(Batch {
+            self.grants.push_back(Grant {
                 tokens,
-                expires_at: asked_at + TOKEN_LIFETIME,
+                expires_at: requested_at + TOKEN_LIFETIME,
             });
         }
     }
 
-    /// The coordinator had nothing; a caller may come back after `retry_after`.
+    /// Records that the coordinator had no tokens; callers may retry after `retry_after`.
     pub fn note_refusal(&mut self, retry_after: Duration, now: Instant) {
         self.refusal = Some(Refusal {
             until: now + retry_after.min(MAX_REFUSAL),
@@ -97,7 +97,7 @@
         });
     }
 
-    /// When a caller may come back, while this daemon need not ask to know that there is nothing.
+    /// Returns the retry delay while callers are refused without asking the coordinator; otherwise `None`.
     pub fn refusal(&self, now: Instant) -> Option<Duration> {
         let refusal = self.refusal.filter(|refusal| now < refusal.until)?;
         Some(refusal.retry_at.saturating_duration_since(now))
