--- a/crates/membership/src/core/mod.rs
+++ b/crates/membership/src/core/mod.rs
@@ -22,55 +22,55 @@
 use rejoin::RejoinState;
 use sync::SyncState;
 
-/// A datagram to send.
+/// A datagram that the caller must send.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Action {
-    /// UDP address.
+    /// UDP address of the recipient, `host:port`.
     pub address: String,
-    /// Datagram.
+    /// Message to encode and send.
     pub datagram: Datagram,
 }
 
-/// What a daemon says of its configuration in each datagram.
+/// The sender's configuration status, carried by each datagram.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ConfigWord {
-    /// Revision held.
+    /// Configuration revision in use; 0 before the first one.
     pub revision: u64,
-    /// Age of the proof that it is the newest.
+    /// Time since the revision was last proven to be the newest; `None` without a proof.
     pub proof_age: Option<Duration>,
 }
 
-/// A peer's word on its configuration.
+/// The status that a peer reported in a datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReceivedWord {
-    /// Member that said it.
+    /// Id of the sender.
     pub from: String,
-    /// What it said.
+    /// Configuration status of the sender.
     pub word: ConfigWord,
-    /// When this member sent the probe that the datagram answers; the word is no older than its age counted
-    /// from there. `None` for a datagram that answers nothing: it may have waited anywhere, for any time.
+    /// When this member sent the probe that the datagram acknowledges: the report was made after that time.
+    /// `None` if it acknowledges no pending probe, and may have been delayed for any time.
     pub answers_probe_of: Option<Duration>,
-    /// Jobs that the peer knows to be cancelled.
+    /// Ids of jobs that the peer reported as cancelled.
     pub cancelled_jobs: Vec<String>,
 }
 
 #[derive(Debug, Clone)]
-struct Known {
+struct MemberEntry {
     record: MemberRecord,
-    /// Hash of the id and the incarnation, for digests of views.
+    /// Hash of the id and the incarnation, used in view digests.
     version_hash: u64,
     state_since: Duration,
-    passes_left: usize,
-    /// Said that it leaves before it was gone.
+    transmissions_left: usize,
+    /// The member announced that it leaves.
     left: bool,
 }
 
-/// How a record came to be known.
+/// How a record was received; decides whether it is gossiped further.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Source {
-    /// As news: it is passed on.
+    /// By gossip: it is passed on.
     Gossip,
-    /// From a sync: others find it by syncs of their own.
+    /// By anti-entropy: others obtain it by their own syncs.
     Sync,
 }
 
@@ -83,9 +83,9 @@
 }
 
 #[derive(Debug, Clone)]
-struct Relay {
-    asker: String,
-    asker_probe: u64,
+struct IndirectProbe {
+    requester: String,
+    requester_probe: u64,
     sent_at: Duration,
 }
 
@@ -94,16 +94,16 @@
 pub struct MembershipCore {
     settings: MembershipSettings,
     own: MemberRecord,
-    known: BTreeMap<String, Known>,
+    members: BTreeMap<String, MemberEntry>,
     probes: Vec<Probe>,
-    relays: BTreeMap<u64, Relay>,
-    order: Vec<String>,
-    next_number: u64,
+    relayed_probes: BTreeMap<u64, IndirectProbe>,
+    probe_order: Vec<String>,
+    next_probe_number: u64,
     next_probe_at: Duration,
     config: ConfigWord,
     cancelled_jobs: Vec<String>,
-    /// Dead members to be probed soon, because another one turned out to live: a cut has mended.
-    revivals: Vec<String>,
+    /// Dead members to probe soon: another one has replied, so a network partition may have healed.
+    dead_to_probe: Vec<String>,
     rejoin: RejoinState,
     sync: SyncState,
     changed: bool,
@@ -113,33 +113,33 @@
     MemberState::try_from(record.state).unwrap_or(MemberState::Dead)
 }
 
-/// True if `new` replaces `old`: a higher incarnation, or the same with a graver state.
+/// True if `new` replaces `old`: a higher incarnation, or the same with a later state (alive, suspect, leaving, dead).
 fn supersedes(new: &MemberRecord, old: &MemberRecord) -> bool {
     (new.incarnation, new.state) > (old.incarnation, old.state)
 }
 
-impl Known {
-    fn new(record: MemberRecord, now: Duration, passes_left: usize) -> Self {
+impl MemberEntry {
+    fn new(record: MemberRecord, now: Duration, transmissions_left: usize) -> Self {
         Self {
             version_hash: digest::version_hash(&record),
             state_since: now,
-            passes_left,
+            transmissions_left,
             left: false,
             record,
         }
     }
 
-    fn replace(&mut self, record: MemberRecord, now: Duration, passes_left: usize) {
+    fn replace(&mut self, record: MemberRecord, now: Duration, transmissions_left: usize) {
         if self.record.state != record.state {
             self.state_since = now;
         }
         self.left |= state_of(&self.record) == MemberState::Leaving;
         self.version_hash = digest::version_hash(&record);
         self.record = record;
-        self.passes_left = passes_left;
+        self.transmissions_left = transmissions_left;
     }
 
-    /// True unless the member is taken for dead.
+    /// True unless the member is considered dead.
     fn is_present(&self) -> bool {
         state_of(&self.record) != MemberState::Dead
     }
@@ -148,37 +148,37 @@
         &self.record.udp_address
     }
 
-    /// True unless the member left for good.
-    fn may_answer(&self) -> bool {
+    /// True unless the member is dead after it announced that it leaves.
+    fn may_return(&self) -> bool {
         state_of(&self.record) != MemberState::Dead || !self.left
     }
 }
 
 impl MembershipCore {
-    /// A daemon that knows only itself. `own.incarnation` must be higher than in any earlier life of the id.
+    /// Creates a core that knows only itself. `own.incarnation` must exceed that of any earlier instance with the same id.
     pub fn new(settings: MembershipSettings, own: MemberRecord) -> Self {
         let mut core = Self {
             settings,
             own: own.clone(),
-            known: BTreeMap::new(),
+            members: BTreeMap::new(),
             probes: Vec::new(),
-            relays: BTreeMap::new(),
-            order: Vec::new(),
-            next_number: 1,
+            relayed_probes: BTreeMap::new(),
+            probe_order: Vec::new(),
+            next_probe_number: 1,
             next_probe_at: Duration::ZERO,
             config: ConfigWord::default(),
             cancelled_jobs: Vec::new(),
-            revivals: Vec::new(),
+            dead_to_probe: Vec::new(),
             rejoin: RejoinState::default(),
             sync: SyncState::default(),
             changed: true,
         };
-        core.note_own();
+        core.insert_own();
         core
     }
 
-    /// The same with UDP addresses at which other members may be found: all of them are asked while nobody else is known,
-    /// and one at a time now and then while nobody is known there.
+    /// Sets the UDP addresses of seeds. All of them get a join while no other member is known; later one at a time
+    /// does, if no member is known at it.
     #[must_use]
     pub fn with_seeds(mut self, mut seeds: Vec<String>) -> Self {
         seeds.retain(|seed| *seed != self.own.udp_address);
@@ -186,23 +186,23 @@
         self
     }
 
-    fn note_own(&mut self) {
-        let known = Known::new(self.own.clone(), Duration::ZERO, self.passes());
-        self.known.insert(self.own.id.clone(), known);
+    fn insert_own(&mut self) {
+        let entry = MemberEntry::new(self.own.clone(), Duration::ZERO, self.max_transmissions());
+        self.members.insert(self.own.id.clone(), entry);
         self.changed = true;
     }
 
-    fn passes(&self) -> usize {
-        let size = self.known.len() + 2;
+    fn max_transmissions(&self) -> usize {
+        let size = self.members.len() + 2;
         self.settings.spread_factor * (size.ilog2() as usize + 1)
     }
 
-    /// Own member id.
+    /// Returns the id of this member.
     pub fn id(&self) -> &str {
         &self.own.id
     }
 
-    /// Datagrams by which members at these addresses learn of this member, and answer with some others.
+    /// Returns join datagrams that introduce this member to those addresses; their members reply with some records.
     pub fn join(&mut self, seeds: &[String]) -> Vec<Action> {
         let addresses = seeds.iter().filter(|seed| **seed != self.own.udp_address);
         let addresses: Vec<String> = addresses.cloned().collect();
@@ -215,15 +215,15 @@
             .collect()
     }
 
-    /// Datagrams that tell `count` random members the present configuration word at once.
+    /// Returns datagrams that carry the current configuration status to `count` random members.
     pub fn spread_config(&mut self, count: usize, random: &mut impl Rng) -> Vec<Action> {
         let others: Vec<String> = self
-            .known
+            .members
             .values()
-            .filter(|known| {
-                known.record.id != self.own.id && state_of(&known.record) != MemberState::Dead
+            .filter(|entry| {
+                entry.record.id != self.own.id && state_of(&entry.record) != MemberState::Dead
             })
-            .map(|known| known.record.udp_address.clone())
+            .map(|entry| entry.record.udp_address.clone())
             .collect();
         let chosen: Vec<String> = others.choose_multiple(random, count).cloned().collect();
         chosen
@@ -235,35 +235,35 @@
             .collect()
     }
 
-    /// Sets what later datagrams say of the configuration.
+    /// Sets the configuration status that later datagrams carry.
     pub fn set_config(&mut self, config: ConfigWord) {
         self.config = config;
     }
 
-    /// Sets the jobs that later datagrams name as cancelled.
+    /// Sets the ids of cancelled jobs that later datagrams carry.
     pub fn set_cancelled_jobs(&mut self, jobs: Vec<String>) {
         self.cancelled_jobs = jobs;
     }
 
-    /// A probe of one member, outside the usual turn.
+    /// Probes one member outside the probe order; `None` if it is unknown.
     pub fn probe_member(&mut self, id: &str, now: Duration) -> Option<Action> {
         let address = self.address(id)?;
         Some(self.probe(id.to_owned(), address, now))
     }
 
-    /// Members that are suspected or dead, and all members known.
+    /// Returns the number of suspected or dead members that didn't announce a leave, and the number of all known members.
     pub fn troubled(&self) -> (usize, usize) {
-        let is_troubled = |known: &&Known| {
+        let is_unhealthy = |entry: &&MemberEntry| {
             matches!(
-                state_of(&known.record),
+                state_of(&entry.record),
                 MemberState::Suspect | MemberState::Dead
-            ) && !known.left
+            ) && !entry.left
         };
-        let troubled = self.known.values().filter(is_troubled).count();
-        (troubled, self.known.len())
+        let troubled = self.members.values().filter(is_unhealthy).count();
+        (troubled, self.members.len())
     }
 
-    /// Spreads the batch work left at own shards, if it changed.
+    /// Announces the batch work left at this member's shards, if it changed.
     pub fn set_backlog(&mut self, backlog: Vec<ServiceBacklog>) {
         if self.own.backlog != backlog {
             self.own.backlog = backlog;
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Spreads whether this member is cut off from the store while others are not.
+    /// Announces whether this member can't reach the store while others can.
     pub fn set_detached(&mut self, detached: bool) {
         if self.own.detached != detached {
             self.own.detached = detached;
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Spreads that this member leaves.
+    /// Announces that this member leaves.
     pub fn leave(&mut self) {
         self.own.state = MemberState::Leaving as i32;
         self.raise_incarnation();
@@ -287,120 +287,122 @@
 
     fn raise_incarnation(&mut self) {
         self.own.incarnation += 1;
-        self.note_own();
+        self.insert_own();
     }
 
-    /// True once after each change of the view.
+    /// Returns whether the view changed since the last call, and clears the flag.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Members alive, suspected or leaving.
+    /// Returns the members that are alive, suspected or leaving.
     pub fn view(&self) -> MembershipView {
         let members = self
-            .known
+            .members
             .values()
-            .filter(|known| state_of(&known.record) != MemberState::Dead)
-            .map(|known| Member {
-                id: known.record.id.clone(),
-                peer_address: known.record.peer_address.clone(),
-                zone: known.record.zone.clone(),
-                region: known.record.region.clone(),
-                leaving: state_of(&known.record) == MemberState::Leaving,
-                detached: known.record.detached,
-                backlog: known.record.backlog.clone(),
+            .filter(|entry| state_of(&entry.record) != MemberState::Dead)
+            .map(|entry| Member {
+                id: entry.record.id.clone(),
+                peer_address: entry.record.peer_address.clone(),
+                zone: entry.record.zone.clone(),
+                region: entry.record.region.clone(),
+                leaving: state_of(&entry.record) == MemberState::Leaving,
+                detached: entry.record.detached,
+                backlog: entry.record.backlog.clone(),
             })
             .collect();
         MembershipView { members }
     }
 
-    /// Region of a member, also of one that is held for dead; `None` if it is unknown.
+    /// Returns the region of a member, dead ones included; `None` if it is unknown.
     pub fn region(&self, id: &str) -> Option<&str> {
-        self.known.get(id).map(|known| known.record.region.as_str())
+        self.members
+            .get(id)
+            .map(|entry| entry.record.region.as_str())
     }
 
-    /// State in which a member is held; `None` if unknown.
+    /// Returns the state of a member in this member's view; `None` if it is unknown.
     pub fn state(&self, id: &str) -> Option<MemberState> {
-        self.known.get(id).map(|known| state_of(&known.record))
+        self.members.get(id).map(|entry| state_of(&entry.record))
     }
 
-    /// What this member says of itself.
+    /// Returns the record that this member announces of itself.
     pub fn own_record(&self) -> MemberRecord {
         self.own.clone()
     }
 
-    /// How long a member has been in its state; `None` if unknown.
+    /// Returns how long a member has been in its state; `None` if it is unknown.
     pub fn state_age(&self, id: &str, now: Duration) -> Option<Duration> {
-        let known = self.known.get(id)?;
-        Some(now.saturating_sub(known.state_since))
+        let entry = self.members.get(id)?;
+        Some(now.saturating_sub(entry.state_since))
     }
 
-    /// UDP address of a member; `None` if unknown.
+    /// Returns the UDP address of a member; `None` if it is unknown.
     pub fn udp_address(&self, id: &str) -> Option<String> {
         self.address(id)
     }
 
     fn address(&self, id: &str) -> Option<String> {
-        self.known
+        self.members
             .get(id)
-            .map(|known| known.record.udp_address.clone())
+            .map(|entry| entry.record.udp_address.clone())
     }
 
-    fn take_record(&mut self, mut record: MemberRecord, source: Source, now: Duration) {
+    fn merge_record(&mut self, mut record: MemberRecord, source: Source, now: Duration) {
         if record.id == self.own.id {
             self.refute(&record);
             return;
         }
-        if record.udp_address == self.own.udp_address && !self.knows_dead(&record.id) {
-            // An earlier life at this member's address: nobody else can tell, since this member answers there.
+        if record.udp_address == self.own.udp_address && !self.is_known_dead(&record.id) {
+            // An earlier instance at this member's own address: no probe by others can detect its death.
             record.state = MemberState::Dead as i32;
             self.insert_dead_predecessor(record, now);
             return;
         }
-        let passes_left = match source {
-            Source::Gossip => self.passes(),
+        let transmissions_left = match source {
+            Source::Gossip => self.max_transmissions(),
             Source::Sync => 0,
         };
-        let lives = state_of(&record) != MemberState::Dead;
-        let mut revived = false;
-        match self.known.get_mut(&record.id) {
-            Some(known) if !supersedes(&record, &known.record) => {
-                // Others know it already: passing it on is worth less.
-                if record == known.record {
-                    known.passes_left = known.passes_left.saturating_sub(1);
+        let is_present = state_of(&record) != MemberState::Dead;
+        let mut returned = false;
+        match self.members.get_mut(&record.id) {
+            Some(entry) if !supersedes(&record, &entry.record) => {
+                // The sender already has this record, so it needs fewer transmissions.
+                if record == entry.record {
+                    entry.transmissions_left = entry.transmissions_left.saturating_sub(1);
                 }
             }
-            Some(known) => {
-                revived = lives && !known.is_present();
-                known.replace(record, now, passes_left);
+            Some(entry) => {
+                returned = is_present && !entry.is_present();
+                entry.replace(record, now, transmissions_left);
                 self.changed = true;
             }
-            None if !lives => {}
+            None if !is_present => {}
             None => {
-                let known = Known::new(record, now, passes_left);
-                self.known.insert(known.record.id.clone(), known);
+                let entry = MemberEntry::new(record, now, transmissions_left);
+                self.members.insert(entry.record.id.clone(), entry);
                 self.changed = true;
             }
         }
-        if revived {
-            self.queue_revivals();
+        if returned {
+            self.queue_dead_probes();
         }
     }
 
-    fn knows_dead(&self, id: &str) -> bool {
-        let known = self.known.get(id);
-        known.is_some_and(|known| state_of(&known.record) == MemberState::Dead)
+    fn is_known_dead(&self, id: &str) -> bool {
+        let entry = self.members.get(id);
+        entry.is_some_and(|entry| state_of(&entry.record) == MemberState::Dead)
     }
 
-    /// Keeps the record of an earlier life as dead, and passes that on.
+    /// Stores the record of an earlier instance as dead and gossips it.
     fn insert_dead_predecessor(&mut self, record: MemberRecord, now: Duration) {
-        let mut known = Known::new(record, now, self.passes());
-        known.left = true;
-        self.known.insert(known.record.id.clone(), known);
+        let mut entry = MemberEntry::new(record, now, self.max_transmissions());
+        entry.left = true;
+        self.members.insert(entry.record.id.clone(), entry);
         self.changed = true;
     }
 
-    /// Somebody holds this member for worse than it is, or for something from an earlier life.
+    /// Raises the own incarnation if a peer's record of this member would replace the own one.
     fn refute(&mut self, record: &MemberRecord) {
         if supersedes(record, &self.own) {
             self.own.incarnation = record.incarnation;
@@ -425,20 +427,20 @@
         }
     }
 
-    /// A datagram with the records that have been passed on least.
+    /// Builds a datagram with the records that have the most transmissions left.
     fn datagram(&mut self, kind: DatagramKind, probe: u64, target: String) -> Datagram {
         let mut datagram = self.bare_datagram(kind, probe, target);
-        let mut fresh: Vec<&mut Known> = self
-            .known
+        let mut pending: Vec<&mut MemberEntry> = self
+            .members
             .values_mut()
-            .filter(|known| known.passes_left > 0)
+            .filter(|entry| entry.transmissions_left > 0)
             .collect();
-        fresh.sort_by_key(|known| std::cmp::Reverse(known.passes_left));
-        for known in fresh.into_iter().take(self.settings.records_per_datagram) {
-            known.passes_left -= 1;
-            datagram.records.push(known.record.clone());
+        pending.sort_by_key(|entry| std::cmp::Reverse(entry.transmissions_left));
+        for entry in pending.into_iter().take(self.settings.records_per_datagram) {
+            entry.transmissions_left -= 1;
+            datagram.records.push(entry.record.clone());
         }
-        // A stranger must learn whom to answer.
+        // A receiver that doesn't know this member needs its address to reply.
         let own_included = datagram
             .records
             .iter()
--- a/crates/membership/src/core/probes.rs
+++ b/crates/membership/src/core/probes.rs
@@ -1,4 +1,4 @@
-//! Probing: who is probed when, who helps, and how a member that does not answer is suspected and declared dead.
+//! Failure detection: direct and indirect probes, suspicion, and declaration of death.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 use rand::Rng;
 use rand::seq::{IndexedRandom, SliceRandom};
 
-use super::{Action, Known, MembershipCore, Probe, Source, state_of};
+use super::{Action, MemberEntry, MembershipCore, Probe, Source, state_of};
 
 impl MembershipCore {
-    /// Time passes: sends probes, asks others, suspects and declares dead.
+    /// Returns the due probes and join datagrams, and applies expired probe and suspicion timeouts.
     pub fn tick(&mut self, now: Duration, random: &mut impl Rng) -> Vec<Action> {
         let mut actions = self.rejoin(now, random);
         self.sync.note_tick();
         self.check_probes(now, random, &mut actions);
         self.check_suspicions(now);
         let direct = self.settings.probe_timeout * 2;
-        self.relays
-            .retain(|_, relay| now.saturating_sub(relay.sent_at) < direct);
-        self.probe_revivals(now, random, &mut actions);
+        self.relayed_probes
+            .retain(|_, relayed| now.saturating_sub(relayed.sent_at) < direct);
+        self.probe_dead(now, random, &mut actions);
         if now >= self.next_probe_at {
             self.next_probe_at = now + self.settings.probe_every;
             self.probe_next(now, random, &mut actions);
@@ -26,15 +26,15 @@
         actions
     }
 
-    /// After a cut has mended, tells the members beyond it quickly that they are held for dead.
-    fn probe_revivals(&mut self, now: Duration, random: &mut impl Rng, actions: &mut Vec<Action>) {
+    /// Probes dead members after a partition has healed, so that they learn of their state and refute it.
+    fn probe_dead(&mut self, now: Duration, random: &mut impl Rng, actions: &mut Vec<Action>) {
         for _ in 0..self.settings.revivals_a_tick {
-            if self.revivals.is_empty() {
+            if self.dead_to_probe.is_empty() {
                 return;
             }
-            // In random order, or all members would probe the same one at the same time.
-            let index = random.random_range(0..self.revivals.len());
-            let target = self.revivals.swap_remove(index);
+            // Random order keeps all members from probing the same one at once.
+            let index = random.random_range(0..self.dead_to_probe.len());
+            let target = self.dead_to_probe.swap_remove(index);
             let is_dead = self.state(&target) == Some(MemberState::Dead);
             if let Some(address) = self.address(&target).filter(|_| is_dead) {
                 actions.push(self.probe(target, address, now));
@@ -42,16 +42,16 @@
         }
     }
 
-    /// Queues all dead members that may answer, unless they are queued already.
-    pub(super) fn queue_revivals(&mut self) {
-        if !self.revivals.is_empty() {
+    /// Queues all dead members that may return, unless the queue already has entries.
+    pub(super) fn queue_dead_probes(&mut self) {
+        if !self.dead_to_probe.is_empty() {
             return;
         }
         let dead = self
-            .known
+            .members
             .values()
-            .filter(|known| state_of(&known.record) == MemberState::Dead && known.may_answer());
-        self.revivals = dead.map(|known| known.record.id.clone()).collect();
+            .filter(|entry| state_of(&entry.record) == MemberState::Dead && entry.may_return());
+        self.dead_to_probe = dead.map(|entry| entry.record.id.clone()).collect();
     }
 
     fn probe_next(&mut self, now: Duration, random: &mut impl Rng, actions: &mut Vec<Action>) {
@@ -65,8 +65,8 @@
     }
 
     pub(super) fn probe(&mut self, target: String, address: String, now: Duration) -> Action {
-        let number = self.next_number;
-        self.next_number += 1;
+        let number = self.next_probe_number;
+        self.next_probe_number += 1;
         let target_id = target.clone();
         self.probes.push(Probe {
             number,
@@ -75,62 +75,61 @@
             indirect_sent: false,
         });
         let mut datagram = self.datagram(DatagramKind::Ping, number, target_id.clone());
-        self.tell_of_trouble(&target_id, &mut datagram);
+        self.add_refutable_record(&target_id, &mut datagram);
         Action { address, datagram }
     }
 
-    /// Tells a member that it is held for suspect or dead, so that it can refute it.
-    pub(super) fn tell_of_trouble(&self, id: &str, datagram: &mut Datagram) {
-        let Some(known) = self.known.get(id) else {
+    /// Adds the record of a suspected or dead recipient, so that it can refute it.
+    pub(super) fn add_refutable_record(&self, id: &str, datagram: &mut Datagram) {
+        let Some(entry) = self.members.get(id) else {
             return;
         };
         let troubled = matches!(
-            state_of(&known.record),
+            state_of(&entry.record),
             MemberState::Suspect | MemberState::Dead
         );
-        if troubled && !datagram.records.contains(&known.record) {
-            datagram.records.push(known.record.clone());
+        if troubled && !datagram.records.contains(&entry.record) {
+            datagram.records.push(entry.record.clone());
         }
     }
 
-    /// Walks all probed members in random order, so that each is probed within a bounded time. Members of other
-    /// regions are probed more rarely.
+    /// Returns the next member of a shuffled round, which bounds the time between two probes of the same member.
     fn next_target(&mut self, random: &mut impl Rng) -> Option<String> {
         loop {
-            if self.order.is_empty() {
-                self.order = self.round(random);
-                if self.order.is_empty() {
+            if self.probe_order.is_empty() {
+                self.probe_order = self.shuffled_round(random);
+                if self.probe_order.is_empty() {
                     return None;
                 }
             }
-            let id = self.order.pop()?;
-            if self.known.get(&id).is_some_and(Known::may_answer) {
+            let id = self.probe_order.pop()?;
+            if self.members.get(&id).is_some_and(MemberEntry::may_return) {
                 return Some(id);
             }
         }
     }
 
-    fn round(&self, random: &mut impl Rng) -> Vec<String> {
-        let mut order: Vec<String> = Vec::new();
-        for known in self.known.values() {
-            let record = &known.record;
-            if record.id == self.own.id || !known.may_answer() {
+    fn shuffled_round(&self, random: &mut impl Rng) -> Vec<String> {
+        let mut probe_order: Vec<String> = Vec::new();
+        for entry in self.members.values() {
+            let record = &entry.record;
+            if record.id == self.own.id || !entry.may_return() {
                 continue;
             }
-            // Dead members are probed too, more rarely: a cut may have mended since.
+            // Dead members are still probed, at a lower rate, to detect that a partition has healed.
             let near = record.region == self.own.region;
             let often = near && state_of(record) != MemberState::Dead;
             if often || random.random_range(0..self.settings.rare_probe_one_in) == 0 {
-                order.push(record.id.clone());
+                probe_order.push(record.id.clone());
             }
         }
-        order.shuffle(random);
-        order
+        probe_order.shuffle(random);
+        probe_order
     }
 
     fn check_probes(&mut self, now: Duration, random: &mut impl Rng, actions: &mut Vec<Action>) {
         let settings = self.settings;
-        let mut to_ask = Vec::new();
+        let mut overdue = Vec::new();
         let mut failed = Vec::new();
         self.probes.retain_mut(|probe| {
             let waited = now.saturating_sub(probe.sent_at);
@@ -140,13 +139,13 @@
             }
             if waited >= settings.direct_timeout && !probe.indirect_sent {
                 probe.indirect_sent = true;
-                to_ask.push((probe.number, probe.target.clone()));
+                overdue.push((probe.number, probe.target.clone()));
             }
             true
         });
-        for (number, target) in to_ask {
-            let helpers = self.helpers(&target, random);
-            for address in helpers {
+        for (number, target) in overdue {
+            let indirect_probers = self.indirect_probers(&target, random);
+            for address in indirect_probers {
                 let datagram = self.datagram(DatagramKind::PingRequest, number, target.clone());
                 actions.push(Action { address, datagram });
             }
@@ -156,12 +155,12 @@
         }
     }
 
-    fn helpers(&self, target: &str, random: &mut impl Rng) -> Vec<String> {
-        let candidates: Vec<&Known> = self
-            .known
+    fn indirect_probers(&self, target: &str, random: &mut impl Rng) -> Vec<String> {
+        let candidates: Vec<&MemberEntry> = self
+            .members
             .values()
-            .filter(|known| {
-                let record = &known.record;
+            .filter(|entry| {
+                let record = &entry.record;
                 record.id != target
                     && record.id != self.own.id
                     && state_of(record) == MemberState::Alive
@@ -169,47 +168,46 @@
             .collect();
         candidates
             .choose_multiple(random, self.settings.indirect_probes)
-            .map(|known| known.record.udp_address.clone())
+            .map(|entry| entry.record.udp_address.clone())
             .collect()
     }
 
     fn suspect(&mut self, target: &str, now: Duration) {
-        let Some(known) = self.known.get(target) else {
+        let Some(entry) = self.members.get(target) else {
             return;
         };
-        let next = match state_of(&known.record) {
+        let next = match state_of(&entry.record) {
             MemberState::Alive => MemberState::Suspect,
-            // A member that leaves and no longer answers has gone.
+            // A leaving member that stops responding has departed.
             MemberState::Leaving => MemberState::Dead,
             MemberState::Suspect | MemberState::Dead => return,
         };
-        let mut record = known.record.clone();
+        let mut record = entry.record.clone();
         record.state = next as i32;
-        self.take_record(record, Source::Gossip, now);
+        self.merge_record(record, Source::Gossip, now);
     }
 
-    /// Time that a suspected member has to refute: spreading the suspicion, and its refutation, takes longer in a
-    /// larger fleet.
+    /// Returns the time that a suspected member has to refute; gossip takes longer in a larger fleet.
     #[allow(clippy::cast_precision_loss)]
     fn suspicion(&self) -> Duration {
-        let factor = (self.known.len() as f64).log10().max(1.0);
+        let factor = (self.members.len() as f64).log10().max(1.0);
         self.settings.suspicion.mul_f64(factor)
     }
 
     fn check_suspicions(&mut self, now: Duration) {
         let suspicion = self.suspicion();
-        let over: Vec<MemberRecord> = self
-            .known
+        let expired: Vec<MemberRecord> = self
+            .members
             .values()
-            .filter(|known| {
-                state_of(&known.record) == MemberState::Suspect
-                    && now.saturating_sub(known.state_since) >= suspicion
+            .filter(|entry| {
+                state_of(&entry.record) == MemberState::Suspect
+                    && now.saturating_sub(entry.state_since) >= suspicion
             })
-            .map(|known| known.record.clone())
+            .map(|entry| entry.record.clone())
             .collect();
-        for mut record in over {
+        for mut record in expired {
             record.state = MemberState::Dead as i32;
-            self.take_record(record, Source::Gossip, now);
+            self.merge_record(record, Source::Gossip, now);
         }
         self.forget_dead(now);
     }
@@ -217,11 +215,11 @@
     fn forget_dead(&mut self, now: Duration) {
         let forget_dead = self.settings.forget_dead;
         let rejoin = &mut self.rejoin;
-        self.known.retain(|_, known| {
-            let is_over = now.saturating_sub(known.state_since) >= forget_dead;
-            let kept = known.is_present() || !is_over;
-            if !kept && known.may_answer() {
-                rejoin.remember(known.record.udp_address.clone(), now);
+        self.members.retain(|_, entry| {
+            let is_over = now.saturating_sub(entry.state_since) >= forget_dead;
+            let kept = entry.is_present() || !is_over;
+            if !kept && entry.may_return() {
+                rejoin.remember(entry.record.udp_address.clone(), now);
             }
             kept
         });
--- a/crates/membership/src/core/receive.rs
+++ b/crates/membership/src/core/receive.rs
@@ -1,39 +1,39 @@
-//! Datagrams of other members: what is learnt from them, and what is answered.
+//! Handling of received datagrams: merging of records, and replies.
 
 use std::time::Duration;
 
 use harrierward_wire::{Datagram, DatagramKind, MemberRecord};
 
-use super::{Action, ConfigWord, MembershipCore, ReceivedWord, Relay, Source};
+use super::{Action, ConfigWord, IndirectProbe, MembershipCore, ReceivedWord, Source};
 
 impl MembershipCore {
-    /// Takes a datagram; the answers to send and the sender's word on its configuration.
+    /// Handles a datagram; returns the replies to send and the sender's report.
     pub fn receive(&mut self, datagram: &Datagram, now: Duration) -> (Vec<Action>, ReceivedWord) {
         let kind = DatagramKind::try_from(datagram.kind);
         let mut actions = Vec::new();
         if matches!(kind, Ok(DatagramKind::SyncReply)) {
-            actions = self.return_missing(datagram);
+            actions = self.return_newer(datagram);
         }
         match kind {
             Ok(DatagramKind::SyncReply | DatagramKind::SyncReturn) => {
-                self.take_synced(&datagram.records, now);
+                self.merge_synced(&datagram.records, now);
             }
             _ => {
                 for record in &datagram.records {
-                    if !self.must_hear_first(datagram, record) {
-                        self.take_record(record.clone(), Source::Gossip, now);
+                    if !self.must_confirm_reachable(datagram, record) {
+                        self.merge_record(record.clone(), Source::Gossip, now);
                     }
                 }
             }
         }
         let is_ack = datagram.kind == DatagramKind::Ack as i32;
-        let answered = self
+        let acknowledged = self
             .probes
             .iter()
             .find(|probe| probe.number == datagram.probe);
         let word = ReceivedWord {
             from: datagram.from.clone(),
-            answers_probe_of: answered.filter(|_| is_ack).map(|probe| probe.sent_at),
+            answers_probe_of: acknowledged.filter(|_| is_ack).map(|probe| probe.sent_at),
             cancelled_jobs: datagram.cancelled_jobs.clone(),
             word: ConfigWord {
                 revision: datagram.config_revision,
@@ -44,10 +44,10 @@
             },
         };
         actions.extend(match kind {
-            Ok(DatagramKind::Ping) => self.answer(datagram),
-            Ok(DatagramKind::Ack) => self.take_ack(datagram),
-            Ok(DatagramKind::PingRequest) => self.relay(datagram, now),
-            Ok(DatagramKind::Join) => self.welcome(datagram),
+            Ok(DatagramKind::Ping) => self.handle_ping(datagram),
+            Ok(DatagramKind::Ack) => self.handle_ack(datagram),
+            Ok(DatagramKind::PingRequest) => self.relay_probe(datagram, now),
+            Ok(DatagramKind::Join) => self.handle_join(datagram),
             Ok(DatagramKind::SyncRequest) => self.reply_sync(datagram),
             Ok(DatagramKind::SyncReply | DatagramKind::SyncReturn) | Err(_) => Vec::new(),
         });
@@ -55,8 +55,8 @@
         (actions, word)
     }
 
-    fn answer(&mut self, ping: &Datagram) -> Vec<Action> {
-        // The ping is for an earlier life at this address, which must be seen to be gone.
+    fn handle_ping(&mut self, ping: &Datagram) -> Vec<Action> {
+        // The ping targets an earlier instance at this address; a reply would keep it alive in others' views.
         if !ping.target.is_empty() && ping.target != self.own.id {
             return Vec::new();
         }
@@ -64,61 +64,60 @@
             return Vec::new();
         };
         let mut datagram = self.datagram(DatagramKind::Ack, ping.probe, String::new());
-        self.tell_of_trouble(&ping.from, &mut datagram);
+        self.add_refutable_record(&ping.from, &mut datagram);
         vec![Action { address, datagram }]
     }
 
-    fn take_ack(&mut self, ack: &Datagram) -> Vec<Action> {
-        if let Some(relay) = self.relays.remove(&ack.probe) {
-            let Some(address) = self.address(&relay.asker) else {
+    fn handle_ack(&mut self, ack: &Datagram) -> Vec<Action> {
+        if let Some(relayed) = self.relayed_probes.remove(&ack.probe) {
+            let Some(address) = self.address(&relayed.requester) else {
                 return Vec::new();
             };
-            let datagram = self.datagram(DatagramKind::Ack, relay.asker_probe, String::new());
+            let datagram = self.datagram(DatagramKind::Ack, relayed.requester_probe, String::new());
             return vec![Action { address, datagram }];
         }
         self.probes.retain(|probe| probe.number != ack.probe);
         Vec::new()
     }
 
-    fn relay(&mut self, request: &Datagram, now: Duration) -> Vec<Action> {
+    fn relay_probe(&mut self, request: &Datagram, now: Duration) -> Vec<Action> {
         let Some(address) = self.address(&request.target) else {
             return Vec::new();
         };
-        let number = self.next_number;
-        self.next_number += 1;
-        let relay = Relay {
-            asker: request.from.clone(),
-            asker_probe: request.probe,
+        let number = self.next_probe_number;
+        self.next_probe_number += 1;
+        let relayed = IndirectProbe {
+            requester: request.from.clone(),
+            requester_probe: request.probe,
             sent_at: now,
         };
-        self.relays.insert(number, relay);
+        self.relayed_probes.insert(number, relayed);
         let datagram = self.datagram(DatagramKind::Ping, number, request.target.clone());
         vec![Action { address, datagram }]
     }
 
-    /// True for the record of a stranger that knows others and asks this member: the way back to it may be cut, and then it would be
-    /// held for alive and for dead by turns. Once it has heard the answer, its pings and sync requests tell of it. One that
-    /// is alone is taken in at once, since a start must be quick.
-    fn must_hear_first(&self, datagram: &Datagram, record: &MemberRecord) -> bool {
+    /// True for a join of an unknown member that knows others: with replies to it lost, its state would flap between alive
+    /// and dead, so it is added by its later pings. A member that knows nobody is added at once, for a fast start.
+    fn must_confirm_reachable(&self, datagram: &Datagram, record: &MemberRecord) -> bool {
         let is_join = datagram.kind == DatagramKind::Join as i32;
-        let is_stranger = record.id == datagram.from && !self.known.contains_key(&record.id);
-        is_join && is_stranger && datagram.view_size > 1
+        let is_unknown = record.id == datagram.from && !self.members.contains_key(&record.id);
+        is_join && is_unknown && datagram.view_size > 1
     }
 
-    /// Sends some members, others to each one that joins: whoever starts finds the rest by a sync with any of them,
-    /// so that seeds need not send their whole view to all daemons of a fleet that starts.
-    fn welcome(&mut self, join: &Datagram) -> Vec<Action> {
+    /// Replies to a join with a few records, in rotation: the joining member obtains the rest by syncs with those
+    /// members, so seeds need not send their full view to each daemon of a starting fleet.
+    fn handle_join(&mut self, join: &Datagram) -> Vec<Action> {
         let own = join.records.iter().find(|record| record.id == join.from);
-        let told = own.map(|record| record.udp_address.clone());
-        let Some(address) = told.or_else(|| self.address(&join.from)) else {
+        let reported = own.map(|record| record.udp_address.clone());
+        let Some(address) = reported.or_else(|| self.address(&join.from)) else {
             return Vec::new();
         };
-        let most = self.settings.records_per_sync_datagram;
-        let records = self.next_present(most);
+        let max_records = self.settings.records_per_sync_datagram;
+        let records = self.next_join_records(max_records);
         let mut datagram = self.bare_datagram(DatagramKind::SyncReturn, 0, String::new());
         datagram.records = records;
-        // One that was cut off for long may be held for dead here.
-        self.tell_of_trouble(&join.from, &mut datagram);
+        // The joining member may be considered dead here after a long partition.
+        self.add_refutable_record(&join.from, &mut datagram);
         vec![Action { address, datagram }]
     }
 }
--- a/crates/membership/src/core/sync.rs
+++ b/crates/membership/src/core/sync.rs
@@ -1,8 +1,6 @@
-//! Anti-entropy: members whose views differ much, or for long, compare them by digests and exchange what differs.
+//! Anti-entropy: members whose views differ by much, or for long, compare bucket digests and exchange the differing records.
 //!
-//! Why beside gossip: gossip passes a few records with each probe, which spreads a single change quickly. When a
-//! whole fleet starts in the same second each member must learn of all others, and at six records a datagram that
-//! takes a minute with 300 members. A sync moves what is missing at once, from any member that has more.
+//! Gossip spreads a single change quickly, but would take long to fill the views of a whole fleet that starts at once.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -12,22 +10,22 @@
 use super::digest::{bucket_count, bucket_of};
 use super::{Action, MembershipCore, Source, supersedes};
 
-/// A view that is smaller than a peer's by this part of it, or by this many, lacks much.
-const MUCH_PART: u32 = 100;
-const MUCH_LEAST: u32 = 2;
+/// A view lacks many members if a peer's is larger by one in `LARGE_GAP_DIVISOR`, and by `MIN_LARGE_GAP` at least.
+const LARGE_GAP_DIVISOR: u32 = 100;
+const MIN_LARGE_GAP: u32 = 2;
 
-/// Times of this member's syncs.
+/// Times and counters that decide when this member requests and replies to syncs.
 #[derive(Debug, Clone, Default)]
 pub(super) struct SyncState {
     requested_at: Option<Duration>,
-    /// When a peer's view was last the same as the own one.
+    /// When a received view digest last equalled the own one.
     agreed_at: Duration,
-    /// Size of the own view when it was last compared, and since when it is so.
+    /// Size of the own view at the last comparison.
     size: u32,
     size_since: Duration,
     replies_since_tick: usize,
-    /// Members sent to those that joined.
-    welcomed: usize,
+    /// Position in the rotation of records sent in replies to joins.
+    join_cursor: usize,
 }
 
 impl SyncState {
@@ -38,14 +36,14 @@
         }
     }
 
-    /// A tick has passed: requests are answered again.
+    /// Resets the limit of sync replies per tick.
     pub(super) fn note_tick(&mut self) {
         self.replies_since_tick = 0;
     }
 }
 
 impl MembershipCore {
-    /// A request for what this member lacks, if the sender's view differs by enough.
+    /// Returns a sync request to the sender if its view differs by enough, or for long enough.
     pub(super) fn consider_sync(&mut self, datagram: &Datagram, now: Duration) -> Option<Action> {
         let own_size = self.view_size();
         self.sync.note_size(own_size, now);
@@ -65,7 +63,7 @@
         let digests = self.bucket_digests(bucket_count(members));
         let mut request = self.bare_datagram(DatagramKind::SyncRequest, 0, String::new());
         request.bucket_digests = digests.into_iter().flat_map(u16::to_le_bytes).collect();
-        // The receiver may not know this member yet, and must know where to answer.
+        // A receiver that doesn't know this member needs its address to reply.
         request.records.push(self.own.clone());
         Some(Action {
             address,
@@ -78,24 +76,24 @@
             .sync
             .requested_at
             .map_or(Duration::MAX, |at| now.saturating_sub(at));
-        let much = (peer_size / MUCH_PART).max(MUCH_LEAST);
-        if peer_size >= own_size + much {
+        let large_gap = (peer_size / LARGE_GAP_DIVISOR).max(MIN_LARGE_GAP);
+        if peer_size >= own_size + large_gap {
             return since_request >= self.settings.sync_catch_up_every;
         }
-        let patience = self.settings.sync_after_disagreement;
-        let disagreed_for = now.saturating_sub(self.sync.agreed_at.max(self.joined_at()));
-        // Several members that lack the same one agree with each other, so agreement with some peer says little here.
+        let timeout = self.settings.sync_after_disagreement;
+        let disagreed_for = now.saturating_sub(self.sync.agreed_at.max(self.last_request_at()));
+        // Members that lack the same one have equal digests, so agreement with one peer doesn't prove a complete view.
         let unchanged_for = now.saturating_sub(self.sync.size_since);
-        let lacks_some = peer_size > own_size && unchanged_for >= patience;
-        (lacks_some || disagreed_for >= patience) && since_request >= patience / 2
+        let lacks_members = peer_size > own_size && unchanged_for >= timeout;
+        (lacks_members || disagreed_for >= timeout) && since_request >= timeout / 2
     }
 
-    /// Views of members that have just started differ: disagreement counts from the first request on.
-    fn joined_at(&self) -> Duration {
+    /// Returns the time of the last request; disagreement before it doesn't count.
+    fn last_request_at(&self) -> Duration {
         self.sync.requested_at.unwrap_or_default()
     }
 
-    /// Answers with whole buckets wherever the asker's digests differ.
+    /// Replies with all records of each bucket whose digest differs from the requester's.
     pub(super) fn reply_sync(&mut self, request: &Datagram) -> Vec<Action> {
         let Some(address) = self.address(&request.from) else {
             return Vec::new();
@@ -117,16 +115,17 @@
         let mut actions = Vec::new();
         let mut reply = self.empty_reply(theirs.len());
         for bucket in differing {
-            let more = records.remove(&bucket).unwrap_or_default();
-            let most = self.settings.records_per_sync_datagram;
-            if !reply.records.is_empty() && reply.records.len() + more.len() > most {
+            let bucket_records = records.remove(&bucket).unwrap_or_default();
+            let max_records = self.settings.records_per_sync_datagram;
+            if !reply.records.is_empty() && reply.records.len() + bucket_records.len() > max_records
+            {
                 let full = std::mem::replace(&mut reply, self.empty_reply(theirs.len()));
                 actions.push(Action {
                     address: address.clone(),
                     datagram: full,
                 });
             }
-            reply.records.extend(more);
+            reply.records.extend(bucket_records);
             reply
                 .whole_buckets
                 .push(u32::try_from(bucket).unwrap_or(u32::MAX));
@@ -148,43 +147,43 @@
 
     fn records_by_bucket(&self, buckets: usize) -> BTreeMap<usize, Vec<MemberRecord>> {
         let mut by_bucket: BTreeMap<usize, Vec<MemberRecord>> = BTreeMap::new();
-        for known in self.known.values() {
-            let bucket = bucket_of(&known.record.id, buckets);
+        for entry in self.members.values() {
+            let bucket = bucket_of(&entry.record.id, buckets);
             by_bucket
                 .entry(bucket)
                 .or_default()
-                .push(known.record.clone());
+                .push(entry.record.clone());
         }
         by_bucket
     }
 
-    /// Sends back what this member knows better of the buckets in a reply. To be called before the reply's records
-    /// are taken.
-    pub(super) fn return_missing(&self, reply: &Datagram) -> Vec<Action> {
+    /// Returns datagrams with the records that the sender of a sync reply lacks or holds in an older version.
+    /// Must be called before the reply's records are merged.
+    pub(super) fn return_newer(&self, reply: &Datagram) -> Vec<Action> {
         let buckets = reply.bucket_count as usize;
         let Some(address) = self.address(&reply.from).filter(|_| buckets > 0) else {
             return Vec::new();
         };
-        let whole: HashSet<usize> = reply
+        let full_buckets: HashSet<usize> = reply
             .whole_buckets
             .iter()
             .map(|one| *one as usize)
             .collect();
-        let told: BTreeMap<&str, &MemberRecord> = reply
+        let reported: BTreeMap<&str, &MemberRecord> = reply
             .records
             .iter()
             .map(|record| (record.id.as_str(), record))
             .collect();
-        let missing = self.known.values().filter(|known| {
-            let record = &known.record;
-            whole.contains(&bucket_of(&record.id, buckets))
-                && match told.get(record.id.as_str()) {
+        let newer = self.members.values().filter(|entry| {
+            let record = &entry.record;
+            full_buckets.contains(&bucket_of(&record.id, buckets))
+                && match reported.get(record.id.as_str()) {
                     Some(theirs) => supersedes(record, theirs),
-                    None => known.is_present(),
+                    None => entry.is_present(),
                 }
         });
-        let missing: Vec<MemberRecord> = missing.map(|known| known.record.clone()).collect();
-        missing
+        let newer: Vec<MemberRecord> = newer.map(|entry| entry.record.clone()).collect();
+        newer
             .chunks(self.settings.records_per_sync_datagram.max(1))
             .map(|part| {
                 let mut datagram = self.bare_datagram(DatagramKind::SyncReturn, 0, String::new());
@@ -197,22 +196,22 @@
             .collect()
     }
 
-    /// The present members in turn, at most so many.
-    pub(super) fn next_present(&mut self, most: usize) -> Vec<MemberRecord> {
-        let present = self.known.values().filter(|known| known.is_present());
-        let present: Vec<&MemberRecord> = present.map(|known| &known.record).collect();
-        let first = self.sync.welcomed % present.len().max(1);
-        let taken = present.len().min(most);
-        let turn = present.iter().cycle().skip(first).take(taken);
-        let records = turn.map(|record| (*record).clone()).collect();
-        self.sync.welcomed = first + taken;
+    /// Returns the next records of present members in rotation, at most `max_records`.
+    pub(super) fn next_join_records(&mut self, max_records: usize) -> Vec<MemberRecord> {
+        let present = self.members.values().filter(|entry| entry.is_present());
+        let present: Vec<&MemberRecord> = present.map(|entry| &entry.record).collect();
+        let first = self.sync.join_cursor % present.len().max(1);
+        let count = present.len().min(max_records);
+        let rotation = present.iter().cycle().skip(first).take(count);
+        let records = rotation.map(|record| (*record).clone()).collect();
+        self.sync.join_cursor = first + count;
         records
     }
 
-    /// Takes records that came by a sync.
-    pub(super) fn take_synced(&mut self, records: &[MemberRecord], now: Duration) {
+    /// Merges records received by a sync.
+    pub(super) fn merge_synced(&mut self, records: &[MemberRecord], now: Duration) {
         for record in records {
-            self.take_record(record.clone(), Source::Sync, now);
+            self.merge_record(record.clone(), Source::Sync, now);
         }
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,7 @@
-//! Membership: failure detection with indirect probes, suspicion, leaving, and the spread of small news.
+//! SWIM-style membership: failure detection with indirect probes, suspicion, leaving, and gossip of small updates.
 //!
-//! Why our own: a full mesh of heartbeats at 520 daemons would break the budget of a daemon. Here each daemon
-//! probes one other a second, and news rides on probes and acknowledgements. The outcome is a hint only:
-//! ownership is made safe by epochs, never by membership.
+//! Each daemon probes one other per interval, so traffic per daemon is independent of the fleet's size. Membership is
+//! only a hint: ownership is made safe by epochs.
 
 mod core;
 mod settings;
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,42 +1,41 @@
-//! Time bounds of the membership protocol.
+//! Timeouts and limits of the membership protocol.
 
 use std::time::Duration;
 
-/// Bounds and sizes.
+/// Timeouts, intervals and limits of one member; the defaults suit a stable fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MembershipSettings {
-    /// Least time between two asks of all seeds while nobody else is known; zero: at each tick.
+    /// Minimum time between two joins to all seeds while no other member is known; zero: at each tick.
     pub join_every: Duration,
     /// Time between probes.
     pub probe_every: Duration,
-    /// Wait for a direct answer before others are asked to probe.
+    /// Wait for a direct acknowledgement before indirect probes are requested.
     pub direct_timeout: Duration,
-    /// Wait for any answer before the member is suspected.
+    /// Wait for any acknowledgement before the member is suspected.
     pub probe_timeout: Duration,
-    /// Time that a suspected member has to refute, in a fleet of ten or fewer. It grows with the decimal logarithm
-    /// of the fleet, as the time does in which a suspicion and its refutation spread.
+    /// Time that a suspected member has to refute, in a fleet of ten or fewer; multiplied by the decimal logarithm
+    /// of the fleet's size, as gossip takes that much longer.
     pub suspicion: Duration,
-    /// Members asked to probe indirectly.
+    /// Number of members that are asked to probe an unresponsive one.
     pub indirect_probes: usize,
-    /// Records passed on with one datagram that has another purpose.
+    /// Maximum number of gossiped records per probe, acknowledgement or join.
     pub records_per_datagram: usize,
-    /// Records in one datagram of a sync or a welcome: with about 100 bytes a record it stays below 1,400 bytes, a
-    /// usual link's datagram.
+    /// Maximum number of records per sync datagram or join reply; about 100 bytes each, to stay below a usual MTU.
     pub records_per_sync_datagram: usize,
-    /// Each record is passed on this many times, times the logarithm of the fleet's size.
+    /// Transmissions of each record, multiplied by the binary logarithm of the fleet's size.
     pub spread_factor: usize,
-    /// Members of other regions, and dead ones, are in one round of probes out of so many.
+    /// Members of other regions, and dead ones, are probed in one of this many rounds on average.
     pub rare_probe_one_in: u64,
-    /// Dead members probed in a tick after another one turned out to live.
+    /// Dead members probed per tick after another dead one has returned.
     pub revivals_a_tick: usize,
-    /// How long a dead member is remembered.
+    /// How long the record of a dead member is kept.
     pub forget_dead: Duration,
-    /// Least time between two sync requests of a member that lacks many members.
+    /// Minimum time between two sync requests of a member that lacks many members.
     pub sync_catch_up_every: Duration,
-    /// How long no peer's view was the same before a member that lacks few asks for a sync; news should have spread
-    /// by then.
+    /// How long the view must differ from all peers' before a member that lacks few requests a sync; gossip normally
+    /// resolves the difference earlier.
     pub sync_after_disagreement: Duration,
-    /// Sync requests answered between two ticks; who gets no answer asks another member.
+    /// Maximum number of sync requests replied to per tick; a requester without a reply tries another member.
     pub sync_replies_a_tick: usize,
 }
 
@@ -63,11 +62,9 @@
 }
 
 impl MembershipSettings {
-    /// Bounds for a fleet whose members replace each other within seconds.
+    /// Returns settings for a fleet whose members are replaced within seconds.
     ///
-    /// Seeds are asked at each tick. A daemon that knows nobody admits no request of a tenant with a rate, and after a
-    /// loss of all daemons the seeds come up at any time (one day on 61 daemons: 412 requests refused for it in the second
-    /// after the start where this was 400 ms). Seeds that are down cost nothing, and one that answers ends it.
+    /// Seeds get a join at each tick: a daemon without peers refuses requests of rate-limited tenants.
     pub fn quick() -> Self {
         Self {
             join_every: Duration::ZERO,
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,38 +1,38 @@
-//! The view that the rest of a daemon reads.
+//! Read-only view of the membership for the rest of the daemon.
 
 use harrierward_wire::ServiceBacklog;
 use rand::Rng;
 use rand::seq::SliceRandom;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A member as others see it.
+/// A present member, with what it last announced of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Member id.
+    /// Id, different for each daemon instance.
     pub id: String,
-    /// HTTP address for peers.
+    /// HTTP address for requests of peers, `host:port`.
     pub peer_address: String,
-    /// Zone.
+    /// Zone, as configured at the member.
     pub zone: String,
-    /// Region.
+    /// Region, as configured at the member.
     pub region: String,
-    /// Said that it leaves.
+    /// The member announced that it leaves.
     pub leaving: bool,
-    /// Said that it cannot reach the store while others can.
+    /// The member announced that it can't reach the store while others can.
     pub detached: bool,
-    /// Batch work left at its shards.
+    /// Batch work left at the member's shards, by service.
     pub backlog: Vec<ServiceBacklog>,
 }
 
-/// Members that are alive or suspected, in order of id; the daemon itself among them.
+/// Members that are alive, suspected or leaving, including the daemon itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MembershipView {
-    /// The members.
+    /// Members, sorted by id.
     pub members: Vec<Member>,
 }
 
 impl MembershipView {
-    /// One member.
+    /// Returns the member with this id; `None` if it isn't present.
     pub fn member(&self, id: &str) -> Option<&Member> {
         self.members
             .binary_search_by(|member| member.id.as_str().cmp(id))
@@ -40,7 +40,7 @@
             .map(|index| &self.members[index])
     }
 
-    /// How many members this view has that `before` had not, and how many it has lost.
+    /// Returns how many members were added and how many were removed since `before`.
     pub fn changes_since(&self, before: &Self) -> (usize, usize) {
         let missing_in = |one: &Self, other: &Self| {
             let missing = one.members.iter();
@@ -51,15 +51,15 @@
         (missing_in(self, before), missing_in(before, self))
     }
 
-    /// The same for all views that hold the same members.
+    /// Returns a digest of the member ids, independent of order, incarnations and states.
     pub fn digest(&self) -> u64 {
         let hashes = self.members.iter();
         let hashes = hashes.map(|member| xxh3_64(member.id.as_bytes()));
         hashes.fold(0, |digest, hash| digest ^ hash)
     }
 
-    /// The members but `own`, those of a zone first, then those of its region, else in random order: daemons that need the same of some member
-    /// must not all ask the same one.
+    /// Returns all members except `own`: those of the zone first, then those of the region. The order is random within
+    /// each class, so that daemons don't all send the same request to one member.
     pub fn others_nearest_first(
         &self,
         own: &str,
@@ -74,7 +74,7 @@
         others
     }
 
-    /// Ids of members that may own something: not those that leave.
+    /// Returns the members that may own resources: all that aren't leaving.
     pub fn staying(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|member| !member.leaving)
     }
