--- a/crates/membership/src/core/mod.rs
+++ b/crates/membership/src/core/mod.rs
@@ -33,7 +33,7 @@
 
 /// The sender's configuration status, carried by each datagram.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ConfigWord {
+pub struct ConfigStatus {
     /// Configuration revision in use; 0 before the first one.
     pub revision: u64,
     /// Time since the revision was last proven to be the newest; `None` without a proof.
@@ -42,14 +42,14 @@
 
 /// The status that a peer reported in a datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ReceivedWord {
+pub struct PeerReport {
     /// Id of the sender.
     pub from: String,
     /// Configuration status of the sender.
-    pub word: ConfigWord,
+    pub config: ConfigStatus,
     /// When this member sent the probe that the datagram acknowledges: the report was made after that time.
     /// `None` if it acknowledges no pending probe, and may have been delayed for any time.
-    pub answers_probe_of: Option<Duration>,
+    pub probe_sent_at: Option<Duration>,
     /// Ids of jobs that the peer reported as cancelled.
     pub cancelled_jobs: Vec<String>,
 }
@@ -100,7 +100,7 @@
     probe_order: Vec<String>,
     next_probe_number: u64,
     next_probe_at: Duration,
-    config: ConfigWord,
+    config: ConfigStatus,
     cancelled_jobs: Vec<String>,
     /// Dead members to probe soon: another one has replied, so a network partition may have healed.
     dead_to_probe: Vec<String>,
@@ -166,7 +166,7 @@
             probe_order: Vec::new(),
             next_probe_number: 1,
             next_probe_at: Duration::ZERO,
-            config: ConfigWord::default(),
+            config: ConfigStatus::default(),
             cancelled_jobs: Vec::new(),
             dead_to_probe: Vec::new(),
             rejoin: RejoinState::default(),
@@ -216,7 +216,7 @@
     }
 
     /// Returns datagrams that carry the current configuration status to `count` random members.
-    pub fn spread_config(&mut self, count: usize, random: &mut impl Rng) -> Vec<Action> {
+    pub fn gossip_config(&mut self, count: usize, random: &mut impl Rng) -> Vec<Action> {
         let others: Vec<String> = self
             .members
             .values()
@@ -236,7 +236,7 @@
     }
 
     /// Sets the configuration status that later datagrams carry.
-    pub fn set_config(&mut self, config: ConfigWord) {
+    pub fn set_config(&mut self, config: ConfigStatus) {
         self.config = config;
     }
 
@@ -252,15 +252,15 @@
     }
 
     /// Returns the number of suspected or dead members that didn't announce a leave, and the number of all known members.
-    pub fn troubled(&self) -> (usize, usize) {
+    pub fn unhealthy_counts(&self) -> (usize, usize) {
         let is_unhealthy = |entry: &&MemberEntry| {
             matches!(
                 state_of(&entry.record),
                 MemberState::Suspect | MemberState::Dead
             ) && !entry.left
         };
-        let troubled = self.members.values().filter(is_unhealthy).count();
-        (troubled, self.members.len())
+        let unhealthy = self.members.values().filter(is_unhealthy).count();
+        (unhealthy, self.members.len())
     }
 
     /// Announces the batch work left at this member's shards, if it changed.
--- a/crates/membership/src/core/probes.rs
+++ b/crates/membership/src/core/probes.rs
@@ -84,11 +84,11 @@
         let Some(entry) = self.members.get(id) else {
             return;
         };
-        let troubled = matches!(
+        let is_refutable = matches!(
             state_of(&entry.record),
             MemberState::Suspect | MemberState::Dead
         );
-        if troubled && !datagram.records.contains(&entry.record) {
+        if is_refutable && !datagram.records.contains(&entry.record) {
             datagram.records.push(entry.record.clone());
         }
     }
--- a/crates/membership/src/core/receive.rs
+++ b/crates/membership/src/core/receive.rs
@@ -4,11 +4,11 @@
 
 use harrierward_wire::{Datagram, DatagramKind, MemberRecord};
 
-use super::{Action, ConfigWord, IndirectProbe, MembershipCore, ReceivedWord, Source};
+use super::{Action, ConfigStatus, IndirectProbe, MembershipCore, PeerReport, Source};
 
 impl MembershipCore {
     /// Handles a datagram; returns the replies to send and the sender's report.
-    pub fn receive(&mut self, datagram: &Datagram, now: Duration) -> (Vec<Action>, ReceivedWord) {
+    pub fn receive(&mut self, datagram: &Datagram, now: Duration) -> (Vec<Action>, PeerReport) {
         let kind = DatagramKind::try_from(datagram.kind);
         let mut actions = Vec::new();
         if matches!(kind, Ok(DatagramKind::SyncReply)) {
@@ -31,11 +31,11 @@
             .probes
             .iter()
             .find(|probe| probe.number == datagram.probe);
-        let word = ReceivedWord {
+        let report = PeerReport {
             from: datagram.from.clone(),
-            answers_probe_of: acknowledged.filter(|_| is_ack).map(|probe| probe.sent_at),
+            probe_sent_at: acknowledged.filter(|_| is_ack).map(|probe| probe.sent_at),
             cancelled_jobs: datagram.cancelled_jobs.clone(),
-            word: ConfigWord {
+            config: ConfigStatus {
                 revision: datagram.config_revision,
                 proof_age: datagram
                     .config_age_ms
@@ -52,7 +52,7 @@
             Ok(DatagramKind::SyncReply | DatagramKind::SyncReturn) | Err(_) => Vec::new(),
         });
         actions.extend(self.consider_sync(datagram, now));
-        (actions, word)
+        (actions, report)
     }
 
     fn handle_ping(&mut self, ping: &Datagram) -> Vec<Action> {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -7,6 +7,6 @@
 mod settings;
 mod view;
 
-pub use crate::core::{Action, ConfigWord, MembershipCore, ReceivedWord};
+pub use crate::core::{Action, ConfigStatus, MembershipCore, PeerReport};
 pub use settings::MembershipSettings;
 pub use view::{Member, MembershipView};
--- a/crates/node/src/cancel_task.rs
+++ b/crates/node/src/cancel_task.rs
@@ -175,7 +175,7 @@
 pub(crate) async fn run_confirm(shared: Arc<Shared>) {
     loop {
         let now = shared.now();
-        let (troubled, known) = lock(&shared.membership).troubled();
+        let (troubled, known) = lock(&shared.membership).unhealthy_counts();
         let missing = troubled * MISSING_ONE_IN > known;
         let wants = lock(&shared.assurance).wants_table(now);
         if (wants || missing) && confirm(&shared).await {
--- a/crates/node/src/config_task.rs
+++ b/crates/node/src/config_task.rs
@@ -7,7 +7,7 @@
 use harrierward_config::{
     ASK_POLLER_AFTER, ASK_POLLER_EVERY, Adoption, Observation, POLLERS_A_ZONE,
 };
-use harrierward_membership::ReceivedWord;
+use harrierward_membership::PeerReport;
 use harrierward_routing::rank_by_rendezvous;
 use harrierward_wire::{
     ConfigDeltaReply, ConfigDeltaRequest, PeerRequest, peer_reply, peer_request,
@@ -26,10 +26,10 @@
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A peer's word came with a heartbeat.
-pub(crate) fn heard(shared: &Arc<Shared>, received: &ReceivedWord, now: Duration) {
-    let word = received.word;
+pub(crate) fn heard(shared: &Arc<Shared>, received: &PeerReport, now: Duration) {
+    let word = received.config;
     // The age counts from the sending of the probe: the answer may have waited since, but not longer.
-    let age = received.answers_probe_of.zip(word.proof_age);
+    let age = received.probe_sent_at.zip(word.proof_age);
     let age = age.map(|(sent_at, age)| now.saturating_sub(sent_at) + age);
     let observation = lock(&shared.config_replica).observe(now, word.revision, age);
     if observation == Observation::Behind {
--- a/crates/node/src/membership_task.rs
+++ b/crates/node/src/membership_task.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use harrierward_config::CONFIG_FAN_OUT;
-use harrierward_membership::{Action, ConfigWord};
+use harrierward_membership::{Action, ConfigStatus};
 use harrierward_wire::{Datagram, NodeDatagram, ServiceBacklog, decode, encode, node_datagram};
 use tokio::time::sleep;
 
@@ -47,9 +47,9 @@
     actions
 }
 
-fn config_word(shared: &Arc<Shared>, now: Duration) -> ConfigWord {
+fn config_word(shared: &Arc<Shared>, now: Duration) -> ConfigStatus {
     let replica = lock(&shared.config_replica);
-    ConfigWord {
+    ConfigStatus {
         revision: replica.revision(),
         proof_age: replica.proof_age(now),
     }
@@ -73,7 +73,7 @@
     let actions = {
         let mut membership = lock(&shared.membership);
         membership.set_config(config);
-        shared.with_random(|random| membership.spread_config(CONFIG_FAN_OUT, random))
+        shared.with_random(|random| membership.gossip_config(CONFIG_FAN_OUT, random))
     };
     let shared = shared.clone();
     tokio::spawn(async move { send_all(&shared, actions).await });
@@ -137,7 +137,7 @@
         }
         received
     };
-    if let Some(sent_at) = word.answers_probe_of {
+    if let Some(sent_at) = word.probe_sent_at {
         lock(&shared.assurance).peer_answered(sent_at);
     }
     cancel_task::heard(shared, &word.cancelled_jobs);
