--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -130,8 +130,8 @@
         };
         let mut bounds = MembershipSettings::quick();
         if !settings.policy.has(Mechanism::ViewSync) {
-            bounds.sync_catch_up_every = Duration::MAX;
-            bounds.sync_after_disagreement = Duration::MAX;
+            bounds.sync_catch_up_interval = Duration::MAX;
+            bounds.disagreement_timeout = Duration::MAX;
         }
         let core = MembershipCore::new(bounds, own).with_seeds(settings.seeds.clone());
         let state = State {
--- a/crates/membership/src/core/probes.rs
+++ b/crates/membership/src/core/probes.rs
@@ -20,7 +20,7 @@
             .retain(|_, relayed| now.saturating_sub(relayed.sent_at) < direct);
         self.probe_dead(now, random, &mut actions);
         if now >= self.next_probe_at {
-            self.next_probe_at = now + self.settings.probe_every;
+            self.next_probe_at = now + self.settings.probe_interval;
             self.probe_next(now, random, &mut actions);
         }
         actions
@@ -28,7 +28,7 @@
 
     /// Probes dead members after a partition has healed, so that they learn of their state and refute it.
     fn probe_dead(&mut self, now: Duration, random: &mut impl Rng, actions: &mut Vec<Action>) {
-        for _ in 0..self.settings.revivals_a_tick {
+        for _ in 0..self.settings.dead_probes_per_tick {
             if self.dead_to_probe.is_empty() {
                 return;
             }
@@ -189,19 +189,19 @@
 
     /// Returns the time that a suspected member has to refute; gossip takes longer in a larger fleet.
     #[allow(clippy::cast_precision_loss)]
-    fn suspicion(&self) -> Duration {
+    fn suspicion_timeout(&self) -> Duration {
         let factor = (self.members.len() as f64).log10().max(1.0);
-        self.settings.suspicion.mul_f64(factor)
+        self.settings.suspicion_timeout.mul_f64(factor)
     }
 
     fn check_suspicions(&mut self, now: Duration) {
-        let suspicion = self.suspicion();
+        let suspicion_timeout = self.suspicion_timeout();
         let expired: Vec<MemberRecord> = self
             .members
             .values()
             .filter(|entry| {
                 state_of(&entry.record) == MemberState::Suspect
-                    && now.saturating_sub(entry.state_since) >= suspicion
+                    && now.saturating_sub(entry.state_since) >= suspicion_timeout
             })
             .map(|entry| entry.record.clone())
             .collect();
@@ -213,11 +213,11 @@
     }
 
     fn forget_dead(&mut self, now: Duration) {
-        let forget_dead = self.settings.forget_dead;
+        let dead_retention = self.settings.dead_retention;
         let rejoin = &mut self.rejoin;
         self.members.retain(|_, entry| {
-            let is_over = now.saturating_sub(entry.state_since) >= forget_dead;
-            let kept = entry.is_present() || !is_over;
+            let is_expired = now.saturating_sub(entry.state_since) >= dead_retention;
+            let kept = entry.is_present() || !is_expired;
             if !kept && entry.may_return() {
                 rejoin.remember(entry.record.udp_address.clone(), now);
             }
--- a/crates/membership/src/core/rejoin.rs
+++ b/crates/membership/src/core/rejoin.rs
@@ -91,7 +91,7 @@
     }
 
     fn join_seeds_if_alone(&mut self, now: Duration) -> Vec<Action> {
-        let interval = self.settings.join_every;
+        let interval = self.settings.join_interval;
         let joined_at = self.rejoin.seeds_joined_at;
         let is_due = joined_at.is_none_or(|at| now.saturating_sub(at) >= interval);
         if !is_due || self.view_size() > 1 {
--- a/crates/membership/src/core/sync.rs
+++ b/crates/membership/src/core/sync.rs
@@ -78,9 +78,9 @@
             .map_or(Duration::MAX, |at| now.saturating_sub(at));
         let large_gap = (peer_size / LARGE_GAP_DIVISOR).max(MIN_LARGE_GAP);
         if peer_size >= own_size + large_gap {
-            return since_request >= self.settings.sync_catch_up_every;
+            return since_request >= self.settings.sync_catch_up_interval;
         }
-        let timeout = self.settings.sync_after_disagreement;
+        let timeout = self.settings.disagreement_timeout;
         let disagreed_for = now.saturating_sub(self.sync.agreed_at.max(self.last_request_at()));
         // Members that lack the same one have equal digests, so agreement with one peer doesn't prove a complete view.
         let unchanged_for = now.saturating_sub(self.sync.size_since);
@@ -98,7 +98,7 @@
         let Some(address) = self.address(&request.from) else {
             return Vec::new();
         };
-        if self.sync.replies_since_tick >= self.settings.sync_replies_a_tick {
+        if self.sync.replies_since_tick >= self.settings.sync_replies_per_tick {
             return Vec::new();
         }
         self.sync.replies_since_tick += 1;
