--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,8 +1,7 @@
-//! Copies of the store's spaces: kept up to date by a watch, and handed from daemon to daemon within a zone.
+//! Copies of the store's spaces: kept up to date by watches, and relayed between the daemons of a zone.
 //!
-//! Why handed on: where each daemon reads the store for itself, its bytes grow with daemons x rows. In a zone with many
-//! daemons few of them read the store, and the others follow them along a [tree](RelayTree). What a daemon is told
-//! carries the age of its proof, so that nobody takes old rows for new ones, whoever it asks.
+//! In a large zone few daemons read the store, and the others follow them along a [tree](RelayTree), so that the store's
+//! traffic doesn't grow with daemons x rows. Each reply carries the age of its freshness proof.
 
 mod pace;
 mod peer_copies;
--- a/crates/relay/src/pace.rs
+++ b/crates/relay/src/pace.rs
@@ -1,38 +1,37 @@
-//! How often daemons ask the store, so that all of them together stay within its rates.
+//! Minimum intervals between requests to the store, which keep the whole fleet within the store's rates.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Least time between two answers that bring changes, asked anew each time: it grows with the fleet.
+/// Returns the minimum time between two responses with changes; evaluated after each, since it grows with the fleet.
 pub type WatchPace = Arc<dyn Fn() -> Duration + Send + Sync>;
 
-/// Least time between two whole reads of a space, by the calls that one takes.
+/// Returns the minimum time between two full reads of a space, given the number of calls of one read.
 pub type WholeReadPace = Arc<dyn Fn(usize) -> Duration + Send + Sync>;
 
-/// A pace for whole reads of a space that is small whatever the fleet's size.
+/// Returns a pace without a minimum, for spaces whose size doesn't grow with the fleet.
 pub fn unpaced_reads() -> WholeReadPace {
     Arc::new(|_| Duration::ZERO)
 }
 
-/// A pace for changes that must be known at once, and come seldom.
+/// Returns a pace without a minimum, for rare changes that must be applied at once.
 pub fn unpaced() -> WatchPace {
     Arc::new(|| Duration::ZERO)
 }
 
-/// Share of the store's reads that one space's changes may take, of all daemons together.
-const READ_SHARE: f64 = 0.02;
+/// Part of the store's read rate that the changes of one space may use, for all daemons together.
+const CHANGES_SHARE: f64 = 0.02;
 
-/// Longest time for which changes are gathered: results are read about twice a second and are due in many seconds,
-/// and an end must be known to all within seconds.
-const LONGEST_INTERVAL: Duration = Duration::from_millis(800);
+/// Maximum coalescing interval: a cancellation must reach all daemons within seconds.
+const MAX_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Share of the store's reads that the whole reads of one space may take.
-const WHOLE_READ_SHARE: f64 = 0.01;
+/// Part of the store's read rate that the full reads of one space may use, for all daemons together.
+const FULL_READ_SHARE: f64 = 0.01;
 
-/// Time between two whole reads of a space that take `calls` calls each, so that all `daemons` together stay within
-/// their share of the store's reads a second.
+/// Returns the time between two full reads of `calls` calls each that keeps all `daemons` together within their part of
+/// the store's read rate; zero if the rate is zero.
 pub fn whole_read_interval(daemons: usize, calls: usize, reads_a_second: f64) -> Duration {
-    let allowed = reads_a_second * WHOLE_READ_SHARE;
+    let allowed = reads_a_second * FULL_READ_SHARE;
     if allowed <= 0.0 {
         return Duration::ZERO;
     }
@@ -41,14 +40,14 @@
     Duration::from_secs_f64(seconds)
 }
 
-/// Least time between two answers of one watch, so that all `daemons` together, which each change wakes, stay
-/// within their share of the store's reads a second.
+/// Returns the time for which a watch coalesces changes, so that all `daemons` together, each of which a change wakes,
+/// stay within their part of the store's read rate; zero if the rate is zero.
 pub fn gathering_interval(daemons: usize, reads_a_second: f64) -> Duration {
-    let allowed = reads_a_second * READ_SHARE;
+    let allowed = reads_a_second * CHANGES_SHARE;
     if allowed <= 0.0 {
         return Duration::ZERO;
     }
     #[allow(clippy::cast_precision_loss)]
     let seconds = daemons as f64 / allowed;
-    Duration::from_secs_f64(seconds.min(LONGEST_INTERVAL.as_secs_f64()))
+    Duration::from_secs_f64(seconds.min(MAX_INTERVAL.as_secs_f64()))
 }
--- a/crates/relay/src/peer_copies.rs
+++ b/crates/relay/src/peer_copies.rs
@@ -1,4 +1,4 @@
-//! Questions to peers for their copies of a space.
+//! Requests to peers for their copies of a space.
 
 use std::time::Duration;
 
@@ -8,35 +8,35 @@
 use crate::sources::SourceFailure;
 use crate::tree::RelayPeer;
 
-/// A question for what is new of a space.
+/// A long poll for the changes of a space.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SpaceAsk {
-    /// Space.
+    /// Name of the space in the store.
     pub space: String,
-    /// Revision of the asker's copy; 0 if it has none, and wants all rows.
+    /// Revision of the requester's copy; 0 requests all rows.
     pub after: u64,
-    /// How long the peer may hold the question until it has something new.
+    /// How long the peer may hold the request until it has updates.
     pub hold: Duration,
-    /// Age of the proof of the asker's copy; `None` if it has none.
+    /// Age of the freshness proof of the requester's copy; `None` if it has none.
     pub known_age: Option<Duration>,
 }
 
-/// What came of a question.
+/// Outcome of a request to a peer.
 #[derive(Debug)]
 pub enum PeerAnswer {
-    /// Changes, or all rows for an asker that has none.
+    /// Changes, or all rows for a requester without a copy.
     Page(ChangePage),
     /// The peer has no copy yet.
     NotReady,
-    /// The peer no longer knows the changes that were asked for.
+    /// The peer's history no longer covers the requested changes.
     HistoryLost,
-    /// No answer that can be used, and its cause.
+    /// No usable reply: the kind of failure, and its cause for the decision log.
     Failed(SourceFailure, String),
 }
 
-/// The way to peers.
+/// Transport of requests to peers.
 #[async_trait]
 pub trait PeerCopies: Send + Sync {
-    /// Asks a peer. The wait is bounded by the implementation, a little longer than the question may be held.
+    /// Requests a peer's copy. The implementation must time out shortly after the request's hold time.
     async fn ask(&self, peer: &RelayPeer, ask: SpaceAsk) -> PeerAnswer;
 }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! The store's spaces as a daemon reads them: at the store, or from the copy of a peer of its zone.
+//! Reads of the store's spaces, from the store or from the copy of a peer in the zone.
 
 mod reading;
 
@@ -15,14 +15,13 @@
 use crate::sources::{RelayMode, Source, SourceFailure, Sources};
 use crate::tree::RelayPeer;
 
-/// How long a peer holds a question: the age of what it tells grows by no more on the way.
-pub(crate) const HOLD: Duration = Duration::from_secs(1);
+/// Maximum time for which a peer holds a request; bounds how much the proof ages per step down the tree.
+pub(crate) const MAX_HOLD: Duration = Duration::from_secs(1);
 
-/// Least time between two questions of one space after one that brought changes: what is gathered meanwhile comes at once, on
-/// each of the few steps down the tree.
-const RELAYED_INTERVAL: Duration = Duration::from_millis(200);
+/// Coalescing interval of followers and readers; changes in between are relayed together at each step of the tree.
+const RELAY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Where the spaces are read, and the copies that were read.
+/// A table that reads spaces along the zone's tree, with a shared copy of each space.
 pub struct Relay {
     store: Arc<dyn WatchedTable>,
     peers: Arc<dyn PeerCopies>,
@@ -33,19 +32,19 @@
 
 struct State {
     sources: Sources,
-    /// Who answered last, by space: empty for the store.
-    answered_by: HashMap<String, String>,
-    /// When a peer last answered, by space.
-    peer_answered_at: HashMap<String, Instant>,
-    /// Spaces and sources whose failure was told, and that have not served since.
+    /// Id of the last source by space; empty for the store.
+    last_source: HashMap<String, String>,
+    /// Time of the last reply of a peer, by space.
+    last_peer_reply: HashMap<String, Instant>,
+    /// Spaces and sources whose failure was logged and that haven't replied since.
     failing: HashSet<(String, Source)>,
-    /// Until when a space that was never read waits for peers.
-    patience: HashMap<String, Instant>,
+    /// Until when a space without a copy waits for starting peers.
+    start_deadlines: HashMap<String, Instant>,
     logged_mode: Option<(RelayMode, bool)>,
 }
 
 impl Relay {
-    /// The spaces of a daemon that knows nobody yet.
+    /// Creates a relay without known members.
     pub fn new(
         own: &str,
         store: Arc<dyn WatchedTable>,
@@ -60,10 +59,10 @@
             spaces: spaces.collect(),
             state: Mutex::new(State {
                 sources: Sources::new(own, harrierward_clock::now()),
-                answered_by: HashMap::new(),
-                peer_answered_at: HashMap::new(),
+                last_source: HashMap::new(),
+                last_peer_reply: HashMap::new(),
                 failing: HashSet::new(),
-                patience: HashMap::new(),
+                start_deadlines: HashMap::new(),
                 logged_mode: None,
             }),
             log,
@@ -74,12 +73,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The copy of a space; `None` for one that is not handed on.
+    /// Returns the shared copy of a space; `None` if the space isn't relayed.
     pub fn space(&self, space: &str) -> Option<&Arc<SharedSpace>> {
         self.spaces.get(space)
     }
 
-    /// Takes the members of the own zone that may be followed, and the size of the fleet.
+    /// Updates the members of the own zone that may be followed, and the number of members of the whole fleet.
     pub fn set_members(&self, zone: &[RelayPeer], fleet: usize) {
         let now = harrierward_clock::now();
         let mut state = self.lock();
@@ -110,44 +109,43 @@
         self.lock().sources.mode(harrierward_clock::now())
     }
 
-    /// True if spaces come along the zone's tree.
+    /// True if spaces are read along the zone's tree.
     pub fn is_relaying(&self) -> bool {
         self.mode() == RelayMode::Relayed
     }
 
-    /// True if a space comes from a peer at present.
+    /// True if a peer sent the last update of a space.
     pub fn is_follower(&self, space: &str) -> bool {
         let state = self.lock();
-        let by = state.answered_by.get(space);
+        let by = state.last_source.get(space);
         by.is_some_and(|by| !by.is_empty())
     }
 
-    /// Least time between two answers with changes, if the fleet's size does not tell it: for followers, and for who reads for
-    /// them.
+    /// Returns the coalescing interval of followers and of the zone's reader; `None` if it depends on the fleet's size.
     pub fn interval(&self, space: &str) -> Option<Duration> {
         let is_reader = self.is_relaying() && self.lock().sources.is_reader();
-        (is_reader || self.is_follower(space)).then_some(RELAYED_INTERVAL)
+        (is_reader || self.is_follower(space)).then_some(RELAY_INTERVAL)
     }
 
-    fn note_answer(&self, space: &str, source: &Source) {
+    fn note_success(&self, space: &str, source: &Source) {
         let name = match source {
             Source::Store => "",
             Source::Peer(peer) => &peer.id,
         };
         let before = {
             let mut state = self.lock();
-            state.patience.remove(space);
+            state.start_deadlines.remove(space);
             if !state.failing.is_empty() {
                 state.failing.remove(&(space.to_owned(), source.clone()));
             }
             if matches!(source, Source::Peer(_)) {
                 let now = harrierward_clock::now();
-                state.peer_answered_at.insert(space.to_owned(), now);
+                state.last_peer_reply.insert(space.to_owned(), now);
             }
-            if state.answered_by.get(space).is_some_and(|by| by == name) {
+            if state.last_source.get(space).is_some_and(|by| by == name) {
                 return;
             }
-            let before = state.answered_by.insert(space.to_owned(), name.to_owned());
+            let before = state.last_source.insert(space.to_owned(), name.to_owned());
             if before.is_none() && name.is_empty() {
                 return;
             }
@@ -176,7 +174,7 @@
         self.peers.ask(peer, ask).await
     }
 
-    /// Revision and age of the own copy.
+    /// Returns the revision of the own copy, and the age of its proof.
     fn known(&self, space: &str) -> (u64, Option<Duration>) {
         let Some(shared) = self.space(space) else {
             return (0, None);
@@ -187,12 +185,12 @@
 
     fn note_failure(&self, space: &str, source: &Source, failure: SourceFailure, cause: &str) {
         let now = harrierward_clock::now();
-        let is_news = {
+        let is_new = {
             let mut state = self.lock();
             state.sources.note_failure(source, failure, now);
             state.failing.insert((space.to_owned(), source.clone()))
         };
-        if !is_news {
+        if !is_new {
             return;
         }
         self.log.record(&Record::SpaceSourceFailed {
--- a/crates/relay/src/relay/reading.rs
+++ b/crates/relay/src/relay/reading.rs
@@ -1,4 +1,4 @@
-//! Whole reads and questions for changes, from one source after the other.
+//! Full reads and requests for changes, tried at one source after the other.
 
 use std::time::Duration;
 
@@ -13,58 +13,56 @@
 use crate::sources::{RelayMode, Source, SourceFailure};
 use crate::tree::RelayPeer;
 
-use super::{HOLD, Relay};
+use super::{MAX_HOLD, Relay};
 
-/// Age of a peer's proof from which on the store is asked: twice what a reader in good order reaches between two answers, and
-/// less than half of the least time without contact that the users' large sites allow.
-const OLD_PROOF: Duration = Duration::from_millis(2_500);
+/// Age above which a peer's proof counts as a failure of the peer, so that the next request goes to the store.
+const MAX_PROOF_AGE: Duration = Duration::from_millis(2_500);
 
-/// Rows read of a space before the members are known: what is larger waits until it is clear who reads it for whom.
-const FIRST_LOOK_ROWS: usize = 128;
+/// Maximum number of rows read before the members are known; reads of larger spaces wait for the relay mode.
+const FIRST_PAGE_ROWS: usize = 128;
 
-/// Pause between two looks at the members.
-const SETTLE_LOOK: Duration = Duration::from_millis(20);
+/// Interval of polls for the relay mode.
+const MODE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a daemon that starts waits for peers that start as well, before it reads the store for itself, and over how much
-/// longer such daemons are spread. It covers the way of all rows down a tree of small machines.
-const START_PATIENCE: Duration = Duration::from_secs(6);
-const START_SPREAD: Duration = Duration::from_secs(6);
+/// How long a starting daemon waits for starting peers before it reads the store itself.
+const START_TIMEOUT: Duration = Duration::from_secs(6);
+/// Jitter added to the timeout, against a thundering herd of starting daemons at the store.
+const START_JITTER: Duration = Duration::from_secs(6);
 
-/// How long after a peer's last answer a follower leaves it to peers to find what a forgotten history held.
-const HISTORY_OF_PEERS: Duration = Duration::from_secs(5);
+/// How long after a peer's last reply a follower ignores a lost history of the store and relies on peers.
+const PEER_HISTORY_WINDOW: Duration = Duration::from_secs(5);
 
 impl Relay {
-    /// Waits until the members are known well enough to tell how spaces are read.
-    async fn settled(&self) -> RelayMode {
+    /// Waits until the relay mode is known, and returns it.
+    async fn settled_mode(&self) -> RelayMode {
         loop {
             let mode = self.mode();
             if mode != RelayMode::Unsettled {
                 return mode;
             }
-            sleep(SETTLE_LOOK).await;
+            sleep(MODE_POLL_INTERVAL).await;
         }
     }
 
-    /// A first page of a daemon that does not know its fleet yet. A space that is small is read; of a larger one the page counts
-    /// only if the daemon then reads for itself.
-    async fn first_look(
+    /// Reads the first page while the relay mode is unknown. The page of a larger space is used only in direct mode.
+    async fn read_first_page(
         &self,
         space: &str,
         start: PageStart<'_>,
     ) -> Result<SpacePage, PlatformError> {
-        let look = PageStart {
-            most_rows: FIRST_LOOK_ROWS,
+        let first = PageStart {
+            most_rows: FIRST_PAGE_ROWS,
             ..start
         };
-        let page = self.store.read_page(space, look).await?;
-        if page.next.is_none() || self.settled().await == RelayMode::Direct {
+        let page = self.store.read_page(space, first).await?;
+        if page.next.is_none() || self.settled_mode().await == RelayMode::Direct {
             return Ok(page);
         }
-        self.read_whole(space, start).await
+        self.read_full(space, start).await
     }
 
-    /// Reads a whole space along the zone's tree, or the next page of it at the store.
-    async fn read_whole(
+    /// Reads a full space from a peer, or its next page from the store.
+    async fn read_full(
         &self,
         space: &str,
         start: PageStart<'_>,
@@ -74,7 +72,7 @@
         let sources = self.lock().sources.for_whole_read(has_copy, now);
         for source in sources {
             let Source::Peer(peer) = &source else {
-                self.note_answer(space, &source);
+                self.note_success(space, &source);
                 return self.store.read_page(space, start).await;
             };
             let is_followed = self
@@ -83,14 +81,18 @@
                 .followed(harrierward_clock::now())
                 .as_ref()
                 == Some(peer);
-            let hold = if is_followed { HOLD } else { Duration::ZERO };
+            let hold = if is_followed {
+                MAX_HOLD
+            } else {
+                Duration::ZERO
+            };
             match self.ask(space, 0, peer, hold).await {
                 PeerAnswer::Page(page) => {
-                    self.note_answer(space, &source);
-                    return Ok(whole_page(page));
+                    self.note_success(space, &source);
+                    return Ok(full_page(page));
                 }
-                // Its followers would all go to its own source at once, which it will have served first.
-                PeerAnswer::NotReady if is_followed && self.has_patience(space) => {
+                // Avoids that all followers of a starting peer move to the peer's own source at once.
+                PeerAnswer::NotReady if is_followed && self.may_wait_for_peers(space) => {
                     return Err(starting(peer));
                 }
                 PeerAnswer::NotReady | PeerAnswer::HistoryLost => {}
@@ -102,16 +104,16 @@
         self.store.read_page(space, start).await
     }
 
-    /// True for as long as a space that was never read may wait for peers that start as well.
-    fn has_patience(&self, space: &str) -> bool {
+    /// True while a space without a copy may wait for starting peers.
+    fn may_wait_for_peers(&self, space: &str) -> bool {
         if self.known(space).1.is_some() {
             return true;
         }
         let now = harrierward_clock::now();
         let mut state = self.lock();
-        let until = state.patience.entry(space.to_owned());
+        let until = state.start_deadlines.entry(space.to_owned());
         let until =
-            until.or_insert_with(|| now + START_PATIENCE + START_SPREAD.mul_f64(rand::random()));
+            until.or_insert_with(|| now + START_TIMEOUT + START_JITTER.mul_f64(rand::random()));
         now < *until
     }
 
@@ -126,16 +128,16 @@
         let mut failed = None;
         for source in sources {
             let answer = match &source {
-                Source::Store => self.changes_of_store(space, after, wait, is_alone).await,
-                Source::Peer(peer) => self.changes_of_peer(space, after, peer).await,
+                Source::Store => self.store_changes(space, after, wait, is_alone).await,
+                Source::Peer(peer) => self.peer_changes(space, after, peer).await,
             };
             match answer {
                 Ok(page) => {
-                    self.note_answer(space, &source);
+                    self.note_success(space, &source);
                     return Ok(page);
                 }
                 Err(error) if error.kind == PlatformErrorKind::HistoryLost => {
-                    if source != Source::Store || !self.leaves_history_to_peers(space) {
+                    if source != Source::Store || !self.relies_on_peer_history(space) {
                         return Err(error);
                     }
                     let kind = PlatformErrorKind::NotDone;
@@ -147,25 +149,25 @@
         Err(failed.unwrap_or_else(|| no_source(space)))
     }
 
-    /// True if the store's word that it has forgotten the history is for another daemon to heed: the reader of the zone reads the space
-    /// whole, and its followers hear from it what they lack. All of them would read the store whole else, again and again for as long as
-    /// its reads are stale.
-    fn leaves_history_to_peers(&self, space: &str) -> bool {
+    /// True if a follower ignores the store's lost history, since the zone's reader does the full read and relays the rows.
+    /// Otherwise all followers would repeat full reads while the store's reads are stale.
+    fn relies_on_peer_history(&self, space: &str) -> bool {
         let state = self.lock();
         let is_follower = state.sources.mode(harrierward_clock::now()) == RelayMode::Relayed
             && !state.sources.is_reader();
-        let answered = state.peer_answered_at.get(space);
-        is_follower && answered.is_some_and(|at| harrierward_clock::age(*at) < HISTORY_OF_PEERS)
+        let last_reply = state.last_peer_reply.get(space);
+        is_follower
+            && last_reply.is_some_and(|at| harrierward_clock::age(*at) < PEER_HISTORY_WINDOW)
     }
 
-    async fn changes_of_store(
+    async fn store_changes(
         &self,
         space: &str,
         after: u64,
         wait: Duration,
         is_alone: bool,
     ) -> Result<ChangePage, PlatformError> {
-        let wait = if is_alone { wait } else { wait.min(HOLD) };
+        let wait = if is_alone { wait } else { wait.min(MAX_HOLD) };
         let answer = self.store.wait_changes(space, after, wait).await;
         if let Err(error) = &answer
             && error.kind != PlatformErrorKind::HistoryLost
@@ -177,17 +179,17 @@
         answer
     }
 
-    async fn changes_of_peer(
+    async fn peer_changes(
         &self,
         space: &str,
         after: u64,
         peer: &RelayPeer,
     ) -> Result<ChangePage, PlatformError> {
         let source = Source::Peer(peer.clone());
-        match self.ask(space, after, peer, HOLD).await {
+        match self.ask(space, after, peer, MAX_HOLD).await {
             PeerAnswer::Page(page) => {
                 let age = page.proof.map(|proof| harrierward_clock::age(proof.as_of));
-                if age.is_some_and(|age| age > OLD_PROOF) {
+                if age.is_some_and(|age| age > MAX_PROOF_AGE) {
                     self.note_failure(space, &source, SourceFailure::Behind, "old proof");
                 }
                 Ok(page)
@@ -221,8 +223,8 @@
     PlatformError::new("relay.changes", space, kind, "nobody to ask")
 }
 
-/// A peer's answer to who has nothing, as a page that holds all.
-fn whole_page(page: ChangePage) -> SpacePage {
+/// Converts a peer's reply with all rows into a single page.
+fn full_page(page: ChangePage) -> SpacePage {
     let rows = page.changes.into_iter().filter_map(|change| {
         let value = change.value?;
         Some(Row {
@@ -248,8 +250,10 @@
         start: PageStart<'_>,
     ) -> Result<SpacePage, PlatformError> {
         match self.mode() {
-            RelayMode::Relayed => self.read_whole(space, start).await,
-            RelayMode::Unsettled if start.from.is_empty() => self.first_look(space, start).await,
+            RelayMode::Relayed => self.read_full(space, start).await,
+            RelayMode::Unsettled if start.from.is_empty() => {
+                self.read_first_page(space, start).await
+            }
             RelayMode::Unsettled | RelayMode::Direct => self.store.read_page(space, start).await,
         }
     }
--- a/crates/relay/src/shared_space.rs
+++ b/crates/relay/src/shared_space.rs
@@ -1,4 +1,4 @@
-//! A copy that a watch keeps and peers are answered from.
+//! A copy of a space that a watch updates and that serves long polls of peers.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -7,24 +7,24 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::peer_copies::SpaceAsk;
-use crate::relay::HOLD;
+use crate::relay::MAX_HOLD;
 use crate::space_copy::{SpaceAnswer, SpaceCopy};
 
-/// By how much the proof of the copy must be newer than the asker's to be worth an answer without changes.
-const LEAST_GAIN: Duration = Duration::from_millis(100);
+/// Minimum difference by which a proof must be newer than the requester's to be sent without changes.
+const MIN_PROOF_GAIN: Duration = Duration::from_millis(100);
 
-/// An answer to a peer, and what the peer needs to tell the age of its proof.
+/// A reply to a peer, with the times from which the peer computes the age of its proof.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldAnswer {
-    /// The rows.
+    /// Changes or all rows of the copy.
     pub answer: SpaceAnswer,
-    /// Age of the copy's proof at the moment of the answer.
+    /// Age of the copy's proof when the reply was made.
     pub proof_age: Duration,
-    /// How long the question was held before.
+    /// How long the request was held before the reply.
     pub held: Duration,
 }
 
-/// The copy of one space, and word of each update.
+/// The copy of one space, with notifications of its updates.
 #[derive(Debug)]
 pub struct SharedSpace {
     copy: Mutex<SpaceCopy>,
@@ -41,46 +41,45 @@
 }
 
 impl SharedSpace {
-    /// The copy. No request of a caller waits for it.
+    /// Locks the copy. Must not be used on the path of callers' requests.
     pub fn copy(&self) -> MutexGuard<'_, SpaceCopy> {
         self.copy.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An update was taken, or the copy was proven anew.
+    /// Wakes held requests after an update or a newer proof.
     pub fn notify(&self) {
         self.updates.send_modify(|updates| *updates += 1);
     }
 
-    /// Answers a peer, as soon as there is something new for it or the question was held for long enough; `None` if the space was
-    /// never read.
+    /// Replies to a peer once there are updates for it or the hold time is over; `None` if the space was never read.
     pub async fn answer(&self, ask: &SpaceAsk) -> Option<HeldAnswer> {
-        let asked_at = harrierward_clock::now();
-        self.wait_for_news(ask, asked_at).await;
+        let received_at = harrierward_clock::now();
+        self.wait_for_updates(ask, received_at).await;
         let copy = self.copy();
         Some(HeldAnswer {
             proof_age: harrierward_clock::age(copy.as_of()?),
-            held: harrierward_clock::age(asked_at),
+            held: harrierward_clock::age(received_at),
             answer: copy.answer(ask.after),
         })
     }
 
-    async fn wait_for_news(&self, ask: &SpaceAsk, asked_at: Instant) {
-        let until = Instant::now() + ask.hold.min(HOLD);
+    async fn wait_for_updates(&self, ask: &SpaceAsk, received_at: Instant) {
+        let until = Instant::now() + ask.hold.min(MAX_HOLD);
         let mut updates = self.updates.subscribe();
-        while !self.has_news(ask, asked_at) {
+        while !self.has_news(ask, received_at) {
             if !matches!(timeout_at(until, updates.changed()).await, Ok(Ok(()))) {
                 return;
             }
         }
     }
 
-    fn has_news(&self, ask: &SpaceAsk, asked_at: Instant) -> bool {
+    fn has_news(&self, ask: &SpaceAsk, received_at: Instant) -> bool {
         let copy = self.copy();
         let Some(as_of) = copy.as_of() else {
             return false;
         };
         let known_age = ask.known_age.unwrap_or(Duration::MAX);
-        let known_age = known_age.saturating_add(harrierward_clock::age(asked_at));
-        copy.has_news(ask.after) || harrierward_clock::age(as_of) + LEAST_GAIN < known_age
+        let known_age = known_age.saturating_add(harrierward_clock::age(received_at));
+        copy.has_news(ask.after) || harrierward_clock::age(as_of) + MIN_PROOF_GAIN < known_age
     }
 }
--- a/crates/relay/src/sources.rs
+++ b/crates/relay/src/sources.rs
@@ -1,4 +1,4 @@
-//! Where a daemon reads the store's spaces: at the store itself, or at a peer of its zone. Pure.
+//! Selection of the sources of a daemon's spaces: the store, or peers of its zone. Does no I/O.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,34 +7,34 @@
 
 use crate::tree::{RelayPeer, RelayTree};
 
-/// Members of a zone from which on they read from each other. Below, the store's bytes are few, and each reads for itself.
-const RELAY_FROM: usize = 32;
+/// Zone size from which its members relay spaces; smaller zones read the store directly.
+const RELAY_START_SIZE: usize = 32;
 
-/// Members below which they read for themselves again: a zone at the bound must not go back and forth.
-const RELAY_UNTIL: usize = 24;
+/// Zone size below which its members stop relaying; lower than `RELAY_START_SIZE` for hysteresis.
+const RELAY_STOP_SIZE: usize = 24;
 
-/// Time after the first sight of others in which the rest become known.
-const SETTLE: Duration = Duration::from_millis(1_200);
+/// Time after the first known other member in which the remaining ones become known.
+const SETTLE_TIME: Duration = Duration::from_millis(1_200);
 
-/// Time after which a daemon that has seen nobody takes its zone for a small one.
+/// Time after which a daemon without known members reads the store directly.
 const ALONE_AFTER: Duration = Duration::from_millis(1_000);
 
-/// How long a peer is not asked that did not answer, or could not.
-const SILENT_REST: Duration = Duration::from_secs(3);
+/// Cooldown of an unresponsive peer.
+const UNRESPONSIVE_COOLDOWN: Duration = Duration::from_secs(3);
 
-/// How long a peer is not asked whose copy is old, or that has none yet.
-const BEHIND_REST: Duration = Duration::from_millis(500);
+/// Cooldown of a peer whose copy is old or missing.
+const BEHIND_COOLDOWN: Duration = Duration::from_millis(500);
 
-/// How long a peer is not asked that does not know the question.
-const UNKNOWING_REST: Duration = Duration::from_secs(30);
+/// Cooldown of a peer that doesn't support relay requests.
+const UNSUPPORTED_COOLDOWN: Duration = Duration::from_secs(30);
 
-/// How long the store is passed over after it failed, where others can be asked.
-const STORE_REST: Duration = Duration::from_secs(1);
+/// Cooldown of the store after a failure, while peers can reply.
+const STORE_COOLDOWN: Duration = Duration::from_secs(1);
 
-/// Where spaces are read.
+/// A source of a space's rows.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Source {
-    /// The store.
+    /// The store itself.
     Store,
     /// A peer of the zone.
     Peer(RelayPeer),
@@ -43,76 +43,76 @@
 /// How spaces are read at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayMode {
-    /// Not known yet: the members are not.
+    /// Unknown until the members are known.
     Unsettled,
-    /// At the store.
+    /// From the store.
     Direct,
-    /// Along the zone's tree.
+    /// From peers, along the zone's tree.
     Relayed,
 }
 
 /// Why a source failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SourceFailure {
-    /// No answer, or none that can be read.
+    /// No reply, or an unreadable one.
     Silent,
-    /// Its copy is old, or it has none yet.
+    /// Its copy is too old, or missing.
     Behind,
-    /// It does not know the question: a daemon of an earlier build.
+    /// It doesn't support relay requests, as a daemon of an older build.
     Unknowing,
 }
 
-/// The sources of one daemon.
+/// The relay mode, the tree position and the cooldowns of one daemon.
 #[derive(Debug)]
 pub struct Sources {
     own: String,
     started: Instant,
-    others_since: Option<Instant>,
+    others_known_since: Option<Instant>,
     is_relaying: bool,
     tree: RelayTree,
-    resting: HashMap<String, Instant>,
-    store_rests_until: Option<Instant>,
+    cooldowns: HashMap<String, Instant>,
+    store_cooldown_until: Option<Instant>,
 }
 
 impl Sources {
-    /// The sources of the member `own`, which knows nobody yet.
+    /// Creates the sources of the member `own`, without known members.
     pub fn new(own: &str, started: Instant) -> Self {
         Self {
             own: own.to_owned(),
             started,
-            others_since: None,
+            others_known_since: None,
             is_relaying: false,
             tree: RelayTree::default(),
-            resting: HashMap::new(),
-            store_rests_until: None,
+            cooldowns: HashMap::new(),
+            store_cooldown_until: None,
         }
     }
 
-    /// Takes the members as they are now: those of the own zone that may be followed, and how many there are anywhere.
+    /// Updates the members of the own zone that may be followed, and the number of members of the whole fleet.
     pub fn set_members(&mut self, zone: &[RelayPeer], fleet: usize, now: Instant) {
         if fleet > 1 {
-            self.others_since.get_or_insert(now);
+            self.others_known_since.get_or_insert(now);
         }
-        let least = if self.is_relaying {
-            RELAY_UNTIL
+        let min_members = if self.is_relaying {
+            RELAY_STOP_SIZE
         } else {
-            RELAY_FROM
+            RELAY_START_SIZE
         };
-        self.is_relaying = zone.len() >= least;
+        self.is_relaying = zone.len() >= min_members;
         self.tree = if self.is_relaying {
             RelayTree::new(&self.own, zone)
         } else {
             RelayTree::default()
         };
-        // Each start has a name of its own, so what is known of the gone is of no use any more.
-        self.resting
+        // Each daemon instance has its own id, so cooldowns of departed members are obsolete.
+        self.cooldowns
             .retain(|id, _| zone.iter().any(|peer| peer.id == *id));
     }
 
-    /// How spaces are read now.
+    /// Returns how spaces are read at `now`.
     pub fn mode(&self, now: Instant) -> RelayMode {
-        let is_settled = match self.others_since {
-            Some(since) => now.saturating_duration_since(since) >= SETTLE,
+        let is_settled = match self.others_known_since {
+            Some(since) => now.saturating_duration_since(since) >= SETTLE_TIME,
             None => now.saturating_duration_since(self.started) >= ALONE_AFTER,
         };
         match (is_settled, self.is_relaying) {
@@ -122,68 +122,68 @@
         }
     }
 
-    /// True if this daemon is the one of its zone that reads the store for the others.
+    /// True if this daemon is the root of the zone's tree, which reads the store for the others.
     pub fn is_reader(&self) -> bool {
         self.is_relaying && self.tree.ancestors.is_empty()
     }
 
-    /// Whom to ask for changes, in this order. The store comes right after the peer that is followed: changes are few, and
-    /// it answers for itself.
+    /// Returns the sources to try for changes, in order. The store follows right after the followed peer, since changes are
+    /// few; during its cooldown it comes last.
     pub fn for_changes(&self, now: Instant) -> Vec<Source> {
         if self.mode(now) != RelayMode::Relayed {
             return vec![Source::Store];
         }
-        let is_resting = self.store_rests_until.is_some_and(|until| until > now);
-        let (first, last) = if is_resting {
+        let is_cooling_down = self.store_cooldown_until.is_some_and(|until| until > now);
+        let (first, last) = if is_cooling_down {
             (None, Some(Source::Store))
         } else {
             (Some(Source::Store), None)
         };
         let followed = self.followed(now).map(Source::Peer).into_iter();
-        let stand_ins = self.awake(&self.tree.stand_ins, now).map(Source::Peer);
+        let stand_ins = self.available(&self.tree.stand_ins, now).map(Source::Peer);
         followed.chain(first).chain(stand_ins).chain(last).collect()
     }
 
-    /// Whom to ask for a whole space, in this order. The store comes last: whole spaces are what its bytes are spent on. Who has a copy
-    /// already, and follows nobody, gains nothing from those who follow it.
+    /// Returns the sources to try for a full read, in order. The store comes last, as full reads dominate its traffic. The
+    /// fallbacks are skipped if the daemon has a copy, since their copies may be relayed from it.
     pub fn for_whole_read(&self, has_copy: bool, now: Instant) -> Vec<Source> {
         if self.mode(now) != RelayMode::Relayed {
             return vec![Source::Store];
         }
         let followed = self.followed(now).map(Source::Peer).into_iter();
-        let stand_ins = self.awake(&self.tree.stand_ins, now).map(Source::Peer);
+        let stand_ins = self.available(&self.tree.stand_ins, now).map(Source::Peer);
         let stand_ins = stand_ins.filter(|_| !has_copy);
         followed.chain(stand_ins).chain([Source::Store]).collect()
     }
 
-    /// The nearest ancestor that is not passed over.
+    /// Returns the nearest ancestor that is not in cooldown.
     pub fn followed(&self, now: Instant) -> Option<RelayPeer> {
-        self.awake(&self.tree.ancestors, now).next()
+        self.available(&self.tree.ancestors, now).next()
     }
 
-    fn awake<'a>(
+    fn available<'a>(
         &'a self,
         peers: &'a [RelayPeer],
         now: Instant,
     ) -> impl Iterator<Item = RelayPeer> + 'a {
-        let awake = peers.iter().filter(move |peer| {
-            let until = self.resting.get(&peer.id);
+        let available = peers.iter().filter(move |peer| {
+            let until = self.cooldowns.get(&peer.id);
             until.is_none_or(|until| *until <= now)
         });
-        awake.cloned()
+        available.cloned()
     }
 
-    /// The source did not serve: it is passed over for a while.
+    /// Puts a source that failed into cooldown.
     pub fn note_failure(&mut self, source: &Source, failure: SourceFailure, now: Instant) {
-        let rest = match failure {
-            SourceFailure::Silent => SILENT_REST,
-            SourceFailure::Behind => BEHIND_REST,
-            SourceFailure::Unknowing => UNKNOWING_REST,
+        let cooldown = match failure {
+            SourceFailure::Silent => UNRESPONSIVE_COOLDOWN,
+            SourceFailure::Behind => BEHIND_COOLDOWN,
+            SourceFailure::Unknowing => UNSUPPORTED_COOLDOWN,
         };
         match source {
-            Source::Store => self.store_rests_until = Some(now + STORE_REST),
+            Source::Store => self.store_cooldown_until = Some(now + STORE_COOLDOWN),
             Source::Peer(peer) => {
-                self.resting.insert(peer.id.clone(), now + rest);
+                self.cooldowns.insert(peer.id.clone(), now + cooldown);
             }
         }
     }
--- a/crates/relay/src/space_copy.rs
+++ b/crates/relay/src/space_copy.rs
@@ -1,4 +1,4 @@
-//! A copy of a table space: what a whole read or a page of changes does to it, and what it answers to peers. Pure.
+//! A copy of a table space: merges full reads and pages of changes, and builds replies to peers. Does no I/O.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -7,68 +7,68 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Changes that are remembered at least, so that a peer that asks for what is new is not sent the whole space.
-const LEAST_RECENT: usize = 1_024;
+/// Minimum number of recent changes that are kept for incremental replies.
+const MIN_RECENT: usize = 1_024;
 
-/// Part of the rows that may have changed since a peer's last question before it is sent the whole space.
-const RECENT_PART: usize = 4;
+/// Recent changes are kept up to one `RECENT_DIVISOR`th of the rows; a peer that lacks more gets the full space.
+const RECENT_DIVISOR: usize = 4;
 
-/// What changed in the copy.
+/// The effect of a full read or a page of changes on the copy.
 #[derive(Debug, Clone, Default)]
 pub struct SpaceUpdate {
     /// Rows written, with their revisions.
     pub written: Vec<Row>,
-    /// Keys of rows that are gone, those written before among them.
+    /// Keys of removed rows.
     pub removed: Vec<String>,
-    /// The copy holds all that the store had acknowledged by then; `None` if that is not known.
+    /// The copy holds everything that the store had acknowledged by then; `None` if unknown.
     pub as_of: Option<Instant>,
-    /// The store's steady clock, milliseconds.
+    /// The store's monotonic clock at the read, in milliseconds.
     pub store_time_ms: u64,
-    /// Revision of the read of all rows that this follows from; `None` for changes.
+    /// Revision of the full read; `None` for changes.
     pub complete_at: Option<u64>,
-    /// Newest revision of the store that this tells of.
+    /// Revision of the store up to which the update is complete.
     pub revision: u64,
-    /// The peer that answered holds other rows at the same revision: one of both has missed a change.
+    /// The replying peer holds other rows at the same revision, so one of the copies has missed a change.
     pub differs: bool,
 }
 
 #[derive(Debug)]
-struct KeptRow {
+struct StoredRow {
     value: Bytes,
     revision: u64,
 }
 
-/// A row that was written or removed lately.
+/// A row that was recently written or removed.
 #[derive(Debug)]
 struct RecentChange {
     key: String,
-    /// Revision to which the copy was brought by it: a change that was missed before is newer to peers than its row is.
+    /// Revision of the copy after the change. It exceeds the row's own revision if the change was received late.
     revision: u64,
 }
 
-/// What a copy answers to a peer.
+/// The content of a reply to a peer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SpaceAnswer {
     /// The changes, or all rows.
     pub changes: Vec<RowChange>,
-    /// `changes` are all rows: what the asker holds besides is gone.
+    /// `changes` are all rows; the requester must remove any other rows.
     pub is_whole: bool,
-    /// Revision of the copy.
+    /// Revision of the sender's copy.
     pub revision: u64,
-    /// Digest of the copy.
+    /// Digest of the keys and revisions of the sender's rows.
     pub digest: u64,
-    /// The store's steady clock at the copy's proof, milliseconds.
+    /// The store's monotonic clock at the time of the copy's proof, in milliseconds.
     pub store_time_ms: u64,
 }
 
-/// The copy: pure, so that it can be tested without a store.
+/// Rows of a space with the recent changes, a digest, and the proof of freshness.
 #[derive(Debug, Default)]
 pub struct SpaceCopy {
-    rows: HashMap<String, KeptRow>,
+    rows: HashMap<String, StoredRow>,
     revision: u64,
-    /// Changes in the order in which they were taken.
+    /// Changes in the order in which they were applied.
     recent: VecDeque<RecentChange>,
-    /// All changes after this revision are in `recent`.
+    /// `recent` covers all changes after this revision.
     recent_after: u64,
     digest: u64,
     as_of: Option<Instant>,
@@ -80,27 +80,28 @@
 }
 
 impl SpaceCopy {
-    /// Revision to ask after.
+    /// Returns the revision after which changes must be requested.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Digest of the keys and revisions of all rows.
+    /// Returns the digest of the keys and revisions of all rows.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Rows held.
+    /// Returns the number of rows.
     pub fn rows(&self) -> usize {
         self.rows.len()
     }
 
-    /// The copy holds all that the store had acknowledged by then; `None` before the first whole read.
+    /// Returns the time of the proof: the copy holds everything that the store had acknowledged by then. `None` before the
+    /// first full read.
     pub fn as_of(&self) -> Option<Instant> {
         self.as_of
     }
 
-    /// Takes the proof of an update that was taken.
+    /// Adopts the proof of an applied update if it is newer.
     pub fn prove(&mut self, update: &SpaceUpdate) {
         if update.as_of > self.as_of {
             self.as_of = update.as_of;
@@ -108,17 +109,17 @@
         }
     }
 
-    fn known(&self, key: &str) -> u64 {
+    fn row_revision(&self, key: &str) -> u64 {
         self.rows.get(key).map_or(0, |row| row.revision)
     }
 
     fn insert(&mut self, row: &Row) {
-        let kept = KeptRow {
+        let stored = StoredRow {
             value: row.value.clone(),
             revision: row.revision,
         };
         self.digest ^= row_digest(&row.key, row.revision);
-        if let Some(before) = self.rows.insert(row.key.clone(), kept) {
+        if let Some(before) = self.rows.insert(row.key.clone(), stored) {
             self.digest ^= row_digest(&row.key, before.revision);
         }
     }
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Takes a whole read. A read older than what is known changes nothing.
+    /// Applies a full read; `None`, without effect, if it is older than the copy.
     pub fn take_snapshot(&mut self, snapshot: SpaceSnapshot) -> Option<SpaceUpdate> {
         if snapshot.revision < self.revision {
             return None;
@@ -143,13 +144,13 @@
             ..SpaceUpdate::default()
         };
         let read: HashSet<&str> = snapshot.rows.iter().map(|row| row.key.as_str()).collect();
-        // A read is as old as its oldest page: the one before may hold rows that were written after this one.
-        let is_gone =
-            |key: &str, row: &KeptRow| row.revision <= snapshot.revision && !read.contains(key);
-        let gone = self.rows.iter().filter(|(key, row)| is_gone(key, row));
-        update.removed = gone.map(|(key, _)| key.clone()).collect();
+        // A read is as old as its oldest page, so the copy may hold newer rows that the read lacks.
+        let is_removed =
+            |key: &str, row: &StoredRow| row.revision <= snapshot.revision && !read.contains(key);
+        let removed = self.rows.iter().filter(|(key, row)| is_removed(key, row));
+        update.removed = removed.map(|(key, _)| key.clone()).collect();
         for row in snapshot.rows {
-            if row.revision > self.known(&row.key) {
+            if row.revision > self.row_revision(&row.key) {
                 update.written.push(row);
             }
         }
@@ -162,7 +163,7 @@
         Some(update)
     }
 
-    /// Takes changes that follow the present revision.
+    /// Applies changes that follow the copy's revision.
     pub fn take_changes(&mut self, page: ChangePage) -> SpaceUpdate {
         let mut update = SpaceUpdate {
             store_time_ms: page.store_time_ms,
@@ -170,16 +171,16 @@
             as_of: page.proof.map(|proof| proof.as_of),
             ..SpaceUpdate::default()
         };
-        let mut told: HashMap<String, u64> = HashMap::new();
+        let mut page_revisions: HashMap<String, u64> = HashMap::new();
         for change in page.changes {
-            let told_before = told.get(&change.key).copied();
-            let known = told_before.unwrap_or_else(|| self.known(&change.key));
-            if change.revision <= known {
+            let in_page = page_revisions.get(&change.key).copied();
+            let row_revision = in_page.unwrap_or_else(|| self.row_revision(&change.key));
+            if change.revision <= row_revision {
                 continue;
             }
-            // Only the last word on a row counts at the end of the page.
+            // Only the last change of a row in the page counts.
             update.removed.retain(|key| *key != change.key);
-            told.insert(change.key.clone(), change.revision);
+            page_revisions.insert(change.key.clone(), change.revision);
             match change.value {
                 Some(value) => update.written.push(Row {
                     key: change.key,
@@ -197,7 +198,7 @@
         update
     }
 
-    /// True if a peer's copy of the same revision holds other rows than this one.
+    /// True if a peer's copy of the same revision has another digest.
     fn differs(&self, revision: u64, proof: CopyProof) -> bool {
         revision == self.revision && proof.digest != self.digest
     }
@@ -211,8 +212,8 @@
             self.remove(key);
             self.remember(key, update.revision);
         }
-        let most = LEAST_RECENT.max(self.rows.len() / RECENT_PART);
-        while self.recent.len() > most {
+        let max_recent = MIN_RECENT.max(self.rows.len() / RECENT_DIVISOR);
+        while self.recent.len() > max_recent {
             let oldest = self.recent.pop_front();
             let oldest = oldest.map_or(0, |change| change.revision);
             self.recent_after = self.recent_after.max(oldest);
@@ -226,12 +227,12 @@
         });
     }
 
-    /// True if there are changes for a peer whose copy is of the revision `after`.
+    /// True if there are changes for a peer whose copy has the revision `after`.
     pub fn has_news(&self, after: u64) -> bool {
         after < self.recent_after || self.recent.iter().any(|change| change.revision > after)
     }
 
-    /// What a peer lacks whose copy is of the revision `after`; 0 for one that has none.
+    /// Returns what a peer with a copy of the revision `after` lacks; 0 for a peer without a copy.
     pub fn answer(&self, after: u64) -> SpaceAnswer {
         let is_whole = after < self.recent_after;
         let changes = if is_whole {
@@ -252,14 +253,14 @@
     fn changes_after(&self, after: u64) -> Vec<RowChange> {
         let newer = self.recent.iter().rev();
         let newer = newer.filter(|change| change.revision > after);
-        let mut named = HashSet::new();
-        let last_words = newer.filter(|change| named.insert(change.key.as_str()));
-        last_words
+        let mut seen = HashSet::new();
+        let latest = newer.filter(|change| seen.insert(change.key.as_str()));
+        latest
             .map(|change| self.change(&change.key, change.revision))
             .collect()
     }
 
-    /// What became of a row, if it was removed by the revision `removed_at`.
+    /// Returns the current state of a row as a change; `removed_at` is the revision if it was removed.
     fn change(&self, key: &str, removed_at: u64) -> RowChange {
         let row = self.rows.get(key);
         RowChange {
--- a/crates/relay/src/tree.rs
+++ b/crates/relay/src/tree.rs
@@ -1,39 +1,38 @@
-//! Whom a daemon follows: the members of a zone in an order that all of them share, as a tree in which each has few
-//! followers. Pure.
+//! The relay tree of a zone: its members in a shared order, each with a bounded number of followers. Does no I/O.
 //!
-//! Members whose views differ a little name different parents, but nobody ever follows a member that comes later in the
-//! order, so no circle can arise. A bound on followers keeps what one machine sends within a small machine's link.
+//! Members with different views may choose different parents, but a parent always precedes its followers in the order, so
+//! no cycle can arise.
 
 use std::cmp::Reverse;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Members that follow one other at most, where all views agree.
-const MOST_FOLLOWERS: usize = 8;
+/// Maximum number of followers per member where all views agree; bounds the load on a member's link.
+const MAX_FOLLOWERS: usize = 8;
 
-/// Members besides the ancestors that may be asked where neither these nor the store answer.
-const STAND_INS: usize = 2;
+/// Maximum number of members that serve as fallback sources in addition to the ancestors.
+const FALLBACKS: usize = 2;
 
 /// A member that may be followed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RelayPeer {
-    /// Member id.
+    /// Id of the daemon instance.
     pub id: String,
-    /// Where it answers control calls.
+    /// Address of its control server, `host:port`.
     pub address: String,
 }
 
-/// The place of one member in its zone's tree.
+/// The position of one member in its zone's tree.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RelayTree {
-    /// Whom it follows, then whom that one follows, up to the first in the order; empty for the first itself.
+    /// Ancestors from the parent up to the root; empty for the root.
     pub ancestors: Vec<RelayPeer>,
-    /// The first others in the order.
+    /// First members of the order that aren't ancestors.
     pub stand_ins: Vec<RelayPeer>,
 }
 
 impl RelayTree {
-    /// The place of the member `own` among the members of its zone, whether it is named there or not.
+    /// Computes the position of the member `own` among the members of its zone; `zone` may or may not include it.
     pub fn new(own: &str, zone: &[RelayPeer]) -> Self {
         let mut ranked: Vec<&RelayPeer> = zone.iter().filter(|peer| peer.id != own).collect();
         ranked.sort_by_cached_key(|peer| rank(&peer.id));
@@ -43,7 +42,7 @@
         let ancestors: Vec<RelayPeer> = ancestors.collect();
         let others = ranked.into_iter().filter(|peer| !ancestors.contains(peer));
         Self {
-            stand_ins: others.take(STAND_INS).cloned().collect(),
+            stand_ins: others.take(FALLBACKS).cloned().collect(),
             ancestors,
         }
     }
@@ -53,8 +52,8 @@
     (Reverse(xxh3_64(id.as_bytes())), id)
 }
 
-/// Positions of a member's ancestors, the nearest first: all lie before its own.
+/// Returns the positions of a member's ancestors, the nearest first; all are lower than its own.
 fn ancestors_of(position: usize) -> impl Iterator<Item = usize> {
-    let parent = |of: &usize| of.checked_sub(1).map(|before| before / MOST_FOLLOWERS);
+    let parent = |of: &usize| of.checked_sub(1).map(|before| before / MAX_FOLLOWERS);
     std::iter::successors(parent(&position), parent)
 }
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -1,4 +1,4 @@
-//! Keeps a copy of a table space up to date: a whole read, then changes, and a whole read again after lost history.
+//! Keeps a copy of a table space up to date by a full read and then changes, with further full reads after lost history.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,21 +13,20 @@
 use crate::shared_space::SharedSpace;
 use crate::space_copy::SpaceUpdate;
 
-/// Bounds of a watch.
+/// Timeouts and intervals of a watch.
 #[derive(Debug, Clone, Copy)]
 pub struct WatchSettings {
-    /// How long the store may hold a question.
+    /// How long the store may hold a request for changes.
     pub wait: Duration,
-    /// First pause after a failure.
+    /// Initial backoff after a failure.
     pub first_pause: Duration,
-    /// Longest pause after failures.
+    /// Maximum backoff after failures.
     pub longest_pause: Duration,
-    /// Least time between whole reads: changes may be missing from what the store tells. It grows with the fleet.
+    /// Minimum time between full reads, which repair changes that the store's feed omitted.
     pub whole_read_every: Duration,
-    /// How long after its first page a whole read that was interrupted may go on: the store must still know what
-    /// changed since. Its history is known to reach 20 s back; whatever is gone is told by the next question.
+    /// How long after its start an interrupted full read may resume; the store's history must reach back that far.
     pub resume_within: Duration,
-    /// Time after the history was lost within which whole reads may be stale, and one more is made at its end.
+    /// Time after lost history in which full reads may be stale; another one follows at its end.
     pub stale_for: Duration,
 }
 
@@ -44,96 +43,94 @@
     }
 }
 
-/// Longest time over which the second reads of daemons that have started together are spread. At 300 daemons before
-/// 3,000 replicas they are 4,500 calls, of which the users' stores take 2,000 a second and more.
-const LONGEST_SPREAD: Duration = Duration::from_secs(4);
+/// Maximum jitter of the second full read, against a thundering herd at the store.
+const MAX_SECOND_READ_JITTER: Duration = Duration::from_secs(4);
 
-/// How much later than a held question explains the proof of a copy may be before the next question is not held: the store's
-/// answer and this process's own turn. A daemon that has woken, or is in contact again, is up to date an answer later instead of
-/// a held question later (2 s for what seldom changes); a store that is slower than this gets one more call for each one held.
-const LATE_PROOF: Duration = Duration::from_millis(250);
+/// Margin over the hold time above which a proof counts as old, so that the next request isn't held: after a suspension
+/// or an outage the copy is then proven by one immediate response.
+const PROOF_MARGIN: Duration = Duration::from_millis(250);
 
-/// One watch.
+/// Settings and dependencies of the watch of one space.
 pub struct Watch {
-    /// The store.
+    /// Table from which the space is read: the store or a relay.
     pub table: Arc<dyn WatchedTable>,
-    /// Space to watch.
+    /// Name of the space; also the dependency's name in the decision log.
     pub space: &'static str,
-    /// Its partitions.
+    /// Partitions of the space, all of which a full read covers.
     pub partitions: Vec<String>,
-    /// Bounds.
+    /// Timeouts and intervals.
     pub settings: WatchSettings,
-    /// How long changes are gathered.
+    /// How long changes are coalesced.
     pub pace: WatchPace,
-    /// Time between whole reads, if longer than the settings' least.
+    /// Time between full reads, if longer than the minimum of the settings.
     pub whole_read_pace: WholeReadPace,
-    /// Log of lost and regained contact.
+    /// Log for lost and regained contact, and for copies that differ.
     pub log: DecisionLog,
 }
 
 impl Watch {
-    /// Runs for as long as the process does and gives each update to `take`.
+    /// Runs forever and passes each update to `take`.
     pub async fn run(self, take: impl FnMut(SpaceUpdate)) {
         self.run_shared(Arc::default(), take).await;
     }
 
-    /// The same, with a copy that peers are answered from.
+    /// Runs like `run`, on a copy that is shared with peers.
     pub async fn run_shared(self, space: Arc<SharedSpace>, mut take: impl FnMut(SpaceUpdate)) {
         let mut random = SmallRng::from_os_rng();
         let mut backoff = Backoff::new(self.settings.first_pause, self.settings.longest_pause);
-        let mut read_whole = true;
+        let mut needs_full_read = true;
         let mut history_lost = false;
-        let mut whole_read_due = harrierward_clock::now();
-        let mut reading: Option<ReadUnderWay> = None;
-        // A whole read that is only due again must not keep the changes from being asked for.
-        let mut ask_first = false;
+        let mut full_read_due = harrierward_clock::now();
+        let mut read_in_progress: Option<ReadInProgress> = None;
+        // After a failed periodic full read, changes are requested once before it resumes.
+        let mut changes_first = false;
         let mut pages = 0;
         let mut lost_at: Option<Instant> = None;
         let mut interval = Duration::ZERO;
         let mut proven_at: Option<Instant> = None;
         let mut difference = Difference::default();
         loop {
-            let mut asked_at = harrierward_clock::now();
-            let is_read_due = reading.is_some() || asked_at >= whole_read_due;
-            let result = if read_whole || (is_read_due && !ask_first) {
-                let under_way = self.resume(&mut reading);
-                asked_at = under_way.began;
+            let mut requested_at = harrierward_clock::now();
+            let is_read_due = read_in_progress.is_some() || requested_at >= full_read_due;
+            let result = if needs_full_read || (is_read_due && !changes_first) {
+                let in_progress = self.resume(&mut read_in_progress);
+                requested_at = in_progress.started_at;
                 let newest = space.copy().revision();
-                let read = self.read(under_way, newest).await;
+                let read = self.read(in_progress, newest).await;
                 read.map(|()| {
-                    let done = reading.take().unwrap_or_else(|| self.begin_read());
-                    pages = done.whole.pages();
+                    let done = read_in_progress.take().unwrap_or_else(|| self.start_read());
+                    pages = done.pages_read.pages();
                     let pace = (self.whole_read_pace)(pages);
-                    whole_read_due = asked_at + self.settings.whole_read_every.max(pace);
-                    space.copy().take_snapshot(done.whole.into_snapshot())
+                    full_read_due = requested_at + self.settings.whole_read_every.max(pace);
+                    space.copy().take_snapshot(done.pages_read.into_snapshot())
                 })
             } else {
-                ask_first = false;
-                let wait = self.hold(proven_at, interval);
-                self.ask(&space, wait).await
+                changes_first = false;
+                let wait = self.hold_time(proven_at, interval);
+                self.request_changes(&space, wait).await
             };
             match result {
                 Ok(Some(mut update)) => {
-                    if std::mem::take(&mut read_whole) {
-                        let lost = std::mem::take(&mut history_lost);
-                        whole_read_due =
-                            asked_at + self.second_read_after(lost, pages, &mut random);
+                    if std::mem::take(&mut needs_full_read) {
+                        let after_lost_history = std::mem::take(&mut history_lost);
+                        full_read_due = requested_at
+                            + self.second_read_delay(after_lost_history, pages, &mut random);
                     }
                     backoff.reset();
                     if let Some(since) = lost_at.take() {
                         self.log_regained(since);
                     }
-                    if difference.is_standing(&update) {
-                        read_whole = true;
+                    if difference.is_persistent(&update) {
+                        needs_full_read = true;
                         self.log_differs(&update);
                     }
-                    update.as_of = proof_of(&update, asked_at);
+                    update.as_of = proof_time(&update, requested_at);
                     proven_at = proven_at.max(update.as_of);
                     space.copy().prove(&update);
                     space.notify();
-                    let gather = !update.is_empty() || update.differs;
+                    let is_changed = !update.is_empty() || update.differs;
                     take(update);
-                    interval = if gather {
+                    interval = if is_changed {
                         (self.pace)()
                     } else {
                         Duration::ZERO
@@ -141,20 +138,20 @@
                     sleep(interval).await;
                 }
                 Ok(None) => {
-                    // A stale read tells nothing, but its revision may be one that the history still holds.
+                    // A stale read is discarded; the history may still cover the copy's revision.
                     sleep(backoff.wait(&mut random)).await;
                 }
                 Err(WatchFailure::HistoryLost) => {
-                    read_whole = true;
+                    needs_full_read = true;
                     history_lost = true;
                     sleep(backoff.wait(&mut random)).await;
                 }
-                // What was asked before proves nothing any more, and its time-out did not count the suspension.
+                // The pending request is dropped: its timeout didn't count the suspension.
                 Err(WatchFailure::Suspended) => proven_at = None,
                 Err(WatchFailure::NoContact(cause)) => {
-                    ask_first = reading.is_some() && !read_whole;
+                    changes_first = read_in_progress.is_some() && !needs_full_read;
                     if lost_at.is_none() {
-                        lost_at = Some(asked_at);
+                        lost_at = Some(requested_at);
                         self.log_lost(&cause);
                     }
                     sleep(backoff.wait(&mut random)).await;
@@ -163,50 +160,59 @@
         }
     }
 
-    /// When a space that was read for the first time, or after its history was lost, is read once more.
+    /// Returns when a space is read again after its first full read, or after the one that follows lost history.
     ///
-    /// After lost history the read may have been stale, so the next one comes as soon as that is over, spread a little
-    /// because all daemons have lost it together. After a start nothing says so: a stale read is as old as its revision
-    /// tells, and the feed goes on from there or answers that its history is lost. Then the next read comes when a large
-    /// fleet's whole reads are due anyway, at a moment of each daemon's own.
-    fn second_read_after(&self, lost: bool, pages: usize, random: &mut SmallRng) -> Duration {
+    /// After lost history a full read may be stale, so the next one comes as soon as reads are current again, with jitter.
+    /// After a start the feed itself detects a stale read, so the next one comes at a random time around the regular interval.
+    fn second_read_delay(
+        &self,
+        after_lost_history: bool,
+        pages: usize,
+        random: &mut SmallRng,
+    ) -> Duration {
         let regular = (self.whole_read_pace)(pages);
-        let spread = regular.min(LONGEST_SPREAD);
+        let spread = regular.min(MAX_SECOND_READ_JITTER);
         let soon = self.settings.stale_for + spread.mul_f64(random.random());
-        if lost {
+        if after_lost_history {
             return soon;
         }
         soon.max(regular.mul_f64(0.5 + random.random::<f64>()))
     }
 
-    fn begin_read(&self) -> ReadUnderWay {
-        ReadUnderWay {
-            whole: WholeRead::new(&self.partitions),
-            began: harrierward_clock::now(),
+    fn start_read(&self) -> ReadInProgress {
+        ReadInProgress {
+            pages_read: WholeRead::new(&self.partitions),
+            started_at: harrierward_clock::now(),
         }
     }
 
-    /// The read under way, or a new one if there is none that may go on: the feed must still know the changes since
-    /// its first page.
-    fn resume<'a>(&self, reading: &'a mut Option<ReadUnderWay>) -> &'a mut ReadUnderWay {
+    /// Returns the full read in progress, or a new one if that is too old to resume.
+    fn resume<'a>(
+        &self,
+        read_in_progress: &'a mut Option<ReadInProgress>,
+    ) -> &'a mut ReadInProgress {
         let within = self.settings.resume_within;
-        if reading
+        if read_in_progress
             .as_ref()
-            .is_some_and(|read| harrierward_clock::age(read.began) >= within)
+            .is_some_and(|read| harrierward_clock::age(read.started_at) >= within)
         {
-            *reading = None;
+            *read_in_progress = None;
         }
-        reading.get_or_insert_with(|| self.begin_read())
+        read_in_progress.get_or_insert_with(|| self.start_read())
     }
 
-    /// Reads the pages that are left; those that were read stay if one fails. One that is older than `newest`, the revision that is
-    /// known, ends the read: a whole that holds it would change nothing, and the rest of a large space would be read for nothing.
-    async fn read(&self, under_way: &mut ReadUnderWay, newest: u64) -> Result<(), WatchFailure> {
-        while let Some(start) = under_way.whole.next_page() {
+    /// Reads the remaining pages; pages already read are kept on failure. Stops at a page older than `newest`, the copy's
+    /// revision, since the full read would then be discarded as stale.
+    async fn read(
+        &self,
+        in_progress: &mut ReadInProgress,
+        newest: u64,
+    ) -> Result<(), WatchFailure> {
+        while let Some(start) = in_progress.pages_read.next_page() {
             let page = self.table.read_page(self.space, start).await;
             let page = page.map_err(|error| WatchFailure::NoContact(error.to_string()))?;
             let is_stale = page.revision < newest;
-            under_way.whole.take(page);
+            in_progress.pages_read.take(page);
             if is_stale {
                 return Ok(());
             }
@@ -214,31 +220,31 @@
         Ok(())
     }
 
-    /// How long the store may hold the next question. One that comes `later` than it could is held for less, so that the copy's
-    /// age stays within the same bound, and one without a proof, or with an old one, not at all.
-    fn hold(&self, proven_at: Option<Instant>, later: Duration) -> Duration {
+    /// Returns how long the store may hold the next request: the delay `later` is deducted to bound the copy's age, and a
+    /// request without a recent proof isn't held.
+    fn hold_time(&self, proven_at: Option<Instant>, later: Duration) -> Duration {
         let wait = self.settings.wait;
-        let is_old = |moment| harrierward_clock::age(moment) > wait + LATE_PROOF;
+        let is_old = |moment| harrierward_clock::age(moment) > wait + PROOF_MARGIN;
         if proven_at.is_none_or(is_old) {
             return Duration::ZERO;
         }
         wait.saturating_sub(later)
     }
 
-    /// Asks for changes, until the machine was suspended meanwhile.
-    async fn ask(
+    /// Requests changes; gives up if the machine was suspended meanwhile.
+    async fn request_changes(
         &self,
         space: &SharedSpace,
         wait: Duration,
     ) -> Result<Option<SpaceUpdate>, WatchFailure> {
         let suspended = harrierward_clock::suspension_noticed();
         let after = space.copy().revision();
-        let asked = self.table.wait_changes(self.space, after, wait);
-        let answer = tokio::select! {
-            answer = asked => answer,
+        let request = self.table.wait_changes(self.space, after, wait);
+        let response = tokio::select! {
+            response = request => response,
             () = suspended => return Err(WatchFailure::Suspended),
         };
-        let page = answer.map_err(|error| match error.kind {
+        let page = response.map_err(|error| match error.kind {
             PlatformErrorKind::HistoryLost => WatchFailure::HistoryLost,
             _ => WatchFailure::NoContact(error.to_string()),
         })?;
@@ -268,45 +274,45 @@
     }
 }
 
-/// When the copy is true: as of the question, unless a peer answered, which says so itself. One that differs from the peer's
-/// proves nothing.
-fn proof_of(update: &SpaceUpdate, asked_at: Instant) -> Option<Instant> {
+/// Returns the time of the proof: that of a peer's reply, else the time of the request. `None` if the copy differs from the
+/// peer's.
+fn proof_time(update: &SpaceUpdate, requested_at: Instant) -> Option<Instant> {
     if update.differs {
         return None;
     }
-    update.as_of.or(Some(asked_at))
+    update.as_of.or(Some(requested_at))
 }
 
-/// How long a copy may differ from that of the peer that it follows before it is read whole. It does for a moment where it holds
-/// rows that the peer has not been told of yet.
-const DIFFERS_FOR: Duration = Duration::from_millis(500);
+/// How long a copy may differ from the followed peer's before a full read. Short differences are normal while the peer
+/// hasn't received the latest rows.
+const DIFFERENCE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Since when the copy differs from that of the peer that it follows.
+/// Tracks how long the copy has differed from the followed peer's.
 #[derive(Debug, Default)]
 struct Difference {
     since: Option<Instant>,
 }
 
 impl Difference {
-    /// True if the update shows that the copies have differed for too long; it then begins anew.
-    fn is_standing(&mut self, update: &SpaceUpdate) -> bool {
+    /// Returns whether the copies have differed for too long, and restarts the measurement if so.
+    fn is_persistent(&mut self, update: &SpaceUpdate) -> bool {
         if !update.differs {
             self.since = None;
             return false;
         }
         let since = *self.since.get_or_insert_with(harrierward_clock::now);
-        let is_standing = harrierward_clock::age(since) >= DIFFERS_FOR;
-        if is_standing {
+        let is_persistent = harrierward_clock::age(since) >= DIFFERENCE_TIMEOUT;
+        if is_persistent {
             self.since = None;
         }
-        is_standing
+        is_persistent
     }
 }
 
-/// A whole read that has begun.
-struct ReadUnderWay {
-    whole: WholeRead,
-    began: Instant,
+/// A full read in progress.
+struct ReadInProgress {
+    pages_read: WholeRead,
+    started_at: Instant,
 }
 
 enum WatchFailure {
