--- a/crates/edge/src/relay/client.rs
+++ b/crates/edge/src/relay/client.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use futures::StreamExt;
 use harrierward_external::{ChangePage, CopyProof};
-use harrierward_relay::{PeerAnswer, PeerCopies, RelayPeer, SourceFailure, SpaceAsk};
+use harrierward_relay::{PeerCopies, RelayPeer, RelayReply, SourceFailure, SpaceRequest};
 use harrierward_wire::{SpaceQuestion, SpaceReply, decode, encode};
 use http::{Request, StatusCode};
 use tokio::time::{Instant, timeout};
@@ -34,8 +34,8 @@
     }
 }
 
-fn unresponsive(cause: impl Into<String>) -> PeerAnswer {
-    PeerAnswer::Failed(SourceFailure::Silent, cause.into())
+fn unresponsive(cause: impl Into<String>) -> RelayReply {
+    RelayReply::Failed(SourceFailure::Silent, cause.into())
 }
 
 fn millis(time: Duration) -> u32 {
@@ -44,7 +44,7 @@
 
 #[async_trait]
 impl PeerCopies for HttpPeers {
-    async fn ask(&self, peer: &RelayPeer, ask: SpaceAsk) -> PeerAnswer {
+    async fn request(&self, peer: &RelayPeer, ask: SpaceRequest) -> RelayReply {
         let sent_at = harrierward_clock::now();
         let query = SpaceQuestion {
             space: ask.space,
@@ -69,7 +69,7 @@
         };
         match response.head.status {
             StatusCode::OK => {}
-            StatusCode::SERVICE_UNAVAILABLE => return PeerAnswer::NotReady,
+            StatusCode::SERVICE_UNAVAILABLE => return RelayReply::NotReady,
             status => return unresponsive(format!("status {status}")),
         }
         let read_body = async {
@@ -88,13 +88,13 @@
 
 /// Reads a reply to a request sent at `sent_at`. The proof's time is derived from the earliest possible moment of
 /// the reply, which is `sent_at` plus the time the request was held.
-fn parse_reply(bytes: &[u8], sent_at: Instant) -> PeerAnswer {
+fn parse_reply(bytes: &[u8], sent_at: Instant) -> RelayReply {
     let Some(reply) = decode::<SpaceReply>(bytes).filter(|reply| reply.format == FORMAT) else {
         let cause = "the answer is of another kind".to_owned();
-        return PeerAnswer::Failed(SourceFailure::Unknowing, cause);
+        return RelayReply::Failed(SourceFailure::Unknowing, cause);
     };
     if reply.is_history_lost {
-        return PeerAnswer::HistoryLost;
+        return RelayReply::HistoryLost;
     }
     let content = Content {
         bytes: reply.content,
@@ -112,7 +112,7 @@
     let Some(proof) = proof else {
         return unresponsive("the answer's proof is older than this machine's clock");
     };
-    PeerAnswer::Page(ChangePage {
+    RelayReply::Page(ChangePage {
         changes,
         revision: reply.revision,
         store_time_ms: reply.store_time_ms,
--- a/crates/edge/src/relay/server.rs
+++ b/crates/edge/src/relay/server.rs
@@ -8,7 +8,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use harrierward_external::RowChange;
-use harrierward_relay::{HeldAnswer, Relay, SpaceAsk};
+use harrierward_relay::{HeldReply, Relay, SpaceRequest};
 use harrierward_wire::{SpaceQuestion, SpaceReply, decode, encode};
 use http::{Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
@@ -73,28 +73,28 @@
     /// Returns the reply; `None` if there is no copy, or at the limit of concurrent requests.
     async fn reply(&self, query: &SpaceQuestion) -> Option<SpaceReply> {
         let _guard = self.admit()?;
-        let ask = SpaceAsk {
+        let ask = SpaceRequest {
             space: query.space.clone(),
             after: query.after,
             hold: Duration::from_millis(u64::from(query.wait_ms)),
             known_age: Some(Duration::from_millis(u64::from(query.known_age_ms))),
         };
         let space = self.relay.space(&query.space)?;
-        let HeldAnswer {
-            answer,
+        let HeldReply {
+            reply,
             proof_age,
             held,
-        } = space.answer(&ask).await?;
-        let is_history_lost = answer.is_whole && query.after > 0;
+        } = space.reply(&ask).await?;
+        let is_history_lost = reply.is_full && query.after > 0;
         let content = if is_history_lost {
             Content::default()
         } else {
-            self.content(&query.space, answer.changes, answer.is_whole, answer.digest)
+            self.content(&query.space, reply.changes, reply.is_full, reply.digest)
         };
         Some(SpaceReply {
-            revision: answer.revision,
-            digest: answer.digest,
-            store_time_ms: answer.store_time_ms,
+            revision: reply.revision,
+            digest: reply.digest,
+            store_time_ms: reply.store_time_ms,
             proof_age_ms: millis(proof_age).saturating_add(1),
             held_ms: millis(held),
             format: FORMAT,
@@ -104,8 +104,8 @@
         })
     }
 
-    fn content(&self, space: &str, rows: Vec<RowChange>, is_whole: bool, digest: u64) -> Content {
-        if !is_whole {
+    fn content(&self, space: &str, rows: Vec<RowChange>, is_full: bool, digest: u64) -> Content {
+        if !is_full {
             return Content::of(rows);
         }
         // The lock is held during encoding, so that concurrent requests encode only once.
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -15,10 +15,10 @@
 pub use pace::{
     WatchPace, WholeReadPace, gathering_interval, unpaced, unpaced_reads, whole_read_interval,
 };
-pub use peer_copies::{PeerAnswer, PeerCopies, SpaceAsk};
+pub use peer_copies::{PeerCopies, RelayReply, SpaceRequest};
 pub use relay::Relay;
-pub use shared_space::{HeldAnswer, SharedSpace};
+pub use shared_space::{HeldReply, SharedSpace};
 pub use sources::{RelayMode, Source, SourceFailure, Sources};
-pub use space_copy::{SpaceAnswer, SpaceCopy, SpaceUpdate};
+pub use space_copy::{CopyReply, SpaceCopy, SpaceUpdate};
 pub use tree::{RelayPeer, RelayTree};
 pub use watch::{Watch, WatchSettings};
--- a/crates/relay/src/peer_copies.rs
+++ b/crates/relay/src/peer_copies.rs
@@ -10,7 +10,7 @@
 
 /// A long poll for the changes of a space.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SpaceAsk {
+pub struct SpaceRequest {
     /// Name of the space in the store.
     pub space: String,
     /// Revision of the requester's copy; 0 requests all rows.
@@ -23,7 +23,7 @@
 
 /// Outcome of a request to a peer.
 #[derive(Debug)]
-pub enum PeerAnswer {
+pub enum RelayReply {
     /// Changes, or all rows for a requester without a copy.
     Page(ChangePage),
     /// The peer has no copy yet.
@@ -38,5 +38,5 @@
 #[async_trait]
 pub trait PeerCopies: Send + Sync {
     /// Requests a peer's copy. The implementation must time out shortly after the request's hold time.
-    async fn ask(&self, peer: &RelayPeer, ask: SpaceAsk) -> PeerAnswer;
+    async fn request(&self, peer: &RelayPeer, request: SpaceRequest) -> RelayReply;
 }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -10,7 +10,7 @@
 use harrierward_external::WatchedTable;
 use tokio::time::Instant;
 
-use crate::peer_copies::{PeerAnswer, PeerCopies, SpaceAsk};
+use crate::peer_copies::{PeerCopies, RelayReply, SpaceRequest};
 use crate::shared_space::SharedSpace;
 use crate::sources::{RelayMode, Source, SourceFailure, Sources};
 use crate::tree::RelayPeer;
@@ -163,15 +163,21 @@
         });
     }
 
-    async fn ask(&self, space: &str, after: u64, peer: &RelayPeer, hold: Duration) -> PeerAnswer {
+    async fn request_peer(
+        &self,
+        space: &str,
+        after: u64,
+        peer: &RelayPeer,
+        hold: Duration,
+    ) -> RelayReply {
         let (_, known_age) = self.known(space);
-        let ask = SpaceAsk {
+        let request = SpaceRequest {
             space: space.to_owned(),
             after,
             hold,
             known_age,
         };
-        self.peers.ask(peer, ask).await
+        self.peers.request(peer, request).await
     }
 
     /// Returns the revision of the own copy, and the age of its proof.
--- a/crates/relay/src/relay/reading.rs
+++ b/crates/relay/src/relay/reading.rs
@@ -9,7 +9,7 @@
 };
 use tokio::time::sleep;
 
-use crate::peer_copies::PeerAnswer;
+use crate::peer_copies::RelayReply;
 use crate::sources::{RelayMode, Source, SourceFailure};
 use crate::tree::RelayPeer;
 
@@ -86,17 +86,17 @@
             } else {
                 Duration::ZERO
             };
-            match self.ask(space, 0, peer, hold).await {
-                PeerAnswer::Page(page) => {
+            match self.request_peer(space, 0, peer, hold).await {
+                RelayReply::Page(page) => {
                     self.note_success(space, &source);
                     return Ok(full_page(page));
                 }
                 // Avoids that all followers of a starting peer move to the peer's own source at once.
-                PeerAnswer::NotReady if is_followed && self.may_wait_for_peers(space) => {
+                RelayReply::NotReady if is_followed && self.may_wait_for_peers(space) => {
                     return Err(starting(peer));
                 }
-                PeerAnswer::NotReady | PeerAnswer::HistoryLost => {}
-                PeerAnswer::Failed(failure, cause) => {
+                RelayReply::NotReady | RelayReply::HistoryLost => {}
+                RelayReply::Failed(failure, cause) => {
                     self.note_failure(space, &source, failure, &cause);
                 }
             }
@@ -186,25 +186,25 @@
         peer: &RelayPeer,
     ) -> Result<ChangePage, PlatformError> {
         let source = Source::Peer(peer.clone());
-        match self.ask(space, after, peer, MAX_HOLD).await {
-            PeerAnswer::Page(page) => {
+        match self.request_peer(space, after, peer, MAX_HOLD).await {
+            RelayReply::Page(page) => {
                 let age = page.proof.map(|proof| harrierward_clock::age(proof.as_of));
                 if age.is_some_and(|age| age > MAX_PROOF_AGE) {
                     self.note_failure(space, &source, SourceFailure::Behind, "old proof");
                 }
                 Ok(page)
             }
-            PeerAnswer::HistoryLost => Err(PlatformError::new(
+            RelayReply::HistoryLost => Err(PlatformError::new(
                 "relay.changes",
                 &peer.id,
                 PlatformErrorKind::HistoryLost,
                 "the peer no longer knows the changes",
             )),
-            PeerAnswer::NotReady => {
+            RelayReply::NotReady => {
                 self.note_failure(space, &source, SourceFailure::Behind, "not ready");
                 Err(starting(peer))
             }
-            PeerAnswer::Failed(failure, cause) => {
+            RelayReply::Failed(failure, cause) => {
                 self.note_failure(space, &source, failure, &cause);
                 let kind = PlatformErrorKind::NotDone;
                 Err(PlatformError::new("relay.changes", &peer.id, kind, cause))
--- a/crates/relay/src/shared_space.rs
+++ b/crates/relay/src/shared_space.rs
@@ -6,18 +6,18 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
-use crate::peer_copies::SpaceAsk;
+use crate::peer_copies::SpaceRequest;
 use crate::relay::MAX_HOLD;
-use crate::space_copy::{SpaceAnswer, SpaceCopy};
+use crate::space_copy::{CopyReply, SpaceCopy};
 
 /// Minimum difference by which a proof must be newer than the requester's to be sent without changes.
 const MIN_PROOF_GAIN: Duration = Duration::from_millis(100);
 
 /// A reply to a peer, with the times from which the peer computes the age of its proof.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldAnswer {
+pub struct HeldReply {
     /// Changes or all rows of the copy.
-    pub answer: SpaceAnswer,
+    pub reply: CopyReply,
     /// Age of the copy's proof when the reply was made.
     pub proof_age: Duration,
     /// How long the request was held before the reply.
@@ -52,34 +52,35 @@
     }
 
     /// Replies to a peer once there are updates for it or the hold time is over; `None` if the space was never read.
-    pub async fn answer(&self, ask: &SpaceAsk) -> Option<HeldAnswer> {
+    pub async fn reply(&self, request: &SpaceRequest) -> Option<HeldReply> {
         let received_at = harrierward_clock::now();
-        self.wait_for_updates(ask, received_at).await;
+        self.wait_for_updates(request, received_at).await;
         let copy = self.copy();
-        Some(HeldAnswer {
+        Some(HeldReply {
             proof_age: harrierward_clock::age(copy.as_of()?),
             held: harrierward_clock::age(received_at),
-            answer: copy.answer(ask.after),
+            reply: copy.reply(request.after),
         })
     }
 
-    async fn wait_for_updates(&self, ask: &SpaceAsk, received_at: Instant) {
-        let until = Instant::now() + ask.hold.min(MAX_HOLD);
+    async fn wait_for_updates(&self, request: &SpaceRequest, received_at: Instant) {
+        let until = Instant::now() + request.hold.min(MAX_HOLD);
         let mut updates = self.updates.subscribe();
-        while !self.has_news(ask, received_at) {
+        while !self.has_updates(request, received_at) {
             if !matches!(timeout_at(until, updates.changed()).await, Ok(Ok(()))) {
                 return;
             }
         }
     }
 
-    fn has_news(&self, ask: &SpaceAsk, received_at: Instant) -> bool {
+    fn has_updates(&self, request: &SpaceRequest, received_at: Instant) -> bool {
         let copy = self.copy();
         let Some(as_of) = copy.as_of() else {
             return false;
         };
-        let known_age = ask.known_age.unwrap_or(Duration::MAX);
+        let known_age = request.known_age.unwrap_or(Duration::MAX);
         let known_age = known_age.saturating_add(harrierward_clock::age(received_at));
-        copy.has_news(ask.after) || harrierward_clock::age(as_of) + MIN_PROOF_GAIN < known_age
+        copy.has_updates(request.after)
+            || harrierward_clock::age(as_of) + MIN_PROOF_GAIN < known_age
     }
 }
--- a/crates/relay/src/space_copy.rs
+++ b/crates/relay/src/space_copy.rs
@@ -48,11 +48,11 @@
 
 /// The content of a reply to a peer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct SpaceAnswer {
+pub struct CopyReply {
     /// The changes, or all rows.
     pub changes: Vec<RowChange>,
     /// `changes` are all rows; the requester must remove any other rows.
-    pub is_whole: bool,
+    pub is_full: bool,
     /// Revision of the sender's copy.
     pub revision: u64,
     /// Digest of the keys and revisions of the sender's rows.
@@ -228,22 +228,22 @@
     }
 
     /// True if there are changes for a peer whose copy has the revision `after`.
-    pub fn has_news(&self, after: u64) -> bool {
+    pub fn has_updates(&self, after: u64) -> bool {
         after < self.recent_after || self.recent.iter().any(|change| change.revision > after)
     }
 
     /// Returns what a peer with a copy of the revision `after` lacks; 0 for a peer without a copy.
-    pub fn answer(&self, after: u64) -> SpaceAnswer {
-        let is_whole = after < self.recent_after;
-        let changes = if is_whole {
+    pub fn reply(&self, after: u64) -> CopyReply {
+        let is_full = after < self.recent_after;
+        let changes = if is_full {
             let all = self.rows.keys();
             all.map(|key| self.change(key, self.revision)).collect()
         } else {
             self.changes_after(after)
         };
-        SpaceAnswer {
+        CopyReply {
             changes,
-            is_whole,
+            is_full,
             revision: self.revision,
             digest: self.digest,
             store_time_ms: self.store_time_ms,
--- a/crates/relay/tests/copies.rs
+++ b/crates/relay/tests/copies.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use harrierward_external::{ChangePage, CopyProof, Row, RowChange, SpaceSnapshot};
-use harrierward_relay::{SpaceAnswer, SpaceCopy};
+use harrierward_relay::{CopyReply, SpaceCopy};
 use proptest::prelude::*;
 use tokio::time::Instant;
 
@@ -14,29 +14,29 @@
     }
 }
 
-fn proof_of(answer: &SpaceAnswer) -> Option<CopyProof> {
+fn proof_of(reply: &CopyReply) -> Option<CopyProof> {
     Some(CopyProof {
         as_of: Instant::now(),
-        digest: answer.digest,
+        digest: reply.digest,
     })
 }
 
-fn page(answer: SpaceAnswer) -> ChangePage {
+fn page(reply: CopyReply) -> ChangePage {
     ChangePage {
-        proof: proof_of(&answer),
-        revision: answer.revision,
-        store_time_ms: answer.store_time_ms,
-        changes: answer.changes,
+        proof: proof_of(&reply),
+        revision: reply.revision,
+        store_time_ms: reply.store_time_ms,
+        changes: reply.changes,
     }
 }
 
 /// Asks as a daemon does: for changes, or for all where these are not known any more.
 fn follow(copy: &mut SpaceCopy, source: &SpaceCopy) -> bool {
-    let answer = source.answer(copy.revision());
-    if !answer.is_whole {
-        return copy.take_changes(page(answer)).differs;
+    let reply = source.reply(copy.revision());
+    if !reply.is_full {
+        return copy.take_changes(page(reply)).differs;
     }
-    let all = source.answer(0);
+    let all = source.reply(0);
     let proof = proof_of(&all);
     let rows = all.changes.into_iter().filter_map(|change| {
         Some(Row {
@@ -182,8 +182,8 @@
         };
         source.take_changes(changes(vec![change], 2 + number));
     }
-    assert!(source.has_news(after));
-    assert!(source.answer(after).is_whole);
-    assert!(!source.answer(1_900).is_whole);
-    assert!(!source.has_news(source.revision()));
+    assert!(source.has_updates(after));
+    assert!(source.reply(after).is_full);
+    assert!(!source.reply(1_900).is_full);
+    assert!(!source.has_updates(source.revision()));
 }
--- a/crates/relay/tests/zone.rs
+++ b/crates/relay/tests/zone.rs
@@ -17,7 +17,7 @@
     SpacePage, WatchedTable,
 };
 use harrierward_relay::{
-    PeerAnswer, PeerCopies, Relay, RelayPeer, SharedSpace, SourceFailure, SpaceAsk, Watch,
+    PeerCopies, Relay, RelayPeer, RelayReply, SharedSpace, SourceFailure, SpaceRequest, Watch,
     WatchSettings,
 };
 use tokio::sync::Semaphore;
@@ -161,25 +161,25 @@
 
 #[async_trait]
 impl PeerCopies for Network {
-    async fn ask(&self, peer: &RelayPeer, ask: SpaceAsk) -> PeerAnswer {
-        let asked_at = harrierward_clock::now();
+    async fn request(&self, peer: &RelayPeer, request: SpaceRequest) -> RelayReply {
+        let sent_at = harrierward_clock::now();
         let machine = self.machines.lock().unwrap().get(&peer.id).cloned();
         let Some(machine) = machine else {
-            return PeerAnswer::NotReady;
+            return RelayReply::NotReady;
         };
         sleep(Duration::from_millis(1)).await;
         if machine.is_silent.load(Ordering::Relaxed) {
-            sleep(ask.hold + Duration::from_millis(400)).await;
-            return PeerAnswer::Failed(SourceFailure::Silent, "silent".to_owned());
+            sleep(request.hold + Duration::from_millis(400)).await;
+            return RelayReply::Failed(SourceFailure::Silent, "silent".to_owned());
         }
-        let Some(held) = machine.space.answer(&ask).await else {
-            return PeerAnswer::NotReady;
+        let Some(held) = machine.space.reply(&request).await else {
+            return RelayReply::NotReady;
         };
-        let answer = held.answer;
-        if answer.is_whole && ask.after > 0 {
-            return PeerAnswer::HistoryLost;
+        let reply = held.reply;
+        if reply.is_full && request.after > 0 {
+            return RelayReply::HistoryLost;
         }
-        let rows = answer.changes.len();
+        let rows = reply.changes.len();
         machine
             .rows_sent
             .fetch_add(u64::try_from(rows).unwrap(), Ordering::Relaxed);
@@ -187,14 +187,14 @@
         #[allow(clippy::cast_precision_loss)]
         let bytes = rows as f64 * ROW_BYTES;
         sleep(Duration::from_secs_f64(bytes / LINK_BYTES)).await;
-        let as_of = (asked_at + held.held).checked_sub(held.proof_age);
-        PeerAnswer::Page(ChangePage {
-            changes: answer.changes,
-            revision: answer.revision,
-            store_time_ms: answer.store_time_ms,
+        let as_of = (sent_at + held.held).checked_sub(held.proof_age);
+        RelayReply::Page(ChangePage {
+            changes: reply.changes,
+            revision: reply.revision,
+            store_time_ms: reply.store_time_ms,
             proof: as_of.map(|as_of| CopyProof {
                 as_of,
-                digest: answer.digest,
+                digest: reply.digest,
             }),
         })
     }
