--- a/crates/edge/src/relay/client.rs
+++ b/crates/edge/src/relay/client.rs
@@ -35,7 +35,7 @@
 }
 
 fn unresponsive(cause: impl Into<String>) -> RelayReply {
-    RelayReply::Failed(SourceFailure::Silent, cause.into())
+    RelayReply::Failed(SourceFailure::Unresponsive, cause.into())
 }
 
 fn millis(time: Duration) -> u32 {
@@ -91,7 +91,7 @@
 fn parse_reply(bytes: &[u8], sent_at: Instant) -> RelayReply {
     let Some(reply) = decode::<SpaceReply>(bytes).filter(|reply| reply.format == FORMAT) else {
         let cause = "the answer is of another kind".to_owned();
-        return RelayReply::Failed(SourceFailure::Unknowing, cause);
+        return RelayReply::Failed(SourceFailure::Unsupported, cause);
     };
     if reply.is_history_lost {
         return RelayReply::HistoryLost;
--- a/crates/edge/src/watches.rs
+++ b/crates/edge/src/watches.rs
@@ -6,8 +6,8 @@
 use harrierward_decisions::DecisionLog;
 use harrierward_inline_jobs::{InlineJobs, JOB_HEADERS, RowKind, partitions, row_kind};
 use harrierward_relay::{
-    Relay, SharedSpace, SpaceUpdate, Watch, WatchPace, WatchSettings, WholeReadPace,
-    gathering_interval, unpaced, whole_read_interval,
+    FullReadPace, Relay, SharedSpace, SpaceUpdate, Watch, WatchPace, WatchSettings,
+    coalescing_interval, full_read_interval, unpaced,
 };
 use harrierward_serving::{KeyTrust, Mechanism};
 use tokio::time::{Instant, sleep};
@@ -68,18 +68,18 @@
         let relay = self.relay.clone();
         Arc::new(move || {
             let relayed = relay.interval(space);
-            relayed.unwrap_or_else(|| gathering_interval(fleet_size(), reads))
+            relayed.unwrap_or_else(|| coalescing_interval(fleet_size(), reads))
         })
     }
 
-    fn full_reads(&self, space: &'static str) -> WholeReadPace {
+    fn full_reads(&self, space: &'static str) -> FullReadPace {
         let (fleet_size, reads) = (self.fleet_size.clone(), self.reads_a_second);
         let relay = self.relay.clone();
         Arc::new(move |calls| {
             if relay.is_follower(space) {
                 return FOLLOWER_FULL_READ_INTERVAL;
             }
-            whole_read_interval(fleet_size(), calls, reads)
+            full_read_interval(fleet_size(), calls, reads)
         })
     }
 
@@ -105,7 +105,7 @@
             ..WatchSettings::default()
         },
         pace,
-        whole_read_pace: intervals.full_reads(space),
+        full_read_pace: intervals.full_reads(space),
         partitions,
         log: log.clone(),
     };
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -13,7 +13,7 @@
 mod watch;
 
 pub use pace::{
-    WatchPace, WholeReadPace, gathering_interval, unpaced, unpaced_reads, whole_read_interval,
+    FullReadPace, WatchPace, coalescing_interval, full_read_interval, unpaced, unpaced_reads,
 };
 pub use peer_copies::{PeerCopies, RelayReply, SpaceRequest};
 pub use relay::Relay;
--- a/crates/relay/src/pace.rs
+++ b/crates/relay/src/pace.rs
@@ -7,10 +7,10 @@
 pub type WatchPace = Arc<dyn Fn() -> Duration + Send + Sync>;
 
 /// Returns the minimum time between two full reads of a space, given the number of calls of one read.
-pub type WholeReadPace = Arc<dyn Fn(usize) -> Duration + Send + Sync>;
+pub type FullReadPace = Arc<dyn Fn(usize) -> Duration + Send + Sync>;
 
 /// Returns a pace without a minimum, for spaces whose size doesn't grow with the fleet.
-pub fn unpaced_reads() -> WholeReadPace {
+pub fn unpaced_reads() -> FullReadPace {
     Arc::new(|_| Duration::ZERO)
 }
 
@@ -30,7 +30,7 @@
 
 /// Returns the time between two full reads of `calls` calls each that keeps all `daemons` together within their part of
 /// the store's read rate; zero if the rate is zero.
-pub fn whole_read_interval(daemons: usize, calls: usize, reads_a_second: f64) -> Duration {
+pub fn full_read_interval(daemons: usize, calls: usize, reads_a_second: f64) -> Duration {
     let allowed = reads_a_second * FULL_READ_SHARE;
     if allowed <= 0.0 {
         return Duration::ZERO;
@@ -42,7 +42,7 @@
 
 /// Returns the time for which a watch coalesces changes, so that all `daemons` together, each of which a change wakes,
 /// stay within their part of the store's read rate; zero if the rate is zero.
-pub fn gathering_interval(daemons: usize, reads_a_second: f64) -> Duration {
+pub fn coalescing_interval(daemons: usize, reads_a_second: f64) -> Duration {
     let allowed = reads_a_second * CHANGES_SHARE;
     if allowed <= 0.0 {
         return Duration::ZERO;
--- a/crates/relay/src/relay/reading.rs
+++ b/crates/relay/src/relay/reading.rs
@@ -69,7 +69,7 @@
     ) -> Result<SpacePage, PlatformError> {
         let has_copy = self.known(space).1.is_some();
         let now = harrierward_clock::now();
-        let sources = self.lock().sources.for_whole_read(has_copy, now);
+        let sources = self.lock().sources.for_full_read(has_copy, now);
         for source in sources {
             let Source::Peer(peer) = &source else {
                 self.note_success(space, &source);
@@ -174,7 +174,7 @@
             && !is_alone
         {
             let cause = error.to_string();
-            self.note_failure(space, &Source::Store, SourceFailure::Silent, &cause);
+            self.note_failure(space, &Source::Store, SourceFailure::Unresponsive, &cause);
         }
         answer
     }
--- a/crates/relay/src/sources.rs
+++ b/crates/relay/src/sources.rs
@@ -55,11 +55,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SourceFailure {
     /// No reply, or an unreadable one.
-    Silent,
+    Unresponsive,
     /// Its copy is too old, or missing.
     Behind,
     /// It doesn't support relay requests, as a daemon of an older build.
-    Unknowing,
+    Unsupported,
 }
 
 /// The relay mode, the tree position and the cooldowns of one daemon.
@@ -140,20 +140,20 @@
             (Some(Source::Store), None)
         };
         let followed = self.followed(now).map(Source::Peer).into_iter();
-        let stand_ins = self.available(&self.tree.stand_ins, now).map(Source::Peer);
-        followed.chain(first).chain(stand_ins).chain(last).collect()
+        let fallbacks = self.available(&self.tree.fallbacks, now).map(Source::Peer);
+        followed.chain(first).chain(fallbacks).chain(last).collect()
     }
 
     /// Returns the sources to try for a full read, in order. The store comes last, as full reads dominate its traffic. The
     /// fallbacks are skipped if the daemon has a copy, since their copies may be relayed from it.
-    pub fn for_whole_read(&self, has_copy: bool, now: Instant) -> Vec<Source> {
+    pub fn for_full_read(&self, has_copy: bool, now: Instant) -> Vec<Source> {
         if self.mode(now) != RelayMode::Relayed {
             return vec![Source::Store];
         }
         let followed = self.followed(now).map(Source::Peer).into_iter();
-        let stand_ins = self.available(&self.tree.stand_ins, now).map(Source::Peer);
-        let stand_ins = stand_ins.filter(|_| !has_copy);
-        followed.chain(stand_ins).chain([Source::Store]).collect()
+        let fallbacks = self.available(&self.tree.fallbacks, now).map(Source::Peer);
+        let fallbacks = fallbacks.filter(|_| !has_copy);
+        followed.chain(fallbacks).chain([Source::Store]).collect()
     }
 
     /// Returns the nearest ancestor that is not in cooldown.
@@ -176,9 +176,9 @@
     /// Puts a source that failed into cooldown.
     pub fn note_failure(&mut self, source: &Source, failure: SourceFailure, now: Instant) {
         let cooldown = match failure {
-            SourceFailure::Silent => UNRESPONSIVE_COOLDOWN,
+            SourceFailure::Unresponsive => UNRESPONSIVE_COOLDOWN,
             SourceFailure::Behind => BEHIND_COOLDOWN,
-            SourceFailure::Unknowing => UNSUPPORTED_COOLDOWN,
+            SourceFailure::Unsupported => UNSUPPORTED_COOLDOWN,
         };
         match source {
             Source::Store => self.store_cooldown_until = Some(now + STORE_COOLDOWN),
--- a/crates/relay/src/tree.rs
+++ b/crates/relay/src/tree.rs
@@ -28,7 +28,7 @@
     /// Ancestors from the parent up to the root; empty for the root.
     pub ancestors: Vec<RelayPeer>,
     /// First members of the order that aren't ancestors.
-    pub stand_ins: Vec<RelayPeer>,
+    pub fallbacks: Vec<RelayPeer>,
 }
 
 impl RelayTree {
@@ -42,7 +42,7 @@
         let ancestors: Vec<RelayPeer> = ancestors.collect();
         let others = ranked.into_iter().filter(|peer| !ancestors.contains(peer));
         Self {
-            stand_ins: others.take(FALLBACKS).cloned().collect(),
+            fallbacks: others.take(FALLBACKS).cloned().collect(),
             ancestors,
         }
     }
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::{Instant, sleep};
 
-use crate::pace::{WatchPace, WholeReadPace};
+use crate::pace::{FullReadPace, WatchPace};
 use crate::shared_space::SharedSpace;
 use crate::space_copy::SpaceUpdate;
 
@@ -21,13 +21,13 @@
     /// Initial backoff after a failure.
     pub first_pause: Duration,
     /// Maximum backoff after failures.
-    pub longest_pause: Duration,
+    pub max_pause: Duration,
     /// Minimum time between full reads, which repair changes that the store's feed omitted.
-    pub whole_read_every: Duration,
+    pub full_read_interval: Duration,
     /// How long after its start an interrupted full read may resume; the store's history must reach back that far.
-    pub resume_within: Duration,
+    pub resume_window: Duration,
     /// Time after lost history in which full reads may be stale; another one follows at its end.
-    pub stale_for: Duration,
+    pub stale_window: Duration,
 }
 
 impl Default for WatchSettings {
@@ -35,10 +35,10 @@
         Self {
             wait: Duration::from_millis(1_000),
             first_pause: Duration::from_millis(60),
-            longest_pause: Duration::from_millis(500),
-            whole_read_every: Duration::from_secs(10),
-            resume_within: Duration::from_secs(10),
-            stale_for: Duration::from_secs(4),
+            max_pause: Duration::from_millis(500),
+            full_read_interval: Duration::from_secs(10),
+            resume_window: Duration::from_secs(10),
+            stale_window: Duration::from_secs(4),
         }
     }
 }
@@ -63,7 +63,7 @@
     /// How long changes are coalesced.
     pub pace: WatchPace,
     /// Time between full reads, if longer than the minimum of the settings.
-    pub whole_read_pace: WholeReadPace,
+    pub full_read_pace: FullReadPace,
     /// Log for lost and regained contact, and for copies that differ.
     pub log: DecisionLog,
 }
@@ -77,7 +77,7 @@
     /// Runs like `run`, on a copy that is shared with peers.
     pub async fn run_shared(self, space: Arc<SharedSpace>, mut take: impl FnMut(SpaceUpdate)) {
         let mut random = SmallRng::from_os_rng();
-        let mut backoff = Backoff::new(self.settings.first_pause, self.settings.longest_pause);
+        let mut backoff = Backoff::new(self.settings.first_pause, self.settings.max_pause);
         let mut needs_full_read = true;
         let mut history_lost = false;
         let mut full_read_due = harrierward_clock::now();
@@ -100,8 +100,8 @@
                 read.map(|()| {
                     let done = read_in_progress.take().unwrap_or_else(|| self.start_read());
                     pages = done.pages_read.pages();
-                    let pace = (self.whole_read_pace)(pages);
-                    full_read_due = requested_at + self.settings.whole_read_every.max(pace);
+                    let pace = (self.full_read_pace)(pages);
+                    full_read_due = requested_at + self.settings.full_read_interval.max(pace);
                     space.copy().take_snapshot(done.pages_read.into_snapshot())
                 })
             } else {
@@ -170,9 +170,9 @@
         pages: usize,
         random: &mut SmallRng,
     ) -> Duration {
-        let regular = (self.whole_read_pace)(pages);
+        let regular = (self.full_read_pace)(pages);
         let spread = regular.min(MAX_SECOND_READ_JITTER);
-        let soon = self.settings.stale_for + spread.mul_f64(random.random());
+        let soon = self.settings.stale_window + spread.mul_f64(random.random());
         if after_lost_history {
             return soon;
         }
@@ -191,7 +191,7 @@
         &self,
         read_in_progress: &'a mut Option<ReadInProgress>,
     ) -> &'a mut ReadInProgress {
-        let within = self.settings.resume_within;
+        let within = self.settings.resume_window;
         if read_in_progress
             .as_ref()
             .is_some_and(|read| harrierward_clock::age(read.started_at) >= within)
--- a/crates/relay/tests/suspended_watch.rs
+++ b/crates/relay/tests/suspended_watch.rs
@@ -71,7 +71,7 @@
             ..WatchSettings::default()
         },
         pace: unpaced(),
-        whole_read_pace: unpaced_reads(),
+        full_read_pace: unpaced_reads(),
         log: DecisionLog::new(LogBounds::default()),
     };
     tokio::spawn(watch.run(move |update| *told.lock().unwrap() = update.as_of));
--- a/crates/relay/tests/watch.rs
+++ b/crates/relay/tests/watch.rs
@@ -12,8 +12,8 @@
     WatchedTable,
 };
 use harrierward_relay::{
-    Watch, WatchPace, WatchSettings, gathering_interval, unpaced, unpaced_reads,
-    whole_read_interval,
+    Watch, WatchPace, WatchSettings, coalescing_interval, full_read_interval, unpaced,
+    unpaced_reads,
 };
 use tokio::time::{Instant, sleep, timeout};
 
@@ -106,11 +106,11 @@
         space: "space",
         partitions: vec![String::new()],
         settings: WatchSettings {
-            whole_read_every: Duration::from_secs(1_000),
+            full_read_interval: Duration::from_secs(1_000),
             ..WatchSettings::default()
         },
         pace,
-        whole_read_pace: unpaced_reads(),
+        full_read_pace: unpaced_reads(),
         log: DecisionLog::new(LogBounds::default()),
     };
     let running = watch.run(move |update| {
@@ -159,11 +159,11 @@
 #[test]
 fn the_interval_grows_with_the_fleet_and_is_bounded() {
     let reads = 2_000.0;
-    let small = gathering_interval(12, reads);
-    let large = gathering_interval(30, reads);
+    let small = coalescing_interval(12, reads);
+    let large = coalescing_interval(30, reads);
     assert!(small < large);
-    assert!(gathering_interval(520, reads) <= Duration::from_millis(800));
-    assert_eq!(gathering_interval(12, 0.0), Duration::ZERO);
+    assert!(coalescing_interval(520, reads) <= Duration::from_millis(800));
+    assert_eq!(coalescing_interval(12, 0.0), Duration::ZERO);
 }
 
 /// Whole reads of all daemons together stay within their share of the store's reads, at any size.
@@ -171,12 +171,12 @@
 fn whole_reads_of_a_large_fleet_come_more_rarely() {
     let reads = 16_000.0;
     for daemons in [11, 95, 295, 520] {
-        let every = whole_read_interval(daemons, 8, reads);
+        let every = full_read_interval(daemons, 8, reads);
         let calls_a_second = 8.0 * daemons as f64 / every.as_secs_f64();
         assert!(calls_a_second <= reads * 0.01 + 1.0, "{calls_a_second}");
     }
-    assert!(whole_read_interval(11, 8, reads) < WatchSettings::default().whole_read_every);
-    assert_eq!(whole_read_interval(12, 1, 0.0), Duration::ZERO);
+    assert!(full_read_interval(11, 8, reads) < WatchSettings::default().full_read_interval);
+    assert_eq!(full_read_interval(12, 1, 0.0), Duration::ZERO);
 }
 
 /// Pages of the space that many daemons read at once.
@@ -278,7 +278,7 @@
 
 /// Daemons of a fleet of 300 that have read everything when twice the least time has passed in which a store that takes
 /// a fifth of their calls a second can answer all pages.
-async fn daemons_that_have_read(resume_within: Duration) -> usize {
+async fn daemons_that_have_read(resume_window: Duration) -> usize {
     const DAEMONS: usize = 300;
     let space = CrowdedSpace::new();
     let read = Arc::new(AtomicU64::new(0));
@@ -288,12 +288,12 @@
             space: "space",
             partitions: vec![String::new()],
             settings: WatchSettings {
-                stale_for: Duration::from_secs(1_000),
-                resume_within,
+                stale_window: Duration::from_secs(1_000),
+                resume_window,
                 ..WatchSettings::default()
             },
             pace: unpaced(),
-            whole_read_pace: unpaced_reads(),
+            full_read_pace: unpaced_reads(),
             log: DecisionLog::new(LogBounds::default()),
         };
         let read = read.clone();
@@ -342,12 +342,12 @@
             space: "space",
             partitions: vec![String::new()],
             settings: WatchSettings {
-                stale_for: Duration::from_secs(10),
-                whole_read_every: Duration::from_secs(1_000),
+                stale_window: Duration::from_secs(10),
+                full_read_interval: Duration::from_secs(1_000),
                 ..WatchSettings::default()
             },
             pace: unpaced(),
-            whole_read_pace: Arc::new(move |_| spread),
+            full_read_pace: Arc::new(move |_| spread),
             log: DecisionLog::new(LogBounds::default()),
         };
         tokio::spawn(watch.run(|_| {}))
@@ -381,7 +381,7 @@
             partitions: vec![String::new()],
             settings: WatchSettings::default(),
             pace: unpaced(),
-            whole_read_pace: Arc::new(move |_| regular),
+            full_read_pace: Arc::new(move |_| regular),
             log: DecisionLog::new(LogBounds::default()),
         };
         tokio::spawn(watch.run(|_| {}))
--- a/crates/relay/tests/zone.rs
+++ b/crates/relay/tests/zone.rs
@@ -170,7 +170,7 @@
         sleep(Duration::from_millis(1)).await;
         if machine.is_silent.load(Ordering::Relaxed) {
             sleep(request.hold + Duration::from_millis(400)).await;
-            return RelayReply::Failed(SourceFailure::Silent, "silent".to_owned());
+            return RelayReply::Failed(SourceFailure::Unresponsive, "silent".to_owned());
         }
         let Some(held) = machine.space.reply(&request).await else {
             return RelayReply::NotReady;
@@ -246,7 +246,7 @@
                 partitions: vec![String::new()],
                 settings: WatchSettings::default(),
                 pace: Arc::new(move || paced.interval(SPACE).unwrap_or_default()),
-                whole_read_pace: Arc::new(|_| Duration::from_secs(1_000)),
+                full_read_pace: Arc::new(|_| Duration::from_secs(1_000)),
                 log,
             };
             tokio::spawn(watch.run_shared(space, |_| {}));
