--- a/crates/bench/src/faults/world.rs
+++ b/crates/bench/src/faults/world.rs
@@ -269,7 +269,7 @@
             seed: number,
             ..NodeSettings::default()
         };
-        settings.slots.maximum_running = ENGINE_SEQUENCES as u32;
+        settings.slots.max_running = ENGINE_SEQUENCES as u32;
         settings.gateway.seed = number;
         settings.gateway.stall_timeout = Duration::from_secs(4);
         settings.owner.core.commit_after = Duration::from_secs(1);
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -8,7 +8,7 @@
 mod slots;
 
 pub use plan::{
-    CapacityPlan, Lender, PlanInput, PlanProblem, ServiceLoad, ServicePlan, TenantShare,
+    CapacityPlan, CapacityPlanner, PlanInput, PolicyFailure, ServiceLoad, ServicePlan, TenantShare,
     compute_plan,
 };
 pub use policy::{
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -84,7 +84,7 @@
 
 /// A policy whose program failed; its last good result was used, if any.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PlanProblem {
+pub struct PolicyFailure {
     /// Name of the policy.
     pub policy: String,
     /// Cause of the failure.
@@ -99,19 +99,19 @@
 
 /// Computes plans from the tenants' programs, and keeps the last good result of each program.
 #[derive(Default)]
-pub struct Lender {
+pub struct CapacityPlanner {
     engine: PolicyEngine,
     programs: BTreeMap<String, Program>,
 }
 
-impl Lender {
+impl CapacityPlanner {
     /// Computes a plan; also returns the policies whose programs failed.
     pub fn plan(
         &mut self,
         config: &ConfigSnapshot,
         input: &PlanInput,
-    ) -> (CapacityPlan, Vec<PlanProblem>) {
-        let mut problems = Vec::new();
+    ) -> (CapacityPlan, Vec<PolicyFailure>) {
+        let mut failures = Vec::new();
         let mut runs = BTreeMap::new();
         if input.fresh {
             for (object, spec) in config.policies() {
@@ -124,7 +124,7 @@
                 let program_input = program_input(&spec.service, &object.owner, input);
                 let result = self.run(&object.name, object.revision, &spec.program, &program_input);
                 if let Err(error) = &result {
-                    problems.push(PlanProblem {
+                    failures.push(PolicyFailure {
                         policy: object.name.clone(),
                         error: error.clone(),
                     });
@@ -140,7 +140,7 @@
             .map(|(object, _)| object.name.clone())
             .collect();
         self.programs.retain(|name, _| names.contains(name));
-        (compute_plan(config, &runs), problems)
+        (compute_plan(config, &runs), failures)
     }
 
     fn last_good_run(&self, policy: &str) -> Option<PolicyRun> {
@@ -205,8 +205,8 @@
     // The maximum share requested by any of a tenant's programs limits its share of each service.
     let mut requested_shares: BTreeMap<&str, f64> = BTreeMap::new();
     for ((_, tenant), run) in runs {
-        let ask = requested_shares.entry(tenant.as_str()).or_default();
-        *ask = ask.max(run.ask);
+        let requested_share = requested_shares.entry(tenant.as_str()).or_default();
+        *requested_share = requested_share.max(run.requested_share);
     }
     let services = config
         .services()
--- a/crates/capacity/src/policy.rs
+++ b/crates/capacity/src/policy.rs
@@ -97,7 +97,7 @@
     /// Result of `lend`; empty if the program doesn't define it.
     pub offer: PolicyOffer,
     /// Result of `borrow`: the part of others' slots that the tenant requests, 0 to 1.
-    pub ask: f64,
+    pub requested_share: f64,
     /// Number of engine operations used by both calls.
     pub operations: u64,
 }
@@ -158,7 +158,7 @@
         }
         if defines_function(ast, "borrow") {
             let borrow_result = self.call(ast, "borrow", numbers, &mut run.operations)?;
-            run.ask = read_share(&borrow_result)
+            run.requested_share = read_share(&borrow_result)
                 .ok_or_else(|| unexpected_value(&borrow_result, "a share from 0 to 1"))?;
         }
         Ok(run)
--- a/crates/capacity/src/slots.rs
+++ b/crates/capacity/src/slots.rs
@@ -15,7 +15,7 @@
     /// Time to prefill one token, in microseconds.
     pub prefill_token_micros: f64,
     /// Maximum number of concurrent sequences of the engine.
-    pub maximum_running: u32,
+    pub max_running: u32,
     /// Number of slots that batch never uses.
     pub online_reserve: u32,
     /// Maximum step time while online requests run, in microseconds; trades online latency against batch throughput.
@@ -27,9 +27,9 @@
     /// Maximum accumulated prefill credit, in microseconds; bounds the delay by consecutive batch prefills.
     pub prefill_burst_micros: f64,
     /// Queued online prefill work, in microseconds, above which the batch limit drops to zero.
-    pub burst_micros: f64,
+    pub burst_threshold_micros: f64,
     /// How long the batch limit stays at zero after a burst was last observed.
-    pub calm: Duration,
+    pub burst_cooldown: Duration,
     /// Slots per second by which the limit grows.
     pub growth_per_second: f64,
 }
@@ -40,14 +40,14 @@
             step_base_micros: 12_000.0,
             step_sequence_micros: 60.0,
             prefill_token_micros: 40.0,
-            maximum_running: 128,
+            max_running: 128,
             online_reserve: 4,
             step_target_micros: 17_000.0,
             prefill_share: 0.25,
             idle_prefill_share: 0.6,
             prefill_burst_micros: 4_000.0,
-            burst_micros: 400_000.0,
-            calm: Duration::from_millis(60),
+            burst_threshold_micros: 400_000.0,
+            burst_cooldown: Duration::from_millis(60),
             growth_per_second: 2_000.0,
         }
     }
@@ -92,9 +92,9 @@
             prefill_tokens,
         };
         let prefill_micros = f64::from(prefill_tokens) * self.settings.prefill_token_micros;
-        if prefill_micros > self.settings.burst_micros {
+        if prefill_micros > self.settings.burst_threshold_micros {
             self.limit = 0.0;
-            self.zero_until = now + self.settings.calm;
+            self.zero_until = now + self.settings.burst_cooldown;
         }
     }
 
@@ -103,7 +103,7 @@
         let settings = &self.settings;
         let online = f64::from(self.online.running);
         let free_slots =
-            f64::from(settings.maximum_running) - f64::from(settings.online_reserve) - online;
+            f64::from(settings.max_running) - f64::from(settings.online_reserve) - online;
         if self.online.running == 0 {
             return free_slots.max(0.0);
         }
@@ -159,7 +159,7 @@
     /// Number of tokens generated so far, which a preemption discards.
     pub generated: u32,
     /// Maximum number of tokens that it may still generate.
-    pub left: u32,
+    pub max_remaining: u32,
     /// True if the item must not run again; it is then never preempted.
     pub at_most_once: bool,
 }
@@ -170,7 +170,7 @@
     let excess = running.len().saturating_sub(limit);
     let mut candidates: Vec<&RunningBatchItem> =
         running.iter().filter(|item| !item.at_most_once).collect();
-    candidates.sort_by_key(|item| (std::cmp::Reverse(item.left), item.generated));
+    candidates.sort_by_key(|item| (std::cmp::Reverse(item.max_remaining), item.generated));
     candidates.truncate(excess);
     candidates
 }
--- a/crates/capacity/tests/isolation.rs
+++ b/crates/capacity/tests/isolation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use harrierward_capacity::{
-    Lender, PlanInput, PolicyOffer, PolicyRun, RunningBatchItem, SlotBudget, SlotSettings,
+    CapacityPlanner, PlanInput, PolicyOffer, PolicyRun, RunningBatchItem, SlotBudget, SlotSettings,
     check_program, compute_plan, select_victims,
 };
 use harrierward_config::{ConfigObject, ConfigSnapshot, PolicySpec, ServiceSpec, Spec, TenantSpec};
@@ -61,12 +61,12 @@
         0.0..=1.0f64,
         0..4,
     );
-    (shares, 0.0..=1.0f64).prop_map(|(shares, ask)| PolicyRun {
+    (shares, 0.0..=1.0f64).prop_map(|(shares, requested_share)| PolicyRun {
         offer: PolicyOffer {
             shares,
             return_ms: 100,
         },
-        ask,
+        requested_share,
         operations: 1,
     })
 }
@@ -94,9 +94,9 @@
             let mut total = 0.0;
             for borrower in &service.borrowers {
                 let position = TENANTS.iter().position(|tenant| *tenant == borrower.tenant);
-                let ask = position.map_or(0.0, |position| runs[position].ask);
+                let requested_share = position.map_or(0.0, |position| runs[position].requested_share);
                 prop_assert!(borrower.share <= run.offer.shares[&borrower.tenant] + 1e-9);
-                prop_assert!(borrower.share <= ask + 1e-9);
+                prop_assert!(borrower.share <= requested_share + 1e-9);
                 total += borrower.share;
             }
             prop_assert!(total <= 1.0 + 1e-9);
@@ -110,11 +110,11 @@
         let now = Duration::from_millis(millis);
         budget.observe_online(now, online, prefill);
         let waiting = f64::from(prefill) * settings.prefill_token_micros;
-        if waiting > settings.burst_micros {
+        if waiting > settings.burst_threshold_micros {
             prop_assert_eq!(budget.limit(now), 0);
         }
         let limit = budget.limit(now + Duration::from_secs(10));
-        prop_assert!(limit + online.min(settings.maximum_running) <= settings.maximum_running);
+        prop_assert!(limit + online.min(settings.max_running) <= settings.max_running);
     }
 }
 
@@ -131,15 +131,19 @@
         "import \"os\" as os; fn lend(n) { 1 }",
     ];
     let good = "fn lend(n) { #{ to: #{ third: 0.4 }, return_ms: 50 } } fn borrow(n) { 0.0 }";
-    let ask = "fn borrow(n) { 1.0 }";
+    let requested_share = "fn borrow(n) { 1.0 }";
     for program in hostile {
         assert!(
             check_program(program).is_err(),
             "{program} passed the check"
         );
-        let config = config(&[("desks", program), ("trakia", good), ("third", ask)]);
-        let (plan, problems) = Lender::default().plan(&config, &fresh());
-        assert_eq!(problems.len(), 1, "{program}: {problems:?}");
+        let config = config(&[
+            ("desks", program),
+            ("trakia", good),
+            ("third", requested_share),
+        ]);
+        let (plan, failures) = CapacityPlanner::default().plan(&config, &fresh());
+        assert_eq!(failures.len(), 1, "{program}: {failures:?}");
         assert!(plan.services["desks-service"].borrowers.is_empty());
         assert_eq!(plan.services["trakia-service"].share_of("third"), 0.4);
     }
@@ -150,9 +154,9 @@
     let program =
         "fn lend(n) { if n.online_running > 5.0 { throw \"no\" } #{ to: #{ trakia: 0.5 } } }";
     let config = config(&[("desks", program), ("trakia", "fn borrow(n) { 1.0 }")]);
-    let mut lender = Lender::default();
-    let (first, problems) = lender.plan(&config, &fresh());
-    assert!(problems.is_empty(), "{problems:?}");
+    let mut planner = CapacityPlanner::default();
+    let (first, failures) = planner.plan(&config, &fresh());
+    assert!(failures.is_empty(), "{failures:?}");
     assert_eq!(first.services["desks-service"].share_of("trakia"), 0.5);
     let mut input = fresh();
     input
@@ -160,8 +164,8 @@
         .entry("desks-service".to_owned())
         .or_default()
         .online_running = 9.0;
-    let (second, problems) = lender.plan(&config, &input);
-    assert_eq!(problems.len(), 1);
+    let (second, failures) = planner.plan(&config, &input);
+    assert_eq!(failures.len(), 1);
     assert_eq!(second.services["desks-service"].share_of("trakia"), 0.5);
 }
 
@@ -171,17 +175,17 @@
         ("desks", "fn lend(n) { #{ to: #{ trakia: 1.0 } } }"),
         ("trakia", "fn borrow(n) { 1.0 }"),
     ]);
-    let (plan, _) = Lender::default().plan(&config, &PlanInput::default());
+    let (plan, _) = CapacityPlanner::default().plan(&config, &PlanInput::default());
     assert!(plan.services["desks-service"].borrowers.is_empty());
     assert_eq!(plan.services["desks-service"].share_of("desks"), 1.0);
 }
 
 #[test]
 fn at_most_once_items_are_never_victims() {
-    let item = |id: &str, left, at_most_once| RunningBatchItem {
+    let item = |id: &str, max_remaining, at_most_once| RunningBatchItem {
         request_id: id.to_owned(),
         generated: 1,
-        left,
+        max_remaining,
         at_most_once,
     };
     let running = [
--- a/crates/harrierward/src/commands.rs
+++ b/crates/harrierward/src/commands.rs
@@ -143,7 +143,7 @@
         return print_json(&json!({
             "lend": run.offer.shares,
             "return_ms": run.offer.return_ms,
-            "borrow": run.ask,
+            "borrow": run.requested_share,
             "operations": run.operations,
         }));
     }
@@ -153,7 +153,7 @@
         println!("lends up to {percent:.0}% of batch slots to {tenant}");
     }
     println!("back within {} ms", run.offer.return_ms);
-    println!("asks to borrow up to {:.0}%", run.ask * 100.0);
+    println!("asks to borrow up to {:.0}%", run.requested_share * 100.0);
     println!("cost: {} operations", run.operations);
     Ok(())
 }
--- a/crates/harrierward/src/settings.rs
+++ b/crates/harrierward/src/settings.rs
@@ -313,8 +313,8 @@
     let narrow = |number: u64| u32::try_from(number).unwrap_or(u32::MAX);
     node.shards = narrow(reader.integer("batch.shards", 1..=4096, u64::from(node.shards)));
     let slots = &mut node.slots;
-    let running = u64::from(slots.maximum_running);
-    slots.maximum_running = narrow(reader.integer("batch.engine_sequences", 1..=4096, running));
+    let running = u64::from(slots.max_running);
+    slots.max_running = narrow(reader.integer("batch.engine_sequences", 1..=4096, running));
     slots.step_base_micros =
         reader.number("batch.step_base_micros", 1.0..=1e7, slots.step_base_micros);
     slots.step_sequence_micros = reader.number(
@@ -333,7 +333,11 @@
         slots.step_target_micros,
     );
     slots.prefill_share = reader.number("batch.prefill_share", 0.0..=1.0, slots.prefill_share);
-    slots.burst_micros = reader.number("batch.burst_micros", 0.0..=1e9, slots.burst_micros);
+    slots.burst_threshold_micros = reader.number(
+        "batch.burst_micros",
+        0.0..=1e9,
+        slots.burst_threshold_micros,
+    );
     let commit_after = node.owner.core.commit_after;
     node.owner.core.commit_after =
         reader.millis("batch.commit_after_millis", 10..=600_000, commit_after);
--- a/crates/node/src/capacity_task.rs
+++ b/crates/node/src/capacity_task.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use harrierward_capacity::{Lender, PlanInput, ServiceLoad};
+use harrierward_capacity::{CapacityPlanner, PlanInput, ServiceLoad};
 use tokio::time::sleep;
 
 use crate::clock::{hour_of_day, now_ms};
@@ -14,12 +14,12 @@
 const TICK: Duration = Duration::from_secs(1);
 
 pub(crate) async fn run(shared: Arc<Shared>) {
-    let mut lender = Lender::default();
+    let mut planner = CapacityPlanner::default();
     let mut reported: BTreeMap<String, String> = BTreeMap::new();
     loop {
         let config = shared.config.load_full();
         let input = input(&shared);
-        let (plan, problems) = lender.plan(&config, &input);
+        let (plan, problems) = planner.plan(&config, &input);
         for problem in problems {
             let words = problem.error.to_string();
             if reported.get(&problem.policy) != Some(&words) {
@@ -45,7 +45,7 @@
             .iter()
             .map(|replica| replica.load.in_flight())
             .sum();
-        let slots = f64::from(replicas.max(1) * shared.settings.slots.maximum_running);
+        let slots = f64::from(replicas.max(1) * shared.settings.slots.max_running);
         let load = ServiceLoad {
             replicas,
             idle: (1.0 - f64::from(running) / slots).clamp(0.0, 1.0),
--- a/crates/node/src/runner/mod.rs
+++ b/crates/node/src/runner/mod.rs
@@ -338,7 +338,7 @@
         RunningBatchItem {
             request_id: self.task.request_id.clone(),
             generated,
-            left: u32::MAX - generated,
+            max_remaining: u32::MAX - generated,
             at_most_once: self.task.grant.at_most_once,
         }
     }
