--- a/crates/capacity/tests/isolation.rs
+++ b/crates/capacity/tests/isolation.rs
@@ -1,4 +1,4 @@
-//! No program reaches beyond its own tenant's capacity, whatever it returns or does.
+//! Guards against policy programs that affect other tenants' capacity, and against batch work in online slots.
 
 use std::collections::BTreeMap;
 
@@ -80,7 +80,7 @@
     })]
 
     #[test]
-    fn a_plan_never_gives_more_than_was_offered_asked_and_is_there(runs in prop::collection::vec(offer(), 3)) {
+    fn a_plan_never_exceeds_offers_requests_or_capacity(runs in prop::collection::vec(offer(), 3)) {
         let config = config(&[]);
         let by_service: BTreeMap<(String, String), PolicyRun> = TENANTS
             .iter()
@@ -104,7 +104,7 @@
     }
 
     #[test]
-    fn batch_never_takes_the_places_of_online(online in 0..200u32, prefill in 0..50_000u32, millis in 1..5_000u64) {
+    fn batch_never_takes_slots_of_online(online in 0..200u32, prefill in 0..50_000u32, millis in 1..5_000u64) {
         let settings = SlotSettings::default();
         let mut budget = SlotBudget::new(settings);
         let now = Duration::from_millis(millis);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_program_that_fails_later_keeps_its_last_good_answer() {
+fn a_program_that_fails_later_keeps_its_last_good_result() {
     let program =
         "fn lend(n) { if n.online_running > 5.0 { throw \"no\" } #{ to: #{ trakia: 0.5 } } }";
     let config = config(&[("desks", program), ("trakia", "fn borrow(n) { 1.0 }")]);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn without_a_fresh_configuration_nothing_is_lent() {
+fn no_capacity_is_lent_under_a_stale_configuration() {
     let config = config(&[
         ("desks", "fn lend(n) { #{ to: #{ trakia: 1.0 } } }"),
         ("trakia", "fn borrow(n) { 1.0 }"),
--- a/crates/membership/tests/cuts.rs
+++ b/crates/membership/tests/cuts.rs
@@ -1,4 +1,4 @@
-//! Daemons that were cut off from each other find each other again when the cut ends, whatever it was: views are whole soon.
+//! Guards against views that stay incomplete after a network partition has healed.
 
 mod support;
 
@@ -6,34 +6,33 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use support::{Cut, CutKind, Fleet};
+use support::{Fleet, Partition, PartitionKind};
 
-/// Members of the fleet that the table of the incident was measured with.
 const MEMBERS: usize = 71;
 
-/// Time in which the daemons start.
+/// Window of the random start times.
 const SPREAD: Duration = Duration::from_secs(1);
 
-/// A moment at which a fleet that was not cut is whole.
+/// Time by which all views of an unpartitioned fleet are complete.
 const SETTLED: Duration = Duration::from_secs(8);
 
-/// Time after the end of a cut in which all views must be whole.
-const WHOLE_WITHIN: Duration = Duration::from_secs(10);
+/// Maximum time from the end of a partition until all views are complete.
+const COMPLETE_WITHIN: Duration = Duration::from_secs(10);
 
-/// When seeds that go away stop: the fleet knows itself by then.
+/// When removed seeds stop; views are complete by then.
 const SEEDS_STOP_AT: Duration = Duration::from_secs(6);
 
-/// Seeds of a fleet.
+/// Number of seeds.
 const SEEDS: usize = 3;
 
-/// How a cut divides the fleet.
+/// How a partition divides the fleet.
 #[derive(Debug, Clone, Copy)]
 enum Parts {
-    /// This many of the same size.
+    /// This many parts of equal size.
     Even(usize),
-    /// This many last daemons, each by itself, and the rest.
+    /// Each of this many last daemons alone, and the remaining ones.
     Single(usize),
-    /// This many last daemons together, and the rest.
+    /// This many last daemons together, and the remaining ones.
     Few(usize),
 }
 
@@ -48,36 +47,36 @@
     }
 }
 
-/// Where the seeds are.
+/// Placement of the seeds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Seeds {
     /// All in the first part.
     OnePart,
-    /// Far apart.
+    /// Spread over the fleet.
     Spread,
-    /// Replaced by daemons elsewhere, before the cut.
-    Gone,
+    /// Stopped before the partition.
+    Removed,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Play {
+struct Scenario {
     members: usize,
-    kind: CutKind,
+    kind: PartitionKind,
     parts: Parts,
     seeds: Seeds,
-    begins: Duration,
-    lasts: Duration,
+    starts_at: Duration,
+    duration: Duration,
 }
 
-impl Play {
-    fn halves(begins: Duration, lasts: Duration) -> Self {
+impl Scenario {
+    fn halves(starts_at: Duration, duration: Duration) -> Self {
         Self {
             members: MEMBERS,
-            kind: CutKind::BothWays,
+            kind: PartitionKind::BothWays,
             parts: Parts::Even(2),
             seeds: Seeds::Spread,
-            begins,
-            lasts,
+            starts_at,
+            duration,
         }
     }
 
@@ -85,39 +84,39 @@
         let members = self.members;
         let seeds = match self.seeds {
             Seeds::Spread => [0, members / 3, members * 2 / 3],
-            Seeds::OnePart | Seeds::Gone => [0, 1, 2],
+            Seeds::OnePart | Seeds::Removed => [0, 1, 2],
         };
         let mut fleet = Fleet::with_seeds(members, SPREAD, &seeds);
-        if self.seeds == Seeds::Gone {
+        if self.seeds == Seeds::Removed {
             for seed in 0..SEEDS {
                 fleet.stop_at(seed, SEEDS_STOP_AT);
             }
         }
-        fleet.set_cut(Cut {
+        fleet.set_partition(Partition {
             kind: self.kind,
-            begins: self.begins,
-            lasts: self.lasts,
+            starts_at: self.starts_at,
+            duration: self.duration,
             part_of: self.parts.of(members),
         });
         fleet
     }
 
-    /// Seconds from the end of the cut until all views are whole; `None` if that took too long.
-    fn seconds_until_whole(self) -> Option<f64> {
+    /// Returns the seconds from the end of the partition until all views are complete; `None` after the timeout.
+    fn seconds_until_complete(self) -> Option<f64> {
         let mut fleet = self.fleet();
-        fleet.run_until(self.begins + self.lasts);
-        let seconds = fleet.seconds_until_whole(WHOLE_WITHIN);
+        fleet.run_until(self.starts_at + self.duration);
+        let seconds = fleet.seconds_until_complete(COMPLETE_WITHIN);
         println!("{self:?}: whole after {seconds:?} s");
         seconds
     }
 }
 
-/// All plays are played before one that fails ends the test.
-fn assert_all_join_again(plays: impl IntoIterator<Item = Play>) {
-    let failed = plays
+/// Runs all scenarios before it fails, so that all failures are reported.
+fn assert_all_rejoin(scenarios: impl IntoIterator<Item = Scenario>) {
+    let failed = scenarios
         .into_iter()
-        .filter(|play| play.seconds_until_whole().is_none());
-    let failed: Vec<Play> = failed.collect();
+        .filter(|scenario| scenario.seconds_until_complete().is_none());
+    let failed: Vec<Scenario> = failed.collect();
     assert!(failed.is_empty(), "never whole again: {failed:#?}");
 }
 
@@ -125,119 +124,124 @@
     Duration::from_secs(seconds)
 }
 
-/// Cuts after the start that are shorter than dead members are remembered.
+/// The partition ends before dead members are forgotten.
 #[test]
-fn parts_cut_for_less_than_a_minute_join_again() {
-    let both = [5, 30, 55].map(|lasts| Play::halves(SETTLED, seconds(lasts)));
-    let one_way = both.map(|play| Play {
-        kind: CutKind::OneWay,
-        ..play
+fn parts_rejoin_after_a_short_partition() {
+    let both = [5, 30, 55].map(|duration| Scenario::halves(SETTLED, seconds(duration)));
+    let one_way = both.map(|scenario| Scenario {
+        kind: PartitionKind::OneWay,
+        ..scenario
     });
-    assert_all_join_again(both.into_iter().chain(one_way));
+    assert_all_rejoin(both.into_iter().chain(one_way));
 }
 
-/// Neither part has ever heard of the other: only its seeds lead there.
+/// The parts have never met, so that only seeds connect them.
 #[test]
-fn parts_cut_from_the_start_join_again() {
-    let both = [5, 70].map(|lasts| Play::halves(Duration::ZERO, seconds(lasts)));
-    let one_way = both.map(|play| Play {
-        kind: CutKind::OneWay,
-        ..play
+fn parts_rejoin_after_a_partition_from_the_start() {
+    let both = [5, 70].map(|duration| Scenario::halves(Duration::ZERO, seconds(duration)));
+    let one_way = both.map(|scenario| Scenario {
+        kind: PartitionKind::OneWay,
+        ..scenario
     });
-    let seeds_beyond = both.map(|play| Play {
+    let seeds_beyond = both.map(|scenario| Scenario {
         seeds: Seeds::OnePart,
-        ..play
+        ..scenario
     });
-    let thirds = both.map(|play| Play {
+    let thirds = both.map(|scenario| Scenario {
         parts: Parts::Even(3),
-        ..play
+        ..scenario
     });
-    let plays = both.into_iter().chain(one_way);
-    assert_all_join_again(plays.chain(seeds_beyond).chain(thirds));
+    let scenarios = both.into_iter().chain(one_way);
+    assert_all_rejoin(scenarios.chain(seeds_beyond).chain(thirds));
 }
 
-/// Each part has forgotten the other, and the seeds may all be beyond the cut or no more.
+/// Each part has forgotten the other; the seeds may be unreachable or removed.
 #[test]
-fn parts_that_forgot_each_other_join_again() {
-    let both = [70, 120, 600].map(|lasts| Play::halves(SETTLED, seconds(lasts)));
-    let mut plays = both.to_vec();
-    for seeds in [Seeds::OnePart, Seeds::Gone] {
-        plays.extend(both.map(|play| Play { seeds, ..play }));
+fn parts_that_forgot_each_other_rejoin() {
+    let both = [70, 120, 600].map(|duration| Scenario::halves(SETTLED, seconds(duration)));
+    let mut scenarios = both.to_vec();
+    for seeds in [Seeds::OnePart, Seeds::Removed] {
+        scenarios.extend(both.map(|scenario| Scenario { seeds, ..scenario }));
     }
-    let long = Play {
-        seeds: Seeds::Gone,
-        ..Play::halves(SETTLED, seconds(120))
+    let long = Scenario {
+        seeds: Seeds::Removed,
+        ..Scenario::halves(SETTLED, seconds(120))
     };
     for parts in [Parts::Even(3), Parts::Single(5), Parts::Few(2)] {
-        plays.push(Play { parts, ..long });
+        scenarios.push(Scenario { parts, ..long });
     }
-    let flapping = CutKind::Flapping(seconds(7));
-    for kind in [CutKind::OneWay, flapping] {
-        plays.push(Play { kind, ..long });
+    let flapping = PartitionKind::Flapping(seconds(7));
+    for kind in [PartitionKind::OneWay, flapping] {
+        scenarios.push(Scenario { kind, ..long });
     }
-    assert_all_join_again(plays);
+    assert_all_rejoin(scenarios);
 }
 
-/// Plays of one cut that lose other datagrams.
-const DRAWS: u64 = 60;
+/// Number of runs with different datagram losses.
+const RUNS: u64 = 60;
 
-/// Bound of the slowest of them.
-const SLOWEST: Duration = Duration::from_secs(6);
+/// Maximum time until the views are complete in any of them.
+const MAX_TIME_UNTIL_COMPLETE: Duration = Duration::from_secs(6);
 
-/// A few members that lack the same one agree with each other, and must find out all the same.
+/// Members that lack the same member have equal digests and must still detect it.
 #[test]
-fn no_draw_of_losses_keeps_views_apart() {
-    let play = Play::halves(Duration::ZERO, seconds(5));
-    let slow = (0..DRAWS).filter(|draw| {
-        let mut fleet = play.fleet();
-        fleet.draw_from(*draw);
-        fleet.run_until(play.begins + play.lasts);
-        fleet.seconds_until_whole(SLOWEST).is_none()
+fn views_are_complete_in_time_under_any_datagram_losses() {
+    let scenario = Scenario::halves(Duration::ZERO, seconds(5));
+    let slow = (0..RUNS).filter(|run| {
+        let mut fleet = scenario.fleet();
+        fleet.reseed(*run);
+        fleet.run_until(scenario.starts_at + scenario.duration);
+        fleet
+            .seconds_until_complete(MAX_TIME_UNTIL_COMPLETE)
+            .is_none()
     });
     let slow: Vec<u64> = slow.collect();
-    assert!(slow.is_empty(), "not whole in time: {slow:?} of {DRAWS}");
+    assert!(slow.is_empty(), "not whole in time: {slow:?} of {RUNS}");
 }
 
-fn any_play() -> impl Strategy<Value = Play> {
+fn any_scenario() -> impl Strategy<Value = Scenario> {
     let kind = prop_oneof![
-        Just(CutKind::BothWays),
-        Just(CutKind::OneWay),
-        (1_u64..20).prop_map(|turn| CutKind::Flapping(seconds(turn))),
+        Just(PartitionKind::BothWays),
+        Just(PartitionKind::OneWay),
+        (1_u64..20).prop_map(|turn| PartitionKind::Flapping(seconds(turn))),
     ];
     let parts = prop_oneof![
         (2_usize..5).prop_map(Parts::Even),
         (1_usize..6).prop_map(Parts::Single),
         (2_usize..5).prop_map(Parts::Few),
     ];
-    let seeds = prop_oneof![Just(Seeds::OnePart), Just(Seeds::Spread), Just(Seeds::Gone)];
-    let begins = prop_oneof![Just(0_u64), 0_u64..30];
-    let lasts = prop_oneof![1_u64..60, 60_u64..200, 200_u64..600];
-    (12_usize..40, kind, parts, seeds, begins, lasts).prop_map(
-        |(members, kind, parts, seeds, begins, lasts)| {
-            // Whoever has neither heard of the others nor of a seed that lives can find nobody.
-            let first = if seeds == Seeds::Gone {
+    let seeds = prop_oneof![
+        Just(Seeds::OnePart),
+        Just(Seeds::Spread),
+        Just(Seeds::Removed)
+    ];
+    let starts_at = prop_oneof![Just(0_u64), 0_u64..30];
+    let duration = prop_oneof![1_u64..60, 60_u64..200, 200_u64..600];
+    (12_usize..40, kind, parts, seeds, starts_at, duration).prop_map(
+        |(members, kind, parts, seeds, starts_at, duration)| {
+            // A daemon that knows neither other members nor a running seed can't rejoin.
+            let first = if seeds == Seeds::Removed {
                 SETTLED
             } else {
                 Duration::ZERO
             };
-            Play {
+            Scenario {
                 members,
                 kind,
                 parts,
                 seeds,
-                begins: seconds(begins).max(first),
-                lasts: seconds(lasts),
+                starts_at: seconds(starts_at).max(first),
+                duration: seconds(duration),
             }
         },
     )
 }
 
-/// Draws of the property test: as many as fit into a few seconds.
 const CASES: u32 = 24;
 
-/// Any cut, of any length, between any parts.
+/// Random partitions of any kind, length and placement.
 #[test]
-fn views_are_whole_again_after_any_cut() {
+fn views_are_complete_after_any_partition() {
     let config = Config {
         cases: CASES,
         failure_persistence: None,
@@ -246,8 +250,11 @@
     };
     let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, random);
-    let outcome = runner.run(&any_play(), |play| {
-        prop_assert!(play.seconds_until_whole().is_some(), "never whole again");
+    let outcome = runner.run(&any_scenario(), |scenario| {
+        prop_assert!(
+            scenario.seconds_until_complete().is_some(),
+            "never whole again"
+        );
         Ok(())
     });
     if let Err(error) = outcome {
@@ -255,118 +262,123 @@
     }
 }
 
-/// Whoever hears the asks of members that it cannot reach does not take them for present again and again.
+/// Joins from members that can't be reached must not add them to the view repeatedly.
 #[test]
-fn members_that_hear_but_are_not_heard_stay_out_of_views() {
-    let play = Play {
-        kind: CutKind::OneWay,
-        ..Play::halves(SETTLED, seconds(200))
+fn unreachable_joining_members_stay_out_of_views() {
+    let scenario = Scenario {
+        kind: PartitionKind::OneWay,
+        ..Scenario::halves(SETTLED, seconds(200))
     };
-    let own_part = play.parts.of(play.members);
+    let own_part = scenario.parts.of(scenario.members);
     let own_part = own_part.iter().filter(|part| **part == 0).count();
-    let mut fleet = play.fleet();
-    // By then the others are dead and forgotten.
+    let mut fleet = scenario.fleet();
+    // The other part is dead and forgotten by then.
     fleet.run_until(SETTLED + seconds(90));
-    let mut largest = 0;
-    while fleet.now() < play.begins + play.lasts {
+    let mut largest_view_size = 0;
+    while fleet.now() < scenario.starts_at + scenario.duration {
         fleet.run_until(fleet.now() + Duration::from_millis(200));
-        largest = largest.max(fleet.largest_view(0..own_part));
+        largest_view_size = largest_view_size.max(fleet.largest_view(0..own_part));
     }
-    println!("largest view of {own_part} who hear the others: {largest}");
-    assert_eq!(largest, own_part);
+    println!("largest view of {own_part} who hear the others: {largest_view_size}");
+    assert_eq!(largest_view_size, own_part);
 }
 
-/// Time over which a cost is measured.
+/// Duration of each traffic measurement.
 const MEASURED: Duration = Duration::from_secs(10);
 
-/// A moment from which on a fleet that was not cut does nothing but probe.
-const CALM: Duration = Duration::from_secs(20);
+/// Time by which an unpartitioned fleet only probes.
+const STEADY: Duration = Duration::from_secs(20);
 
-/// What a daemon may send for control in [`MEASURED`], bytes: 9 KB a second.
-const SHARE: usize = 90_000;
+/// Maximum number of bytes per daemon in [`MEASURED`].
+const MAX_BYTES: usize = 90_000;
 
-/// Most asks for members by a whole fleet, or by each part of one that is cut, in [`MEASURED`]: 50 a second, and some for
-/// chance.
-const MOST_JOINS: usize = 600;
+/// Maximum number of joins per part of the fleet in [`MEASURED`].
+const MAX_JOINS: usize = 600;
 
-/// Most datagrams a daemon in [`MEASURED`]: a probe, its answer and those for another are some 75.
-const MOST_DATAGRAMS: usize = 120;
+/// Maximum number of datagrams per daemon in [`MEASURED`].
+const MAX_DATAGRAMS: usize = 120;
 
 #[derive(Debug)]
-struct Cost {
-    bytes_a_daemon: usize,
+struct Traffic {
+    bytes_per_daemon: usize,
     datagrams: usize,
     joins: usize,
 }
 
-/// What the fleet sends in [`MEASURED`] from `begin` on.
-fn cost(fleet: &mut Fleet, begin: Duration) -> Cost {
+/// Measures the fleet's traffic in [`MEASURED`] from `begin` on.
+fn measure_traffic(fleet: &mut Fleet, begin: Duration) -> Traffic {
     fleet.run_until(begin);
-    fleet.count_anew();
+    fleet.reset_counters();
     fleet.run_until(begin + MEASURED);
-    Cost {
-        bytes_a_daemon: fleet.bytes_a_daemon(),
+    Traffic {
+        bytes_per_daemon: fleet.bytes_per_daemon(),
         datagrams: fleet.datagrams,
         joins: fleet.joins,
     }
 }
 
-/// A whole fleet asks nobody if its seeds are there, and little else if they are not.
-fn assert_calm_costs_little(members: usize) {
-    let play = Play {
+/// A complete fleet sends no joins while its seeds are present, and a bounded number without them.
+fn assert_steady_traffic_is_bounded(members: usize) {
+    let scenario = Scenario {
         members,
-        ..Play::halves(SETTLED, Duration::ZERO)
+        ..Scenario::halves(SETTLED, Duration::ZERO)
     };
-    let present = cost(&mut play.fleet(), CALM);
+    let present = measure_traffic(&mut scenario.fleet(), STEADY);
     println!("{members} members, calm: {present:?}");
     assert_eq!(present.joins, 0, "asks of a whole fleet");
-    let gone = Play {
-        seeds: Seeds::Gone,
-        ..play
+    let removed = Scenario {
+        seeds: Seeds::Removed,
+        ..scenario
     };
-    // From when the daemons that were seeds are forgotten.
-    let gone = cost(&mut gone.fleet(), seconds(75));
-    println!("{members} members, calm, seeds gone: {gone:?}");
-    assert!((1..=MOST_JOINS).contains(&gone.joins), "{gone:?}");
-    assert!(gone.bytes_a_daemon <= SHARE / 2, "{gone:?}");
+    // The stopped seeds are forgotten by then.
+    let removed = measure_traffic(&mut removed.fleet(), seconds(75));
+    println!("{members} members, calm, seeds gone: {removed:?}");
+    assert!((1..=MAX_JOINS).contains(&removed.joins), "{removed:?}");
+    assert!(removed.bytes_per_daemon <= MAX_BYTES / 2, "{removed:?}");
 }
 
-/// Neither during a cut nor at its end are there more than so many asks, or more bytes than a daemon's share.
-fn assert_cut_costs_little(members: usize) {
-    let play = Play {
+/// Joins and traffic stay bounded during a partition and after it has healed.
+fn assert_partition_traffic_is_bounded(members: usize) {
+    let scenario = Scenario {
         members,
-        ..Play::halves(SETTLED, seconds(70))
+        ..Scenario::halves(SETTLED, seconds(70))
     };
-    let mut fleet = play.fleet();
-    let end = play.begins + play.lasts;
-    let during = cost(&mut fleet, end - MEASURED);
+    let mut fleet = scenario.fleet();
+    let end = scenario.starts_at + scenario.duration;
+    let during = measure_traffic(&mut fleet, end - MEASURED);
     println!("{members} members, last 10 s of a cut of 70 s: {during:?}");
-    let after = cost(&mut fleet, end);
+    let after = measure_traffic(&mut fleet, end);
     println!("{members} members, 10 s after it: {after:?}");
-    assert!(fleet.is_whole());
-    for cost in [during, after] {
-        assert!(cost.joins <= 2 * MOST_JOINS, "{cost:?}");
-        assert!(cost.bytes_a_daemon <= SHARE, "{cost:?}");
-        let datagrams = cost.datagrams / members;
-        assert!(datagrams <= MOST_DATAGRAMS, "{datagrams} a daemon");
+    assert!(fleet.is_complete());
+    for measure_traffic in [during, after] {
+        assert!(
+            measure_traffic.joins <= 2 * MAX_JOINS,
+            "{measure_traffic:?}"
+        );
+        assert!(
+            measure_traffic.bytes_per_daemon <= MAX_BYTES,
+            "{measure_traffic:?}"
+        );
+        let datagrams = measure_traffic.datagrams / members;
+        assert!(datagrams <= MAX_DATAGRAMS, "{datagrams} a daemon");
     }
 }
 
 #[test]
-fn a_whole_fleet_asks_nobody() {
-    assert_calm_costs_little(MEMBERS);
+fn a_complete_fleet_sends_no_joins() {
+    assert_steady_traffic_is_bounded(MEMBERS);
 }
 
 #[test]
-fn the_end_of_a_cut_brings_no_herd() {
-    assert_cut_costs_little(MEMBERS);
+fn a_healed_partition_causes_no_thundering_herd() {
+    assert_partition_traffic_is_bounded(MEMBERS);
 }
 
 #[test]
 #[ignore = "takes minutes: figures for the decision page"]
-fn costs_at_the_target() {
+fn traffic_at_the_maximum_fleet_size() {
     for members in [300, 520] {
-        assert_calm_costs_little(members);
-        assert_cut_costs_little(members);
+        assert_steady_traffic_is_bounded(members);
+        assert_partition_traffic_is_bounded(members);
     }
 }
--- a/crates/membership/tests/pauses.rs
+++ b/crates/membership/tests/pauses.rs
@@ -1,5 +1,4 @@
-//! Daemons that stood still, by a stop of their process or a suspension of their machine, soon have whole views again, and are in those
-//! of all others.
+//! Guards against views that stay incomplete after processes were stopped or machines suspended.
 
 mod support;
 
@@ -11,46 +10,46 @@
 const SPREAD: Duration = Duration::from_secs(1);
 const SETTLED: Duration = Duration::from_secs(8);
 
-/// Time after the end of a pause in which all views must be whole.
-const WHOLE_WITHIN: Duration = Duration::from_secs(10);
+/// Maximum time from the end of a pause until all views are complete.
+const COMPLETE_WITHIN: Duration = Duration::from_secs(10);
 
-/// Shorter and longer than it takes to be held for dead, and than the dead are remembered.
+/// Seconds; shorter and longer than the death timeout and than the retention of dead members.
 const LENGTHS: [u64; 5] = [1, 3, 20, 70, 600];
 
-/// How many daemons pause, the last ones: one, those of a machine, and half of the fleet.
+/// Number of paused daemons: one, those of one machine, and half of the fleet.
 const PAUSED: [usize; 3] = [1, 8, MEMBERS / 2];
 
-fn seconds_until_whole(paused: usize, pause: Pause) -> Option<f64> {
+fn seconds_until_complete(paused: usize, pause: Pause) -> Option<f64> {
     let mut fleet = Fleet::new(MEMBERS, SPREAD);
     for index in MEMBERS - paused..MEMBERS {
         fleet.pause(index, pause);
     }
-    fleet.run_until(pause.begins + pause.lasts);
-    let seconds = fleet.seconds_until_whole(WHOLE_WITHIN);
+    fleet.run_until(pause.starts_at + pause.duration);
+    let seconds = fleet.seconds_until_complete(COMPLETE_WITHIN);
     println!("{paused} daemons, {pause:?}: whole after {seconds:?} s");
     seconds
 }
 
-fn assert_whole_after_pauses(clock_goes_on: bool) {
-    for lasts in LENGTHS.map(Duration::from_secs) {
+fn assert_complete_after_pauses(clock_runs: bool) {
+    for duration in LENGTHS.map(Duration::from_secs) {
         for paused in PAUSED {
             let pause = Pause {
-                begins: SETTLED,
-                lasts,
-                clock_goes_on,
+                starts_at: SETTLED,
+                duration,
+                clock_runs,
             };
-            let seconds = seconds_until_whole(paused, pause);
+            let seconds = seconds_until_complete(paused, pause);
             assert!(seconds.is_some(), "{paused} daemons, {pause:?}");
         }
     }
 }
 
 #[test]
-fn views_are_whole_after_processes_were_stopped() {
-    assert_whole_after_pauses(true);
+fn views_are_complete_after_processes_were_stopped() {
+    assert_complete_after_pauses(true);
 }
 
 #[test]
-fn views_are_whole_after_machines_were_suspended() {
-    assert_whole_after_pauses(false);
+fn views_are_complete_after_machines_were_suspended() {
+    assert_complete_after_pauses(false);
 }
--- a/crates/membership/tests/rejoin.rs
+++ b/crates/membership/tests/rejoin.rs
@@ -1,4 +1,4 @@
-//! Whom a daemon asks for members, besides those it knows.
+//! Guards against joins that are missing, sent to needless addresses, or synchronized between daemons.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 const RESTARTED: &str = "10.0.0.5:1";
 const SEED: &str = "10.0.0.6:1";
 
-/// How addresses of many members begin that all answer.
+/// Prefix of the addresses of members that acknowledge all probes.
 const CROWD: &str = "10.1.";
 
 fn record(id: &str, address: &str, state: MemberState) -> MemberRecord {
@@ -42,14 +42,14 @@
     address.starts_with(CROWD)
 }
 
-/// A daemon whose peer, and the crowd, answer all probes, while nobody else answers.
-struct Play {
+/// A daemon whose probes only the peer and the crowd acknowledge.
+struct Simulation {
     core: MembershipCore,
     random: SmallRng,
     now: Duration,
 }
 
-impl Play {
+impl Simulation {
     fn new(seeds: &[&str]) -> Self {
         let own = record("own", OWN, MemberState::Alive);
         let seeds = seeds.iter().map(|seed| (*seed).to_owned()).collect();
@@ -60,7 +60,7 @@
         }
     }
 
-    fn hear(&mut self, kind: DatagramKind, probe: u64, records: Vec<MemberRecord>) {
+    fn receive_from_peer(&mut self, kind: DatagramKind, probe: u64, records: Vec<MemberRecord>) {
         let datagram = Datagram {
             kind: kind as i32,
             from: "peer".to_owned(),
@@ -71,13 +71,13 @@
         self.core.receive(&datagram, self.now);
     }
 
-    fn hear_of(&mut self, records: Vec<MemberRecord>) {
-        self.hear(DatagramKind::Ping, 0, records);
+    fn receive_records(&mut self, records: Vec<MemberRecord>) {
+        self.receive_from_peer(DatagramKind::Ping, 0, records);
     }
 
-    /// Addresses that are asked for members in that time.
-    fn asked_in(&mut self, time: Duration) -> BTreeSet<String> {
-        let mut asked = BTreeSet::new();
+    /// Runs for `time` and returns the addresses that got a join.
+    fn joins_within(&mut self, time: Duration) -> BTreeSet<String> {
+        let mut joined = BTreeSet::new();
         let end = self.now + time;
         while self.now < end {
             self.now += TICK;
@@ -85,100 +85,109 @@
                 let kind = DatagramKind::try_from(action.datagram.kind);
                 match kind {
                     Ok(DatagramKind::Join) => {
-                        asked.insert(action.address);
+                        joined.insert(action.address);
                     }
                     Ok(DatagramKind::Ping)
                         if action.address == PEER || is_in_crowd(&action.address) =>
                     {
-                        self.hear(DatagramKind::Ack, action.datagram.probe, Vec::new());
+                        self.receive_from_peer(
+                            DatagramKind::Ack,
+                            action.datagram.probe,
+                            Vec::new(),
+                        );
                     }
                     _ => {}
                 }
             }
         }
-        asked
+        joined
     }
 }
 
-/// Time in which a member that does not answer is dead and forgotten, and its address has had many turns.
-const FORGOTTEN: Duration = Duration::from_secs(300);
+/// Time after which an unresponsive member is forgotten and its address has got joins.
+const FORGET_TIME: Duration = Duration::from_secs(300);
 
 #[test]
-fn one_that_was_lost_is_asked_for_an_hour_and_one_that_left_is_not() {
-    let mut play = Play::new(&[OWN, PEER]);
-    play.hear_of(vec![
+fn a_lost_member_gets_joins_for_an_hour_and_one_that_left_gets_none() {
+    let mut simulation = Simulation::new(&[OWN, PEER]);
+    simulation.receive_records(vec![
         record("peer", PEER, MemberState::Alive),
         record("lost", LOST, MemberState::Alive),
         record("left", LEFT, MemberState::Leaving),
     ]);
     let lost = BTreeSet::from([LOST.to_owned()]);
-    assert_eq!(play.asked_in(FORGOTTEN), lost);
-    assert_eq!(play.asked_in(FORGOTTEN), lost);
-    play.asked_in(Duration::from_secs(3_600));
-    assert_eq!(play.asked_in(FORGOTTEN), BTreeSet::new());
+    assert_eq!(simulation.joins_within(FORGET_TIME), lost);
+    assert_eq!(simulation.joins_within(FORGET_TIME), lost);
+    simulation.joins_within(Duration::from_secs(3_600));
+    assert_eq!(simulation.joins_within(FORGET_TIME), BTreeSet::new());
 }
 
 #[test]
-fn the_address_of_a_present_member_is_not_asked() {
-    let mut play = Play::new(&[PEER]);
-    play.hear_of(vec![
+fn the_address_of_a_present_member_gets_no_join() {
+    let mut simulation = Simulation::new(&[PEER]);
+    simulation.receive_records(vec![
         record("peer", PEER, MemberState::Alive),
         record("earlier", RESTARTED, MemberState::Alive),
     ]);
-    assert!(play.asked_in(FORGOTTEN).contains(RESTARTED));
+    assert!(simulation.joins_within(FORGET_TIME).contains(RESTARTED));
     for _ in 0..100 {
-        // It does not answer here, but the peer goes on to hear it.
+        // It doesn't reply to this daemon, but the peer still reports it alive.
         let mut later = record("later", RESTARTED, MemberState::Alive);
-        later.incarnation = u64::try_from(play.now.as_millis()).unwrap_or(1);
-        play.hear_of(vec![later]);
-        assert_eq!(play.asked_in(TICK * 5), BTreeSet::new());
+        later.incarnation = u64::try_from(simulation.now.as_millis()).unwrap_or(1);
+        simulation.receive_records(vec![later]);
+        assert_eq!(simulation.joins_within(TICK * 5), BTreeSet::new());
     }
 }
 
 #[test]
-fn a_seed_at_which_nobody_is_known_is_asked_for_as_long_as_that_is_so() {
-    let mut play = Play::new(&[PEER, SEED]);
-    play.hear_of(vec![record("peer", PEER, MemberState::Alive)]);
+fn a_seed_without_a_known_member_gets_joins_indefinitely() {
+    let mut simulation = Simulation::new(&[PEER, SEED]);
+    simulation.receive_records(vec![record("peer", PEER, MemberState::Alive)]);
     for _ in 0..20 {
-        let asked = play.asked_in(FORGOTTEN);
-        assert_eq!(asked, BTreeSet::from([SEED.to_owned()]));
+        let joined = simulation.joins_within(FORGET_TIME);
+        assert_eq!(joined, BTreeSet::from([SEED.to_owned()]));
     }
 }
 
 #[test]
-fn a_member_that_is_alone_asks_its_seeds_at_each_tick() {
-    let mut play = Play::new(&[PEER, SEED]);
+fn a_member_that_is_alone_joins_all_seeds_at_each_tick() {
+    let mut simulation = Simulation::new(&[PEER, SEED]);
     for _ in 0..50 {
-        let asked = play.asked_in(TICK);
-        assert_eq!(asked, BTreeSet::from([PEER.to_owned(), SEED.to_owned()]));
+        let joined = simulation.joins_within(TICK);
+        assert_eq!(joined, BTreeSet::from([PEER.to_owned(), SEED.to_owned()]));
     }
 }
 
-/// Seconds between asks of a seed, in a fleet of the daemon and so many others.
-fn gaps(others: usize) -> Vec<f64> {
-    let mut play = Play::new(&[SEED]);
-    play.hear_of(crowd(others));
-    let mut asked_at = Vec::new();
-    while asked_at.len() < 200 {
-        if !play.asked_in(TICK).is_empty() {
-            asked_at.push(play.now.as_secs_f64());
+/// Returns the seconds between joins to a seed, in a fleet of the daemon and `others` more.
+fn join_gaps(others: usize) -> Vec<f64> {
+    let mut simulation = Simulation::new(&[SEED]);
+    simulation.receive_records(crowd(others));
+    let mut joined_at = Vec::new();
+    while joined_at.len() < 200 {
+        if !simulation.joins_within(TICK).is_empty() {
+            joined_at.push(simulation.now.as_secs_f64());
         }
     }
-    asked_at.windows(2).map(|pair| pair[1] - pair[0]).collect()
+    joined_at.windows(2).map(|pair| pair[1] - pair[0]).collect()
 }
 
-/// All daemons together ask 50 times a second, a daemon each 2 s at most, and not in step.
+/// The join interval grows with the fleet, has a minimum, and is jittered.
 #[test]
-fn asks_are_rarer_in_a_large_fleet_and_never_regular() {
+fn joins_are_rarer_in_a_large_fleet_and_jittered() {
     for (others, mean) in [(2, 2.0), (70, 2.0), (299, 6.0), (519, 10.4)] {
-        let gaps = gaps(others);
-        let count = f64::from(u32::try_from(gaps.len()).unwrap_or(u32::MAX));
-        let seen = gaps.iter().sum::<f64>() / count;
-        assert!((seen / mean - 1.0).abs() < 0.1, "{others} others: {seen} s");
-        let (least, most) = gaps.iter().fold((f64::MAX, 0.0_f64), |(least, most), gap| {
-            (least.min(*gap), most.max(*gap))
-        });
-        assert!(least < mean * 0.7, "{others} others: at least {least} s");
-        assert!(most > mean * 1.3, "{others} others: at most {most} s");
+        let join_gaps = join_gaps(others);
+        let count = f64::from(u32::try_from(join_gaps.len()).unwrap_or(u32::MAX));
+        let observed_mean = join_gaps.iter().sum::<f64>() / count;
+        assert!(
+            (observed_mean / mean - 1.0).abs() < 0.1,
+            "{others} others: {observed_mean} s"
+        );
+        let (min, max) = join_gaps
+            .iter()
+            .fold((f64::MAX, 0.0_f64), |(min, max), gap| {
+                (min.min(*gap), max.max(*gap))
+            });
+        assert!(min < mean * 0.7, "{others} others: at least {min} s");
+        assert!(max > mean * 1.3, "{others} others: at most {max} s");
     }
 }
--- a/crates/membership/tests/restart.rs
+++ b/crates/membership/tests/restart.rs
@@ -1,4 +1,4 @@
-//! A daemon that is restarted at its address has a new id; its earlier life must soon be dead to all.
+//! Guards against an earlier daemon instance that stays in views after a restart at the same address.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 
 const TICK: Duration = Duration::from_millis(100);
 
-/// Time within which the earlier life must be dead: a probe, its suspicion, and some slack.
-const BOUND: Duration = Duration::from_secs(8);
+/// Maximum time until the earlier instance is dead in all views.
+const MAX_DETECTION_TIME: Duration = Duration::from_secs(8);
 
 fn record(id: &str, address: &str) -> MemberRecord {
     MemberRecord {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Delivers datagrams at once, and the answers to them.
+    /// Delivers datagrams and all replies to them without delay.
     fn deliver(&mut self, mut actions: Vec<Action>) {
         while let Some(action) = actions.pop() {
             let target = self
@@ -49,8 +49,8 @@
                 .iter_mut()
                 .find(|member| member.own_record().udp_address == action.address);
             if let Some(member) = target {
-                let (answers, _) = member.receive(&action.datagram, self.now);
-                actions.extend(answers);
+                let (replies, _) = member.receive(&action.datagram, self.now);
+                actions.extend(replies);
             }
         }
     }
@@ -76,12 +76,12 @@
     MembershipCore::new(MembershipSettings::default(), record(id, address))
 }
 
-fn lives_at(fleet: &Fleet, index: usize, id: &str) -> bool {
+fn is_in_view(fleet: &Fleet, index: usize, id: &str) -> bool {
     fleet.members[index].view().member(id).is_some()
 }
 
 #[test]
-fn an_earlier_life_at_the_same_address_is_dead_to_all() {
+fn an_earlier_instance_at_the_same_address_is_removed_from_all_views() {
     let mut fleet = Fleet::new(vec![
         member("a@1", "10.0.0.1:1"),
         member("b@1", "10.0.0.2:1"),
@@ -90,26 +90,26 @@
     fleet.join(1, "10.0.0.1:1");
     fleet.join(2, "10.0.0.1:1");
     fleet.run(Duration::from_secs(3));
-    assert!(lives_at(&fleet, 0, "c@1") && lives_at(&fleet, 1, "c@1"));
+    assert!(is_in_view(&fleet, 0, "c@1") && is_in_view(&fleet, 1, "c@1"));
 
     fleet.members[2] = member("c@2", "10.0.0.3:1");
     fleet.join(2, "10.0.0.1:1");
-    fleet.run(BOUND);
+    fleet.run(MAX_DETECTION_TIME);
     for index in 0..3 {
         assert!(
-            !lives_at(&fleet, index, "c@1"),
-            "member {index} holds the earlier life alive"
+            !is_in_view(&fleet, index, "c@1"),
+            "member {index} holds the earlier instance alive"
         );
         assert!(
-            lives_at(&fleet, index, "c@2"),
-            "member {index} does not know the new life"
+            is_in_view(&fleet, index, "c@2"),
+            "member {index} does not know the new instance"
         );
     }
 }
 
-/// A member that says it cannot reach the store is detached to all within a few probes, and no more once it can.
+/// Changes of the detached flag must reach all views within a few probes.
 #[test]
-fn a_detached_member_is_known_as_such_to_all_until_it_is_attached_again() {
+fn the_detached_flag_reaches_all_views() {
     let mut fleet = Fleet::new(vec![
         member("a@1", "10.0.0.1:1"),
         member("b@1", "10.0.0.2:1"),
@@ -127,7 +127,7 @@
         fleet.run(Duration::from_secs(4));
         for index in 0..3 {
             assert_eq!(is_detached(&fleet, index), detached, "member {index}");
-            assert!(lives_at(&fleet, index, "c@1"));
+            assert!(is_in_view(&fleet, index, "c@1"));
         }
     }
 }
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet on virtual time: cores, a network that loses datagrams and can be cut, and what the daemons' driver does.
+//! Simulation of a fleet on virtual time, with a network that loses datagrams and can be partitioned.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,112 +8,111 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Granularity of the simulation; a datagram takes one step.
+/// Time step of the simulation; a datagram takes one step.
 const STEP: Duration = Duration::from_millis(10);
 
-/// Steps between two ticks of a member, as the daemon's driver has it.
+/// Steps between two ticks of a member; matches the daemon's tick interval.
 const TICK_STEPS: u64 = 10;
 
-/// Datagrams lost of a hundred.
 const LOSS_PERCENT: u32 = 1;
 
-/// How often [`Fleet::seconds_until_whole`] looks.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Poll interval of [`Fleet::seconds_until_complete`].
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a cut holds back between two parts.
+/// Which datagrams between two parts are dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[allow(dead_code)]
-pub enum CutKind {
-    /// All datagrams.
+pub enum PartitionKind {
+    /// Datagrams in both directions.
     BothWays,
-    /// Those from a part with a lower number to one with a higher number.
+    /// Datagrams from a part with a lower number to one with a higher number.
     OneWay,
-    /// All, by turns: so long, and then nothing for as long.
+    /// Datagrams in both directions, in alternating intervals of this length.
     Flapping(Duration),
 }
 
-/// A cut between parts of the fleet.
+/// A network partition between parts of the fleet.
 #[derive(Debug, Clone)]
-pub struct Cut {
-    /// What is held back.
-    pub kind: CutKind,
-    /// When it begins.
-    pub begins: Duration,
-    /// How long it lasts.
-    pub lasts: Duration,
-    /// Part of each daemon.
+pub struct Partition {
+    /// Which datagrams are dropped.
+    pub kind: PartitionKind,
+    /// Start, in simulated time.
+    pub starts_at: Duration,
+    /// Time from the start to the end.
+    pub duration: Duration,
+    /// Number of the part of each daemon.
     pub part_of: Vec<usize>,
 }
 
-impl Cut {
-    /// When it is over.
+impl Partition {
+    /// Returns the end, in simulated time.
     pub fn ends(&self) -> Duration {
-        self.begins + self.lasts
+        self.starts_at + self.duration
     }
 
-    fn holds_back(&self, from: usize, to: usize, now: Duration) -> bool {
+    fn drops(&self, from: usize, to: usize, now: Duration) -> bool {
         let (from, to) = (self.part_of[from], self.part_of[to]);
-        if from == to || now < self.begins || now >= self.ends() {
+        if from == to || now < self.starts_at || now >= self.ends() {
             return false;
         }
         match self.kind {
-            CutKind::BothWays => true,
-            CutKind::OneWay => from < to,
-            CutKind::Flapping(turn) => {
-                let turns = (now - self.begins).as_millis() / turn.as_millis();
-                turns.is_multiple_of(2)
+            PartitionKind::BothWays => true,
+            PartitionKind::OneWay => from < to,
+            PartitionKind::Flapping(interval) => {
+                let intervals = (now - self.starts_at).as_millis() / interval.as_millis();
+                intervals.is_multiple_of(2)
             }
         }
     }
 }
 
-/// A time in which a daemon does nothing and hears nothing.
+/// An interval in which a daemon neither runs nor receives datagrams.
 #[derive(Debug, Clone, Copy)]
 pub struct Pause {
-    /// When it begins.
-    pub begins: Duration,
-    /// How long it lasts.
-    pub lasts: Duration,
-    /// The daemon's clock goes on, as if its process were stopped; else it stands, as the steady clock does while a machine is
-    /// suspended.
-    pub clock_goes_on: bool,
+    /// Start, in simulated time.
+    pub starts_at: Duration,
+    /// Time from the start to the end.
+    pub duration: Duration,
+    /// True for a stopped process, whose clock keeps running; false for a suspended machine, whose monotonic clock stops.
+    pub clock_runs: bool,
 }
 
 struct Daemon {
     core: MembershipCore,
     pause: Option<Pause>,
-    starts_at: Duration,
+    boot_at: Duration,
     stops_at: Duration,
     phase: u64,
 }
 
 impl Daemon {
     fn runs(&self, now: Duration) -> bool {
-        let paused = |pause: Pause| (pause.begins..pause.begins + pause.lasts).contains(&now);
-        (self.starts_at..self.stops_at).contains(&now) && !self.pause.is_some_and(paused)
+        let paused =
+            |pause: Pause| (pause.starts_at..pause.starts_at + pause.duration).contains(&now);
+        (self.boot_at..self.stops_at).contains(&now) && !self.pause.is_some_and(paused)
     }
 
-    /// What the daemon's clock says while it runs.
+    /// Returns the daemon's own clock, without the time of suspensions.
     fn clock(&self, now: Duration) -> Duration {
-        let stood = self
+        let suspension = self
             .pause
-            .filter(|pause| !pause.clock_goes_on && now >= pause.begins);
-        now - stood.map_or(Duration::ZERO, |pause| pause.lasts)
+            .filter(|pause| !pause.clock_runs && now >= pause.starts_at);
+        now - suspension.map_or(Duration::ZERO, |pause| pause.duration)
     }
 }
 
-/// The daemons and their network.
+/// The simulated daemons and their network.
 pub struct Fleet {
     daemons: Vec<Daemon>,
-    cut: Option<Cut>,
-    under_way: VecDeque<(Duration, Action)>,
+    partition: Option<Partition>,
+    in_flight: VecDeque<(Duration, Action)>,
     random: SmallRng,
     now: Duration,
-    /// Bytes sent by all.
+    /// Bytes sent by all daemons.
     pub bytes: usize,
-    /// Datagrams sent by all.
+    /// Datagrams sent by all daemons.
     pub datagrams: usize,
-    /// Those among them that ask an address for members.
+    /// Join datagrams sent by all daemons.
     pub joins: usize,
 }
 
@@ -147,12 +146,12 @@
 
 #[allow(dead_code)]
 impl Fleet {
-    /// `size` daemons that start at random moments of `spread`; three of them, far apart, are seeds.
+    /// Creates `size` daemons that start at random times within `spread`; three of them, spread over the fleet, are seeds.
     pub fn new(size: usize, spread: Duration) -> Self {
         Self::with_seeds(size, spread, &[0, size / 3, size * 2 / 3])
     }
 
-    /// The same with the seeds at the addresses of the daemons with these numbers.
+    /// Creates a fleet whose seeds are the daemons with these indexes.
     pub fn with_seeds(size: usize, spread: Duration, seeds: &[usize]) -> Self {
         let seeds: Vec<String> = seeds.iter().map(|index| address(*index)).collect();
         let mut random = SmallRng::seed_from_u64(11);
@@ -160,14 +159,14 @@
             core: MembershipCore::new(MembershipSettings::quick(), record(index))
                 .with_seeds(seeds.clone()),
             pause: None,
-            starts_at: random.random_range(Duration::ZERO..spread),
+            boot_at: random.random_range(Duration::ZERO..spread),
             stops_at: Duration::MAX,
             phase: random.random_range(0..TICK_STEPS),
         });
         Self {
             daemons: daemons.collect(),
-            cut: None,
-            under_way: VecDeque::new(),
+            partition: None,
+            in_flight: VecDeque::new(),
             random,
             now: Duration::ZERO,
             bytes: 0,
@@ -176,22 +175,22 @@
         }
     }
 
-    /// Draws anew from this seed.
-    pub fn draw_from(&mut self, seed: u64) {
+    /// Reseeds the random generator.
+    pub fn reseed(&mut self, seed: u64) {
         self.random = SmallRng::seed_from_u64(seed);
     }
 
-    /// Lets the network be cut.
-    pub fn set_cut(&mut self, cut: Cut) {
-        self.cut = Some(cut);
+    /// Sets the partition of the network.
+    pub fn set_partition(&mut self, partition: Partition) {
+        self.partition = Some(partition);
     }
 
-    /// Lets a daemon end without a word at that time.
+    /// Makes a daemon crash at `time`.
     pub fn stop_at(&mut self, index: usize, time: Duration) {
         self.daemons[index].stops_at = time;
     }
 
-    /// Lets a daemon pause.
+    /// Sets the pause of a daemon.
     pub fn pause(&mut self, index: usize, pause: Pause) {
         self.daemons[index].pause = Some(pause);
     }
@@ -203,21 +202,21 @@
             self.joins += usize::from(action.datagram.kind == DatagramKind::Join as i32);
             let lost = self.random.random_range(0..100) < LOSS_PERCENT;
             let to = index_of(&action.address);
-            let cut = self.cut.as_ref();
-            let held_back = cut.is_some_and(|cut| cut.holds_back(from, to, self.now));
-            if !lost && !held_back {
-                self.under_way.push_back((self.now + STEP, action));
+            let partition = self.partition.as_ref();
+            let dropped = partition.is_some_and(|partition| partition.drops(from, to, self.now));
+            if !lost && !dropped {
+                self.in_flight.push_back((self.now + STEP, action));
             }
         }
     }
 
     fn deliver(&mut self) {
         while self
-            .under_way
+            .in_flight
             .front()
             .is_some_and(|(at, _)| *at <= self.now)
         {
-            let Some((_, action)) = self.under_way.pop_front() else {
+            let Some((_, action)) = self.in_flight.pop_front() else {
                 return;
             };
             let now = self.now;
@@ -225,8 +224,8 @@
             let daemon = &mut self.daemons[index];
             if daemon.runs(now) {
                 let clock = daemon.clock(now);
-                let (answers, _) = daemon.core.receive(&action.datagram, clock);
-                self.send(index, answers);
+                let (replies, _) = daemon.core.receive(&action.datagram, clock);
+                self.send(index, replies);
             }
         }
     }
@@ -239,7 +238,7 @@
         self.send(index, actions);
     }
 
-    /// Lets time pass until `end`.
+    /// Runs the simulation until `end`.
     pub fn run_until(&mut self, end: Duration) {
         let mut step = u64::try_from(self.now.as_millis() / STEP.as_millis()).unwrap_or(0);
         while self.now < end {
@@ -260,27 +259,27 @@
         self.daemons.iter().filter(|daemon| daemon.runs(self.now))
     }
 
-    /// The least number of members that any daemon knows.
+    /// Returns the size of the smallest view of a running daemon.
     pub fn smallest_view(&self) -> usize {
         let sizes = self.running();
         let sizes = sizes.map(|daemon| daemon.core.view().members.len());
         sizes.min().unwrap_or(0)
     }
 
-    /// Time since the first start.
+    /// Returns the simulated time.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// The most members that any of these daemons knows.
+    /// Returns the size of the largest view of these daemons.
     pub fn largest_view(&self, daemons: std::ops::Range<usize>) -> usize {
         let sizes = self.daemons[daemons].iter();
         let sizes = sizes.map(|daemon| daemon.core.view().members.len());
         sizes.max().unwrap_or(0)
     }
 
-    /// True if each running daemon's view holds just the running daemons.
-    pub fn is_whole(&self) -> bool {
+    /// True if each running daemon's view contains exactly the running daemons.
+    pub fn is_complete(&self) -> bool {
         let size = self.running().count();
         self.running().all(|daemon| {
             let view = daemon.core.view();
@@ -291,25 +290,25 @@
         })
     }
 
-    /// Lets time pass until the views are whole, at most so long; the seconds that it took.
-    pub fn seconds_until_whole(&mut self, most: Duration) -> Option<f64> {
+    /// Runs until all views are complete and returns the seconds it took; `None` after `timeout`.
+    pub fn seconds_until_complete(&mut self, timeout: Duration) -> Option<f64> {
         let begin = self.now;
-        while !self.is_whole() {
-            if self.now >= begin + most {
+        while !self.is_complete() {
+            if self.now >= begin + timeout {
                 return None;
             }
-            self.run_until(self.now + LOOK_EVERY);
+            self.run_until(self.now + POLL_INTERVAL);
         }
         Some((self.now - begin).as_secs_f64())
     }
 
-    /// Counts from here on what is sent.
-    pub fn count_anew(&mut self) {
+    /// Resets the traffic counters.
+    pub fn reset_counters(&mut self) {
         (self.bytes, self.datagrams, self.joins) = (0, 0, 0);
     }
 
-    /// Bytes sent, per daemon.
-    pub fn bytes_a_daemon(&self) -> usize {
+    /// Returns the mean number of bytes sent per daemon.
+    pub fn bytes_per_daemon(&self) -> usize {
         self.bytes / self.daemons.len()
     }
 }
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -1,4 +1,4 @@
-//! Whom a daemon asks first.
+//! Guards against an order of members that concentrates requests on one member or ignores zones and regions.
 
 use std::collections::HashSet;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn daemons_that_need_the_same_ask_different_members_of_their_zone() {
+fn daemons_spread_requests_over_the_members_of_their_zone() {
     let view = MembershipView {
         members: (0..300).map(member).collect(),
     };
@@ -36,7 +36,7 @@
     assert!(first.len() > 60, "{} are asked first", first.len());
 }
 
-/// Zones 0 and 1 lie in one region, zone 2 in another.
+/// Zones 0 and 1 are in one region, zone 2 in another.
 #[test]
 fn members_of_the_own_region_come_before_those_of_others() {
     let in_region = |number: usize| Member {
@@ -49,11 +49,15 @@
     let own = in_region(0);
     let mut random = SmallRng::seed_from_u64(1);
     let others = view.others_nearest_first(&own.id, &own.zone, &own.region, &mut random);
-    let places: Vec<(bool, bool)> = others
+    let matches: Vec<(bool, bool)> = others
         .iter()
         .map(|other| (other.zone == own.zone, other.region == own.region))
         .collect();
-    assert!(places[..9].iter().all(|(zone, _)| *zone));
-    assert!(places[9..19].iter().all(|place| *place == (false, true)));
-    assert!(places[19..].iter().all(|(_, region)| !region));
+    assert!(matches[..9].iter().all(|(zone, _)| *zone));
+    assert!(
+        matches[9..19]
+            .iter()
+            .all(|is_match| *is_match == (false, true))
+    );
+    assert!(matches[19..].iter().all(|(_, region)| !region));
 }
