--- a/crates/membership/tests/cuts.rs
+++ b/crates/membership/tests/cuts.rs
@@ -350,16 +350,10 @@
     let after = measure_traffic(&mut fleet, end);
     println!("{members} members, 10 s after it: {after:?}");
     assert!(fleet.is_complete());
-    for measure_traffic in [during, after] {
-        assert!(
-            measure_traffic.joins <= 2 * MAX_JOINS,
-            "{measure_traffic:?}"
-        );
-        assert!(
-            measure_traffic.bytes_per_daemon <= MAX_BYTES,
-            "{measure_traffic:?}"
-        );
-        let datagrams = measure_traffic.datagrams / members;
+    for traffic in [during, after] {
+        assert!(traffic.joins <= 2 * MAX_JOINS, "{traffic:?}");
+        assert!(traffic.bytes_per_daemon <= MAX_BYTES, "{traffic:?}");
+        let datagrams = traffic.datagrams / members;
         assert!(datagrams <= MAX_DATAGRAMS, "{datagrams} a daemon");
     }
 }
--- a/crates/relay/tests/copies.rs
+++ b/crates/relay/tests/copies.rs
@@ -1,4 +1,4 @@
-//! A copy that follows another one holds the same rows, whoever it follows and whatever was missed.
+//! Guards against copies whose rows diverge from the store's, or from those of the followed peer.
 
 use bytes::Bytes;
 use harrierward_external::{ChangePage, CopyProof, Row, RowChange, SpaceSnapshot};
@@ -30,7 +30,7 @@
     }
 }
 
-/// Asks as a daemon does: for changes, or for all where these are not known any more.
+/// Requests changes as a daemon does, or all rows if the source's history doesn't reach back. Returns whether the copies differ.
 fn follow(copy: &mut SpaceCopy, source: &SpaceCopy) -> bool {
     let reply = source.reply(copy.revision());
     if !reply.is_full {
@@ -73,7 +73,7 @@
     }
 }
 
-/// A copy of the store that was read whole at the revision 1.
+/// Returns a copy after a full read of the store at revision 1.
 fn first_copy() -> SpaceCopy {
     let mut copy = SpaceCopy::default();
     let mut update = copy
@@ -86,32 +86,31 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// A row is written, or removed.
+    /// Writes or removes a row.
     Change { key: u8, removed: bool },
-    /// The first or the second copy of the store hears what is new.
-    Hear { second: bool },
-    /// The follower asks one of both.
+    /// Applies the store's changes to the first or the second source.
+    UpdateSource { second: bool },
+    /// Updates the follower from the first or the second source.
     Follow { second: bool },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         (0..12u8, any::<bool>()).prop_map(|(key, removed)| Step::Change { key, removed }),
-        any::<bool>().prop_map(|second| Step::Hear { second }),
+        any::<bool>().prop_map(|second| Step::UpdateSource { second }),
         any::<bool>().prop_map(|second| Step::Follow { second }),
     ]
 }
 
 proptest! {
-    /// Two copies hear of the store at their own pace; a third goes back and forth between them, and holds in the end what the
-    /// store does.
+    /// A follower that alternates between two sources of different revisions ends with the store's rows.
     #[test]
     fn a_follower_of_two_sources_ends_with_the_rows_of_the_store(steps in prop::collection::vec(step(), 1..200)) {
         let mut log: Vec<RowChange> = Vec::new();
         let mut revision = 1;
         let mut sources = [first_copy(), first_copy()];
         let mut follower = SpaceCopy::default();
-        let hear = |source: &mut SpaceCopy, log: &[RowChange], revision: u64| {
+        let update_source = |source: &mut SpaceCopy, log: &[RowChange], revision: u64| {
             let after = source.revision();
             let new = log.iter().filter(|change| change.revision > after);
             source.take_changes(changes(new.cloned().collect(), revision));
@@ -127,14 +126,14 @@
                         value: (!removed).then_some(written.value),
                     });
                 }
-                Step::Hear { second } => hear(&mut sources[usize::from(second)], &log, revision),
+                Step::UpdateSource { second } => update_source(&mut sources[usize::from(second)], &log, revision),
                 Step::Follow { second } => {
                     prop_assert!(!follow(&mut follower, &sources[usize::from(second)]));
                 }
             }
         }
         for source in &mut sources {
-            hear(source, &log, revision);
+            update_source(source, &log, revision);
             prop_assert!(!follow(&mut follower, source));
             prop_assert_eq!(follower.digest(), source.digest());
             prop_assert_eq!(follower.rows(), source.rows());
@@ -142,8 +141,8 @@
     }
 }
 
-/// The store's answers may pass over a change; the source's next whole read finds it, and its follower is told of it although the
-/// row is older than what the follower has asked after.
+/// A change that the store's feed omitted and a full read repaired must reach followers, although its revision is lower
+/// than theirs.
 #[test]
 fn a_row_that_the_source_had_missed_reaches_its_followers() {
     let mut source = first_copy();
@@ -156,21 +155,21 @@
     assert_eq!(follower.rows(), 2);
 }
 
-/// Nothing is newer by its revision, and yet one copy lacks a row: the digest tells.
+/// A missing row must be detected by the digest even if the revisions are equal.
 #[test]
-fn a_follower_that_lacks_a_row_notices() {
+fn a_follower_detects_a_missing_row() {
     let mut source = first_copy();
     let mut follower = SpaceCopy::default();
     follow(&mut follower, &source);
     source.take_changes(changes(Vec::new(), 9));
     follow(&mut follower, &source);
-    // Found by a whole read of the same revision.
+    // The source obtains the row by a full read of the same revision.
     source.take_snapshot(snapshot(vec![row(0, 1), row(1, 5)], 9));
     assert!(follow(&mut follower, &source));
 }
 
 #[test]
-fn a_source_that_forgot_the_changes_says_so() {
+fn a_source_without_the_history_reports_it() {
     let mut source = first_copy();
     let after = source.revision();
     for number in 0..2_000u64 {
--- a/crates/relay/tests/tree.rs
+++ b/crates/relay/tests/tree.rs
@@ -1,4 +1,4 @@
-//! The tree of a zone: few followers each, few steps, and never a circle, at the size of a whole fleet and at twice that.
+//! Guards against relay trees with too many followers, too many levels, or cycles.
 
 use std::collections::HashMap;
 
@@ -16,8 +16,8 @@
 }
 
 #[test]
-fn nobody_has_many_followers_and_the_way_is_short() {
-    for (members, longest) in [(32, 2), (197, 3), (400, 3), (1_000, 4), (2_000, 4)] {
+fn followers_and_depth_are_bounded() {
+    for (members, max_depth) in [(32, 2), (197, 3), (400, 3), (1_000, 4), (2_000, 4)] {
         let zone = zone(members);
         let trees: Vec<RelayTree> = zone
             .iter()
@@ -30,16 +30,20 @@
                 Some(followed) => *followers.entry(&followed.id).or_default() += 1,
                 None => readers += 1,
             }
-            assert!(tree.ancestors.len() <= longest, "{}", tree.ancestors.len());
+            assert!(
+                tree.ancestors.len() <= max_depth,
+                "{}",
+                tree.ancestors.len()
+            );
         }
         assert_eq!(readers, 1, "of {members}");
         assert!(followers.values().all(|count| *count <= 8));
     }
 }
 
-/// Members that join and leave are known to some before others: whoever follows whom, all lead to a reader in the end.
+/// Different views must never form a cycle, so that each member is connected to a reader.
 #[test]
-fn views_that_differ_make_no_circle() {
+fn different_views_form_no_cycle() {
     let all = zone(200);
     let mut random = SmallRng::seed_from_u64(7);
     for _ in 0..20 {
@@ -55,10 +59,10 @@
             })
             .collect();
         for own in follows.keys() {
-            let mut at = own;
+            let mut current = own;
             let mut steps = 0;
-            while let Some(Some(next)) = follows.get(at) {
-                at = next;
+            while let Some(Some(next)) = follows.get(current) {
+                current = next;
                 steps += 1;
                 assert!(steps <= all.len(), "a circle at {own}");
             }
@@ -67,7 +71,7 @@
 }
 
 #[test]
-fn a_member_that_joins_changes_whom_few_follow() {
+fn a_joining_member_changes_few_parents() {
     let before = zone(197);
     let mut after = before.clone();
     after.push(RelayPeer {
--- a/crates/relay/tests/watch.rs
+++ b/crates/relay/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Watches of a large fleet gather changes, so that each change does not make every daemon call the store at once.
+//! Guards against watches of a large fleet that overload the store with requests for changes or full reads.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -17,15 +17,15 @@
 };
 use tokio::time::{Instant, sleep, timeout};
 
-/// A row changes every 10 ms.
-const CHANGE_EVERY: Duration = Duration::from_millis(10);
+/// Interval of changes of the row.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A space of one row that changes all the time until `quiet_after`, then never.
+/// A space of one row that changes until `quiet_after`, and never again.
 struct BusySpace {
     start: Instant,
     quiet_after: Duration,
     calls: AtomicU64,
-    longest_wait: Mutex<Duration>,
+    max_wait: Mutex<Duration>,
 }
 
 impl BusySpace {
@@ -34,13 +34,13 @@
             start: Instant::now(),
             quiet_after,
             calls: AtomicU64::new(0),
-            longest_wait: Mutex::default(),
+            max_wait: Mutex::default(),
         })
     }
 
     fn revision(&self) -> u64 {
         let passed = self.start.elapsed().min(self.quiet_after);
-        1 + u64::try_from(passed.as_millis() / CHANGE_EVERY.as_millis()).unwrap_or(u64::MAX)
+        1 + u64::try_from(passed.as_millis() / CHANGE_INTERVAL.as_millis()).unwrap_or(u64::MAX)
     }
 }
 
@@ -69,8 +69,8 @@
     ) -> Result<ChangePage, PlatformError> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         {
-            let mut longest = self.longest_wait.lock().unwrap();
-            *longest = wait.max(*longest);
+            let mut max_wait = self.max_wait.lock().unwrap();
+            *max_wait = wait.max(*max_wait);
         }
         let changed = async {
             while self.revision() <= after {
@@ -97,10 +97,10 @@
     }
 }
 
-/// Drives a watch for `time`; returns the calls that it made and the newest revision that it told of.
-async fn drive(space: &Arc<BusySpace>, pace: WatchPace, time: Duration) -> (u64, u64) {
+/// Runs a watch for `time`; returns the number of its calls and the newest revision that it passed on.
+async fn run_watch(space: &Arc<BusySpace>, pace: WatchPace, time: Duration) -> (u64, u64) {
     let newest = Arc::new(AtomicU64::new(0));
-    let told = newest.clone();
+    let newest_written = newest.clone();
     let watch = Watch {
         table: space.clone(),
         space: "space",
@@ -115,7 +115,7 @@
     };
     let running = watch.run(move |update| {
         for row in update.written {
-            told.fetch_max(row.revision, Ordering::Relaxed);
+            newest_written.fetch_max(row.revision, Ordering::Relaxed);
         }
     });
     let _ = timeout(time, running).await;
@@ -126,11 +126,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_large_fleet_gathers_changes() {
+async fn a_large_fleet_coalesces_changes() {
     let time = Duration::from_secs(10);
     let space = BusySpace::new(time);
     let interval = Duration::from_millis(250);
-    let (calls, newest) = drive(&space, Arc::new(move || interval), time).await;
+    let (calls, newest) = run_watch(&space, Arc::new(move || interval), time).await;
     assert!(calls <= 45, "{calls} calls in 10 s");
     assert!(
         newest + 30 >= space.revision(),
@@ -138,7 +138,7 @@
     );
 
     let busy = BusySpace::new(time);
-    let (unpaced_calls, _) = drive(&busy, unpaced(), time).await;
+    let (unpaced_calls, _) = run_watch(&busy, unpaced(), time).await;
     assert!(
         unpaced_calls > 500,
         "the space wakes an unpaced watch at each change"
@@ -146,14 +146,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_last_change_is_told_within_the_interval_and_the_copy_grows_no_older_than_the_wait() {
+async fn the_last_change_arrives_within_the_interval_and_the_hold_time_is_bounded() {
     let space = BusySpace::new(Duration::from_secs(1));
     let interval = Duration::from_millis(400);
     let time = Duration::from_millis(1_400);
-    let (_, newest) = drive(&space, Arc::new(move || interval), time).await;
+    let (_, newest) = run_watch(&space, Arc::new(move || interval), time).await;
     assert_eq!(newest, space.revision());
-    let longest = *space.longest_wait.lock().unwrap();
-    assert!(longest <= WatchSettings::default().wait);
+    let max_wait = *space.max_wait.lock().unwrap();
+    assert!(max_wait <= WatchSettings::default().wait);
 }
 
 #[test]
@@ -166,55 +166,55 @@
     assert_eq!(coalescing_interval(12, 0.0), Duration::ZERO);
 }
 
-/// Whole reads of all daemons together stay within their share of the store's reads, at any size.
+/// Full reads of all daemons together stay within their part of the store's read rate at any fleet size.
 #[test]
-fn whole_reads_of_a_large_fleet_come_more_rarely() {
+fn full_reads_are_rarer_in_a_large_fleet() {
     let reads = 16_000.0;
     for daemons in [11, 95, 295, 520] {
-        let every = full_read_interval(daemons, 8, reads);
-        let calls_a_second = 8.0 * daemons as f64 / every.as_secs_f64();
-        assert!(calls_a_second <= reads * 0.01 + 1.0, "{calls_a_second}");
+        let interval = full_read_interval(daemons, 8, reads);
+        let calls_per_second = 8.0 * daemons as f64 / interval.as_secs_f64();
+        assert!(calls_per_second <= reads * 0.01 + 1.0, "{calls_per_second}");
     }
     assert!(full_read_interval(11, 8, reads) < WatchSettings::default().full_read_interval);
     assert_eq!(full_read_interval(12, 1, 0.0), Duration::ZERO);
 }
 
-/// Pages of the space that many daemons read at once.
+/// Number of pages of the space.
 const PAGES: usize = 7;
 
-/// Pages that its store answers in a second, of all daemons.
-const PAGES_A_SECOND: f64 = 400.0;
+/// Rate limit of the store for all daemons together.
+const PAGES_PER_SECOND: f64 = 400.0;
 
-/// A space of some pages in a store that refuses what is asked beyond its rate.
-struct CrowdedSpace {
+/// A space in a store that refuses calls above its rate limit.
+struct RateLimitedSpace {
     start: Instant,
-    /// Until then, questions for changes are told that the history is lost.
-    forgotten_until: Duration,
+    /// Time from the start until which requests for changes fail with lost history.
+    history_lost_until: Duration,
     budget: Mutex<(f64, Instant)>,
-    answered: AtomicU64,
+    served: AtomicU64,
     refused: AtomicU64,
 }
 
-impl CrowdedSpace {
+impl RateLimitedSpace {
     fn new() -> Arc<Self> {
-        Self::forgetful(Duration::ZERO)
+        Self::with_lost_history(Duration::ZERO)
     }
 
-    fn forgetful(forgotten_until: Duration) -> Arc<Self> {
+    fn with_lost_history(history_lost_until: Duration) -> Arc<Self> {
         Arc::new(Self {
             start: Instant::now(),
-            forgotten_until,
+            history_lost_until,
             budget: Mutex::new((0.0, Instant::now())),
-            answered: AtomicU64::new(0),
+            served: AtomicU64::new(0),
             refused: AtomicU64::new(0),
         })
     }
 
-    fn takes_call(&self) -> bool {
+    fn admits_call(&self) -> bool {
         let mut budget = self.budget.lock().unwrap();
         let now = Instant::now();
-        let earned = (now - budget.1).as_secs_f64() * PAGES_A_SECOND;
-        *budget = ((budget.0 + earned).min(PAGES_A_SECOND / 10.0), now);
+        let earned = (now - budget.1).as_secs_f64() * PAGES_PER_SECOND;
+        *budget = ((budget.0 + earned).min(PAGES_PER_SECOND / 10.0), now);
         if budget.0 < 1.0 {
             return false;
         }
@@ -224,21 +224,21 @@
 }
 
 #[async_trait]
-impl WatchedTable for CrowdedSpace {
+impl WatchedTable for RateLimitedSpace {
     async fn read_page(
         &self,
         space: &str,
         start: PageStart<'_>,
     ) -> Result<SpacePage, PlatformError> {
         sleep(Duration::from_millis(4)).await;
-        if !self.takes_call() {
+        if !self.admits_call() {
             self.refused.fetch_add(1, Ordering::Relaxed);
             let kind = PlatformErrorKind::RateLimited {
                 retry_after: Duration::from_millis(100),
             };
             return Err(PlatformError::new("read", "store", kind, "too many"));
         }
-        self.answered.fetch_add(1, Ordering::Relaxed);
+        self.served.fetch_add(1, Ordering::Relaxed);
         let page: usize = start.from.parse().unwrap_or_default();
         Ok(SpacePage {
             rows: vec![Row {
@@ -263,8 +263,8 @@
         after: u64,
         wait: Duration,
     ) -> Result<ChangePage, PlatformError> {
-        if self.start.elapsed() < self.forgotten_until {
-            sleep(self.forgotten_until.saturating_sub(self.start.elapsed())).await;
+        if self.start.elapsed() < self.history_lost_until {
+            sleep(self.history_lost_until.saturating_sub(self.start.elapsed())).await;
             let kind = PlatformErrorKind::HistoryLost;
             return Err(PlatformError::new("changes", "store", kind, "forgotten"));
         }
@@ -276,11 +276,11 @@
     }
 }
 
-/// Daemons of a fleet of 300 that have read everything when twice the least time has passed in which a store that takes
-/// a fifth of their calls a second can answer all pages.
+/// Returns how many of 300 daemons have completed a full read after twice the minimum time that the store's rate limit
+/// allows for all pages.
 async fn daemons_that_have_read(resume_window: Duration) -> usize {
     const DAEMONS: usize = 300;
-    let space = CrowdedSpace::new();
+    let space = RateLimitedSpace::new();
     let read = Arc::new(AtomicU64::new(0));
     let watches = (0..DAEMONS).map(|_| {
         let watch = Watch {
@@ -305,37 +305,32 @@
     });
     let watches: Vec<_> = watches.collect();
     #[allow(clippy::cast_precision_loss)]
-    let least = (DAEMONS * PAGES) as f64 / PAGES_A_SECOND;
-    sleep(Duration::from_secs_f64(least * 2.0)).await;
+    let min_seconds = (DAEMONS * PAGES) as f64 / PAGES_PER_SECOND;
+    sleep(Duration::from_secs_f64(min_seconds * 2.0)).await;
     for watch in watches {
         watch.abort();
     }
-    let answered = space.answered.load(Ordering::Relaxed);
-    assert!(
-        answered > 0,
-        "{answered} pages in {:?}",
-        space.start.elapsed()
-    );
+    let served = space.served.load(Ordering::Relaxed);
+    assert!(served > 0, "{served} pages in {:?}", space.start.elapsed());
     usize::try_from(read.load(Ordering::Relaxed)).unwrap()
 }
 
-/// All daemons of a large fleet start at once: a page that is refused costs that page only. Reads that begin anew show
-/// that the test can fail.
+/// A refused page must not restart the full read; with resumption disabled most daemons don't finish in time.
 #[tokio::test(start_paused = true)]
-async fn reads_of_a_crowded_store_go_on_where_they_were_refused() {
+async fn refused_full_reads_resume_at_the_refused_page() {
     let resumed = daemons_that_have_read(Duration::from_secs(60)).await;
     assert!(resumed >= 290, "{resumed} of 300");
-    let anew = daemons_that_have_read(Duration::ZERO).await;
-    assert!(anew <= 100, "{anew} of 300");
+    let restarted = daemons_that_have_read(Duration::ZERO).await;
+    assert!(restarted <= 100, "{restarted} of 300");
 }
 
-/// When all daemons of the tests below have read everything at their start and lose the store's history.
-const FORGOTTEN_AT: Duration = Duration::from_secs(4);
+/// Time at which the history is lost; all daemons have completed their first full read by then.
+const HISTORY_LOST_AT: Duration = Duration::from_secs(4);
 
-/// Refused calls of second reads after lost history, where these may be spread over so long.
+/// Returns the number of refused calls of the second full reads after lost history, with jitter up to `spread`.
 async fn refused_second_reads(spread: Duration) -> u64 {
     const DAEMONS: usize = 60;
-    let space = CrowdedSpace::forgetful(FORGOTTEN_AT);
+    let space = RateLimitedSpace::with_lost_history(HISTORY_LOST_AT);
     let watches = (0..DAEMONS).map(|_| {
         let watch = Watch {
             table: space.clone(),
@@ -353,7 +348,7 @@
         tokio::spawn(watch.run(|_| {}))
     });
     let watches: Vec<_> = watches.collect();
-    sleep(FORGOTTEN_AT + Duration::from_secs(8)).await;
+    sleep(HISTORY_LOST_AT + Duration::from_secs(8)).await;
     let first = space.refused.load(Ordering::Relaxed);
     sleep(Duration::from_secs(12)).await;
     for watch in watches {
@@ -362,17 +357,20 @@
     space.refused.load(Ordering::Relaxed) - first
 }
 
-/// Daemons that have lost the history together read once more at different moments, so that their questions for changes are not
-/// refused meanwhile.
+/// Second full reads after lost history must be jittered, against a thundering herd at the store.
 #[tokio::test(start_paused = true)]
-async fn second_reads_are_spread() {
+async fn second_full_reads_are_jittered() {
     let spread = refused_second_reads(Duration::from_secs(4)).await;
     let at_once = refused_second_reads(Duration::ZERO).await;
     assert!(spread * 5 < at_once, "{spread} refused, {at_once} at once");
 }
 
-/// Pages that daemons read within a time after their start, where whole reads are due so seldom.
-async fn pages_read(space: &Arc<CrowdedSpace>, regular: Duration, time: Duration) -> usize {
+/// Returns the mean number of pages that a daemon reads within `time`, with full reads at the interval `regular`.
+async fn pages_per_daemon(
+    space: &Arc<RateLimitedSpace>,
+    regular: Duration,
+    time: Duration,
+) -> usize {
     const DAEMONS: usize = 20;
     let watches = (0..DAEMONS).map(|_| {
         let watch = Watch {
@@ -391,28 +389,33 @@
     for watch in watches {
         watch.abort();
     }
-    let pages = space.answered.load(Ordering::Relaxed);
+    let pages = space.served.load(Ordering::Relaxed);
     usize::try_from(pages).unwrap() / DAEMONS
 }
 
-/// A start alone makes no read stale: daemons of a large fleet read everything once, and again when it is due.
+/// A start alone must not cause a second full read before it is due.
 #[tokio::test(start_paused = true)]
-async fn daemons_of_a_large_fleet_that_start_read_everything_once() {
+async fn starting_daemons_of_a_large_fleet_do_one_full_read() {
     let regular = Duration::from_secs(40);
-    let start = pages_read(&CrowdedSpace::new(), regular, Duration::from_secs(15)).await;
+    let start = pages_per_daemon(&RateLimitedSpace::new(), regular, Duration::from_secs(15)).await;
     assert_eq!(start, PAGES);
-    let later = pages_read(&CrowdedSpace::new(), regular, Duration::from_secs(61)).await;
-    // The earliest may be at their third.
+    let later = pages_per_daemon(&RateLimitedSpace::new(), regular, Duration::from_secs(61)).await;
+    // Due to jitter some daemons may have begun their third read.
     assert!((2 * PAGES..=2 * PAGES + 1).contains(&later), "{later}");
 }
 
-/// After lost history a read may be stale, at any size of the fleet; and a small fleet reads again soon in any case.
+/// After lost history two full reads must follow soon, as the first may be stale.
 #[tokio::test(start_paused = true)]
-async fn lost_history_is_followed_by_two_reads_soon() {
+async fn two_full_reads_follow_lost_history() {
     let regular = Duration::from_secs(100);
-    let space = CrowdedSpace::forgetful(FORGOTTEN_AT);
-    let time = FORGOTTEN_AT + Duration::from_secs(12);
-    assert_eq!(pages_read(&space, regular, time).await, 3 * PAGES);
-    let small = pages_read(&CrowdedSpace::new(), Duration::ZERO, Duration::from_secs(6)).await;
+    let space = RateLimitedSpace::with_lost_history(HISTORY_LOST_AT);
+    let time = HISTORY_LOST_AT + Duration::from_secs(12);
+    assert_eq!(pages_per_daemon(&space, regular, time).await, 3 * PAGES);
+    let small = pages_per_daemon(
+        &RateLimitedSpace::new(),
+        Duration::ZERO,
+        Duration::from_secs(6),
+    )
+    .await;
     assert_eq!(small, 2 * PAGES);
 }
--- a/crates/relay/tests/zone.rs
+++ b/crates/relay/tests/zone.rs
@@ -1,8 +1,4 @@
-//! A zone of a whole fleet, and one of twice that size: what the store has to give, and how long a start, a change and the loss of
-//! the reader take.
-//!
-//! What happened: 985 daemons before 10,000 replicas each read all of them for itself, some 3.5 MB a daemon and start, so that the
-//! bytes of the store cost a third of all that the fleet earned, and each change was sent 985 times.
+//! Guards against zones whose store traffic grows with the number of daemons, and against slow or stale relayed copies.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -25,28 +21,28 @@
 
 const SPACE: &str = "replicas";
 
-/// Rows of a page of the store.
+/// Maximum number of rows per page of the store.
 const PAGE_ROWS: usize = 500;
 
-/// Bytes of a row between daemons, compressed.
+/// Compressed size of a relayed row.
 const ROW_BYTES: f64 = 60.0;
 
-/// What a small machine sends in a second.
+/// Bandwidth of a machine's link in bytes per second.
 const LINK_BYTES: f64 = 3_750_000.0;
 
-/// Time within which the members of a fleet that starts know each other.
+/// Time from the start until all members know each other.
 const MEMBERS_KNOWN: Duration = Duration::from_millis(900);
 
-/// The store: rows, and how many of them it gave out.
+/// A store that counts its calls and the rows read.
 struct CountingStore {
     rows: Mutex<Vec<Row>>,
     newest: tokio::sync::watch::Sender<u64>,
     rows_read: AtomicU64,
     calls: AtomicU64,
-    is_away: AtomicBool,
-    /// Changes up to this revision are forgotten.
-    forgotten: AtomicU64,
-    /// Reads show the rows as they were at this revision; 0 for as they are.
+    is_unavailable: AtomicBool,
+    /// The history is lost up to this revision.
+    lost_up_to: AtomicU64,
+    /// Revision reported by stale full reads; 0 for current reads.
     stale_at: AtomicU64,
 }
 
@@ -62,8 +58,8 @@
             newest: tokio::sync::watch::Sender::new(1),
             rows_read: AtomicU64::new(0),
             calls: AtomicU64::new(0),
-            is_away: AtomicBool::new(false),
-            forgotten: AtomicU64::new(0),
+            is_unavailable: AtomicBool::new(false),
+            lost_up_to: AtomicU64::new(0),
             stale_at: AtomicU64::new(0),
         })
     }
@@ -78,7 +74,7 @@
     async fn call(&self) -> Result<(), PlatformError> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         sleep(Duration::from_millis(4)).await;
-        if !self.is_away.load(Ordering::Relaxed) {
+        if !self.is_unavailable.load(Ordering::Relaxed) {
             return Ok(());
         }
         let kind = PlatformErrorKind::NotDone;
@@ -121,7 +117,7 @@
         wait: Duration,
     ) -> Result<ChangePage, PlatformError> {
         self.call().await?;
-        if after < self.forgotten.load(Ordering::Relaxed) {
+        if after < self.lost_up_to.load(Ordering::Relaxed) {
             let kind = PlatformErrorKind::HistoryLost;
             return Err(PlatformError::new("changes", "store", kind, "forgotten"));
         }
@@ -145,15 +141,15 @@
     }
 }
 
-/// A machine: what it holds, and its link, over which one answer goes at a time.
+/// A daemon's copy, and its link, which transfers one reply at a time.
 struct Machine {
     space: Arc<SharedSpace>,
     link: Semaphore,
-    is_silent: AtomicBool,
+    is_unresponsive: AtomicBool,
     rows_sent: AtomicU64,
 }
 
-/// The zone's machines as peers see them.
+/// Simulated transport between the zone's daemons.
 #[derive(Default)]
 struct Network {
     machines: Mutex<HashMap<String, Arc<Machine>>>,
@@ -168,7 +164,7 @@
             return RelayReply::NotReady;
         };
         sleep(Duration::from_millis(1)).await;
-        if machine.is_silent.load(Ordering::Relaxed) {
+        if machine.is_unresponsive.load(Ordering::Relaxed) {
             sleep(request.hold + Duration::from_millis(400)).await;
             return RelayReply::Failed(SourceFailure::Unresponsive, "silent".to_owned());
         }
@@ -183,7 +179,7 @@
         machine
             .rows_sent
             .fetch_add(u64::try_from(rows).unwrap(), Ordering::Relaxed);
-        let _turn = machine.link.acquire().await;
+        let _permit = machine.link.acquire().await;
         #[allow(clippy::cast_precision_loss)]
         let bytes = rows as f64 * ROW_BYTES;
         sleep(Duration::from_secs_f64(bytes / LINK_BYTES)).await;
@@ -205,11 +201,11 @@
     network: Arc<Network>,
     relays: Vec<Arc<Relay>>,
     peers: Vec<RelayPeer>,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl Zone {
-    /// All daemons start at the same moment, and know each other only some time later.
+    /// Starts all daemons at once; they know all members only after [`MEMBERS_KNOWN`].
     async fn start(daemons: usize, rows: usize) -> Self {
         let store = CountingStore::new(rows);
         let network = Arc::new(Network::default());
@@ -219,7 +215,7 @@
                 address: String::new(),
             })
             .collect();
-        let began = Instant::now();
+        let started_at = Instant::now();
         let relays = peers.iter().map(|peer| {
             let log = DecisionLog::new(LogBounds::default());
             let relay = Relay::new(
@@ -234,7 +230,7 @@
             let machine = Machine {
                 space: space.clone(),
                 link: Semaphore::new(1),
-                is_silent: AtomicBool::new(false),
+                is_unresponsive: AtomicBool::new(false),
                 rows_sent: AtomicU64::new(0),
             };
             let mut machines = network.machines.lock().unwrap();
@@ -258,17 +254,17 @@
             network,
             relays,
             peers,
-            began,
+            started_at,
         };
         for (number, relay) in zone.relays.iter().enumerate() {
             relay.set_members(&zone.peers[number / 2..number / 2 + 10], 5 * 10);
         }
         sleep(MEMBERS_KNOWN).await;
-        zone.know(&zone.peers);
+        zone.set_members(&zone.peers);
         zone
     }
 
-    fn know(&self, members: &[RelayPeer]) {
+    fn set_members(&self, members: &[RelayPeer]) {
         for relay in &self.relays {
             relay.set_members(members, 5 * members.len());
         }
@@ -286,34 +282,38 @@
         })
     }
 
-    /// Time until all daemons but those that are silent hold a revision.
-    async fn until_all_hold(&self, revision: u64, silent: usize) -> Duration {
-        let began = Instant::now();
+    /// Waits until at most `unresponsive` daemons lack a revision, and returns the time it took.
+    async fn wait_until_all_hold(&self, revision: u64, unresponsive: usize) -> Duration {
+        let started_at = Instant::now();
         loop {
             let behind = self.revisions().filter(|held| *held < revision).count();
-            if behind <= silent {
-                return began.elapsed();
+            if behind <= unresponsive {
+                return started_at.elapsed();
             }
-            assert!(began.elapsed() < Duration::from_secs(60), "{behind} behind");
+            assert!(
+                started_at.elapsed() < Duration::from_secs(60),
+                "{behind} behind"
+            );
             sleep(Duration::from_millis(10)).await;
         }
     }
 
-    /// Age of the oldest proof of a daemon that is not silent.
+    /// Returns the maximum age of the proofs of all responsive daemons.
     fn oldest_proof(&self) -> Duration {
-        let heard = self
-            .peers
-            .iter()
-            .zip(&self.relays)
-            .filter(|(peer, _)| !self.machine(&peer.id).is_silent.load(Ordering::Relaxed));
-        let ages = heard.map(|(_, relay)| {
+        let responsive = self.peers.iter().zip(&self.relays).filter(|(peer, _)| {
+            !self
+                .machine(&peer.id)
+                .is_unresponsive
+                .load(Ordering::Relaxed)
+        });
+        let ages = responsive.map(|(_, relay)| {
             let as_of = relay.space(SPACE).unwrap().copy().as_of();
             as_of.map_or(Duration::MAX, harrierward_clock::age)
         });
         ages.max().unwrap_or_default()
     }
 
-    /// The daemon that reads the store for the others.
+    /// Returns the daemon that reads the store for the others.
     fn reader(&self) -> &RelayPeer {
         let sent = |peer: &&RelayPeer| self.machine(&peer.id).rows_sent.load(Ordering::Relaxed);
         let follows = |relay: &Arc<Relay>| relay.is_follower(SPACE);
@@ -325,24 +325,24 @@
     }
 }
 
-/// Time within which daemons are to serve again that were all killed at once.
+/// Recovery time objective after a crash of all daemons.
 const RECOVERY: Duration = Duration::from_secs(18);
 
-/// Daemons of a zone and replicas of a fleet: today's, and twice that.
+/// Pairs of the number of daemons in a zone and of replicas in the fleet.
 const SIZES: [(usize, usize); 2] = [(200, 10_000), (400, 20_000)];
 
 #[tokio::test(start_paused = true)]
 async fn a_zone_that_starts_reads_the_store_once() {
-    for ((daemons, rows), within) in SIZES.into_iter().zip([RECOVERY / 2, RECOVERY]) {
+    for ((daemons, rows), max_elapsed) in SIZES.into_iter().zip([RECOVERY / 2, RECOVERY]) {
         let zone = Zone::start(daemons, rows).await;
-        zone.until_all_hold(1, 0).await;
-        let took = zone.began.elapsed();
-        assert!(took < within, "{took:?} with {daemons}");
-        // A look of each at the size of the space, and the space once.
-        let looks = 128 * daemons;
+        zone.wait_until_all_hold(1, 0).await;
+        let elapsed = zone.started_at.elapsed();
+        assert!(elapsed < max_elapsed, "{elapsed:?} with {daemons}");
+        // Each daemon reads one short page to learn the space's size; the full space is read once.
+        let first_page_rows = 128 * daemons;
         let read = zone.store.rows_read.load(Ordering::Relaxed);
-        let most = u64::try_from(rows + looks).unwrap();
-        assert!(read <= most, "{read} rows with {daemons} daemons");
+        let max_rows = u64::try_from(rows + first_page_rows).unwrap();
+        assert!(read <= max_rows, "{read} rows with {daemons} daemons");
         let busiest = zone.peers.iter().map(|peer| {
             let sent = zone.machine(&peer.id).rows_sent.load(Ordering::Relaxed);
             usize::try_from(sent).unwrap()
@@ -352,17 +352,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_is_known_to_all_soon_and_read_once() {
+async fn a_change_reaches_all_soon_and_is_read_once() {
     for (daemons, rows) in SIZES {
         let zone = Zone::start(daemons, rows).await;
-        zone.until_all_hold(1, 0).await;
+        zone.wait_until_all_hold(1, 0).await;
         sleep(Duration::from_secs(2)).await;
         let read_before = zone.store.rows_read.load(Ordering::Relaxed);
         let calls_before = zone.store.calls.load(Ordering::Relaxed);
         for number in 0..20 {
             let revision = zone.store.change(number);
-            let took = zone.until_all_hold(revision, 0).await;
-            assert!(took < Duration::from_millis(1_250), "{took:?}");
+            let elapsed = zone.wait_until_all_hold(revision, 0).await;
+            assert!(elapsed < Duration::from_millis(1_250), "{elapsed:?}");
             assert!(zone.oldest_proof() < Duration::from_millis(2_500));
         }
         let read = zone.store.rows_read.load(Ordering::Relaxed) - read_before;
@@ -372,20 +372,20 @@
     }
 }
 
-/// The reader, and a daemon that many follow, fall silent: changes come to all others all the same, and their proofs stay young.
+/// Changes and recent proofs must reach all others although the reader and a relaying daemon are unresponsive.
 #[tokio::test(start_paused = true)]
-async fn a_reader_that_falls_silent_is_passed_over() {
+async fn an_unresponsive_reader_is_skipped() {
     let (daemons, rows) = SIZES[0];
     let zone = Zone::start(daemons, rows).await;
-    zone.until_all_hold(1, 0).await;
+    zone.wait_until_all_hold(1, 0).await;
     sleep(Duration::from_secs(2)).await;
     let reader = zone.reader().clone();
     let relay = zone.peers.iter().find(|peer| {
         **peer != reader && zone.machine(&peer.id).rows_sent.load(Ordering::Relaxed) > 0
     });
-    for silent in [&reader, relay.unwrap()] {
-        let machine = zone.machine(&silent.id);
-        machine.is_silent.store(true, Ordering::Relaxed);
+    for unresponsive in [&reader, relay.unwrap()] {
+        let machine = zone.machine(&unresponsive.id);
+        machine.is_unresponsive.store(true, Ordering::Relaxed);
     }
     let read_before = zone.store.rows_read.load(Ordering::Relaxed);
     for number in 0..30 {
@@ -395,52 +395,52 @@
         assert!(oldest < Duration::from_millis(4_500), "{oldest:?}");
     }
     let revision = zone.store.change(40);
-    // The silent ones still hear of the store themselves, or of those whom they follow.
-    let took = zone.until_all_hold(revision, 2).await;
-    assert!(took < Duration::from_millis(2_500), "{took:?}");
+    // The two unresponsive daemons may still receive changes themselves.
+    let elapsed = zone.wait_until_all_hold(revision, 2).await;
+    assert!(elapsed < Duration::from_millis(2_500), "{elapsed:?}");
     let read = zone.store.rows_read.load(Ordering::Relaxed) - read_before;
     assert!(read < 31 * 20, "{read} rows for 31 changes");
 }
 
-/// Old rows are not taken for new ones: where the store is away, every daemon knows how old its rows are.
+/// Relayed proofs must not be newer than the store's last response.
 #[tokio::test(start_paused = true)]
-async fn nobody_takes_what_it_is_told_for_younger_than_the_store_said() {
+async fn relayed_proofs_are_never_newer_than_the_store_response() {
     let (daemons, rows) = SIZES[0];
     let zone = Zone::start(daemons, rows).await;
-    zone.until_all_hold(1, 0).await;
+    zone.wait_until_all_hold(1, 0).await;
     sleep(Duration::from_secs(2)).await;
-    let away_since = Instant::now();
-    zone.store.is_away.store(true, Ordering::Relaxed);
+    let unavailable_since = Instant::now();
+    zone.store.is_unavailable.store(true, Ordering::Relaxed);
     sleep(Duration::from_secs(8)).await;
     for relay in &zone.relays {
         let as_of = relay.space(SPACE).unwrap().copy().as_of().expect("read");
-        // A question that the store had let in before is answered at its end.
-        assert!(as_of <= away_since + Duration::from_millis(10));
+        // A request admitted before the outage still gets a response.
+        assert!(as_of <= unavailable_since + Duration::from_millis(10));
     }
-    zone.store.is_away.store(false, Ordering::Relaxed);
+    zone.store.is_unavailable.store(false, Ordering::Relaxed);
     let revision = zone.store.change(0);
-    let took = zone.until_all_hold(revision, 0).await;
-    assert!(took < Duration::from_millis(2_500), "{took:?}");
+    let elapsed = zone.wait_until_all_hold(revision, 0).await;
+    assert!(elapsed < Duration::from_millis(2_500), "{elapsed:?}");
 }
 
-/// A zone that shrinks goes back to the store, and comes back to its tree when it has grown: nothing is read whole for that.
+/// A zone that shrinks and grows again must change its relay mode without full reads.
 #[tokio::test(start_paused = true)]
-async fn the_way_changes_with_the_zone_in_both_directions() {
+async fn the_relay_mode_follows_the_size_of_the_zone() {
     let (daemons, rows) = (60, 2_000);
     let zone = Zone::start(daemons, rows).await;
-    zone.until_all_hold(1, 0).await;
+    zone.wait_until_all_hold(1, 0).await;
     let followers = |zone: &Zone| {
         let all = zone.relays.iter();
         all.filter(|relay| relay.is_follower(SPACE)).count()
     };
     assert_eq!(followers(&zone), daemons - 1);
     let read_before = zone.store.rows_read.load(Ordering::Relaxed);
-    zone.know(&zone.peers[..20]);
+    zone.set_members(&zone.peers[..20]);
     let revision = zone.store.change(1);
-    zone.until_all_hold(revision, 0).await;
+    zone.wait_until_all_hold(revision, 0).await;
     sleep(Duration::from_secs(2)).await;
     assert_eq!(followers(&zone), 0);
-    zone.know(&zone.peers);
+    zone.set_members(&zone.peers);
     sleep(Duration::from_secs(3)).await;
     assert_eq!(followers(&zone), daemons - 1);
     let read = zone.store.rows_read.load(Ordering::Relaxed) - read_before;
@@ -450,13 +450,12 @@
     );
 }
 
-/// The store forgets its history and shows old rows for some seconds: the reader looks at one page at a time, nobody else reads at all,
-/// and all know the newest rows soon after its end.
+/// After lost history with stale reads only the reader may do full reads, and all daemons must converge afterwards.
 #[tokio::test(start_paused = true)]
-async fn a_forgotten_history_is_the_readers_to_make_good() {
+async fn only_the_reader_recovers_lost_history() {
     let (daemons, rows) = SIZES[0];
     let zone = Zone::start(daemons, rows).await;
-    zone.until_all_hold(1, 0).await;
+    zone.wait_until_all_hold(1, 0).await;
     sleep(Duration::from_secs(2)).await;
     let read_before = zone.store.rows_read.load(Ordering::Relaxed);
     zone.store.stale_at.store(1, Ordering::Relaxed);
@@ -465,16 +464,16 @@
         newest = zone.store.change(number);
         sleep(Duration::from_millis(100)).await;
     }
-    zone.store.forgotten.store(newest + 5, Ordering::Relaxed);
+    zone.store.lost_up_to.store(newest + 5, Ordering::Relaxed);
     zone.store.newest.send_replace(newest + 6);
     sleep(Duration::from_secs(6)).await;
     let read = zone.store.rows_read.load(Ordering::Relaxed) - read_before;
     // The same as two whole reads, whatever the number of daemons.
-    let most = u64::try_from(2 * rows).unwrap();
-    assert!(read <= most, "{read} rows while they were old");
+    let max_rows = u64::try_from(2 * rows).unwrap();
+    assert!(read <= max_rows, "{read} rows while they were old");
     zone.store.stale_at.store(0, Ordering::Relaxed);
-    let took = zone.until_all_hold(newest + 6, 0).await;
-    assert!(took < Duration::from_millis(2_500), "{took:?}");
+    let elapsed = zone.wait_until_all_hold(newest + 6, 0).await;
+    assert!(elapsed < Duration::from_millis(2_500), "{elapsed:?}");
     let read = zone.store.rows_read.load(Ordering::Relaxed) - read_before;
-    assert!(read <= 2 * most, "{read} rows for a forgotten history");
+    assert!(read <= 2 * max_rows, "{read} rows for a forgotten history");
 }
