--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -22,12 +22,12 @@
 use crate::peer_rows::{PeerRows, bootstrap};
 use crate::peer_updates::PeerUpdates;
 use crate::pool::ConnectionPool;
-use crate::quarantine::{HeldContents, QuarantineService};
+use crate::quarantine::{QuarantineService, QuarantinedContents};
 use crate::rates::RateService;
 use crate::relay::{HttpPeers, SpaceReplies};
 use crate::server::{HttpService, ServerControl, ServerStage, serve};
 use crate::settings::EdgeSettings;
-use crate::slots::{Pacing, SlotService, YieldItems};
+use crate::slots::{Pacing, PreemptItems, SlotService};
 use crate::watches::{JobRowHandler, WatchIntervals, start_watches};
 
 /// Parts from which a daemon is built.
@@ -74,7 +74,7 @@
     /// True if the daemon accepts new connections: it is discovered, not stopping and not isolated from the store.
     pub fn is_ready(&self) -> bool {
         let stopping = self.stopping.load(Ordering::Relaxed);
-        !stopping && self.discovery.is_complete() && !self.members.is_cut_off_alone()
+        !stopping && self.discovery.is_complete() && !self.members.is_isolated_from_store()
     }
 
     /// True if the daemon is closing and starts no new work.
@@ -189,12 +189,12 @@
             peers: members.clone(),
             log: log.clone(),
             settings: JobSettings {
-                retention: settings.keep_jobs,
+                retention: settings.job_retention,
                 cancel_within: settings.cancel_within,
             },
         });
         members.set_jobs(jobs.clone());
-        slots.set_yielding(Box::new(BatchPreemption {
+        slots.set_preemption(Box::new(BatchPreemption {
             jobs: jobs.clone(),
             members: members.clone(),
         }));
@@ -210,17 +210,17 @@
         members.set_relay(relay.clone());
         let fleet = members.clone();
         let intervals = WatchIntervals::new(&settings, relay.clone(), move || fleet.fleet_size());
-        let heads = JobRowHandler {
+        let headers = JobRowHandler {
             jobs: jobs.clone(),
             quarantine: quarantine.clone(),
         };
-        start_watches(&discovery, source.as_ref(), heads, &intervals, &log);
+        start_watches(&discovery, source.as_ref(), headers, &intervals, &log);
         let clock = jobs.clone();
         let store_now_ms = move || clock.view().store_now_ms();
-        tokio::spawn(quarantine.clone().keep_stored(table, store_now_ms));
+        tokio::spawn(quarantine.clone().run_row_writer(table, store_now_ms));
         tokio::spawn(jobs.clone().run());
         tokio::spawn(peer_updates.catch_up(pool.clone()));
-        tokio::spawn(discovery.clone().watch_evacuated());
+        tokio::spawn(discovery.clone().report_evacuated_zones());
         let bootstrapping = bootstrap(
             discovery.clone(),
             members.clone(),
@@ -277,7 +277,7 @@
         if !self.settings.control_address.is_empty() {
             let listener = TcpListener::bind(&self.settings.control_address).await?;
             let peer_rows = Arc::new(PeerRows::new(self.service.discovery.clone()));
-            let held = HeldContents::new(self.service.quarantine.clone(), peer_rows);
+            let held = QuarantinedContents::new(self.service.quarantine.clone(), peer_rows);
             let spaces = SpaceReplies::new(self.relay.clone(), Arc::new(held));
             tokio::spawn(serve(listener, inner_control, Arc::new(spaces)));
         }
@@ -291,16 +291,16 @@
     members: Arc<Members>,
 }
 
-impl YieldItems for BatchPreemption {
-    fn yield_lease(&self, place: u32) {
+impl PreemptItems for BatchPreemption {
+    fn preempt_lease(&self, place: u32) {
         self.jobs.preempt_lease(place);
     }
 
-    fn yield_at(&self, replica: &str, count: u32) {
+    fn preempt_at(&self, replica: &str, count: u32) {
         self.jobs.preempt_slots(replica, count);
     }
 
-    fn ask_peer(&self, replica: &Arc<Replica>) {
-        self.members.ask_peer_to_yield(replica);
+    fn preempt_peer(&self, replica: &Arc<Replica>) {
+        self.members.request_peer_preemption(replica);
     }
 }
--- a/crates/edge/src/slots/outcomes.rs
+++ b/crates/edge/src/slots/outcomes.rs
@@ -23,15 +23,15 @@
 
 impl SlotService {
     /// Reports a released lease and its request's outcome to the replica's coordinator.
-    pub(super) fn report_completion(&self, lease: u32, replica: u32, end: ReleaseReport) {
+    pub(super) fn report_completion(&self, lease: u32, replica: u32, release: ReleaseReport) {
         let outcome = LeaseOutcome {
             lease,
             replica,
-            kind: kind_of(end.outcome).into(),
-            first_event_ms: end.first_event.map_or(0, |time| millis(time).max(1)),
+            kind: kind_of(release.outcome).into(),
+            first_event_ms: release.first_event.map_or(0, |time| millis(time).max(1)),
         };
         let Some(coordinator) = self.peer_coordinating(replica) else {
-            self.take_outcome(self.holder, &outcome);
+            self.apply_outcome(self.holder, &outcome);
             return;
         };
         let report = SlotReport {
@@ -44,13 +44,13 @@
     }
 
     /// Applies the outcomes in a holder's report.
-    pub(super) fn take_outcomes(&self, report: &SlotReport) {
+    pub(super) fn apply_outcomes(&self, report: &SlotReport) {
         for outcome in report.outcomes.iter().take(MAX_OUTCOMES) {
-            self.take_outcome(report.holder, outcome);
+            self.apply_outcome(report.holder, outcome);
         }
     }
 
-    fn take_outcome(&self, holder: u64, outcome: &LeaseOutcome) {
+    fn apply_outcome(&self, holder: u64, outcome: &LeaseOutcome) {
         if !self.costs.policy.has(Mechanism::Ejection) {
             return;
         }
@@ -218,8 +218,8 @@
     detectors.map(OutlierDetector::ejected_count).sum()
 }
 
-fn kind_of(verdict: AttemptOutcome) -> OutcomeKind {
-    match verdict {
+fn kind_of(outcome: AttemptOutcome) -> OutcomeKind {
+    match outcome {
         AttemptOutcome::NoEvidence => OutcomeKind::NoEvidence,
         AttemptOutcome::Served => OutcomeKind::Served,
         AttemptOutcome::Failed => OutcomeKind::Failed,
--- a/crates/edge/src/slots/reports.rs
+++ b/crates/edge/src/slots/reports.rs
@@ -15,9 +15,9 @@
 impl SlotService {
     /// Feeds the hold times of released leases to admission control.
     pub(super) fn observe_hold_times(&self, state: &mut State) {
-        let ended = state.ledger.take_released();
+        let released = state.ledger.take_released();
         let view = self.replicas.view();
-        for lease in ended {
+        for lease in released {
             let Some(replica) = view.by_hash(lease.replica) else {
                 continue;
             };
@@ -29,7 +29,7 @@
     }
 
     /// Applies a holder's report of its leases and outcomes.
-    pub(super) fn take_report(&self, report: &SlotReport, from: SocketAddr) {
+    pub(super) fn apply_report(&self, report: &SlotReport, from: SocketAddr) {
         {
             let mut state = self.lock();
             state
@@ -37,7 +37,7 @@
                 .apply_report(report, from, harrierward_clock::now());
             self.observe_hold_times(&mut state);
         }
-        self.take_outcomes(report);
+        self.apply_outcomes(report);
         self.publish();
     }
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Called on the membership's tick: expires unresponsive holders and reports held leases to coordinators.
+    /// Expires unresponsive holders and reports held leases to coordinators; called on the membership's tick.
     pub fn tick(&self) {
         let now = harrierward_clock::now();
         let layouts_digest = self.index().layouts_digest;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// After a suspension, expires outdated leases before any is counted, without waiting for the next tick.
+    /// Expires outdated leases after a suspension, before any is counted, without waiting for the next tick.
     pub(super) fn expire_after_suspension(&self) {
         if self.suspensions.take().is_some() {
             self.lock().ledger.expire(harrierward_clock::now());
@@ -129,13 +129,13 @@
     pub fn receive(&self, kind: Kind, from: SocketAddr) -> Option<Kind> {
         self.expire_after_suspension();
         match kind {
-            Kind::SlotAsk(ask) => self.handle_request(&ask, from),
+            Kind::SlotAsk(request) => self.handle_request(&request, from),
             Kind::SlotGrant(grant) => {
                 if self.calls.complete(grant.lease, grant) {
                     self.note_late_reply(from);
                 }
             }
-            Kind::SlotReport(report) => self.take_report(&report, from),
+            Kind::SlotReport(report) => self.apply_report(&report, from),
             Kind::YieldRequest(request) => self.handle_preemption(&request),
             other => return Some(other),
         }
--- a/crates/serving/src/forwarder.rs
+++ b/crates/serving/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! The path of a request: route, replica, further tries, answer.
+//! Request path: admission, replica selection, retries and response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,48 +28,48 @@
 /// The routes in force; `None` until a configuration is known.
 pub type SharedRoutes = Arc<ArcSwapOption<RouteTable>>;
 
-/// Most replicas that refuse one request before it is given up.
-const MOST_REFUSALS: u32 = 3;
+/// Maximum number of refusals by replicas per request.
+const MAX_REFUSALS: u32 = 3;
 
-/// When a caller whose request found no place shall come back.
+/// Retry interval for callers whose request could not be served.
 const RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// Bounds and prices of the request path.
+/// Settings of the request path.
 #[derive(Debug, Clone)]
 pub struct ForwarderSettings {
     /// Zone of the daemon.
     pub zone: String,
     /// Region of the daemon.
     pub region: String,
-    /// Prices of the choice of a replica.
+    /// Costs of replica selection.
     pub costs: SelectionCosts,
-    /// How long keys are served without contact.
+    /// How long keys are accepted without configuration updates.
     pub key_trust: KeyTrust,
 }
 
-/// What a forwarder works with.
+/// Dependencies of a [`Forwarder`].
 pub struct ForwarderParts {
-    /// The routes.
+    /// Routes in force.
     pub routes: SharedRoutes,
-    /// The replicas.
+    /// Known replicas.
     pub replicas: Arc<ReplicaSet>,
-    /// Their protocol.
+    /// Client of the replicas.
     pub client: Arc<dyn ReplicaClient>,
-    /// SlotLeases at the replicas.
+    /// Grants leases of slots.
     pub leases: Arc<dyn SlotLeases>,
-    /// Rates of tenants.
+    /// Rate limits of tenants.
     pub rates: Arc<dyn RateLimits>,
-    /// Contents that are held back.
+    /// Quarantined contents.
     pub quarantine: Arc<dyn Quarantine>,
-    /// Age of the routes.
+    /// Freshness of the configuration.
     pub proof: Arc<ConfigurationProof>,
-    /// The decision log.
+    /// Log of routing and admission decisions.
     pub log: DecisionLog,
-    /// Settings.
+    /// Location, costs and key trust of this daemon.
     pub settings: ForwarderSettings,
 }
 
-/// The request path of one daemon; cheap to clone.
+/// Request path of one daemon; cheap to clone.
 #[derive(Clone)]
 pub struct Forwarder {
     parts: Arc<ForwarderParts>,
@@ -77,7 +77,7 @@
 }
 
 impl Forwarder {
-    /// A forwarder over these parts.
+    /// Creates a forwarder.
     pub fn new(parts: ForwarderParts) -> Self {
         Self {
             parts: Arc::new(parts),
@@ -85,12 +85,12 @@
         }
     }
 
-    /// The replicas.
+    /// Returns the known replicas.
     pub fn replicas(&self) -> &Arc<ReplicaSet> {
         &self.parts.replicas
     }
 
-    /// The routes in force.
+    /// Returns the routes in force.
     pub fn routes(&self) -> Option<Arc<RouteTable>> {
         self.parts.routes.load_full()
     }
@@ -99,7 +99,7 @@
         self.parts.client.as_ref()
     }
 
-    /// Who grants slots.
+    /// Returns the service that grants leases of slots.
     pub fn leases(&self) -> &Arc<dyn SlotLeases> {
         &self.parts.leases
     }
@@ -124,44 +124,44 @@
         self.parts.quarantine.has_crashed(replica).await
     }
 
-    fn hold(&self, content: ContentId) -> Option<QuarantinePeriod> {
+    fn quarantine_of(&self, content: ContentId) -> Option<QuarantinePeriod> {
         match self.parts.quarantine.status(content) {
-            ContentStatus::Quarantined(hold) => Some(hold),
+            ContentStatus::Quarantined(active) => Some(active),
             ContentStatus::Clear | ContentStatus::Suspect { .. } => None,
         }
     }
 
-    /// True if replicas have ended under the content, so that it is sent to none.
-    pub(crate) fn is_held(&self, content: ContentId) -> bool {
-        self.hold(content).is_some()
+    /// True if the content is quarantined, so that it is sent to no replica.
+    pub(crate) fn is_quarantined(&self, content: ContentId) -> bool {
+        self.quarantine_of(content).is_some()
     }
 
-    /// True if an item must not run now since replicas have ended under its content. One that may have been there by chance
-    /// gets one trial; its caller does not wait, and it is lost for nothing otherwise.
+    /// True if the item's content is quarantined. A content that may have been present at the crashes by coincidence
+    /// is allowed one trial, since its caller doesn't wait.
     pub fn is_item_quarantined(&self, request: &ServingRequest) -> bool {
         if !self.parts.quarantine.has_quarantined() {
             return false;
         }
-        let hold = self.hold(request.content());
-        hold.is_some_and(|hold| !hold.allows_trial(harrierward_clock::now()))
+        let active = self.quarantine_of(request.content());
+        active.is_some_and(|active| !active.allows_trial(harrierward_clock::now()))
     }
 
-    /// Mechanisms in use.
+    /// Returns the mechanisms in use.
     pub fn policy(&self) -> Policy {
         self.parts.settings.costs.policy
     }
 
-    /// Age of the routes.
+    /// Returns the freshness of the configuration.
     pub fn proof(&self) -> &ConfigurationProof {
         &self.parts.proof
     }
 
-    /// How long keys are served without contact.
+    /// Returns how long keys are accepted without configuration updates.
     pub fn key_trust(&self) -> KeyTrust {
         self.parts.settings.key_trust
     }
 
-    /// Serves a request. Dropping the future, or the answer's body, closes the replica's connection.
+    /// Serves a request. Dropping the future, or the response body, closes the connection to the replica.
     pub async fn forward(&self, mut request: ServingRequest, arrived: Instant) -> Reply {
         let entry = match self.admit(&mut request).await {
             Ok(entry) => entry,
@@ -169,12 +169,12 @@
         };
         let request = Arc::new(request);
         match self.serve(&request, &entry, arrived).await {
-            Ok(answer) => Reply::Response(answer),
+            Ok(response) => Reply::Response(response),
             Err(refusal) => self.refuse(&request, refusal, arrived),
         }
     }
 
-    /// The route of a request that its caller may make now; the request is then its tenant's.
+    /// Finds the route, checks key and rate limit, and sets the request's tenant and regions.
     async fn admit(&self, request: &mut ServingRequest) -> Result<Arc<RouteEntry>, Refusal> {
         let routes = self
             .routes()
@@ -216,8 +216,8 @@
         Reply::Refusal(refusal)
     }
 
-    /// Refuses a request that became whole while this daemon stops: its answer might not come to its end in the time that
-    /// is left. No pause is asked of the caller, since other daemons take it at once.
+    /// Refuses a request received completely while this daemon stops, since its response might not complete in time.
+    /// No retry interval is set, because other daemons accept it at once.
     pub fn refuse_while_stopping(&self, request_id: &str, arrived: Instant) -> Refusal {
         let refusal = Refusal::not_run(RefusalCause::Stopping, None);
         self.log_refusal(request_id, None, refusal, arrived);
@@ -248,7 +248,7 @@
         let service = entry
             .next_service()
             .ok_or_else(|| refuse_unsent(RefusalCause::NoReplica))?;
-        let is_return = entry.is_overdue(request.timeout);
+        let is_retry = entry.is_overdue(request.timeout);
         let mut state = RequestState {
             request: request.clone(),
             content: request.content(),
@@ -259,26 +259,26 @@
             sends: 0,
             execution: Execution::NotRun,
             forgiven: 0,
-            is_return,
-            overdue: is_return && self.policy().has(Mechanism::OverdueLast),
+            is_retry,
+            overdue: is_retry && self.policy().has(Mechanism::OverdueLast),
         };
         let mut refusals = 0;
         loop {
-            if let Some(hold) = self.hold(state.content) {
-                return Err(held_back(&hold, &state));
+            if let Some(active) = self.quarantine_of(state.content) {
+                return Err(refuse_quarantined(&active, &state));
             }
-            if state.clock.hold_left().is_zero() {
-                return Err(given_up(RefusalCause::NoTimeLeft, &state));
+            if state.clock.remaining_hold().is_zero() {
+                return Err(abandon(RefusalCause::NoTimeLeft, &state));
             }
             state.sends += 1;
             let (replica, result) = self.first_attempt(&state).await;
             state.tried.extend(replica);
             let failure = match result {
-                Ok(attempt) if self.shall_repeat(&attempt, &state) => {
+                Ok(attempt) if self.should_retry(&attempt, &state) => {
                     state.execution.learn(Execution::Ran);
                     continue;
                 }
-                Ok(attempt) => return answer(self, state, attempt),
+                Ok(attempt) => return respond(self, state, attempt),
                 Err(failure) => failure,
             };
             state.execution.learn(failure.execution());
@@ -288,28 +288,28 @@
                     return Err(Refusal::new(cause, state.execution, Some(after)));
                 }
                 AttemptFailure::NoReplica if state.tried.is_empty() => {
-                    return Err(given_up(RefusalCause::NoReplica, &state));
+                    return Err(abandon(RefusalCause::NoReplica, &state));
                 }
-                AttemptFailure::NoReplica => return Err(given_up(RefusalCause::Full, &state)),
+                AttemptFailure::NoReplica => return Err(abandon(RefusalCause::Full, &state)),
                 AttemptFailure::NotRun { .. } | AttemptFailure::Unattributed { .. } => {
                     state.sends -= 1;
                     refusals += 1;
-                    if refusals > MOST_REFUSALS {
-                        return Err(given_up(RefusalCause::Full, &state));
+                    if refusals > MAX_REFUSALS {
+                        return Err(abandon(RefusalCause::Full, &state));
                     }
                 }
                 AttemptFailure::MayHaveRun { .. } => {
-                    self.forgive_end(&mut state).await;
+                    self.forgive_crash(&mut state).await;
                     if !state.route.may_repeat() || state.sends >= state.route.attempts {
-                        return Err(given_up(RefusalCause::Broken, &state));
+                        return Err(abandon(RefusalCause::Broken, &state));
                     }
                 }
             }
         }
     }
 
-    /// A replica that has ended does not count among the attempts of a request that may be repeated.
-    async fn forgive_end(&self, state: &mut RequestState) {
+    /// Excludes the last attempt from the count if its replica crashed and the request may be repeated.
+    async fn forgive_crash(&self, state: &mut RequestState) {
         let is_last = state.sends >= state.route.attempts;
         let Some(replica) = self.last_tried(state) else {
             return;
@@ -319,7 +319,7 @@
         }
     }
 
-    /// The replica that a request was sent to last, if it is still known.
+    /// Returns the replica of the last attempt, if it is still known.
     pub(crate) fn last_tried(&self, state: &RequestState) -> Option<Arc<Replica>> {
         let last = state.tried.last()?;
         self.replicas().view().get(last).cloned()
@@ -329,33 +329,33 @@
         &self,
         state: &RequestState,
     ) -> (Option<String>, Result<Attempt, AttemptFailure>) {
-        // A connection that was used before may carry a late answer, or be closing: an attempt that cannot be
-        // repeated takes a new one. So does one that follows a lost answer: kept connections fall silent together.
-        let sending = AttemptOptions {
+        // A reused connection may deliver a late response or be closing, so an attempt that can't be repeated opens a
+        // new one; so does one after a lost response, since reused connections tend to fail together.
+        let options = AttemptOptions {
             resume_after: state.request.resume_after,
             fresh_connection: !state.route.may_repeat() || state.sends > 1,
             number: state.sends,
             failed_before: false,
         };
-        let times = || state.clock.attempt_times(&state.route, state.sends);
-        self.attempt(state, times, sending).await
+        let times = || state.clock.attempt_timeouts(&state.route, state.sends);
+        self.attempt(state, times, options).await
     }
 
-    /// True for a failure of the replica that another one may make good.
-    fn shall_repeat(&self, attempt: &Attempt, state: &RequestState) -> bool {
+    /// True if the replica failed and another one may serve the request.
+    fn should_retry(&self, attempt: &Attempt, state: &RequestState) -> bool {
         let route = &state.route;
         attempt.response.status >= 500 && route.may_repeat() && state.sends < route.attempts
     }
 }
 
-/// The refusal of a request of which nothing was sent; the cause tells whether its caller may come back.
+/// Refusal of a request that was sent to no replica, with a retry interval if the cause is transient.
 fn refuse_unsent(cause: RefusalCause) -> Refusal {
     Refusal::not_run(cause, cause.is_transient().then_some(RETRY_AFTER))
 }
 
-/// The refusal of a request that is given up, by what its attempts have shown.
-fn given_up(cause: RefusalCause, state: &RequestState) -> Refusal {
-    let is_late = state.clock.hold_left().is_zero();
+/// Refusal of a request that is abandoned after its attempts.
+fn abandon(cause: RefusalCause, state: &RequestState) -> Refusal {
+    let is_late = state.clock.remaining_hold().is_zero();
     let cause = if is_late && !state.execution.is_not_run() {
         RefusalCause::TimedOut
     } else {
@@ -364,15 +364,15 @@
     Refusal::new(cause, state.execution, Some(RETRY_AFTER))
 }
 
-/// The refusal of a request under whose content replicas have ended. To come back earlier is of no use.
-fn held_back(hold: &QuarantinePeriod, state: &RequestState) -> Refusal {
-    let left = hold
+/// Refusal of a request with quarantined content; an earlier retry would be refused as well.
+fn refuse_quarantined(active: &QuarantinePeriod, state: &RequestState) -> Refusal {
+    let remaining = active
         .until
         .saturating_duration_since(harrierward_clock::now());
-    Refusal::new(RefusalCause::Quarantined, state.execution, Some(left))
+    Refusal::new(RefusalCause::Quarantined, state.execution, Some(remaining))
 }
 
-fn answer(
+fn respond(
     forwarder: &Forwarder,
     mut state: RequestState,
     attempt: Attempt,
@@ -380,7 +380,7 @@
     state.execution.learn(Execution::Ran);
     let status = attempt.response.status;
     if promises_not_run(status) {
-        // The replica did not say that it has not run the request, so neither may this daemon.
+        // The status would promise that the request did not run, which the replica did not state.
         return Err(Refusal::new(RefusalCause::Broken, state.execution, None));
     }
     let headers = attempt.response.headers.clone();
--- a/crates/serving/tests/support/mod.rs
+++ b/crates/serving/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A forwarder before replicas whose answers follow a script.
+//! Fixture of a forwarder with replicas that follow a script.
 
-// Each test program uses a part of it.
+// Each test program uses only part of this module.
 #![allow(dead_code)]
 
 use std::collections::VecDeque;
@@ -22,68 +22,75 @@
 use harrierward_tenants::{AllowedRegions, Tenant};
 use http::{HeaderMap, Method};
 
-/// Whose id an answer carries.
+/// Request id that a response carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answers {
-    /// That of the request which it is taken for.
+pub enum ResponseId {
+    /// Id of the request itself.
     Own,
-    /// That of an earlier request on the connection.
+    /// Id of an earlier request on the connection.
     Another,
-    /// None.
-    Nobody,
-    /// None, where a connection that is used again has a late answer to an earlier request in its place.
-    NobodyLate,
+    /// No id, from the replica itself.
+    Missing,
+    /// No id, as a late response to an earlier request on a reused connection.
+    MissingLate,
 }
 
-impl Answers {
+impl ResponseId {
     fn is_late(self) -> bool {
-        matches!(self, Self::Another | Self::NobodyLate)
+        matches!(self, Self::Another | Self::MissingLate)
     }
 }
 
-/// What a replica does with a request.
+/// Result of one request at a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
-    /// It answers whole.
-    Whole,
-    /// Nobody listens at its address.
+pub enum ScriptedResult {
+    /// A complete response.
+    Complete,
+    /// The connection is refused.
     NotSent,
-    /// It has begun, and the connection breaks.
+    /// The connection breaks after the request has started.
     Lost,
-    /// It has begun and sent the head, and the connection breaks.
-    CutAfterHead,
-    /// A refusal of this status that says "not run" stands where its answer is due. If it is not this request's, the
-    /// replica has begun this one.
-    Refusal { status: u16, answers: Answers },
-    /// Another replica has the address; with the id or not.
-    OtherReplica { answers: Answers },
-    /// It has run, and fails with this status.
+    /// The connection breaks after the response header.
+    DisconnectAfterHeader,
+    /// A refusal that states "not run". If it belongs to another request, the replica has started this one.
+    Refusal {
+        status: u16,
+        response_id: ResponseId,
+    },
+    /// Another replica has the address.
+    OtherReplica { response_id: ResponseId },
+    /// The replica ran the request and failed with this status.
     Failure(u16),
 }
 
-impl End {
-    /// True if a replica has begun the request.
+impl ScriptedResult {
+    /// True if a replica has started the request.
     pub fn began(self) -> bool {
         match self {
             Self::NotSent => false,
-            Self::Refusal { answers, .. } | Self::OtherReplica { answers } => answers.is_late(),
+            Self::Refusal { response_id, .. } | Self::OtherReplica { response_id } => {
+                response_id.is_late()
+            }
             _ => true,
         }
     }
 
-    /// On a new connection no late answer without an id can come: then it is the replica's own refusal.
+    /// On a new connection a refusal without an id can't be late.
     fn on_new_connection(self) -> Self {
-        let own = |answers: Answers| match answers {
-            Answers::NobodyLate => Answers::Nobody,
+        let own = |response_id: ResponseId| match response_id {
+            ResponseId::MissingLate => ResponseId::Missing,
             other => other,
         };
         match self {
-            Self::Refusal { status, answers } => Self::Refusal {
+            Self::Refusal {
+                status,
+                response_id,
+            } => Self::Refusal {
                 status,
-                answers: own(answers),
+                response_id: own(response_id),
             },
-            Self::OtherReplica { answers } => Self::OtherReplica {
-                answers: own(answers),
+            Self::OtherReplica { response_id } => Self::OtherReplica {
+                response_id: own(response_id),
             },
             other => other,
         }
@@ -92,11 +99,11 @@
 
 #[derive(Default)]
 struct Script {
-    ends: VecDeque<End>,
-    played: Vec<(String, End)>,
+    results: VecDeque<ScriptedResult>,
+    history: Vec<(String, ScriptedResult)>,
 }
 
-/// Replicas that follow a script, one end a request; once it is over they answer whole.
+/// Client with one scripted result per request, and complete responses afterwards.
 #[derive(Default)]
 pub struct Scripted {
     script: Mutex<Script>,
@@ -107,31 +114,31 @@
         self.script.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The next requests end so.
-    pub fn play(&self, ends: &[End]) {
-        self.lock().ends = ends.iter().copied().collect();
+    /// Sets the results of the next requests.
+    pub fn set_script(&self, results: &[ScriptedResult]) {
+        self.lock().results = results.iter().copied().collect();
     }
 
-    /// What came of each request so far: replica and end.
-    pub fn played(&self) -> Vec<(String, End)> {
-        self.lock().played.clone()
+    /// Returns replica and result of each request so far.
+    pub fn history(&self) -> Vec<(String, ScriptedResult)> {
+        self.lock().history.clone()
     }
 
-    /// True if a replica has begun a request.
+    /// True if a replica has started a request.
     pub fn has_begun(&self) -> bool {
-        self.lock().played.iter().any(|(_, end)| end.began())
+        self.lock().history.iter().any(|(_, result)| result.began())
     }
 }
 
-fn answer(status: u16, answers: Answers, not_run: bool, id: &str) -> ReplicaResponse {
+fn response(status: u16, response_id: ResponseId, not_run: bool, id: &str) -> ReplicaResponse {
     ReplicaResponse {
         status,
-        request_id: match answers {
-            Answers::Own => Some(id.to_owned()),
-            Answers::Another => Some("another".to_owned()),
-            Answers::Nobody | Answers::NobodyLate => None,
+        request_id: match response_id {
+            ResponseId::Own => Some(id.to_owned()),
+            ResponseId::Another => Some("another".to_owned()),
+            ResponseId::Missing | ResponseId::MissingLate => None,
         },
-        is_first_on_connection: answers != Answers::NobodyLate,
+        is_first_on_connection: response_id != ResponseId::MissingLate,
         not_run,
         other_replica: status == 421,
         load: None,
@@ -143,38 +150,46 @@
 #[async_trait]
 impl ReplicaClient for Scripted {
     async fn send(&self, request: ReplicaRequest<'_>) -> Result<ReplicaResponse, ExchangeError> {
-        let end = {
+        let result = {
             let mut script = self.lock();
-            let mut end = script.ends.pop_front().unwrap_or(End::Whole);
+            let mut result = script
+                .results
+                .pop_front()
+                .unwrap_or(ScriptedResult::Complete);
             if request.fresh_connection {
-                end = end.on_new_connection();
+                result = result.on_new_connection();
             }
-            script.played.push((request.replica.to_owned(), end));
-            end
+            script.history.push((request.replica.to_owned(), result));
+            result
         };
         let id = &request.request.id;
         let (step, peer) = ("replica.send", request.address.to_owned());
         let detail = "scripted".to_owned();
-        match end {
-            End::Whole => Ok(answer(200, Answers::Own, false, id)),
-            End::NotSent => Err(ExchangeError::NotSent { step, peer, detail }),
-            End::Lost => Err(ExchangeError::Lost { step, peer, detail }),
-            End::CutAfterHead => {
-                let cut = BodyError { peer, detail };
-                let body = futures::stream::iter([Err::<Bytes, _>(cut)]).boxed();
+        match result {
+            ScriptedResult::Complete => Ok(response(200, ResponseId::Own, false, id)),
+            ScriptedResult::NotSent => Err(ExchangeError::NotSent { step, peer, detail }),
+            ScriptedResult::Lost => Err(ExchangeError::Lost { step, peer, detail }),
+            ScriptedResult::DisconnectAfterHeader => {
+                let error = BodyError { peer, detail };
+                let body = futures::stream::iter([Err::<Bytes, _>(error)]).boxed();
                 Ok(ReplicaResponse {
                     body,
-                    ..answer(200, Answers::Own, false, id)
+                    ..response(200, ResponseId::Own, false, id)
                 })
             }
-            End::Refusal { status, answers } => Ok(answer(status, answers, true, id)),
-            End::OtherReplica { answers } => Ok(answer(421, answers, false, id)),
-            End::Failure(status) => Ok(answer(status, Answers::Own, false, id)),
+            ScriptedResult::Refusal {
+                status,
+                response_id,
+            } => Ok(response(status, response_id, true, id)),
+            ScriptedResult::OtherReplica { response_id } => {
+                Ok(response(421, response_id, false, id))
+            }
+            ScriptedResult::Failure(status) => Ok(response(status, ResponseId::Own, false, id)),
         }
     }
 }
 
-/// No tenant has a limit.
+/// Rate limits that admit every request.
 pub struct NoLimits;
 
 #[async_trait]
@@ -184,7 +199,7 @@
     }
 }
 
-/// Nobody coordinates: the daemon chooses by itself.
+/// Leases without coordinators, so that the daemon chooses itself.
 struct Uncoordinated;
 
 #[async_trait]
@@ -197,7 +212,7 @@
         1
     }
 
-    fn release(&self, _place: u32, _end: ReleaseReport) {}
+    fn release(&self, _lease: u32, _report: ReleaseReport) {}
 
     fn is_coordinated(&self, _replica: &Replica) -> bool {
         false
@@ -210,7 +225,7 @@
     fn preempt_item(&self, _replica: &Arc<Replica>) {}
 }
 
-/// Attempts of the route.
+/// Maximum attempts of the route.
 pub const ATTEMPTS: u32 = 2;
 
 fn routes(kind: RouteKind) -> RouteTable {
@@ -239,14 +254,14 @@
     RouteTable::build(configuration, None)
 }
 
-/// A daemon's request path before scripted replicas.
+/// Request path of one daemon with scripted replicas.
 pub struct Fixture {
     pub forwarder: Forwarder,
     pub replicas: Arc<ReplicaSet>,
     pub client: Arc<Scripted>,
 }
 
-/// A record of a replica `id` in the only zone.
+/// Creates the record of a replica `id` in the only zone.
 pub fn record(id: &str) -> ReplicaRecord {
     ReplicaRecord {
         id: id.to_owned(),
@@ -262,7 +277,7 @@
 }
 
 impl Fixture {
-    /// A daemon that serves a route of this kind by so many replicas, `i-0` and on.
+    /// Creates a daemon with one route of this kind and replicas `i-0`, `i-1` and so on.
     pub fn new(kind: RouteKind, replicas: usize) -> Self {
         let set = Arc::new(ReplicaSet::default());
         let records = (0..replicas).map(|number| record(&format!("i-{number}")));
@@ -292,7 +307,7 @@
     }
 }
 
-/// A request of this id; all others are of the same path, caller and body.
+/// Creates a request with this id; content and caller are always the same.
 pub fn request(id: &str) -> ServingRequest {
     ServingRequest {
         regions: AllowedRegions::default(),
--- a/crates/slots/src/ledger.rs
+++ b/crates/slots/src/ledger.rs
@@ -75,7 +75,7 @@
 /// A released lease of an online request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReleasedLease {
-    /// Hash of the replica's id.
+    /// Hash that identifies the replica.
     pub replica: u32,
     /// Time from the grant to the release.
     pub held: Duration,
@@ -151,16 +151,16 @@
     pub fn apply_report(&mut self, report: &SlotReport, address: SocketAddr, now: Instant) {
         let holder = report.holder;
         let known = self.refresh_holder(holder, address, now);
-        if let Some(whole) = &report.whole {
-            if whole.number <= known.last_full_report {
+        if let Some(full) = &report.whole {
+            if full.number <= known.last_full_report {
                 return;
             }
-            known.last_full_report = whole.number;
+            known.last_full_report = full.number;
             let reported: HashSet<u32> = report.held.iter().map(|held| held.lease).collect();
             let stale = known.leases.keys().copied().filter(|lease| {
-                *lease < whole.next_lease
+                *lease < full.next_lease
                     && !reported.contains(lease)
-                    && !whole.awaited.contains(lease)
+                    && !full.awaited.contains(lease)
             });
             let stale: Vec<u32> = stale.collect();
             for lease in stale {
