--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,7 +1,8 @@
-//! Capacity sharing: batch slots on each replica, their preemption by online requests, and the tenants' lending policies.
+//! Capacity sharing: batch slots on each replica, their preemption by online requests, and the tenants' lending
+//! policies.
 //!
-//! Online and batch requests never share a queue. Batch runs within a slot budget that shrinks at once and grows slowly;
-//! a plan, computed off the request path from the tenants' programs, decides whose items may use it.
+//! Online and batch requests never share a queue. Batch runs within a slot budget that shrinks at once and grows
+//! slowly; a plan, computed off the request path from the tenants' programs, decides whose items may use it.
 
 mod plan;
 mod policy;
--- a/crates/capacity/src/slots.rs
+++ b/crates/capacity/src/slots.rs
@@ -1,7 +1,8 @@
 //! The batch slot budget of one replica, kept by its owner.
 //!
-//! Priority in the engine isn't enough: each running batch item lengthens every engine step, and each batch prefill delays
-//! online prompts. So the budget limits batch items by step time, paces their prefills, and drops to zero under online bursts.
+//! Priority in the engine isn't enough: each running batch item lengthens every engine step, and each batch prefill
+//! delays online prompts. So the budget limits batch items by step time, paces their prefills, and drops to zero
+//! under online bursts.
 
 use std::time::Duration;
 
@@ -164,8 +165,8 @@
     pub at_most_once: bool,
 }
 
-/// Returns the items to preempt so that at most `limit` run: those with the most tokens to go first, then those with the
-/// fewest generated.
+/// Returns the items to preempt so that at most `limit` run: those with the most tokens to go first, then those with
+/// the fewest generated.
 pub fn select_victims(running: &[RunningBatchItem], limit: usize) -> Vec<&RunningBatchItem> {
     let excess = running.len().saturating_sub(limit);
     let mut candidates: Vec<&RunningBatchItem> =
--- a/crates/membership/src/core/digest.rs
+++ b/crates/membership/src/core/digest.rs
@@ -1,6 +1,7 @@
 //! Digests of a view, by which two members detect whether and in which buckets their views differ.
 //!
-//! A digest covers the ids and incarnations of all members that are not dead. Suspicions are excluded: gossip spreads them.
+//! A digest covers the ids and incarnations of all members that are not dead. Suspicions are excluded: gossip spreads
+//! them.
 
 use harrierward_wire::MemberRecord;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/crates/membership/src/core/mod.rs
+++ b/crates/membership/src/core/mod.rs
@@ -155,7 +155,8 @@
 }
 
 impl MembershipCore {
-    /// Creates a core that knows only itself. `own.incarnation` must exceed that of any earlier instance with the same id.
+    /// Creates a core that knows only itself. `own.incarnation` must exceed that of any earlier instance with the
+    /// same id.
     pub fn new(settings: MembershipSettings, own: MemberRecord) -> Self {
         let mut core = Self {
             settings,
@@ -251,7 +252,8 @@
         Some(self.probe(id.to_owned(), address, now))
     }
 
-    /// Returns the number of suspected or dead members that didn't announce a leave, and the number of all known members.
+    /// Returns the number of suspected or dead members that didn't announce a leave, and the number of all known
+    /// members.
     pub fn unhealthy_counts(&self) -> (usize, usize) {
         let is_unhealthy = |entry: &&MemberEntry| {
             matches!(
--- a/crates/membership/src/core/sync.rs
+++ b/crates/membership/src/core/sync.rs
@@ -1,4 +1,5 @@
-//! Anti-entropy: members whose views differ by much, or for long, compare bucket digests and exchange the differing records.
+//! Anti-entropy: members whose views differ by much, or for long, compare bucket digests and exchange the differing
+//! records.
 //!
 //! Gossip spreads a single change quickly, but would take long to fill the views of a whole fleet that starts at once.
 
--- a/crates/membership/tests/cuts.rs
+++ b/crates/membership/tests/partitions.rs
@@ -106,7 +106,7 @@
         let mut fleet = self.fleet();
         fleet.run_until(self.starts_at + self.duration);
         let seconds = fleet.seconds_until_complete(COMPLETE_WITHIN);
-        println!("{self:?}: whole after {seconds:?} s");
+        println!("{self:?}: complete after {seconds:?} s");
         seconds
     }
 }
@@ -117,7 +117,7 @@
         .into_iter()
         .filter(|scenario| scenario.seconds_until_complete().is_none());
     let failed: Vec<Scenario> = failed.collect();
-    assert!(failed.is_empty(), "never whole again: {failed:#?}");
+    assert!(failed.is_empty(), "views never complete again: {failed:#?}");
 }
 
 fn seconds(seconds: u64) -> Duration {
@@ -196,7 +196,7 @@
             .is_none()
     });
     let slow: Vec<u64> = slow.collect();
-    assert!(slow.is_empty(), "not whole in time: {slow:?} of {RUNS}");
+    assert!(slow.is_empty(), "not complete in time: {slow:?} of {RUNS}");
 }
 
 fn any_scenario() -> impl Strategy<Value = Scenario> {
@@ -253,7 +253,7 @@
     let outcome = runner.run(&any_scenario(), |scenario| {
         prop_assert!(
             scenario.seconds_until_complete().is_some(),
-            "never whole again"
+            "views never complete again"
         );
         Ok(())
     });
@@ -279,7 +279,7 @@
         fleet.run_until(fleet.now() + Duration::from_millis(200));
         largest_view_size = largest_view_size.max(fleet.largest_view(0..own_part));
     }
-    println!("largest view of {own_part} who hear the others: {largest_view_size}");
+    println!("largest view of {own_part} that receive from the others: {largest_view_size}");
     assert_eq!(largest_view_size, own_part);
 }
 
@@ -324,15 +324,15 @@
         ..Scenario::halves(SETTLED, Duration::ZERO)
     };
     let present = measure_traffic(&mut scenario.fleet(), STEADY);
-    println!("{members} members, calm: {present:?}");
-    assert_eq!(present.joins, 0, "asks of a whole fleet");
+    println!("{members} members, steady: {present:?}");
+    assert_eq!(present.joins, 0, "joins of a complete fleet");
     let removed = Scenario {
         seeds: Seeds::Removed,
         ..scenario
     };
     // The stopped seeds are forgotten by then.
     let removed = measure_traffic(&mut removed.fleet(), seconds(75));
-    println!("{members} members, calm, seeds gone: {removed:?}");
+    println!("{members} members, steady, seeds removed: {removed:?}");
     assert!((1..=MAX_JOINS).contains(&removed.joins), "{removed:?}");
     assert!(removed.bytes_per_daemon <= MAX_BYTES / 2, "{removed:?}");
 }
@@ -346,7 +346,7 @@
     let mut fleet = scenario.fleet();
     let end = scenario.starts_at + scenario.duration;
     let during = measure_traffic(&mut fleet, end - MEASURED);
-    println!("{members} members, last 10 s of a cut of 70 s: {during:?}");
+    println!("{members} members, last 10 s of a partition of 70 s: {during:?}");
     let after = measure_traffic(&mut fleet, end);
     println!("{members} members, 10 s after it: {after:?}");
     assert!(fleet.is_complete());
@@ -369,7 +369,7 @@
 }
 
 #[test]
-#[ignore = "takes minutes: figures for the decision page"]
+#[ignore = "takes minutes"]
 fn traffic_at_the_maximum_fleet_size() {
     for members in [300, 520] {
         assert_steady_traffic_is_bounded(members);
--- a/crates/membership/tests/pauses.rs
+++ b/crates/membership/tests/pauses.rs
@@ -26,7 +26,7 @@
     }
     fleet.run_until(pause.starts_at + pause.duration);
     let seconds = fleet.seconds_until_complete(COMPLETE_WITHIN);
-    println!("{paused} daemons, {pause:?}: whole after {seconds:?} s");
+    println!("{paused} daemons, {pause:?}: complete after {seconds:?} s");
     seconds
 }
 
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -73,7 +73,8 @@
     pub starts_at: Duration,
     /// Time from the start to the end.
     pub duration: Duration,
-    /// True for a stopped process, whose clock keeps running; false for a suspended machine, whose monotonic clock stops.
+    /// True for a stopped process, whose clock keeps running; false for a suspended machine, whose monotonic clock
+    /// stops.
     pub clock_runs: bool,
 }
 
@@ -146,7 +147,8 @@
 
 #[allow(dead_code)]
 impl Fleet {
-    /// Creates `size` daemons that start at random times within `spread`; three of them, spread over the fleet, are seeds.
+    /// Creates `size` daemons that start at random times within `spread`; three of them, spread over the fleet, are
+    /// seeds.
     pub fn new(size: usize, spread: Duration) -> Self {
         Self::with_seeds(size, spread, &[0, size / 3, size * 2 / 3])
     }
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -33,7 +33,7 @@
         assert!(others[..99].iter().all(|other| other.zone == own.zone));
         first.insert(others[0].id.clone());
     }
-    assert!(first.len() > 60, "{} are asked first", first.len());
+    assert!(first.len() > 60, "{} come first", first.len());
 }
 
 /// Zones 0 and 1 are in one region, zone 2 in another.
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -151,7 +151,7 @@
             }
             before
         };
-        let (revision, age) = self.known(space);
+        let (revision, age) = self.copy_state(space);
         self.log.record(&Record::SpaceSource {
             space,
             source: source_name(source),
@@ -170,7 +170,7 @@
         peer: &RelayPeer,
         hold: Duration,
     ) -> RelayReply {
-        let (_, known_age) = self.known(space);
+        let (_, known_age) = self.copy_state(space);
         let request = SpaceRequest {
             space: space.to_owned(),
             after,
@@ -181,7 +181,7 @@
     }
 
     /// Returns the revision of the own copy, and the age of its proof.
-    fn known(&self, space: &str) -> (u64, Option<Duration>) {
+    fn copy_state(&self, space: &str) -> (u64, Option<Duration>) {
         let Some(shared) = self.space(space) else {
             return (0, None);
         };
--- a/crates/relay/src/relay/reading.rs
+++ b/crates/relay/src/relay/reading.rs
@@ -67,7 +67,7 @@
         space: &str,
         start: PageStart<'_>,
     ) -> Result<SpacePage, PlatformError> {
-        let has_copy = self.known(space).1.is_some();
+        let has_copy = self.copy_state(space).1.is_some();
         let now = harrierward_clock::now();
         let sources = self.lock().sources.for_full_read(has_copy, now);
         for source in sources {
@@ -106,7 +106,7 @@
 
     /// True while a space without a copy may wait for starting peers.
     fn may_wait_for_peers(&self, space: &str) -> bool {
-        if self.known(space).1.is_some() {
+        if self.copy_state(space).1.is_some() {
             return true;
         }
         let now = harrierward_clock::now();
@@ -127,11 +127,11 @@
         let is_alone = sources.len() == 1;
         let mut failed = None;
         for source in sources {
-            let answer = match &source {
+            let result = match &source {
                 Source::Store => self.store_changes(space, after, wait, is_alone).await,
                 Source::Peer(peer) => self.peer_changes(space, after, peer).await,
             };
-            match answer {
+            match result {
                 Ok(page) => {
                     self.note_success(space, &source);
                     return Ok(page);
@@ -149,8 +149,8 @@
         Err(failed.unwrap_or_else(|| no_source(space)))
     }
 
-    /// True if a follower ignores the store's lost history, since the zone's reader does the full read and relays the rows.
-    /// Otherwise all followers would repeat full reads while the store's reads are stale.
+    /// True if a follower ignores the store's lost history, since the zone's reader does the full read and relays the
+    /// rows. Otherwise all followers would repeat full reads while the store's reads are stale.
     fn relies_on_peer_history(&self, space: &str) -> bool {
         let state = self.lock();
         let is_follower = state.sources.mode(harrierward_clock::now()) == RelayMode::Relayed
@@ -168,15 +168,15 @@
         is_alone: bool,
     ) -> Result<ChangePage, PlatformError> {
         let wait = if is_alone { wait } else { wait.min(MAX_HOLD) };
-        let answer = self.store.wait_changes(space, after, wait).await;
-        if let Err(error) = &answer
+        let result = self.store.wait_changes(space, after, wait).await;
+        if let Err(error) = &result
             && error.kind != PlatformErrorKind::HistoryLost
             && !is_alone
         {
             let cause = error.to_string();
             self.note_failure(space, &Source::Store, SourceFailure::Unresponsive, &cause);
         }
-        answer
+        result
     }
 
     async fn peer_changes(
--- a/crates/relay/src/sources.rs
+++ b/crates/relay/src/sources.rs
@@ -127,8 +127,8 @@
         self.is_relaying && self.tree.ancestors.is_empty()
     }
 
-    /// Returns the sources to try for changes, in order. The store follows right after the followed peer, since changes are
-    /// few; during its cooldown it comes last.
+    /// Returns the sources to try for changes, in order. The store follows right after the followed peer, since
+    /// changes are few; during its cooldown it comes last.
     pub fn for_changes(&self, now: Instant) -> Vec<Source> {
         if self.mode(now) != RelayMode::Relayed {
             return vec![Source::Store];
@@ -144,8 +144,8 @@
         followed.chain(first).chain(fallbacks).chain(last).collect()
     }
 
-    /// Returns the sources to try for a full read, in order. The store comes last, as full reads dominate its traffic. The
-    /// fallbacks are skipped if the daemon has a copy, since their copies may be relayed from it.
+    /// Returns the sources to try for a full read, in order. The store comes last, as full reads dominate its
+    /// traffic. The fallbacks are skipped if the daemon has a copy, since their copies may be relayed from it.
     pub fn for_full_read(&self, has_copy: bool, now: Instant) -> Vec<Source> {
         if self.mode(now) != RelayMode::Relayed {
             return vec![Source::Store];
--- a/crates/relay/src/space_copy.rs
+++ b/crates/relay/src/space_copy.rs
@@ -95,8 +95,8 @@
         self.rows.len()
     }
 
-    /// Returns the time of the proof: the copy holds everything that the store had acknowledged by then. `None` before the
-    /// first full read.
+    /// Returns the time of the proof: the copy holds everything that the store had acknowledged by then. `None`
+    /// before the first full read.
     pub fn as_of(&self) -> Option<Instant> {
         self.as_of
     }
--- a/crates/relay/src/tree.rs
+++ b/crates/relay/src/tree.rs
@@ -1,7 +1,7 @@
 //! The relay tree of a zone: its members in a shared order, each with a bounded number of followers. Does no I/O.
 //!
-//! Members with different views may choose different parents, but a parent always precedes its followers in the order, so
-//! no cycle can arise.
+//! Members with different views may choose different parents, but a parent always precedes its followers in the
+//! order, so no cycle can arise.
 
 use std::cmp::Reverse;
 
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -1,4 +1,5 @@
-//! Keeps a copy of a table space up to date by a full read and then changes, with further full reads after lost history.
+//! Keeps a copy of a table space up to date by a full read and then changes, with further full reads after lost
+//! history.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -69,13 +70,13 @@
 }
 
 impl Watch {
-    /// Runs forever and passes each update to `take`.
-    pub async fn run(self, take: impl FnMut(SpaceUpdate)) {
-        self.run_shared(Arc::default(), take).await;
+    /// Runs forever and passes each update to `on_update`.
+    pub async fn run(self, on_update: impl FnMut(SpaceUpdate)) {
+        self.run_shared(Arc::default(), on_update).await;
     }
 
     /// Runs like `run`, on a copy that is shared with peers.
-    pub async fn run_shared(self, space: Arc<SharedSpace>, mut take: impl FnMut(SpaceUpdate)) {
+    pub async fn run_shared(self, space: Arc<SharedSpace>, mut on_update: impl FnMut(SpaceUpdate)) {
         let mut random = SmallRng::from_os_rng();
         let mut backoff = Backoff::new(self.settings.first_pause, self.settings.max_pause);
         let mut needs_full_read = true;
@@ -129,7 +130,7 @@
                     space.copy().prove(&update);
                     space.notify();
                     let is_changed = !update.is_empty() || update.differs;
-                    take(update);
+                    on_update(update);
                     interval = if is_changed {
                         (self.pace)()
                     } else {
@@ -162,8 +163,9 @@
 
     /// Returns when a space is read again after its first full read, or after the one that follows lost history.
     ///
-    /// After lost history a full read may be stale, so the next one comes as soon as reads are current again, with jitter.
-    /// After a start the feed itself detects a stale read, so the next one comes at a random time around the regular interval.
+    /// After lost history a full read may be stale, so the next one comes as soon as reads are current again, with
+    /// jitter. After a start the feed itself detects a stale read, so the next one comes at a random time around the
+    /// regular interval.
     fn second_read_delay(
         &self,
         after_lost_history: bool,
@@ -201,8 +203,8 @@
         read_in_progress.get_or_insert_with(|| self.start_read())
     }
 
-    /// Reads the remaining pages; pages already read are kept on failure. Stops at a page older than `newest`, the copy's
-    /// revision, since the full read would then be discarded as stale.
+    /// Reads the remaining pages; pages already read are kept on failure. Stops at a page older than `newest`, the
+    /// copy's revision, since the full read would then be discarded as stale.
     async fn read(
         &self,
         in_progress: &mut ReadInProgress,
@@ -220,8 +222,8 @@
         Ok(())
     }
 
-    /// Returns how long the store may hold the next request: the delay `later` is deducted to bound the copy's age, and a
-    /// request without a recent proof isn't held.
+    /// Returns how long the store may hold the next request: the delay `later` is deducted to bound the copy's age,
+    /// and a request without a recent proof isn't held.
     fn hold_time(&self, proven_at: Option<Instant>, later: Duration) -> Duration {
         let wait = self.settings.wait;
         let is_old = |moment| harrierward_clock::age(moment) > wait + PROOF_MARGIN;
@@ -274,8 +276,8 @@
     }
 }
 
-/// Returns the time of the proof: that of a peer's reply, else the time of the request. `None` if the copy differs from the
-/// peer's.
+/// Returns the time of the proof: that of a peer's reply, else the time of the request. `None` if the copy differs
+/// from the peer's.
 fn proof_time(update: &SpaceUpdate, requested_at: Instant) -> Option<Instant> {
     if update.differs {
         return None;
--- a/crates/relay/tests/copies.rs
+++ b/crates/relay/tests/copies.rs
@@ -30,7 +30,8 @@
     }
 }
 
-/// Requests changes as a daemon does, or all rows if the source's history doesn't reach back. Returns whether the copies differ.
+/// Requests changes as a daemon does, or all rows if the source's history doesn't reach back. Returns whether the
+/// copies differ.
 fn follow(copy: &mut SpaceCopy, source: &SpaceCopy) -> bool {
     let reply = source.reply(copy.revision());
     if !reply.is_full {
--- a/crates/relay/tests/zone.rs
+++ b/crates/relay/tests/zone.rs
@@ -166,7 +166,7 @@
         sleep(Duration::from_millis(1)).await;
         if machine.is_unresponsive.load(Ordering::Relaxed) {
             sleep(request.hold + Duration::from_millis(400)).await;
-            return RelayReply::Failed(SourceFailure::Unresponsive, "silent".to_owned());
+            return RelayReply::Failed(SourceFailure::Unresponsive, "no reply".to_owned());
         }
         let Some(held) = machine.space.reply(&request).await else {
             return RelayReply::NotReady;
@@ -446,7 +446,7 @@
     let read = zone.store.rows_read.load(Ordering::Relaxed) - read_before;
     assert!(
         read <= 100,
-        "{read} rows for a change and two changes of the way"
+        "{read} rows for a change and two changes of the relay mode"
     );
 }
 
@@ -468,12 +468,12 @@
     zone.store.newest.send_replace(newest + 6);
     sleep(Duration::from_secs(6)).await;
     let read = zone.store.rows_read.load(Ordering::Relaxed) - read_before;
-    // The same as two whole reads, whatever the number of daemons.
+    // Equal to two full reads, whatever the number of daemons.
     let max_rows = u64::try_from(2 * rows).unwrap();
-    assert!(read <= max_rows, "{read} rows while they were old");
+    assert!(read <= max_rows, "{read} rows while reads were stale");
     zone.store.stale_at.store(0, Ordering::Relaxed);
     let elapsed = zone.wait_until_all_hold(newest + 6, 0).await;
     assert!(elapsed < Duration::from_millis(2_500), "{elapsed:?}");
     let read = zone.store.rows_read.load(Ordering::Relaxed) - read_before;
-    assert!(read <= 2 * max_rows, "{read} rows for a forgotten history");
+    assert!(read <= 2 * max_rows, "{read} rows after lost history");
 }
