--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -12,7 +12,9 @@
 use harrierward_clock::SuspensionWatch;
 use harrierward_decisions::{DecisionLog, Record};
 use harrierward_inline_jobs::InlineJobs;
-use harrierward_membership::{Action, MembershipCore, MembershipSettings, MembershipView};
+use harrierward_membership::{
+    MembershipCore, MembershipSettings, MembershipView, OutgoingDatagram,
+};
 use harrierward_relay::{Relay, RelayPeer};
 use harrierward_serving::{Location, Mechanism, Policy, Replica, ReplicaSet};
 use harrierward_wire::{
@@ -403,7 +405,7 @@
     core.udp_address(id)?.parse().ok()
 }
 
-fn wrap(actions: Vec<Action>) -> Vec<(String, Vec<u8>)> {
+fn wrap(actions: Vec<OutgoingDatagram>) -> Vec<(String, Vec<u8>)> {
     let encoded = actions.into_iter().map(|action| {
         let datagram = NodeDatagram {
             kind: Some(node_datagram::Kind::Membership(action.datagram)),
--- a/crates/membership/src/core/mod.rs
+++ b/crates/membership/src/core/mod.rs
@@ -22,9 +22,9 @@
 use rejoin::RejoinState;
 use sync::SyncState;
 
-/// A datagram that the caller must send.
+/// A datagram that the caller must send to `address`.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Action {
+pub struct OutgoingDatagram {
     /// UDP address of the recipient, `host:port`.
     pub address: String,
     /// Message to encode and send.
@@ -204,20 +204,20 @@
     }
 
     /// Returns join datagrams that introduce this member to those addresses; their members reply with some records.
-    pub fn join(&mut self, seeds: &[String]) -> Vec<Action> {
+    pub fn join(&mut self, seeds: &[String]) -> Vec<OutgoingDatagram> {
         let addresses = seeds.iter().filter(|seed| **seed != self.own.udp_address);
         let addresses: Vec<String> = addresses.cloned().collect();
         addresses
             .into_iter()
             .map(|address| {
                 let datagram = self.datagram(DatagramKind::Join, 0, String::new());
-                Action { address, datagram }
+                OutgoingDatagram { address, datagram }
             })
             .collect()
     }
 
     /// Returns datagrams that carry the current configuration status to `count` random members.
-    pub fn gossip_config(&mut self, count: usize, random: &mut impl Rng) -> Vec<Action> {
+    pub fn gossip_config(&mut self, count: usize, random: &mut impl Rng) -> Vec<OutgoingDatagram> {
         let others: Vec<String> = self
             .members
             .values()
@@ -231,7 +231,7 @@
             .into_iter()
             .map(|address| {
                 let datagram = self.datagram(DatagramKind::Ping, 0, String::new());
-                Action { address, datagram }
+                OutgoingDatagram { address, datagram }
             })
             .collect()
     }
@@ -247,7 +247,7 @@
     }
 
     /// Probes one member outside the probe order; `None` if it is unknown.
-    pub fn probe_member(&mut self, id: &str, now: Duration) -> Option<Action> {
+    pub fn probe_member(&mut self, id: &str, now: Duration) -> Option<OutgoingDatagram> {
         let address = self.address(id)?;
         Some(self.probe(id.to_owned(), address, now))
     }
--- a/crates/membership/src/core/probes.rs
+++ b/crates/membership/src/core/probes.rs
@@ -6,28 +6,33 @@
 use rand::Rng;
 use rand::seq::{IndexedRandom, SliceRandom};
 
-use super::{Action, MemberEntry, MembershipCore, Probe, Source, state_of};
+use super::{MemberEntry, MembershipCore, OutgoingDatagram, Probe, Source, state_of};
 
 impl MembershipCore {
     /// Returns the due probes and join datagrams, and applies expired probe and suspicion timeouts.
-    pub fn tick(&mut self, now: Duration, random: &mut impl Rng) -> Vec<Action> {
-        let mut actions = self.rejoin(now, random);
+    pub fn tick(&mut self, now: Duration, random: &mut impl Rng) -> Vec<OutgoingDatagram> {
+        let mut outgoing = self.rejoin(now, random);
         self.sync.note_tick();
-        self.check_probes(now, random, &mut actions);
+        self.check_probes(now, random, &mut outgoing);
         self.check_suspicions(now);
         let direct = self.settings.probe_timeout * 2;
         self.relayed_probes
             .retain(|_, relayed| now.saturating_sub(relayed.sent_at) < direct);
-        self.probe_dead(now, random, &mut actions);
+        self.probe_dead(now, random, &mut outgoing);
         if now >= self.next_probe_at {
             self.next_probe_at = now + self.settings.probe_interval;
-            self.probe_next(now, random, &mut actions);
+            self.probe_next(now, random, &mut outgoing);
         }
-        actions
+        outgoing
     }
 
     /// Probes dead members after a partition has healed, so that they learn of their state and refute it.
-    fn probe_dead(&mut self, now: Duration, random: &mut impl Rng, actions: &mut Vec<Action>) {
+    fn probe_dead(
+        &mut self,
+        now: Duration,
+        random: &mut impl Rng,
+        outgoing: &mut Vec<OutgoingDatagram>,
+    ) {
         for _ in 0..self.settings.dead_probes_per_tick {
             if self.dead_to_probe.is_empty() {
                 return;
@@ -37,7 +42,7 @@
             let target = self.dead_to_probe.swap_remove(index);
             let is_dead = self.state(&target) == Some(MemberState::Dead);
             if let Some(address) = self.address(&target).filter(|_| is_dead) {
-                actions.push(self.probe(target, address, now));
+                outgoing.push(self.probe(target, address, now));
             }
         }
     }
@@ -54,17 +59,27 @@
         self.dead_to_probe = dead.map(|entry| entry.record.id.clone()).collect();
     }
 
-    fn probe_next(&mut self, now: Duration, random: &mut impl Rng, actions: &mut Vec<Action>) {
+    fn probe_next(
+        &mut self,
+        now: Duration,
+        random: &mut impl Rng,
+        outgoing: &mut Vec<OutgoingDatagram>,
+    ) {
         let Some(target) = self.next_target(random) else {
             return;
         };
         let Some(address) = self.address(&target) else {
             return;
         };
-        actions.push(self.probe(target, address, now));
+        outgoing.push(self.probe(target, address, now));
     }
 
-    pub(super) fn probe(&mut self, target: String, address: String, now: Duration) -> Action {
+    pub(super) fn probe(
+        &mut self,
+        target: String,
+        address: String,
+        now: Duration,
+    ) -> OutgoingDatagram {
         let number = self.next_probe_number;
         self.next_probe_number += 1;
         let target_id = target.clone();
@@ -76,7 +91,7 @@
         });
         let mut datagram = self.datagram(DatagramKind::Ping, number, target_id.clone());
         self.add_refutable_record(&target_id, &mut datagram);
-        Action { address, datagram }
+        OutgoingDatagram { address, datagram }
     }
 
     /// Adds the record of a suspected or dead recipient, so that it can refute it.
@@ -127,7 +142,12 @@
         probe_order
     }
 
-    fn check_probes(&mut self, now: Duration, random: &mut impl Rng, actions: &mut Vec<Action>) {
+    fn check_probes(
+        &mut self,
+        now: Duration,
+        random: &mut impl Rng,
+        outgoing: &mut Vec<OutgoingDatagram>,
+    ) {
         let settings = self.settings;
         let mut overdue = Vec::new();
         let mut failed = Vec::new();
@@ -147,7 +167,7 @@
             let indirect_probers = self.indirect_probers(&target, random);
             for address in indirect_probers {
                 let datagram = self.datagram(DatagramKind::PingRequest, number, target.clone());
-                actions.push(Action { address, datagram });
+                outgoing.push(OutgoingDatagram { address, datagram });
             }
         }
         for target in failed {
--- a/crates/membership/src/core/receive.rs
+++ b/crates/membership/src/core/receive.rs
@@ -4,15 +4,19 @@
 
 use harrierward_wire::{Datagram, DatagramKind, MemberRecord};
 
-use super::{Action, ConfigStatus, IndirectProbe, MembershipCore, PeerReport, Source};
+use super::{ConfigStatus, IndirectProbe, MembershipCore, OutgoingDatagram, PeerReport, Source};
 
 impl MembershipCore {
     /// Handles a datagram; returns the replies to send and the sender's report.
-    pub fn receive(&mut self, datagram: &Datagram, now: Duration) -> (Vec<Action>, PeerReport) {
+    pub fn receive(
+        &mut self,
+        datagram: &Datagram,
+        now: Duration,
+    ) -> (Vec<OutgoingDatagram>, PeerReport) {
         let kind = DatagramKind::try_from(datagram.kind);
-        let mut actions = Vec::new();
+        let mut outgoing = Vec::new();
         if matches!(kind, Ok(DatagramKind::SyncReply)) {
-            actions = self.return_newer(datagram);
+            outgoing = self.return_newer(datagram);
         }
         match kind {
             Ok(DatagramKind::SyncReply | DatagramKind::SyncReturn) => {
@@ -43,7 +47,7 @@
                     .map(Duration::from_millis),
             },
         };
-        actions.extend(match kind {
+        outgoing.extend(match kind {
             Ok(DatagramKind::Ping) => self.handle_ping(datagram),
             Ok(DatagramKind::Ack) => self.handle_ack(datagram),
             Ok(DatagramKind::PingRequest) => self.relay_probe(datagram, now),
@@ -51,11 +55,11 @@
             Ok(DatagramKind::SyncRequest) => self.reply_sync(datagram),
             Ok(DatagramKind::SyncReply | DatagramKind::SyncReturn) | Err(_) => Vec::new(),
         });
-        actions.extend(self.consider_sync(datagram, now));
-        (actions, report)
+        outgoing.extend(self.consider_sync(datagram, now));
+        (outgoing, report)
     }
 
-    fn handle_ping(&mut self, ping: &Datagram) -> Vec<Action> {
+    fn handle_ping(&mut self, ping: &Datagram) -> Vec<OutgoingDatagram> {
         // The ping targets an earlier instance at this address; a reply would keep it alive in others' views.
         if !ping.target.is_empty() && ping.target != self.own.id {
             return Vec::new();
@@ -65,22 +69,22 @@
         };
         let mut datagram = self.datagram(DatagramKind::Ack, ping.probe, String::new());
         self.add_refutable_record(&ping.from, &mut datagram);
-        vec![Action { address, datagram }]
+        vec![OutgoingDatagram { address, datagram }]
     }
 
-    fn handle_ack(&mut self, ack: &Datagram) -> Vec<Action> {
+    fn handle_ack(&mut self, ack: &Datagram) -> Vec<OutgoingDatagram> {
         if let Some(relayed) = self.relayed_probes.remove(&ack.probe) {
             let Some(address) = self.address(&relayed.requester) else {
                 return Vec::new();
             };
             let datagram = self.datagram(DatagramKind::Ack, relayed.requester_probe, String::new());
-            return vec![Action { address, datagram }];
+            return vec![OutgoingDatagram { address, datagram }];
         }
         self.probes.retain(|probe| probe.number != ack.probe);
         Vec::new()
     }
 
-    fn relay_probe(&mut self, request: &Datagram, now: Duration) -> Vec<Action> {
+    fn relay_probe(&mut self, request: &Datagram, now: Duration) -> Vec<OutgoingDatagram> {
         let Some(address) = self.address(&request.target) else {
             return Vec::new();
         };
@@ -93,7 +97,7 @@
         };
         self.relayed_probes.insert(number, relayed);
         let datagram = self.datagram(DatagramKind::Ping, number, request.target.clone());
-        vec![Action { address, datagram }]
+        vec![OutgoingDatagram { address, datagram }]
     }
 
     /// True for a join of an unknown member that knows others: with replies to it lost, its state would flap between
@@ -107,7 +111,7 @@
 
     /// Replies to a join with a few records, in rotation: the joining member obtains the rest by syncs with those
     /// members, so seeds need not send their full view to each daemon of a starting fleet.
-    fn handle_join(&mut self, join: &Datagram) -> Vec<Action> {
+    fn handle_join(&mut self, join: &Datagram) -> Vec<OutgoingDatagram> {
         let own = join.records.iter().find(|record| record.id == join.from);
         let reported = own.map(|record| record.udp_address.clone());
         let Some(address) = reported.or_else(|| self.address(&join.from)) else {
@@ -119,6 +123,6 @@
         datagram.records = records;
         // The joining member may be considered dead here after a long partition.
         self.add_refutable_record(&join.from, &mut datagram);
-        vec![Action { address, datagram }]
+        vec![OutgoingDatagram { address, datagram }]
     }
 }
--- a/crates/membership/src/core/rejoin.rs
+++ b/crates/membership/src/core/rejoin.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 use rand::seq::IteratorRandom;
 
-use super::{Action, MemberEntry, MembershipCore};
+use super::{MemberEntry, MembershipCore, OutgoingDatagram};
 
 /// Minimum mean time between two joins of one daemon, to bound its traffic in a small fleet.
 const MIN_JOIN_INTERVAL: Duration = Duration::from_secs(2);
@@ -82,15 +82,15 @@
 
 impl MembershipCore {
     /// Sends joins to all seeds while no other member is known, and periodically to one address without a known member.
-    pub(super) fn rejoin(&mut self, now: Duration, random: &mut impl Rng) -> Vec<Action> {
-        let mut actions = self.join_seeds_if_alone(now);
+    pub(super) fn rejoin(&mut self, now: Duration, random: &mut impl Rng) -> Vec<OutgoingDatagram> {
+        let mut outgoing = self.join_seeds_if_alone(now);
         if self.is_join_due(now, random) {
-            actions.extend(self.join_absent_address(now, random));
+            outgoing.extend(self.join_absent_address(now, random));
         }
-        actions
+        outgoing
     }
 
-    fn join_seeds_if_alone(&mut self, now: Duration) -> Vec<Action> {
+    fn join_seeds_if_alone(&mut self, now: Duration) -> Vec<OutgoingDatagram> {
         let interval = self.settings.join_interval;
         let joined_at = self.rejoin.seeds_joined_at;
         let is_due = joined_at.is_none_or(|at| now.saturating_sub(at) >= interval);
@@ -114,7 +114,11 @@
         next.is_some()
     }
 
-    fn join_absent_address(&mut self, now: Duration, random: &mut impl Rng) -> Option<Action> {
+    fn join_absent_address(
+        &mut self,
+        now: Duration,
+        random: &mut impl Rng,
+    ) -> Option<OutgoingDatagram> {
         let present = self.members.values().filter(|entry| entry.is_present());
         let present: HashSet<&str> = present.map(MemberEntry::address).collect();
         self.rejoin.drop_obsolete(&present, now);
@@ -122,6 +126,6 @@
         // Carries no gossip: the datagram most likely reaches nobody and would use up transmissions.
         let mut datagram = self.bare_datagram(DatagramKind::Join, 0, String::new());
         datagram.records.push(self.own.clone());
-        Some(Action { address, datagram })
+        Some(OutgoingDatagram { address, datagram })
     }
 }
--- a/crates/membership/src/core/sync.rs
+++ b/crates/membership/src/core/sync.rs
@@ -9,7 +9,7 @@
 use harrierward_wire::{Datagram, DatagramKind, MemberRecord};
 
 use super::digest::{bucket_count, bucket_of};
-use super::{Action, MembershipCore, Source, supersedes};
+use super::{MembershipCore, OutgoingDatagram, Source, supersedes};
 
 /// A view lacks many members if a peer's is larger by one in `LARGE_GAP_DIVISOR`, and by `MIN_LARGE_GAP` at least.
 const LARGE_GAP_DIVISOR: u32 = 100;
@@ -45,7 +45,11 @@
 
 impl MembershipCore {
     /// Returns a sync request to the sender if its view differs by enough, or for long enough.
-    pub(super) fn consider_sync(&mut self, datagram: &Datagram, now: Duration) -> Option<Action> {
+    pub(super) fn consider_sync(
+        &mut self,
+        datagram: &Datagram,
+        now: Duration,
+    ) -> Option<OutgoingDatagram> {
         let own_size = self.view_size();
         self.sync.note_size(own_size, now);
         if datagram.view_size == 0 {
@@ -66,7 +70,7 @@
         request.bucket_digests = digests.into_iter().flat_map(u16::to_le_bytes).collect();
         // A receiver that doesn't know this member needs its address to reply.
         request.records.push(self.own.clone());
-        Some(Action {
+        Some(OutgoingDatagram {
             address,
             datagram: request,
         })
@@ -95,7 +99,7 @@
     }
 
     /// Replies with all records of each bucket whose digest differs from the requester's.
-    pub(super) fn reply_sync(&mut self, request: &Datagram) -> Vec<Action> {
+    pub(super) fn reply_sync(&mut self, request: &Datagram) -> Vec<OutgoingDatagram> {
         let Some(address) = self.address(&request.from) else {
             return Vec::new();
         };
@@ -113,7 +117,7 @@
         let own = self.bucket_digests(theirs.len());
         let differing = (0..theirs.len()).filter(|bucket| own[*bucket] != theirs[*bucket]);
         let mut records = self.records_by_bucket(theirs.len());
-        let mut actions = Vec::new();
+        let mut outgoing = Vec::new();
         let mut reply = self.empty_reply(theirs.len());
         for bucket in differing {
             let bucket_records = records.remove(&bucket).unwrap_or_default();
@@ -121,7 +125,7 @@
             if !reply.records.is_empty() && reply.records.len() + bucket_records.len() > max_records
             {
                 let full = std::mem::replace(&mut reply, self.empty_reply(theirs.len()));
-                actions.push(Action {
+                outgoing.push(OutgoingDatagram {
                     address: address.clone(),
                     datagram: full,
                 });
@@ -132,12 +136,12 @@
                 .push(u32::try_from(bucket).unwrap_or(u32::MAX));
         }
         if !reply.whole_buckets.is_empty() {
-            actions.push(Action {
+            outgoing.push(OutgoingDatagram {
                 address,
                 datagram: reply,
             });
         }
-        actions
+        outgoing
     }
 
     fn empty_reply(&self, buckets: usize) -> Datagram {
@@ -160,7 +164,7 @@
 
     /// Returns datagrams with the records that the sender of a sync reply lacks or holds in an older version.
     /// Must be called before the reply's records are merged.
-    pub(super) fn return_newer(&self, reply: &Datagram) -> Vec<Action> {
+    pub(super) fn return_newer(&self, reply: &Datagram) -> Vec<OutgoingDatagram> {
         let buckets = reply.bucket_count as usize;
         let Some(address) = self.address(&reply.from).filter(|_| buckets > 0) else {
             return Vec::new();
@@ -189,7 +193,7 @@
             .map(|part| {
                 let mut datagram = self.bare_datagram(DatagramKind::SyncReturn, 0, String::new());
                 datagram.records = part.to_vec();
-                Action {
+                OutgoingDatagram {
                     address: address.clone(),
                     datagram,
                 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -7,6 +7,6 @@
 mod settings;
 mod view;
 
-pub use crate::core::{Action, ConfigStatus, MembershipCore, PeerReport};
+pub use crate::core::{ConfigStatus, MembershipCore, OutgoingDatagram, PeerReport};
 pub use settings::MembershipSettings;
 pub use view::{Member, MembershipView};
--- a/crates/membership/tests/rejoin.rs
+++ b/crates/membership/tests/rejoin.rs
@@ -81,20 +81,16 @@
         let end = self.now + time;
         while self.now < end {
             self.now += TICK;
-            for action in self.core.tick(self.now, &mut self.random) {
-                let kind = DatagramKind::try_from(action.datagram.kind);
+            for sent in self.core.tick(self.now, &mut self.random) {
+                let kind = DatagramKind::try_from(sent.datagram.kind);
                 match kind {
                     Ok(DatagramKind::Join) => {
-                        joined.insert(action.address);
+                        joined.insert(sent.address);
                     }
                     Ok(DatagramKind::Ping)
-                        if action.address == PEER || is_in_crowd(&action.address) =>
+                        if sent.address == PEER || is_in_crowd(&sent.address) =>
                     {
-                        self.receive_from_peer(
-                            DatagramKind::Ack,
-                            action.datagram.probe,
-                            Vec::new(),
-                        );
+                        self.receive_from_peer(DatagramKind::Ack, sent.datagram.probe, Vec::new());
                     }
                     _ => {}
                 }
--- a/crates/membership/tests/restart.rs
+++ b/crates/membership/tests/restart.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use harrierward_membership::{Action, MembershipCore, MembershipSettings};
+use harrierward_membership::{MembershipCore, MembershipSettings, OutgoingDatagram};
 use harrierward_wire::{MemberRecord, MemberState};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -42,15 +42,15 @@
     }
 
     /// Delivers datagrams and all replies to them without delay.
-    fn deliver(&mut self, mut actions: Vec<Action>) {
-        while let Some(action) = actions.pop() {
+    fn deliver(&mut self, mut outgoing: Vec<OutgoingDatagram>) {
+        while let Some(sent) = outgoing.pop() {
             let target = self
                 .members
                 .iter_mut()
-                .find(|member| member.own_record().udp_address == action.address);
+                .find(|member| member.own_record().udp_address == sent.address);
             if let Some(member) = target {
-                let (replies, _) = member.receive(&action.datagram, self.now);
-                actions.extend(replies);
+                let (replies, _) = member.receive(&sent.datagram, self.now);
+                outgoing.extend(replies);
             }
         }
     }
@@ -60,15 +60,15 @@
         while self.now < end {
             self.now += TICK;
             for index in 0..self.members.len() {
-                let actions = self.members[index].tick(self.now, &mut self.random);
-                self.deliver(actions);
+                let outgoing = self.members[index].tick(self.now, &mut self.random);
+                self.deliver(outgoing);
             }
         }
     }
 
     fn join(&mut self, index: usize, seed: &str) {
-        let actions = self.members[index].join(&[seed.to_owned()]);
-        self.deliver(actions);
+        let outgoing = self.members[index].join(&[seed.to_owned()]);
+        self.deliver(outgoing);
     }
 }
 
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use harrierward_membership::{Action, MembershipCore, MembershipSettings};
+use harrierward_membership::{MembershipCore, MembershipSettings, OutgoingDatagram};
 use harrierward_wire::{DatagramKind, MemberRecord, MemberState, encode};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -106,7 +106,7 @@
 pub struct Fleet {
     daemons: Vec<Daemon>,
     partition: Option<Partition>,
-    in_flight: VecDeque<(Duration, Action)>,
+    in_flight: VecDeque<(Duration, OutgoingDatagram)>,
     random: SmallRng,
     now: Duration,
     /// Bytes sent by all daemons.
@@ -197,17 +197,17 @@
         self.daemons[index].pause = Some(pause);
     }
 
-    fn send(&mut self, from: usize, actions: Vec<Action>) {
-        for action in actions {
-            self.bytes += encode(&action.datagram).len();
+    fn send(&mut self, from: usize, outgoing: Vec<OutgoingDatagram>) {
+        for sent in outgoing {
+            self.bytes += encode(&sent.datagram).len();
             self.datagrams += 1;
-            self.joins += usize::from(action.datagram.kind == DatagramKind::Join as i32);
+            self.joins += usize::from(sent.datagram.kind == DatagramKind::Join as i32);
             let lost = self.random.random_range(0..100) < LOSS_PERCENT;
-            let to = index_of(&action.address);
+            let to = index_of(&sent.address);
             let partition = self.partition.as_ref();
             let dropped = partition.is_some_and(|partition| partition.drops(from, to, self.now));
             if !lost && !dropped {
-                self.in_flight.push_back((self.now + STEP, action));
+                self.in_flight.push_back((self.now + STEP, sent));
             }
         }
     }
@@ -218,15 +218,15 @@
             .front()
             .is_some_and(|(at, _)| *at <= self.now)
         {
-            let Some((_, action)) = self.in_flight.pop_front() else {
+            let Some((_, sent)) = self.in_flight.pop_front() else {
                 return;
             };
             let now = self.now;
-            let index = index_of(&action.address);
+            let index = index_of(&sent.address);
             let daemon = &mut self.daemons[index];
             if daemon.runs(now) {
                 let clock = daemon.clock(now);
-                let (replies, _) = daemon.core.receive(&action.datagram, clock);
+                let (replies, _) = daemon.core.receive(&sent.datagram, clock);
                 self.send(index, replies);
             }
         }
@@ -236,8 +236,8 @@
         let now = self.now;
         let daemon = &mut self.daemons[index];
         let clock = daemon.clock(now);
-        let actions = daemon.core.tick(clock, &mut self.random);
-        self.send(index, actions);
+        let outgoing = daemon.core.tick(clock, &mut self.random);
+        self.send(index, outgoing);
     }
 
     /// Runs the simulation until `end`.
--- a/crates/node/src/membership_task.rs
+++ b/crates/node/src/membership_task.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use harrierward_config::CONFIG_FAN_OUT;
-use harrierward_membership::{Action, ConfigStatus};
+use harrierward_membership::{ConfigStatus, OutgoingDatagram};
 use harrierward_wire::{Datagram, NodeDatagram, ServiceBacklog, decode, encode, node_datagram};
 use tokio::time::sleep;
 
@@ -28,7 +28,7 @@
     send_all(shared, actions).await;
 }
 
-fn step(shared: &Arc<Shared>, now: Duration) -> Vec<Action> {
+fn step(shared: &Arc<Shared>, now: Duration) -> Vec<OutgoingDatagram> {
     let backlog = advertised_backlog(shared);
     let config = config_word(shared, now);
     let cancelled = lock(&shared.cancel_news).names(now);
@@ -85,7 +85,7 @@
     send_all(shared, action.into_iter().collect()).await;
 }
 
-async fn send_all(shared: &Arc<Shared>, actions: Vec<Action>) {
+async fn send_all(shared: &Arc<Shared>, actions: Vec<OutgoingDatagram>) {
     for action in actions {
         let datagram = NodeDatagram {
             kind: Some(node_datagram::Kind::Membership(action.datagram)),
