--- a/crates/edge/tests/discovery.rs
+++ b/crates/edge/tests/discovery.rs
@@ -120,7 +120,7 @@
 fn a_stale_full_read_reverts_nothing() {
     let mut copy = SpaceCopy::default();
     let first = snapshot(10, vec![row("a", "1", 8), row("b", "1", 9)]);
-    assert!(copy.take_snapshot(first).is_some());
+    assert!(copy.apply_snapshot(first).is_some());
     let changes = ChangePage {
         changes: vec![RowChange {
             key: "a".to_owned(),
@@ -131,25 +131,25 @@
         store_time_ms: 2,
         proof: None,
     };
-    assert_eq!(copy.take_changes(changes).removed, ["a"]);
+    assert_eq!(copy.apply_changes(changes).removed, ["a"]);
     let stale = snapshot(11, vec![row("a", "1", 8), row("b", "1", 9)]);
-    assert!(copy.take_snapshot(stale).is_none());
+    assert!(copy.apply_snapshot(stale).is_none());
     assert_eq!(copy.revision(), 12);
 }
 
 #[test]
 fn a_full_read_recovers_changes_that_the_feed_skipped() {
     let mut copy = SpaceCopy::default();
-    copy.take_snapshot(snapshot(10, vec![row("a", "1", 8), row("b", "1", 9)]));
+    copy.apply_snapshot(snapshot(10, vec![row("a", "1", 8), row("b", "1", 9)]));
     // The store's feed skipped revision 11.
-    copy.take_changes(ChangePage {
+    copy.apply_changes(ChangePage {
         changes: Vec::new(),
         revision: 14,
         store_time_ms: 2,
         proof: None,
     });
     let full_read = snapshot(15, vec![row("a", "1", 8), row("c", "1", 11)]);
-    let update = copy.take_snapshot(full_read).expect("the read is newer");
+    let update = copy.apply_snapshot(full_read).expect("the read is newer");
     assert_eq!(update.removed, ["b"]);
     let keys: Vec<&str> = update.written.iter().map(|row| row.key.as_str()).collect();
     assert_eq!(keys, ["c"]);
@@ -250,13 +250,13 @@
     }
 
     fn read_all(&mut self, revision: u64, rows: Vec<Row>) {
-        if let Some(update) = self.copy.take_snapshot(snapshot(revision, rows)) {
+        if let Some(update) = self.copy.apply_snapshot(snapshot(revision, rows)) {
             self.fixture.discovery.apply_configuration(&update, "store");
         }
     }
 
     fn follow(&mut self, revision: u64, changes: Vec<RowChange>) {
-        let update = self.copy.take_changes(ChangePage {
+        let update = self.copy.apply_changes(ChangePage {
             changes,
             revision,
             store_time_ms: 2,
--- a/crates/relay/src/space_copy.rs
+++ b/crates/relay/src/space_copy.rs
@@ -131,7 +131,7 @@
     }
 
     /// Applies a full read; `None`, without effect, if it is older than the copy.
-    pub fn take_snapshot(&mut self, snapshot: SpaceSnapshot) -> Option<SpaceUpdate> {
+    pub fn apply_snapshot(&mut self, snapshot: SpaceSnapshot) -> Option<SpaceUpdate> {
         if snapshot.revision < self.revision {
             return None;
         }
@@ -164,7 +164,7 @@
     }
 
     /// Applies changes that follow the copy's revision.
-    pub fn take_changes(&mut self, page: ChangePage) -> SpaceUpdate {
+    pub fn apply_changes(&mut self, page: ChangePage) -> SpaceUpdate {
         let mut update = SpaceUpdate {
             store_time_ms: page.store_time_ms,
             revision: page.revision,
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -103,7 +103,7 @@
                     pages = done.pages_read.pages();
                     let pace = (self.full_read_pace)(pages);
                     full_read_due = requested_at + self.settings.full_read_interval.max(pace);
-                    space.copy().take_snapshot(done.pages_read.into_snapshot())
+                    space.copy().apply_snapshot(done.pages_read.into_snapshot())
                 })
             } else {
                 changes_first = false;
@@ -250,7 +250,7 @@
             PlatformErrorKind::HistoryLost => WatchFailure::HistoryLost,
             _ => WatchFailure::NoContact(error.to_string()),
         })?;
-        Ok(Some(space.copy().take_changes(page)))
+        Ok(Some(space.copy().apply_changes(page)))
     }
 
     fn log_lost(&self, cause: &str) {
--- a/crates/relay/tests/copies.rs
+++ b/crates/relay/tests/copies.rs
@@ -35,7 +35,7 @@
 fn follow(copy: &mut SpaceCopy, source: &SpaceCopy) -> bool {
     let reply = source.reply(copy.revision());
     if !reply.is_full {
-        return copy.take_changes(page(reply)).differs;
+        return copy.apply_changes(page(reply)).differs;
     }
     let all = source.reply(0);
     let proof = proof_of(&all);
@@ -46,7 +46,7 @@
             revision: change.revision,
         })
     });
-    let update = copy.take_snapshot(SpaceSnapshot {
+    let update = copy.apply_snapshot(SpaceSnapshot {
         rows: rows.collect(),
         revision: all.revision,
         store_time_ms: 0,
@@ -78,7 +78,7 @@
 fn first_copy() -> SpaceCopy {
     let mut copy = SpaceCopy::default();
     let mut update = copy
-        .take_snapshot(snapshot(vec![row(0, 1)], 1))
+        .apply_snapshot(snapshot(vec![row(0, 1)], 1))
         .expect("the first");
     update.as_of = Some(Instant::now());
     copy.prove(&update);
@@ -114,7 +114,7 @@
         let update_source = |source: &mut SpaceCopy, log: &[RowChange], revision: u64| {
             let after = source.revision();
             let new = log.iter().filter(|change| change.revision > after);
-            source.take_changes(changes(new.cloned().collect(), revision));
+            source.apply_changes(changes(new.cloned().collect(), revision));
         };
         for step in steps {
             match step {
@@ -148,9 +148,9 @@
 fn a_row_that_the_source_had_missed_reaches_its_followers() {
     let mut source = first_copy();
     let mut follower = SpaceCopy::default();
-    source.take_changes(changes(Vec::new(), 9));
+    source.apply_changes(changes(Vec::new(), 9));
     follow(&mut follower, &source);
-    source.take_snapshot(snapshot(vec![row(0, 1), row(1, 5)], 10));
+    source.apply_snapshot(snapshot(vec![row(0, 1), row(1, 5)], 10));
     assert!(!follow(&mut follower, &source));
     assert_eq!(follower.digest(), source.digest());
     assert_eq!(follower.rows(), 2);
@@ -162,10 +162,10 @@
     let mut source = first_copy();
     let mut follower = SpaceCopy::default();
     follow(&mut follower, &source);
-    source.take_changes(changes(Vec::new(), 9));
+    source.apply_changes(changes(Vec::new(), 9));
     follow(&mut follower, &source);
     // The source obtains the row by a full read of the same revision.
-    source.take_snapshot(snapshot(vec![row(0, 1), row(1, 5)], 9));
+    source.apply_snapshot(snapshot(vec![row(0, 1), row(1, 5)], 9));
     assert!(follow(&mut follower, &source));
 }
 
@@ -180,7 +180,7 @@
             revision: written.revision,
             value: Some(written.value),
         };
-        source.take_changes(changes(vec![change], 2 + number));
+        source.apply_changes(changes(vec![change], 2 + number));
     }
     assert!(source.has_updates(after));
     assert!(source.reply(after).is_full);
