--- a/crates/membership/src/core/mod.rs
+++ b/crates/membership/src/core/mod.rs
@@ -178,8 +178,8 @@
         core
     }
 
-    /// Sets the UDP addresses of seeds. All of them get a join while no other member is known; later one at a time
-    /// does, if no member is known at it.
+    /// Sets the UDP addresses of seeds. All of them get joins while no other member is known; otherwise only those at
+    /// which no member is known do, one at a time.
     #[must_use]
     pub fn with_seeds(mut self, mut seeds: Vec<String>) -> Self {
         seeds.retain(|seed| *seed != self.own.udp_address);
