--- a/crates/capacity/tests/isolation.rs
+++ b/crates/capacity/tests/isolation.rs
@@ -1,9 +1,9 @@
-//! No program reaches beyond its own tenant's capacity, whatever it returns or does.
+//! Guards against policy programs that affect other tenants' capacity, and against batch work in online slots.
 
 use std::collections::BTreeMap;
 
 use harrierward_capacity::{
-    Lender, PlanInput, PolicyOffer, PolicyRun, RunningBatchItem, SlotBudget, SlotSettings,
+    CapacityPlanner, PlanInput, PolicyOffer, PolicyRun, RunningBatchItem, SlotBudget, SlotSettings,
     check_program, compute_plan, select_victims,
 };
 use harrierward_config::{ConfigObject, ConfigSnapshot, PolicySpec, ServiceSpec, Spec, TenantSpec};
@@ -61,12 +61,12 @@
         0.0..=1.0f64,
         0..4,
     );
-    (shares, 0.0..=1.0f64).prop_map(|(shares, ask)| PolicyRun {
+    (shares, 0.0..=1.0f64).prop_map(|(shares, requested_share)| PolicyRun {
         offer: PolicyOffer {
             shares,
             return_ms: 100,
         },
-        ask,
+        requested_share,
         operations: 1,
     })
 }
@@ -80,7 +80,7 @@
     })]
 
     #[test]
-    fn a_plan_never_gives_more_than_was_offered_asked_and_is_there(runs in prop::collection::vec(offer(), 3)) {
+    fn a_plan_never_exceeds_offers_requests_or_capacity(runs in prop::collection::vec(offer(), 3)) {
         let config = config(&[]);
         let by_service: BTreeMap<(String, String), PolicyRun> = TENANTS
             .iter()
@@ -94,9 +94,9 @@
             let mut total = 0.0;
             for borrower in &service.borrowers {
                 let position = TENANTS.iter().position(|tenant| *tenant == borrower.tenant);
-                let ask = position.map_or(0.0, |position| runs[position].ask);
+                let requested_share = position.map_or(0.0, |position| runs[position].requested_share);
                 prop_assert!(borrower.share <= run.offer.shares[&borrower.tenant] + 1e-9);
-                prop_assert!(borrower.share <= ask + 1e-9);
+                prop_assert!(borrower.share <= requested_share + 1e-9);
                 total += borrower.share;
             }
             prop_assert!(total <= 1.0 + 1e-9);
@@ -104,17 +104,17 @@
     }
 
     #[test]
-    fn batch_never_takes_the_places_of_online(online in 0..200u32, prefill in 0..50_000u32, millis in 1..5_000u64) {
+    fn batch_never_takes_slots_of_online(online in 0..200u32, prefill in 0..50_000u32, millis in 1..5_000u64) {
         let settings = SlotSettings::default();
         let mut budget = SlotBudget::new(settings);
         let now = Duration::from_millis(millis);
         budget.observe_online(now, online, prefill);
         let waiting = f64::from(prefill) * settings.prefill_token_micros;
-        if waiting > settings.burst_micros {
+        if waiting > settings.burst_threshold_micros {
             prop_assert_eq!(budget.limit(now), 0);
         }
         let limit = budget.limit(now + Duration::from_secs(10));
-        prop_assert!(limit + online.min(settings.maximum_running) <= settings.maximum_running);
+        prop_assert!(limit + online.min(settings.max_running) <= settings.max_running);
     }
 }
 
@@ -131,28 +131,32 @@
         "import \"os\" as os; fn lend(n) { 1 }",
     ];
     let good = "fn lend(n) { #{ to: #{ third: 0.4 }, return_ms: 50 } } fn borrow(n) { 0.0 }";
-    let ask = "fn borrow(n) { 1.0 }";
+    let requested_share = "fn borrow(n) { 1.0 }";
     for program in hostile {
         assert!(
             check_program(program).is_err(),
             "{program} passed the check"
         );
-        let config = config(&[("desks", program), ("trakia", good), ("third", ask)]);
-        let (plan, problems) = Lender::default().plan(&config, &fresh());
-        assert_eq!(problems.len(), 1, "{program}: {problems:?}");
+        let config = config(&[
+            ("desks", program),
+            ("trakia", good),
+            ("third", requested_share),
+        ]);
+        let (plan, failures) = CapacityPlanner::default().plan(&config, &fresh());
+        assert_eq!(failures.len(), 1, "{program}: {failures:?}");
         assert!(plan.services["desks-service"].borrowers.is_empty());
         assert_eq!(plan.services["trakia-service"].share_of("third"), 0.4);
     }
 }
 
 #[test]
-fn a_program_that_fails_later_keeps_its_last_good_answer() {
+fn a_program_that_fails_later_keeps_its_last_good_result() {
     let program =
         "fn lend(n) { if n.online_running > 5.0 { throw \"no\" } #{ to: #{ trakia: 0.5 } } }";
     let config = config(&[("desks", program), ("trakia", "fn borrow(n) { 1.0 }")]);
-    let mut lender = Lender::default();
-    let (first, problems) = lender.plan(&config, &fresh());
-    assert!(problems.is_empty(), "{problems:?}");
+    let mut planner = CapacityPlanner::default();
+    let (first, failures) = planner.plan(&config, &fresh());
+    assert!(failures.is_empty(), "{failures:?}");
     assert_eq!(first.services["desks-service"].share_of("trakia"), 0.5);
     let mut input = fresh();
     input
@@ -160,28 +164,28 @@
         .entry("desks-service".to_owned())
         .or_default()
         .online_running = 9.0;
-    let (second, problems) = lender.plan(&config, &input);
-    assert_eq!(problems.len(), 1);
+    let (second, failures) = planner.plan(&config, &input);
+    assert_eq!(failures.len(), 1);
     assert_eq!(second.services["desks-service"].share_of("trakia"), 0.5);
 }
 
 #[test]
-fn without_a_fresh_configuration_nothing_is_lent() {
+fn no_capacity_is_lent_under_a_stale_configuration() {
     let config = config(&[
         ("desks", "fn lend(n) { #{ to: #{ trakia: 1.0 } } }"),
         ("trakia", "fn borrow(n) { 1.0 }"),
     ]);
-    let (plan, _) = Lender::default().plan(&config, &PlanInput::default());
+    let (plan, _) = CapacityPlanner::default().plan(&config, &PlanInput::default());
     assert!(plan.services["desks-service"].borrowers.is_empty());
     assert_eq!(plan.services["desks-service"].share_of("desks"), 1.0);
 }
 
 #[test]
 fn at_most_once_items_are_never_victims() {
-    let item = |id: &str, left, at_most_once| RunningBatchItem {
+    let item = |id: &str, max_remaining, at_most_once| RunningBatchItem {
         request_id: id.to_owned(),
         generated: 1,
-        left,
+        max_remaining,
         at_most_once,
     };
     let running = [
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,8 +1,7 @@
-//! Copies of the store's spaces: kept up to date by a watch, and handed from daemon to daemon within a zone.
+//! Copies of the store's spaces: kept up to date by watches, and relayed between the daemons of a zone.
 //!
-//! Why handed on: where each daemon reads the store for itself, its bytes grow with daemons x rows. In a zone with many
-//! daemons few of them read the store, and the others follow them along a [tree](RelayTree). What a daemon is told
-//! carries the age of its proof, so that nobody takes old rows for new ones, whoever it asks.
+//! In a large zone few daemons read the store, and the others follow them along a [tree](RelayTree), so that the
+//! store's traffic doesn't grow with daemons x rows. Each reply carries the age of its freshness proof.
 
 mod pace;
 mod peer_copies;
@@ -14,12 +13,12 @@
 mod watch;
 
 pub use pace::{
-    WatchPace, WholeReadPace, gathering_interval, unpaced, unpaced_reads, whole_read_interval,
+    FullReadPace, WatchPace, coalescing_interval, full_read_interval, unpaced, unpaced_reads,
 };
-pub use peer_copies::{PeerAnswer, PeerCopies, SpaceAsk};
+pub use peer_copies::{PeerCopies, RelayReply, SpaceRequest};
 pub use relay::Relay;
-pub use shared_space::{HeldAnswer, SharedSpace};
+pub use shared_space::{HeldReply, SharedSpace};
 pub use sources::{RelayMode, Source, SourceFailure, Sources};
-pub use space_copy::{SpaceAnswer, SpaceCopy, SpaceUpdate};
+pub use space_copy::{CopyReply, SpaceCopy, SpaceUpdate};
 pub use tree::{RelayPeer, RelayTree};
 pub use watch::{Watch, WatchSettings};
