--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,8 +1,6 @@
-//! The clock for ages of what lies outside this process: proofs of contact, grants, a caller's deadline.
+//! A monotonic clock that counts suspensions of the machine, for ages of external state: freshness proofs, grants, deadlines.
 //!
-//! Why: a machine may be suspended for seconds. The steady clock stands still meanwhile, so whatever was fresh before seems
-//! fresh after, while the world has gone on: jobs were ended, keys revoked, tokens given out anew. The boot clock counts that time.
-//! The time of day is no way out, since it steps.
+//! `CLOCK_MONOTONIC` stops during a suspension, so stale state would look fresh afterwards; the wall clock may step.
 
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,17 +11,17 @@
 use tokio::sync::futures::Notified;
 use tokio::time::Instant;
 
-/// Time for which this machine was suspended since the process began, microseconds; only grows.
+/// Longest total suspension observed since the first reading, microseconds; never decreases.
 static SUSPENDED_MICROS: AtomicU64 = AtomicU64::new(0);
 
-/// Suspensions that a test imagines, microseconds.
-static IMAGINED_MICROS: AtomicU64 = AtomicU64::new(0);
+/// Total suspension simulated by tests, microseconds.
+static SIMULATED_MICROS: AtomicU64 = AtomicU64::new(0);
 
-/// Wakes whoever waits for something that timers bound, which stood still while the machine did.
-static NOTICED: Notify = Notify::const_new();
+/// Wakes tasks whose timers were paused during a suspension.
+static SUSPENSION_NOTICED: Notify = Notify::const_new();
 
-/// How far the boot clock was ahead of the steady clock when it was first asked.
-static FIRST_LEAD: OnceLock<Duration> = OnceLock::new();
+/// Lead of the boot clock over the monotonic clock at the first reading.
+static INITIAL_LEAD: OnceLock<Duration> = OnceLock::new();
 
 fn duration_of(time: Timespec) -> Duration {
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
@@ -31,82 +29,82 @@
     Duration::new(seconds, nanos)
 }
 
-/// How far the boot clock is ahead, at the least: the steady clock is read after it, so that a pause between both readings
-/// never counts as a suspension.
-fn least_lead() -> Duration {
+/// Returns a lower bound of the boot clock's lead: the monotonic clock is read last, so that a preemption between the two
+/// readings never counts as a suspension.
+fn min_lead() -> Duration {
     let boot = duration_of(clock_gettime(ClockId::Boottime));
     let steady = duration_of(clock_gettime(ClockId::Monotonic));
     boot.saturating_sub(steady)
 }
 
-/// Readings of the first lead. The largest counts: a pause within the only one would make it too small, and all later ones look
-/// like a suspension of that length.
-const FIRST_READINGS: usize = 8;
+/// Readings of the initial lead, of which the largest counts: a single one may be too small because of a preemption, which
+/// would show as a suspension in all later readings.
+const INITIAL_READINGS: usize = 8;
 
-fn first_lead() -> Duration {
-    let readings = (0..FIRST_READINGS).map(|_| least_lead());
+fn initial_lead() -> Duration {
+    let readings = (0..INITIAL_READINGS).map(|_| min_lead());
     readings.max().unwrap_or_default()
 }
 
-/// Time for which this machine was suspended since this was first asked.
+/// Returns the total time for which the machine was suspended since the first call in this process.
 pub fn suspended() -> Duration {
-    let first = *FIRST_LEAD.get_or_init(first_lead);
-    let since = least_lead().saturating_sub(first);
+    let initial = *INITIAL_LEAD.get_or_init(initial_lead);
+    let since = min_lead().saturating_sub(initial);
     let since = micros(since);
-    // Nearly all readings find nothing new, and need not write for that.
+    // Avoids a write on the common path, where nothing has changed.
     let mut known = SUSPENDED_MICROS.load(Ordering::Relaxed);
     if since > known {
         known = SUSPENDED_MICROS.fetch_max(since, Ordering::Relaxed);
-        if since.saturating_sub(known) >= micros(LEAST_SUSPENSION) {
-            NOTICED.notify_waiters();
+        if since.saturating_sub(known) >= micros(MIN_SUSPENSION) {
+            SUSPENSION_NOTICED.notify_waiters();
         }
     }
-    let imagined = IMAGINED_MICROS.load(Ordering::Relaxed);
-    Duration::from_micros(known.max(since) + imagined)
+    let simulated = SIMULATED_MICROS.load(Ordering::Relaxed);
+    Duration::from_micros(known.max(since) + simulated)
 }
 
-/// Now, on a clock that counts suspensions. Compare it only with moments of the same clock.
+/// Returns the current time on the clock that counts suspensions. Comparable only with other values of this clock.
 pub fn now() -> Instant {
     Instant::now() + suspended()
 }
 
-/// Time since a moment of this clock, suspensions counted.
+/// Returns the time since a moment of this clock, suspensions included; zero for a future moment.
 pub fn age(moment: Instant) -> Duration {
     now().saturating_duration_since(moment)
 }
 
-/// Least growth of the suspended time that is told as a suspension: far above the time between both readings of the clocks.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(50);
+/// Minimum growth of the suspended time that counts as a suspension; well above the time between two clock readings.
+const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
-/// Completes when a suspension is noticed: at the next reading of this clock after the machine goes on.
+/// Completes at the first reading of this clock that detects a suspension.
 pub fn suspension_noticed() -> Notified<'static> {
-    NOTICED.notified()
+    SUSPENSION_NOTICED.notified()
 }
 
-/// Notices suspensions, for one reader: it distrusts what it knows before it uses any.
+/// Reports suspensions to one reader, which then discards state of unknown age.
 #[derive(Debug)]
 pub struct SuspensionWatch {
     known_micros: AtomicU64,
 }
 
 impl SuspensionWatch {
-    /// Knows all suspensions up to now.
+    /// Starts a watch that ignores all earlier suspensions.
     pub fn start() -> Self {
         Self {
             known_micros: AtomicU64::new(micros(suspended())),
         }
     }
 
-    /// Length of the suspensions since this was last asked; `None` if there were none. Each is told once.
+    /// Returns the total length of suspensions since the last one reported; `None` if there were none. Each is reported once.
     pub fn take(&self) -> Option<Duration> {
         let now = micros(suspended());
         let known = self.known_micros.load(Ordering::Relaxed);
         let since = Duration::from_micros(now.saturating_sub(known));
-        if since < LEAST_SUSPENSION {
+        if since < MIN_SUSPENSION {
             return None;
         }
-        let before = self.known_micros.fetch_max(now, Ordering::Relaxed);
-        (before == known).then_some(since)
+        let previous = self.known_micros.fetch_max(now, Ordering::Relaxed);
+        (previous == known).then_some(since)
     }
 }
 
@@ -114,8 +112,8 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Lets the machine seem to have been suspended for so long: for tests, which cannot suspend one.
-pub fn imagine_suspension(time: Duration) {
-    IMAGINED_MICROS.fetch_add(micros(time), Ordering::Relaxed);
-    NOTICED.notify_waiters();
+/// Simulates a suspension of the machine, for tests.
+pub fn simulate_suspension(time: Duration) {
+    SIMULATED_MICROS.fetch_add(micros(time), Ordering::Relaxed);
+    SUSPENSION_NOTICED.notify_waiters();
 }
--- a/crates/clock/tests/clock.rs
+++ b/crates/clock/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock counts suspensions, and nothing else besides the steady clock's time.
+//! The clock counts suspensions and monotonic time; preemption of a reading thread must not count as a suspension.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 #[tokio::test(start_paused = true)]
 async fn suspensions_count_and_busy_threads_do_not() {
     let first = harrierward_clock::now();
-    // Readings that are far apart on a busy machine must not look like a suspension.
+    // More threads than cores, so that some are preempted between the two readings.
     std::thread::scope(|scope| {
         for _ in 0..16 {
             scope.spawn(|| {
@@ -20,7 +20,7 @@
     assert!(harrierward_clock::age(first) < Duration::from_millis(5));
     tokio::time::advance(Duration::from_secs(1)).await;
     let steady = Instant::now();
-    harrierward_clock::imagine_suspension(Duration::from_secs(3));
+    harrierward_clock::simulate_suspension(Duration::from_secs(3));
     assert_eq!(steady, Instant::now(), "the steady clock stands still");
     let age = harrierward_clock::age(first);
     assert!((4_000..4_005).contains(&age.as_millis()), "{age:?}");
--- a/crates/clock/tests/watch.rs
+++ b/crates/clock/tests/watch.rs
@@ -1,28 +1,31 @@
-//! Each suspension is noticed once by each watch.
+//! Each watch reports each suspension exactly once.
 
 use std::time::Duration;
 
-use harrierward_clock::{SuspensionWatch, imagine_suspension};
+use harrierward_clock::{SuspensionWatch, simulate_suspension};
 
 #[test]
-fn a_suspension_is_told_once_and_its_whole_length() {
+fn suspensions_are_reported_once_with_their_total_length() {
     let watch = SuspensionWatch::start();
     assert_eq!(watch.take(), None);
-    imagine_suspension(Duration::from_millis(400));
-    imagine_suspension(Duration::from_millis(800));
-    let told = watch.take().expect("a suspension");
-    assert!((1_200..1_250).contains(&told.as_millis()), "{told:?}");
-    assert_eq!(watch.take(), None, "it is told once");
+    simulate_suspension(Duration::from_millis(400));
+    simulate_suspension(Duration::from_millis(800));
+    let reported = watch.take().expect("a suspension");
+    assert!(
+        (1_200..1_250).contains(&reported.as_millis()),
+        "{reported:?}"
+    );
+    assert_eq!(watch.take(), None, "it is reported once");
     assert_eq!(
         SuspensionWatch::start().take(),
         None,
-        "what was before its start"
+        "suspensions before its start"
     );
-    // Short ones add up until they count.
-    let told = (0..20).filter_map(|_| {
-        imagine_suspension(Duration::from_millis(10));
+    // Suspensions below the minimum add up until they are reported.
+    let reported = (0..20).filter_map(|_| {
+        simulate_suspension(Duration::from_millis(10));
         watch.take()
     });
-    let told: Duration = told.sum();
-    assert!((150..250).contains(&told.as_millis()), "{told:?}");
+    let reported: Duration = reported.sum();
+    assert!((150..250).contains(&reported.as_millis()), "{reported:?}");
 }
--- a/crates/edge/tests/suspended.rs
+++ b/crates/edge/tests/suspended.rs
@@ -138,7 +138,7 @@
         let (Kind::SlotAsk(ask), from) = receive_one(&peer).await else {
             panic!("not a question");
         };
-        harrierward_clock::imagine_suspension(SUSPENSION);
+        harrierward_clock::simulate_suspension(SUSPENSION);
         let grant = SlotGrant {
             lease: ask.lease,
             replica: replicas.view().all().next().expect("a replica").hash,
@@ -198,7 +198,7 @@
         assert!(coordinator.receive(report, from).is_none());
     }
     assert_eq!(replica.online(), 4);
-    harrierward_clock::imagine_suspension(SUSPENSION);
+    harrierward_clock::simulate_suspension(SUSPENSION);
     let released = SlotReport {
         holder: 1,
         released: vec![1],
@@ -255,7 +255,7 @@
     exchange(&pool, &address).await;
     exchange(&pool, &address).await;
     assert_eq!(accepted.load(Ordering::Relaxed), 1, "it is kept");
-    harrierward_clock::imagine_suspension(SUSPENSION);
+    harrierward_clock::simulate_suspension(SUSPENSION);
     assert!(!pool.has_idle(&address), "its time is over");
     exchange(&pool, &address).await;
     assert_eq!(accepted.load(Ordering::Relaxed), 2);
@@ -312,7 +312,7 @@
     for _ in 0..8 {
         assert_ne!(place_item(&coordinator).await.hash, bad, "it is out");
     }
-    harrierward_clock::imagine_suspension(SUSPENSION);
+    harrierward_clock::simulate_suspension(SUSPENSION);
     assert_eq!(place_item(&coordinator).await.hash, bad, "it is tried");
     assert_ne!(place_item(&coordinator).await.hash, bad, "one at a time");
 }
@@ -337,7 +337,7 @@
     let ContentStatus::Quarantined(period) = quarantine.status(ContentId(5)) else {
         panic!("not held");
     };
-    harrierward_clock::imagine_suspension(Duration::from_secs(6));
+    harrierward_clock::simulate_suspension(Duration::from_secs(6));
     assert!(period.allows_trial(harrierward_clock::now()));
     let left = period
         .until
@@ -345,7 +345,7 @@
     let expected = QUARANTINE_DURATION - Duration::from_secs(6);
     let passed = expected.saturating_sub(left);
     assert!(left <= expected && passed < TIMEOUT, "{left:?}");
-    harrierward_clock::imagine_suspension(QUARANTINE_DURATION);
+    harrierward_clock::simulate_suspension(QUARANTINE_DURATION);
     let status = quarantine.status(ContentId(5));
     assert_eq!(status, ContentStatus::Suspect { crashes: 3 });
 }
--- a/crates/relay/tests/suspended_watch.rs
+++ b/crates/relay/tests/suspended_watch.rs
@@ -86,7 +86,7 @@
     // At other moments of the question that is under way; some suspensions are shorter than it is held.
     for suspended in [3_000, 1_200, 500, 6_000, 3_000] {
         sleep(Duration::from_millis(1_370)).await;
-        harrierward_clock::imagine_suspension(Duration::from_millis(suspended));
+        harrierward_clock::simulate_suspension(Duration::from_millis(suspended));
         let woke = harrierward_clock::now();
         sleep(PROVEN_WITHIN).await;
         let known = proven.lock().unwrap().expect("a proof");
--- a/crates/serving/tests/suspended.rs
+++ b/crates/serving/tests/suspended.rs
@@ -57,7 +57,7 @@
     replica.suspect();
     replica.set_crashed();
     assert!(replica.is_suspected() && replica.has_crashed());
-    harrierward_clock::imagine_suspension(SUSPENSION);
+    harrierward_clock::simulate_suspension(SUSPENSION);
     assert!(!replica.is_suspected(), "its time is over");
     assert!(!replica.has_crashed(), "it may have started again");
     assert_eq!(replica.load(), 1, "its word on its load is old");
@@ -72,7 +72,7 @@
     let _turn = one_at_a_time().await;
     let (_set, replica) = one_replica();
     replica.note_progress();
-    harrierward_clock::imagine_suspension(SUSPENSION);
+    harrierward_clock::simulate_suspension(SUSPENSION);
     assert_eq!(replica.time_since_progress(), Duration::ZERO);
     tokio::time::advance(Duration::from_millis(300)).await;
     assert_eq!(replica.time_since_progress(), Duration::from_millis(300));
@@ -85,6 +85,6 @@
     let (set, _replica) = one_replica();
     listed(&set, &[]);
     assert_eq!(set.view().usable(SERVICE).len(), 1);
-    harrierward_clock::imagine_suspension(SUSPENSION);
+    harrierward_clock::simulate_suspension(SUSPENSION);
     assert_eq!(set.view().usable(SERVICE).len(), 0);
 }
