--- a/crates/api/src/errors.rs
+++ b/crates/api/src/errors.rs
@@ -7,7 +7,7 @@
 use axum::http::{HeaderValue, StatusCode, Uri};
 use axum::response::{IntoResponse, Response};
 use harrierward_batch::BatchError;
-use harrierward_execution::{Execution, FinalAnswer};
+use harrierward_execution::{Execution, FinalResponse};
 use harrierward_external::{PlatformError, PlatformErrorKind};
 use harrierward_gateway::{GatewayError, SpecError};
 use serde::Serialize;
@@ -34,7 +34,7 @@
 /// An error answer: its status and pause have been derived from what is known of the execution.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ApiError {
-    answer: FinalAnswer,
+    answer: FinalResponse,
     body: ErrorBody,
 }
 
@@ -52,12 +52,12 @@
     /// An error of a request that certainly did not run.
     pub fn new(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         let execution = Execution::NotRun;
-        let answer = FinalAnswer::of(execution, status.as_u16(), None);
+        let answer = FinalResponse::of(execution, status.as_u16(), None);
         Self::with(answer, execution, code, message)
     }
 
     fn with(
-        answer: FinalAnswer,
+        answer: FinalResponse,
         execution: Execution,
         code: &'static str,
         message: impl Into<String>,
@@ -92,7 +92,7 @@
     /// What was asked for may have been done, or may yet be.
     pub fn in_doubt(code: &'static str, message: impl Into<String>) -> Self {
         let execution = Execution::Unknown;
-        let answer = FinalAnswer::of(execution, StatusCode::GATEWAY_TIMEOUT.as_u16(), None);
+        let answer = FinalResponse::of(execution, StatusCode::GATEWAY_TIMEOUT.as_u16(), None);
         Self::with(answer, execution, code, message)
     }
 
@@ -108,7 +108,7 @@
             _ => STORE_RETRY,
         };
         let status = StatusCode::SERVICE_UNAVAILABLE.as_u16();
-        let answer = FinalAnswer::of(execution, status, Some(wait));
+        let answer = FinalResponse::of(execution, status, Some(wait));
         Self::with(answer, execution, "store_unavailable", message)
     }
 }
@@ -116,7 +116,7 @@
 /// When a caller whose call the store did not take may come back.
 const STORE_RETRY: Duration = Duration::from_secs(1);
 
-fn status_of(answer: FinalAnswer) -> StatusCode {
+fn status_of(answer: FinalResponse) -> StatusCode {
     StatusCode::from_u16(answer.status()).unwrap_or(StatusCode::BAD_GATEWAY)
 }
 
--- a/crates/execution/src/lib.rs
+++ b/crates/execution/src/lib.rs
@@ -1,25 +1,24 @@
-//! What is known of a request's execution, and which final answer that knowledge allows.
+//! What is known of a request's execution, and which final response that knowledge allows.
 //!
-//! Why a crate of its own: two interfaces answer callers, and callers trust the status alone. Ordinary clients send a request
-//! again after a 503 or where `Retry-After` stands, whatever the body says, so neither may be built for a request that a
-//! replica may have begun.
+//! Clients retry after a 503 or a `Retry-After` header whatever the body says, so neither may be sent for a request that a
+//! replica may have begun. Both HTTP interfaces build their final responses here.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What is known of a request's execution. It travels with the request and only moves towards `Ran`.
+/// What is known of a request's execution, over all its attempts. Ordered by certainty that it ran.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Execution {
-    /// No byte of it can have reached a replica, or each replica that was reached said that it did not run it.
+    /// No byte of it can have reached a replica, or each replica that it reached reported that it did not run it.
     #[default]
     NotRun,
     /// A replica may have begun it.
     Unknown,
-    /// A replica ran it, wholly or in part.
+    /// A replica ran it, fully or in part.
     Ran,
 }
 
@@ -38,30 +37,30 @@
         self == Self::NotRun
     }
 
-    /// Adds what one more attempt has shown. What was learnt before is never taken back.
-    pub fn learn(&mut self, more: Self) {
-        *self = (*self).max(more);
+    /// Merges the outcome of another attempt; the value never moves back towards [`Execution::NotRun`].
+    pub fn merge(&mut self, attempt: Self) {
+        *self = (*self).max(attempt);
     }
 }
 
-/// True for the statuses by which a caller learns that its request has not run and never will.
-pub fn promises_not_run(status: u16) -> bool {
+/// True for the statuses that clients take as a guarantee that the request has not run and never will.
+pub fn implies_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
-/// Status in place of one that promises too much: an upstream failure, of which clients conclude nothing.
-const NO_PROMISE: u16 = 502;
+/// Bad Gateway: replaces a status that implies "not run", and implies nothing about the execution.
+const NEUTRAL_STATUS: u16 = 502;
 
-/// Status and pause of a final answer.
+/// Status and `Retry-After` of the last response to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FinalAnswer {
+pub struct FinalResponse {
     status: u16,
     retry_after: Option<Duration>,
 }
 
-impl FinalAnswer {
-    /// The answer to a request of which this is known. A status that promises "not run", and the invitation to come back, need
-    /// a request that certainly has not run.
+impl FinalResponse {
+    /// Returns the response for a request with this execution. A status that implies "not run", and `Retry-After`, are kept
+    /// only if the request certainly has not run.
     pub fn of(execution: Execution, status: u16, retry_after: Option<Duration>) -> Self {
         if execution.is_not_run() {
             return Self {
@@ -70,8 +69,8 @@
             };
         }
         Self {
-            status: if promises_not_run(status) {
-                NO_PROMISE
+            status: if implies_not_run(status) {
+                NEUTRAL_STATUS
             } else {
                 status
             },
@@ -79,9 +78,13 @@
         }
     }
 
-    /// The answer to a resend that came under a key: sending it again under that key runs nothing twice, so its caller may be
-    /// invited to, whatever is known of the execution.
-    pub fn under_key(execution: Execution, status: u16, retry_after: Option<Duration>) -> Self {
+    /// Returns the response to a resend under an idempotency key. Another resend runs nothing twice, so `Retry-After` is kept
+    /// whatever is known of the execution.
+    pub fn for_idempotent_retry(
+        execution: Execution,
+        status: u16,
+        retry_after: Option<Duration>,
+    ) -> Self {
         Self {
             retry_after,
             ..Self::of(execution, status, None)
@@ -93,7 +96,7 @@
         self.status
     }
 
-    /// When to come back.
+    /// Time after which the caller may retry; `None` if it is not invited to.
     pub fn retry_after(self) -> Option<Duration> {
         self.retry_after
     }
--- a/crates/execution/tests/final_response.rs
+++ b/crates/execution/tests/final_response.rs
@@ -1,8 +1,8 @@
-//! No sequence of what is learnt of a request leads to a promise that is not true.
+//! A final response must not imply that a request has not run when one of its attempts may have run it.
 
 use std::time::Duration;
 
-use harrierward_execution::{Execution, FinalAnswer, promises_not_run};
+use harrierward_execution::{Execution, FinalResponse, implies_not_run};
 use proptest::prelude::*;
 
 fn any_execution() -> impl Strategy<Value = Execution> {
@@ -15,30 +15,30 @@
 
 proptest! {
     #[test]
-    fn a_promise_needs_attempts_none_of_which_may_have_run(
-        learnt in prop::collection::vec(any_execution(), 0..6),
+    fn not_run_is_implied_only_if_no_attempt_may_have_run(
+        attempts in prop::collection::vec(any_execution(), 0..6),
         status in prop_oneof![Just(503_u16), Just(429), Just(408), Just(421), Just(404), Just(409), 400_u16..600],
         keyed in any::<bool>(),
     ) {
         let mut execution = Execution::default();
         let mut before = execution;
-        for more in &learnt {
-            execution.learn(*more);
+        for attempt in &attempts {
+            execution.merge(*attempt);
             prop_assert!(execution >= before);
             before = execution;
         }
-        let pause = Some(Duration::from_secs(1));
-        let answer = if keyed {
-            FinalAnswer::under_key(execution, status, pause)
+        let retry_after = Some(Duration::from_secs(1));
+        let response = if keyed {
+            FinalResponse::for_idempotent_retry(execution, status, retry_after)
         } else {
-            FinalAnswer::of(execution, status, pause)
+            FinalResponse::of(execution, status, retry_after)
         };
-        let has_not_run = learnt.iter().all(|one| one.is_not_run());
+        let has_not_run = attempts.iter().all(|attempt| attempt.is_not_run());
         if has_not_run {
-            prop_assert_eq!((answer.status(), answer.retry_after()), (status, pause));
+            prop_assert_eq!((response.status(), response.retry_after()), (status, retry_after));
         } else {
-            prop_assert!(!promises_not_run(answer.status()));
-            prop_assert_eq!(answer.retry_after().is_some(), keyed);
+            prop_assert!(!implies_not_run(response.status()));
+            prop_assert_eq!(response.retry_after().is_some(), keyed);
         }
     }
 }
--- a/crates/gateway/src/errors.rs
+++ b/crates/gateway/src/errors.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use harrierward_execution::{Execution, FinalAnswer};
+use harrierward_execution::{Execution, FinalResponse};
 
 /// Why a request was refused or its answer broke off. Status and pause follow from what is known of the execution.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
@@ -60,7 +60,7 @@
 
     /// Adds what is known of the execution.
     pub fn learn(mut self, more: Execution) -> Self {
-        self.execution.learn(more);
+        self.execution.merge(more);
         self
     }
 
@@ -82,11 +82,11 @@
     }
 
     /// Status and pause for the caller.
-    pub fn answer(&self) -> FinalAnswer {
+    pub fn answer(&self) -> FinalResponse {
         let answer = if self.is_under_key {
-            FinalAnswer::under_key
+            FinalResponse::for_idempotent_retry
         } else {
-            FinalAnswer::of
+            FinalResponse::of
         };
         answer(self.execution, self.status, self.retry_after)
     }
--- a/crates/gateway/src/gateway/dispatch.rs
+++ b/crates/gateway/src/gateway/dispatch.rs
@@ -50,7 +50,7 @@
                 EngineError::NotRun { .. } | EngineError::Fenced { .. }
             );
             if !not_run {
-                execution.learn(Execution::Unknown);
+                execution.merge(Execution::Unknown);
             }
             self.penalize(&replica);
             log::debug!("{PREFIX} {error}");
--- a/crates/serving/src/forwarder.rs
+++ b/crates/serving/src/forwarder.rs
@@ -6,7 +6,7 @@
 use arc_swap::ArcSwapOption;
 use futures::StreamExt;
 use harrierward_decisions::{DecisionLog, Record};
-use harrierward_execution::{Execution, promises_not_run};
+use harrierward_execution::{Execution, implies_not_run};
 use harrierward_quarantine::{ContentId, ContentStatus, QuarantinePeriod};
 use tokio::time::Instant;
 
@@ -275,13 +275,13 @@
             state.tried.extend(replica);
             let failure = match result {
                 Ok(attempt) if self.should_retry(&attempt, &state) => {
-                    state.execution.learn(Execution::Ran);
+                    state.execution.merge(Execution::Ran);
                     continue;
                 }
                 Ok(attempt) => return respond(self, state, attempt),
                 Err(failure) => failure,
             };
-            state.execution.learn(failure.execution());
+            state.execution.merge(failure.execution());
             match failure {
                 AttemptFailure::RetryLater { after } => {
                     let cause = RefusalCause::Overloaded;
@@ -377,9 +377,9 @@
     mut state: RequestState,
     attempt: Attempt,
 ) -> Result<CallerResponse, Refusal> {
-    state.execution.learn(Execution::Ran);
+    state.execution.merge(Execution::Ran);
     let status = attempt.response.status;
-    if promises_not_run(status) {
+    if implies_not_run(status) {
         // The status would promise that the request did not run, which the replica did not state.
         return Err(Refusal::new(RefusalCause::Broken, state.execution, None));
     }
--- a/crates/serving/src/response.rs
+++ b/crates/serving/src/response.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use futures::stream::BoxStream;
-use harrierward_execution::{Execution, FinalAnswer};
+use harrierward_execution::{Execution, FinalResponse};
 use http::HeaderMap;
 
 use crate::relay::ResponseAborted;
@@ -126,7 +126,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     cause: RefusalCause,
-    response: FinalAnswer,
+    response: FinalResponse,
 }
 
 impl Refusal {
@@ -135,7 +135,7 @@
         let cause = cause.after(execution);
         Self {
             cause,
-            response: FinalAnswer::of(execution, cause.status(), retry_after),
+            response: FinalResponse::of(execution, cause.status(), retry_after),
         }
     }
 
