--- a/crates/decisions/src/console.rs
+++ b/crates/decisions/src/console.rs
@@ -1,7 +1,7 @@
-//! Lines on their way to standard output or error, which may take none for as long as it likes.
+//! A log appender for standard output or error that never blocks its caller.
 //!
-//! Why a thread of its own: where the output is a pipe that nobody reads, a write waits without a bound. On a runtime's
-//! thread that would stop the whole daemon (with a pipe of 64 kB after some hundred lines).
+//! A write to a pipe that nobody reads blocks without a bound, so a separate thread writes: a thread of the async
+//! runtime must not block.
 
 use std::fmt::{Debug, Formatter};
 use std::io::Write;
@@ -14,19 +14,19 @@
 use log4rs::encode::Encode;
 use log4rs::encode::writer::simple::SimpleWriter;
 
-/// Bytes that may wait for the output; lines beyond are dropped and counted.
-const MOST_WAITING_BYTES: usize = 256 << 10;
+/// Bytes queued for the output; lines beyond are dropped and counted.
+const MAX_QUEUED_BYTES: usize = 256 << 10;
 
-/// Longest time for which the end of a program waits for its last lines.
-const LONGEST_FLUSH: Duration = Duration::from_millis(200);
+/// Maximum time that a flush waits for queued lines to be written.
+const MAX_FLUSH_WAIT: Duration = Duration::from_millis(200);
 
-/// Pause between looks whether the last lines are written.
-const FLUSH_LOOK: Duration = Duration::from_millis(2);
+/// Interval at which a flush checks whether all lines are written.
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Stack of the writing thread, bytes: it only copies.
+/// Stack of the writer thread, bytes; it only copies buffers.
 const STACK_BYTES: usize = 64 << 10;
 
-/// Where lines go.
+/// Standard stream that lines are written to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConsoleStream {
     /// Standard output.
@@ -49,25 +49,25 @@
     stream.flush()
 }
 
-/// Makes the line that tells of so many dropped lines, line end included.
+/// Formats the line that reports a number of dropped lines, line end included.
 pub type DroppedLine = fn(u64) -> String;
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct QueueState {
     bytes: AtomicUsize,
     dropped_lines: AtomicU64,
 }
 
-/// An appender that never waits for its output: what that does not take in time is dropped and counted.
-pub struct DetachedConsole {
+/// An appender that never waits for its output: lines beyond a bounded queue are dropped and counted.
+pub struct NonBlockingConsole {
     encoder: Box<dyn Encode>,
     dropped_line: DroppedLine,
-    waiting: Arc<Waiting>,
+    queue: Arc<QueueState>,
     sender: Sender<Vec<u8>>,
 }
 
-impl DetachedConsole {
-    /// An appender with a thread of its own that writes to `stream`.
+impl NonBlockingConsole {
+    /// Starts the writer thread and returns its appender.
     ///
     /// # Errors
     /// The thread cannot be started.
@@ -76,9 +76,9 @@
         encoder: Box<dyn Encode>,
         dropped_line: DroppedLine,
     ) -> std::io::Result<Self> {
-        let waiting = Arc::new(Waiting::default());
+        let queue = Arc::new(QueueState::default());
         let (sender, receiver) = channel();
-        let shared = waiting.clone();
+        let shared = queue.clone();
         std::thread::Builder::new()
             .name("log".to_owned())
             .stack_size(STACK_BYTES)
@@ -86,22 +86,23 @@
         Ok(Self {
             encoder,
             dropped_line,
-            waiting,
+            queue,
             sender,
         })
     }
 
-    /// What goes out for encoded lines: with word of those dropped before, or nothing if they are dropped too.
+    /// Returns the bytes to queue, with a report of lines dropped before; `None` if the queue is full and these are
+    /// dropped.
     fn admit(&self, mut lines: Vec<u8>) -> Option<Vec<u8>> {
-        let waiting = self.waiting.bytes.load(Ordering::Acquire);
-        if waiting + lines.len() > MOST_WAITING_BYTES {
+        let queued = self.queue.bytes.load(Ordering::Acquire);
+        if queued + lines.len() > MAX_QUEUED_BYTES {
             let dropped = lines.iter().filter(|byte| **byte == b'\n').count();
-            self.waiting
+            self.queue
                 .dropped_lines
                 .fetch_add(dropped as u64, Ordering::Relaxed);
             return None;
         }
-        let dropped = self.waiting.dropped_lines.swap(0, Ordering::Relaxed);
+        let dropped = self.queue.dropped_lines.swap(0, Ordering::Relaxed);
         if dropped > 0 {
             lines.splice(0..0, (self.dropped_line)(dropped).into_bytes());
         }
@@ -109,48 +110,48 @@
     }
 }
 
-impl Debug for DetachedConsole {
+impl Debug for NonBlockingConsole {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
         formatter
-            .debug_struct("DetachedConsole")
-            .field("waiting", &self.waiting)
+            .debug_struct("NonBlockingConsole")
+            .field("queue", &self.queue)
             .finish_non_exhaustive()
     }
 }
 
-impl Append for DetachedConsole {
+impl Append for NonBlockingConsole {
     fn append(&self, record: &log::Record) -> anyhow::Result<()> {
         let mut writer = SimpleWriter(Vec::new());
         self.encoder.encode(&mut writer, record)?;
         if let Some(lines) = self.admit(writer.0) {
-            self.waiting.bytes.fetch_add(lines.len(), Ordering::AcqRel);
+            self.queue.bytes.fetch_add(lines.len(), Ordering::AcqRel);
             self.sender.send(lines)?;
         }
         Ok(())
     }
 
-    /// Waits a bounded time until what is held is written.
+    /// Waits until all queued lines are written, at most [`MAX_FLUSH_WAIT`].
     fn flush(&self) {
-        let until = Instant::now() + LONGEST_FLUSH;
-        while self.waiting.bytes.load(Ordering::Acquire) > 0 && Instant::now() < until {
-            std::thread::sleep(FLUSH_LOOK);
+        let deadline = Instant::now() + MAX_FLUSH_WAIT;
+        while self.queue.bytes.load(Ordering::Acquire) > 0 && Instant::now() < deadline {
+            std::thread::sleep(FLUSH_POLL_INTERVAL);
         }
     }
 }
 
 fn write_lines(
     receiver: &Receiver<Vec<u8>>,
-    waiting: &Waiting,
+    queue: &QueueState,
     mut write: impl FnMut(&[u8]) -> std::io::Result<()>,
 ) {
     for lines in receiver {
         if write(&lines).is_err() {
-            // The output is gone, and there is nothing else to say it on: the figure tells if it comes back.
-            let lost = lines.iter().filter(|byte| **byte == b'\n').count();
-            waiting
+            // There is no other output for the error; the count is reported once writes succeed again.
+            let dropped = lines.iter().filter(|byte| **byte == b'\n').count();
+            queue
                 .dropped_lines
-                .fetch_add(lost as u64, Ordering::Relaxed);
+                .fetch_add(dropped as u64, Ordering::Relaxed);
         }
-        waiting.bytes.fetch_sub(lines.len(), Ordering::AcqRel);
+        queue.bytes.fetch_sub(lines.len(), Ordering::AcqRel);
     }
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,8 +1,7 @@
-//! The decision log: one structured line for each decision that touches a request or changes what a process
-//! believes.
+//! The decision log: one structured line for each decision about a request or change of what a process knows.
 //!
-//! Why its own crate: on-call engineers have only logs and metrics, so the records are typed, stand in one place,
-//! and are written off the request path through a bounded queue that drops (and counts) rather than waits.
+//! Records are typed and written off the request path through a bounded queue, which drops and counts lines rather
+//! than block.
 
 mod console;
 mod metrics;
@@ -10,7 +9,7 @@
 mod record;
 mod space_metrics;
 
-pub use console::{ConsoleStream, DetachedConsole, DroppedLine};
+pub use console::{ConsoleStream, DroppedLine, NonBlockingConsole};
 pub use metrics::DecisionMetrics;
 pub use queue::{DECISION_TARGET, DecisionLog, LogBounds, dropped_record};
 pub use record::{Importance, Record};
--- a/crates/decisions/src/metrics.rs
+++ b/crates/decisions/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of the decisions: counted all, also where their lines are sampled or dropped.
+//! Metrics of the decisions. Every decision counts, also where its line is sampled or dropped.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,10 +11,10 @@
 use crate::record::Record;
 use crate::space_metrics::SpaceMetrics;
 
-/// Bounds of the latency buckets, seconds.
-const SECONDS: [f64; 11] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
+/// Upper bounds of the latency buckets, seconds.
+const LATENCY_BUCKETS: [f64; 11] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
 
-/// Counters and histograms of one process.
+/// Counters, gauges and histograms of one process.
 #[derive(Debug, Clone)]
 pub struct DecisionMetrics {
     registry: Registry,
@@ -53,17 +53,17 @@
     tenants: Arc<Mutex<BTreeSet<String>>>,
 }
 
-/// Most tenants that are counted by name; the others share one label, so that figures stay bounded.
-const MOST_TENANTS: usize = 256;
+/// Tenants with a label of their own; the others share one, so that the cardinality stays bounded.
+const MAX_LABELLED_TENANTS: usize = 256;
 
-/// Label of the tenants beyond those.
+/// Label shared by all further tenants.
 const OTHER_TENANTS: &str = "(other)";
 
-/// Outcomes of runs that are counted by name; all others are causes in words.
+/// Outcomes of runs with a label of their own; all others are free-text causes.
 const RUN_OUTCOMES: [&str; 4] = ["finished", "failed", "impossible", "yielded to online"];
 
 impl DecisionMetrics {
-    /// Registers the metrics in a registry of their own.
+    /// Registers the metrics in a registry of their own; fails if two have one name.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, label: &str| {
@@ -77,7 +77,7 @@
             Ok::<_, prometheus::Error>(gauge)
         };
         let histogram = |name: &str, help: &str| {
-            let options = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
+            let options = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS.to_vec());
             let histogram = Histogram::with_opts(options)?;
             registry.register(Box::new(histogram.clone()))?;
             Ok::<_, prometheus::Error>(histogram)
@@ -224,13 +224,13 @@
         })
     }
 
-    /// The label of a tenant; tenants that come after very many others have none of their own.
+    /// Returns the label of a tenant: its name, or the shared label beyond the bound.
     fn tenant_label<'a>(&self, tenant: &'a str) -> &'a str {
         let mut tenants = self.tenants.lock().unwrap_or_else(PoisonError::into_inner);
         if tenants.contains(tenant) {
             return tenant;
         }
-        if tenants.len() >= MOST_TENANTS {
+        if tenants.len() >= MAX_LABELLED_TENANTS {
             return OTHER_TENANTS;
         }
         tenants.insert(tenant.to_owned());
@@ -242,7 +242,7 @@
         self.replicas_ejected.set(ejected);
     }
 
-    /// Counts a decision.
+    /// Updates the metrics by one decision.
     pub fn observe(&self, record: &Record<'_>) {
         match record {
             Record::Ended {
@@ -375,16 +375,16 @@
         }
     }
 
-    /// All figures in Prometheus' text form.
+    /// Returns all metrics in Prometheus' text format.
     pub fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
-        // A figure that cannot be encoded must not hide the others.
+        // A metric that cannot be encoded must not hide the others.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
 }
 
-/// A figure by zone; the zones of which anything is kept are bounded.
+/// Registers a gauge by zone.
 fn zone_gauge(
     registry: &Registry,
     name: &str,
--- a/crates/decisions/src/queue.rs
+++ b/crates/decisions/src/queue.rs
@@ -1,4 +1,4 @@
-//! The bounded writer.
+//! The bounded queue of log lines, and the task that writes them.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -12,32 +12,32 @@
 use crate::metrics::DecisionMetrics;
 use crate::record::{Importance, Record};
 
-/// Bounds of the log.
+/// Limits of the decision log.
 #[derive(Debug, Clone, Copy)]
 pub struct LogBounds {
-    /// Ordinary lines written a second at most.
-    pub ordinary_a_second: u32,
-    /// Bytes held before lines are dropped.
+    /// Maximum number of ordinary lines per second.
+    pub ordinary_per_second: u32,
+    /// Bytes queued before lines are dropped.
     pub queue_bytes: usize,
-    /// Pause between writes, in which lines gather.
-    pub flush_every: Duration,
+    /// Pause between writes, in which lines are batched.
+    pub flush_interval: Duration,
 }
 
 impl Default for LogBounds {
     fn default() -> Self {
         Self {
-            ordinary_a_second: 50,
+            ordinary_per_second: 50,
             queue_bytes: 256 << 10,
-            flush_every: Duration::from_millis(100),
+            flush_interval: Duration::from_millis(100),
         }
     }
 }
 
-/// Target under which lines reach the logging library; its pattern must add nothing, not even a line end.
+/// Log target of the lines; its pattern must add nothing, not even a line end.
 pub const DECISION_TARGET: &str = "decisions";
 
-/// Share of the queue that ordinary lines and changes may fill; the rest is kept for failures.
-const ORDINARY_SHARE: usize = 2;
+/// Divisor of the queue size for ordinary records and changes; the rest is reserved for failures.
+const ORDINARY_QUEUE_DIVISOR: usize = 2;
 
 #[derive(Serialize)]
 struct Line<'a> {
@@ -49,8 +49,8 @@
 #[derive(Debug)]
 struct Queue {
     bytes: Vec<u8>,
-    second: Instant,
-    ordinary: u32,
+    second_began: Instant,
+    ordinary_in_second: u32,
 }
 
 #[derive(Debug)]
@@ -58,38 +58,38 @@
     bounds: LogBounds,
     metrics: Option<DecisionMetrics>,
     queue: Mutex<Queue>,
-    dropped: AtomicU64,
-    filled: Notify,
+    dropped_lines: AtomicU64,
+    not_empty: Notify,
 }
 
-/// The log of one process; cheap to clone. Never blocks.
+/// Handle to the decision log of one process; cheap to clone. Recording never blocks.
 #[derive(Debug, Clone)]
 pub struct DecisionLog {
     inner: Arc<Inner>,
 }
 
 impl DecisionLog {
-    /// A log with these bounds. Nothing is written until [`DecisionLog::run`] is driven.
+    /// Returns an empty log. Nothing is written until [`DecisionLog::run`] is polled or [`DecisionLog::flush`] called.
     pub fn new(bounds: LogBounds) -> Self {
         let queue = Queue {
             bytes: Vec::new(),
-            second: Instant::now(),
-            ordinary: 0,
+            second_began: Instant::now(),
+            ordinary_in_second: 0,
         };
         let inner = Inner {
             bounds,
-            // Registration fails only if two figures have one name, which a test rules out.
+            // Registration fails only if two metrics have one name, which a test rules out.
             metrics: DecisionMetrics::new().ok(),
             queue: Mutex::new(queue),
-            dropped: AtomicU64::new(0),
-            filled: Notify::new(),
+            dropped_lines: AtomicU64::new(0),
+            not_empty: Notify::new(),
         };
         Self {
             inner: Arc::new(inner),
         }
     }
 
-    /// Records a decision, or drops it and counts that.
+    /// Counts a decision and queues its line; a line that is not admitted is dropped and counted.
     pub fn record(&self, record: &Record<'_>) {
         if let Some(metrics) = &self.inner.metrics {
             metrics.observe(record);
@@ -100,19 +100,19 @@
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner());
         if !self.admits(&mut queue, record.importance()) {
-            self.inner.dropped.fetch_add(1, Ordering::Relaxed);
+            self.inner.dropped_lines.fetch_add(1, Ordering::Relaxed);
             return;
         }
         let was_empty = queue.bytes.is_empty();
         append(&mut queue.bytes, record);
         drop(queue);
         if was_empty {
-            self.inner.filled.notify_one();
+            self.inner.not_empty.notify_one();
         }
     }
 
-    /// Lines that wait to be written.
-    pub fn held_lines(&self) -> usize {
+    /// Returns the number of queued lines.
+    pub fn queued_lines(&self) -> usize {
         let queue = self
             .inner
             .queue
@@ -121,12 +121,12 @@
         queue.bytes.iter().filter(|byte| **byte == b'\n').count()
     }
 
-    /// Lines dropped since the last write.
+    /// Returns the number of lines dropped since the last write.
     pub fn dropped_lines(&self) -> u64 {
-        self.inner.dropped.load(Ordering::Relaxed)
+        self.inner.dropped_lines.load(Ordering::Relaxed)
     }
 
-    /// The figures of all decisions so far, in Prometheus' text form.
+    /// Returns the metrics of all decisions so far, in Prometheus' text format.
     pub fn metrics_text(&self) -> Vec<u8> {
         self.inner
             .metrics
@@ -138,7 +138,9 @@
         let bounds = &self.inner.bounds;
         let limit = match importance {
             Importance::Failure => bounds.queue_bytes,
-            Importance::Ordinary | Importance::Change => bounds.queue_bytes / ORDINARY_SHARE,
+            Importance::Ordinary | Importance::Change => {
+                bounds.queue_bytes / ORDINARY_QUEUE_DIVISOR
+            }
         };
         if queue.bytes.len() >= limit {
             return false;
@@ -146,26 +148,26 @@
         if importance != Importance::Ordinary {
             return true;
         }
-        if queue.second.elapsed() >= Duration::from_secs(1) {
-            queue.second = Instant::now();
-            queue.ordinary = 0;
+        if queue.second_began.elapsed() >= Duration::from_secs(1) {
+            queue.second_began = Instant::now();
+            queue.ordinary_in_second = 0;
         }
-        queue.ordinary += 1;
-        queue.ordinary <= bounds.ordinary_a_second
+        queue.ordinary_in_second += 1;
+        queue.ordinary_in_second <= bounds.ordinary_per_second
     }
 
-    /// Writes lines to standard output for as long as the process runs.
+    /// Writes queued lines for as long as the process runs.
     pub async fn run(self) {
         loop {
-            self.inner.filled.notified().await;
-            sleep(self.inner.bounds.flush_every).await;
+            self.inner.not_empty.notified().await;
+            sleep(self.inner.bounds.flush_interval).await;
             self.flush();
         }
     }
 
-    /// Writes what is held, now.
+    /// Writes all queued lines immediately.
     pub fn flush(&self) {
-        let dropped = self.inner.dropped.swap(0, Ordering::Relaxed);
+        let dropped = self.inner.dropped_lines.swap(0, Ordering::Relaxed);
         let bytes = {
             let mut queue = self
                 .inner
@@ -187,7 +189,7 @@
     }
 }
 
-/// The line that tells of lines that the output did not take.
+/// Returns the line that reports lines dropped by the console, line end included.
 pub fn dropped_record(lines: u64) -> String {
     let mut bytes = Vec::new();
     append(&mut bytes, &Record::LinesDropped { lines });
--- a/crates/decisions/src/record.rs
+++ b/crates/decisions/src/record.rs
@@ -1,50 +1,51 @@
-//! The records.
+//! The typed records of the decision log.
 
 use serde::Serialize;
 
-/// How long a record is kept when lines must be dropped.
+/// Priority by which records are dropped when lines must be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Importance {
-    /// Dropped first: the ordinary course of a request.
+    /// The normal course of a request; dropped first, and limited per second.
     Ordinary,
-    /// A change of what the process believes.
+    /// A change of the process's state or of what it knows.
     Change,
-    /// A request or item that did not go as it should.
+    /// A request or item that failed or was refused; may use the whole queue.
     Failure,
 }
 
-/// One decision. Times and ages are in milliseconds.
+/// One decision. The snake_case name of the variant is the `event` of its line, the fields are its keys. Times and ages
+/// are in milliseconds.
 #[derive(Debug, Clone, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Record<'a> {
     /// The process started.
     Started {
-        /// Member id of this life of the process.
+        /// Member id of this daemon instance.
         member: &'a str,
-        /// Zone.
+        /// Zone that the daemon runs in.
         zone: &'a str,
         /// Version of the program.
         version: &'a str,
-        /// Level of the formats of its rows and messages.
+        /// Format level of the rows and messages that this build writes.
         format: u32,
-        /// Mechanisms of the policy that are switched off; empty in service.
+        /// Policy mechanisms that are switched off; empty in production.
         without: &'a str,
     },
-    /// The process began to stop.
+    /// A planned stop of the process began.
     Stopping {
         /// Requests in progress.
         in_progress: usize,
     },
-    /// Connections of callers cannot be accepted; told once until one is accepted again.
+    /// Connections of callers cannot be accepted; logged once until one is accepted again.
     AcceptFailed {
-        /// Cause.
+        /// Error of the operating system.
         cause: &'a str,
         /// Open connections of callers.
         connections: usize,
     },
-    /// A step of a planned stop is over.
+    /// A step of a planned stop is complete.
     StopStep {
-        /// Step.
+        /// `jobs handed over`, `listener closed` or `requests answered`.
         step: &'a str,
         /// Time since the signal.
         after_ms: u64,
@@ -53,566 +54,567 @@
         /// Open connections of callers.
         connections: usize,
     },
-    /// The process ends.
+    /// The process exits after a planned stop.
     Stopped {
-        /// Requests cut off.
+        /// Requests aborted at the end of the drain period.
         cut_off: usize,
         /// Time since the signal.
         after_ms: u64,
     },
-    /// Settings were read again.
+    /// The settings file was read again on a signal.
     Reloaded {
-        /// What came of it.
+        /// `read`, or the error.
         outcome: &'a str,
     },
-    /// A space of the store is read from elsewhere than before.
+    /// The source from which a space of the store is read has changed.
     SpaceSource {
-        /// Space.
+        /// Name of the space.
         space: &'a str,
         /// `store`, or the id of the peer whose copy is followed.
         source: &'a str,
-        /// The source before; empty if there was none.
+        /// The previous source; empty if there was none.
         before: &'a str,
-        /// Revision of the own copy.
+        /// Revision of this daemon's copy.
         revision: u64,
-        /// Age of its proof; `None` if it has none.
+        /// Age of the copy's freshness proof; `None` without one.
         proof_age_ms: Option<u64>,
     },
-    /// A source of a space did not serve, and is passed over for a while.
+    /// A source of a space failed, and is skipped during its cooldown.
     SpaceSourceFailed {
-        /// Space.
+        /// Name of the space.
         space: &'a str,
         /// `store`, or the id of the peer.
         source: &'a str,
-        /// Why.
+        /// Kind of failure.
         cause: &'a str,
     },
-    /// The copy of a space differs from that of the peer that is followed, and is read whole.
+    /// The copy of a space differs from that of the followed peer at the same revision, and is read in full again.
     CopyDiffers {
-        /// Space.
+        /// Name of the space.
         space: &'a str,
-        /// Revision of both.
+        /// Revision of both copies.
         revision: u64,
     },
-    /// Whether this daemon reads the store by itself, or follows a peer of its zone.
+    /// Whether this daemon reads the store directly or follows a peer of its zone.
     RelayMode {
         /// `direct` or `relayed`.
         mode: &'a str,
-        /// Members of the zone that may be followed.
+        /// Members of the zone that can be followed.
         zone_members: usize,
-        /// It reads the store for its zone.
+        /// True if this daemon reads the store for its zone.
         is_reader: bool,
     },
-    /// A configuration came into force.
+    /// A newer configuration was put in force.
     ConfigurationInForce {
-        /// Version.
+        /// Version given by the operator.
         version: u64,
-        /// Where it came from.
+        /// `store` or `peer`.
         source: &'a str,
-        /// Routes in it.
+        /// Number of its routes.
         routes: usize,
     },
-    /// A replica came, changed its state or went.
+    /// A replica was added, changed its state or was removed.
     ReplicaChanged {
-        /// Replica.
+        /// Replica id.
         replica: &'a str,
-        /// New state.
+        /// New state; `gone` if its row was removed.
         state: &'a str,
-        /// Revision of the row that says so.
+        /// Revision of the row, or of its removal.
         revision: u64,
     },
-    /// A replica's entry cannot be read: it names no replica to use. Told once a second at most.
+    /// A replica's row is malformed and is ignored. Logged at most once per second.
     ReplicaRejected {
-        /// Key of the entry.
+        /// Key of the row.
         entry: &'a str,
         /// Revision of its row.
         revision: u64,
-        /// What of it cannot be read.
+        /// What is malformed in it.
         cause: &'a str,
-        /// Such entries since the start.
+        /// Rows rejected since the process started.
         rejected: u64,
     },
-    /// A zone was taken out of service by an operator, or is back.
+    /// An operator has evacuated a zone or returned it to service.
     ZoneEvacuation {
-        /// Zone.
+        /// Zone name.
         zone: &'a str,
         /// `evacuated`, `returned`, or `ignored`: too many other zones are evacuated.
         state: &'a str,
-        /// Revision of the row that evacuates it.
+        /// Revision of the row that evacuates the zone.
         revision: u64,
-        /// Where this was learned: the store, or a peer's id.
+        /// `store`, or the id of the peer that reported it.
         source: &'a str,
-        /// Age of the proof that this daemon knows the store's newest rows; `None` if it has none.
+        /// Age of the proof that this daemon has the store's newest rows; `None` without one.
         proof_age_ms: Option<u64>,
-        /// Requests of this daemon in progress there.
+        /// Requests of this daemon in progress in the zone.
         running: u32,
-        /// The settings name the zone.
+        /// True if the settings name the zone.
         is_known: bool,
     },
-    /// An exchange was given up after a silence, and the connections kept to the peer since before it were closed.
+    /// An exchange stalled and was aborted; older connections kept to the same peer were closed.
     ConnectionsSilent {
         /// Address of the peer.
         peer: &'a str,
         /// Connections closed besides the exchange's own.
         closed: usize,
-        /// How long nothing came.
+        /// Time without any byte from the peer.
         silent_ms: u64,
     },
-    /// A coordinator granted a slot at a replica that this daemon knows to be out of bounds; the daemon chose itself.
+    /// A coordinator granted a slot at a replica that this daemon must not use; the daemon chose another by itself.
     LeaseOverruled {
-        /// Replica.
+        /// Replica that was granted.
         replica: &'a str,
-        /// What the gate said.
+        /// Why the replica must not be used.
         reason: &'a str,
     },
-    /// Requests of this daemon still in progress in an evacuated zone, whenever their number changes.
+    /// The number of this daemon's requests in progress in an evacuated zone has changed.
     ZoneRunning {
-        /// Zone.
+        /// Zone name.
         zone: &'a str,
-        /// Requests and items.
+        /// Requests and batch items in progress.
         running: u32,
     },
-    /// A daemon that hears nothing from the store asked a peer for the newer configuration there.
+    /// A daemon without contact to the store requested a newer configuration from a peer.
     PeerAsked {
         /// Address of the peer.
         peer: &'a str,
-        /// Version of the configuration that the peer has.
+        /// Version of the configuration that the peer announced.
         version: u64,
-        /// What came of it.
+        /// `answered` or `no answer`.
         outcome: &'a str,
     },
-    /// A replica is avoided for a while.
+    /// A replica is avoided for a while after failed attempts.
     ReplicaSuspected {
-        /// Replica.
+        /// Replica id.
         replica: &'a str,
         /// Cause.
         cause: &'a str,
     },
-    /// A replica has ended while requests of this daemon were in progress there.
+    /// A replica crashed while requests of this daemon were in progress there.
     ReplicaEnded {
-        /// Replica.
+        /// Replica id.
         replica: &'a str,
-        /// How that is known: `refused` (nobody listens at its address), `gone` (its entry went), `peer` (another daemon says so).
+        /// `refused` (connections to its address are refused), `gone` (its row was removed) or `peer` (another daemon
+        /// reported it).
         known_by: &'a str,
-        /// Contents of this daemon that were there.
+        /// Contents that this daemon had in progress there.
         contents: usize,
         /// Time since the first connection broke.
         after_ms: u64,
     },
-    /// A content is held back, or no longer, since replicas ended under it.
+    /// A content was quarantined because replicas crashed under it, or was released.
     ContentHeld {
         /// Digest of path, caller and body.
         content: &'a str,
-        /// `held`, `released` (by an operator), `cleared` (it came to a whole answer, or another one is to blame).
+        /// `held` (quarantined), `released` (by an operator) or `cleared` (it completed, or another content is the
+        /// cause).
         outcome: &'a str,
-        /// Replicas that ended under it.
+        /// Replicas that crashed under it.
         ends: usize,
-        /// Time since the first of these ends.
+        /// Time since the first of these crashes.
         since_ms: u64,
-        /// How much longer it is held back.
+        /// Remaining time of the quarantine.
         hold_ms: u64,
-        /// Contents held back now.
+        /// Contents in quarantine now.
         held: usize,
     },
-    /// The machine was suspended: ages of proofs, grants and deadlines count that time.
+    /// The machine was suspended; ages of proofs, grants and deadlines include that time.
     Suspended {
-        /// For how long.
+        /// Length of the suspension.
         suspended_ms: u64,
     },
-    /// A dependency was lost.
+    /// Contact to a dependency was lost.
     DependencyLost {
-        /// Name.
+        /// `store`, or the kind of peer that is unresponsive.
         dependency: &'a str,
-        /// Cause.
+        /// Error, or the id of the peer.
         cause: &'a str,
     },
-    /// A dependency is back.
+    /// Contact to a dependency is restored.
     DependencyRegained {
-        /// Name.
+        /// Same as in the record of its loss.
         dependency: &'a str,
-        /// How long it was away.
+        /// Time without contact.
         away_ms: u64,
     },
-    /// The replicas were read for the first time; later changes are told one by one.
+    /// The replicas were read for the first time; later changes are logged one by one.
     ReplicasRead {
-        /// Replicas that take new work.
+        /// Replicas that accept new work.
         ready: usize,
-        /// Replicas that leave.
+        /// Replicas that drain.
         draining: usize,
-        /// Who told of them.
+        /// Where the rows came from.
         source: &'a str,
     },
-    /// A daemon without configuration or replicas asked some peers for theirs.
+    /// A daemon without configuration or replicas requested them from some peers.
     PeersAsked {
         /// Peers that could be asked.
         peers: usize,
-        /// Replicas that the answer names.
+        /// Replicas in the reply.
         replicas: usize,
-        /// Time since the first question, milliseconds.
+        /// Time since the first request.
         after_ms: u64,
         /// `rows`, or `none`.
         outcome: &'a str,
     },
-    /// The members that this process believes alive changed.
+    /// The set of members that this daemon considers alive has changed.
     MembersChanged {
-        /// Members alive.
+        /// Members alive, this one included.
         alive: usize,
-        /// Members that were not there before.
+        /// Members added since the last such record.
         joined: usize,
-        /// Members that are not there any more.
+        /// Members removed since the last such record.
         gone: usize,
-        /// Digest of the view: daemons that print the same one believe in the same members.
+        /// Digest of the view: daemons that log the same digest have the same members.
         view: u64,
     },
-    /// A peer sent whole buckets of its view, since this daemon's differed.
+    /// A peer sent full buckets of its view because this daemon's view differed.
     ViewSynced {
-        /// Peer.
+        /// Member id.
         peer: &'a str,
-        /// Records that it sent.
+        /// Member records received.
         records: usize,
         /// Members in the peer's view.
         peer_members: u32,
     },
-    /// A request whose objective had passed when it came was placed, after those that could still be in time.
+    /// A request whose objective had passed on arrival was placed, after those that could still be in time.
     OverduePlaced {
-        /// Request.
+        /// Request id.
         request: &'a str,
-        /// How long it waited for slots that others left.
+        /// Time it waited for a slot.
         waited_ms: u64,
     },
     /// A request was sent to a replica.
     Sent {
-        /// Request.
+        /// Request id.
         request: &'a str,
-        /// Digest of its path, caller and body: the same however often it comes.
+        /// Digest of its path, caller and body; the same for each repetition.
         content: &'a str,
-        /// Route.
+        /// Route name.
         route: &'a str,
-        /// Replica.
+        /// Replica id.
         replica: &'a str,
-        /// Who chose it: the coordinator of its places, or this daemon by what it knows itself.
+        /// Whether the coordinator or this daemon, by its own counts, chose the replica.
         chosen_by: &'a str,
-        /// Region in which the replica is.
+        /// Region of the replica.
         region: &'a str,
-        /// Why it is not the region of this daemon; absent if it is.
+        /// Why that is not the region of this daemon; absent if it is.
         #[serde(skip_serializing_if = "Option::is_none")]
         left_region: Option<&'a str>,
-        /// Requests at the replica, as the chooser counted them.
+        /// Requests at the replica, as counted by whoever chose it.
         load: u32,
-        /// Requests that the replica works on at once.
+        /// Requests that the replica runs concurrently.
         slots: u32,
-        /// Slots that online requests could still take at the replicas looked at, in thousandths of all their slots.
+        /// Slots free for online requests at the candidate replicas, in thousandths of all their slots.
         free_permille: u32,
-        /// Age of the peers' counts at the replica as this daemon knows them; absent if none is known.
+        /// Age of the peers' request counts at the replica; absent if none is known.
         #[serde(skip_serializing_if = "Option::is_none")]
         peers_age_ms: Option<u64>,
-        /// Age of the replica's last report; absent if none is known.
+        /// Age of the replica's last load report; absent if none is known.
         #[serde(skip_serializing_if = "Option::is_none")]
         report_age_ms: Option<u64>,
-        /// Prompt tokens believed to be in the replica's memory.
+        /// Prompt tokens estimated to be in the replica's prefix cache.
         cached_tokens: u32,
-        /// Replica from which the prompt's memory is copied.
+        /// Replica from which the prefix cache is transferred; `None` without a transfer.
         copy_from: Option<&'a str>,
         /// Number of the attempt, from 1.
         attempt: u32,
-        /// Last event that the caller has.
+        /// Last event that the caller has received; `None` if the response does not resume.
         resume_after: Option<u64>,
     },
-    /// The coordinator of a replica's places ends an item there for an online request.
+    /// The coordinator of a replica preempted a batch item there for an online request.
     ItemEndOrdered {
-        /// Replica.
+        /// Replica id.
         replica: &'a str,
-        /// Online requests there, the new one among them.
+        /// Online requests at the replica, the new one included.
         online: u32,
-        /// Batch items there.
+        /// Batch items at the replica.
         batch: u32,
-        /// Requests that the replica works on at once.
+        /// Requests that the replica runs concurrently.
         slots: u32,
-        /// How long the item may rest.
+        /// Time for which the item may wait before it must run again.
         slack_ms: u64,
-        /// The item is a peer's.
+        /// True if a peer holds the item's lease.
         of_peer: bool,
     },
-    /// The coordinator of a replica's group took it out of service, tried it, or took it back, by what requests there
-    /// came to.
+    /// The coordinator of a replica's group changed the replica's outlier status by the outcomes of requests there.
     ReplicaStanding {
-        /// Replica.
+        /// Replica id.
         replica: &'a str,
-        /// `ejected`, `spared` (it would be ejected if not too many were out), `probed`, `returned`, `slowed`, `restored`.
+        /// `ejected`, `spared` (not ejected only because too many others are), `probed`, `returned`, `slowed` or
+        /// `restored`.
         outcome: &'static str,
-        /// How long it gets no work.
+        /// Length of the ejection.
         absence_ms: u64,
-        /// Part of its new work that it gets, in thousandths.
+        /// Part of its normal share of new work that it gets, in thousandths.
         share_permille: u32,
-        /// Outcomes there that count.
+        /// Outcomes in the window.
         outcomes: u32,
         /// Failures among them.
         failures: u32,
-        /// Failures in a row up to now.
+        /// Consecutive failures up to now.
         in_a_row: u32,
-        /// Age of the oldest outcome that counts.
+        /// Age of the oldest outcome in the window.
         window_ms: u64,
-        /// Share of failures that is usual among the others of the group, in thousandths.
+        /// Failure rate of the other replicas in the group, in thousandths.
         others_permille: u32,
-        /// Replicas that this daemon keeps out of service now.
+        /// Replicas that this daemon keeps ejected now.
         ejected: u64,
     },
-    /// Replicas that were out are gone, or another daemon coordinates them now.
+    /// Ejected replicas were removed, or another daemon coordinates them now.
     EjectionsDropped {
-        /// So many.
+        /// Ejections dropped.
         dropped: u64,
-        /// Replicas that this daemon keeps out of service now.
+        /// Replicas that this daemon keeps ejected now.
         ejected: u64,
     },
     /// An attempt at a replica failed.
     AttemptFailed {
-        /// Request.
+        /// Request id.
         request: &'a str,
         /// Digest of its path, caller and body.
         content: &'a str,
-        /// Replica.
+        /// Replica id.
         replica: &'a str,
-        /// Cause.
+        /// Kind of failure or the error.
         cause: &'a str,
-        /// The replica certainly did not run it.
+        /// True if the replica certainly did not run the request.
         not_run: bool,
         /// Time since the request arrived.
         after_ms: u64,
     },
-    /// A request ended.
+    /// The response to a request ended.
     Ended {
-        /// Request.
+        /// Request id.
         request: &'a str,
-        /// Status of the answer.
+        /// HTTP status of the response.
         status: u16,
-        /// Outcome in a word.
+        /// `whole` if the response was complete, else why it was cut off.
         outcome: &'a str,
-        /// Attempts made.
+        /// Attempts at replicas.
         attempts: u32,
-        /// Time from the request's arrival to the first bytes of the answer's body; absent if none came.
+        /// Time from the request's arrival to the first byte of the response body; absent without one.
         #[serde(skip_serializing_if = "Option::is_none")]
         first_event_ms: Option<u64>,
         /// Time since the request arrived.
         after_ms: u64,
     },
-    /// A request was refused or given up.
+    /// A request was refused or given up before its response began.
     Refused {
-        /// Request.
+        /// Request id.
         request: &'a str,
-        /// Status of the answer.
+        /// HTTP status of the response.
         status: u16,
-        /// Cause.
+        /// Name of the cause.
         cause: &'a str,
-        /// Tenant, if its key was known.
+        /// Tenant of the key; absent if the key is unknown.
         #[serde(skip_serializing_if = "Option::is_none")]
         tenant: Option<&'a str>,
-        /// Configuration version in force.
+        /// Version of the configuration in force.
         version: u64,
-        /// Time since that was known to be the newest; absent if it never was.
+        /// Time since that version was known to be the newest; absent if it never was.
         #[serde(skip_serializing_if = "Option::is_none")]
         configuration_age_ms: Option<u64>,
-        /// When the caller was told to come back.
+        /// `Retry-After` of the response; absent without one.
         #[serde(skip_serializing_if = "Option::is_none")]
         retry_after_ms: Option<u64>,
         /// Time since the request arrived.
         after_ms: u64,
     },
-    /// A tenant's request was not counted: the tenant is at the limit of its rate, or its coordinator could not be
-    /// asked.
+    /// A tenant's request got no token: the tenant is at its limit, or the rate's coordinator could not be reached.
     RateRefused {
-        /// Request.
+        /// Request id.
         request: &'a str,
-        /// Tenant.
+        /// Tenant name.
         tenant: &'a str,
-        /// Who counts the tenant's requests, as this daemon believes.
+        /// Member that this daemon considers the rate's coordinator.
         coordinator: &'a str,
-        /// What became of the question.
+        /// `at the limit`, `refused before`, or why the coordinator did not grant.
         outcome: &'a str,
-        /// Part of the limit that this daemon would give out as the coordinator, in thousandths: below 1,000 while
-        /// members are missing.
+        /// Part of the limit that this daemon would grant as coordinator, in thousandths; below 1,000 while members are
+        /// missing.
         share_permille: u32,
-        /// Time for which the coordinator was waited for.
+        /// Time spent waiting for the coordinator.
         asked_ms: u64,
     },
-    /// What became of a resend of an at-most-once request.
+    /// A resend of an at-most-once request was decided.
     Resent {
-        /// Tenant.
+        /// Tenant name.
         tenant: &'a str,
         /// Key of the claim's row.
         claim: &'a str,
-        /// Attempt that holds the claim; empty for a stored answer.
+        /// Attempt that holds the claim; empty for a stored response.
         holder: &'a str,
-        /// Time since the holder claimed, by both daemons' clocks; 0 for a stored answer.
+        /// Time since the holder claimed, by both daemons' clocks; 0 for a stored response.
         held_for_ms: u64,
-        /// What the resend was told.
+        /// Kind of response to the resend; `stored` for a stored response.
         outcome: &'a str,
-        /// Time for which it waited for the holder.
+        /// Time it waited for the holder.
         waited_ms: u64,
     },
-    /// The coordinator of a tenant's rate does not answer a daemon, which asked this one, the next in the order.
+    /// A daemon whose rate coordinator is unresponsive requested a token here, at the fallback coordinator.
     RateStoodIn {
-        /// Tenant.
+        /// Tenant name.
         tenant: &'a str,
-        /// The coordinator that is silent to the asker.
+        /// Coordinator that is unresponsive to the requester.
         silent: &'a str,
-        /// Whether a token was given out in its place; "may not": the order changed lately, or this daemon has just
-        /// started; "used up": all that may be given out so was.
+        /// `granted`; `may not`: the members changed recently, or this daemon has just started; `used up`: its share is
+        /// exhausted.
         outcome: &'a str,
-        /// Part of the limit that this daemon may give out, in thousandths.
+        /// Part of the limit that this daemon may grant, in thousandths.
         share_permille: u32,
     },
-    /// This daemon stood still; the tokens of that time, which another one may have given out, are dropped.
+    /// This daemon was paused; tokens accrued in that time, which another one may have granted, are dropped.
     RatesStoodStill {
-        /// For how long it did not run.
+        /// Length of the pause.
         stood_still_ms: u64,
     },
-    /// This daemon began or ceased to coordinate tenants' rates.
+    /// This daemon started or stopped coordinating tenants' rates.
     RatesCoordinated {
-        /// Tenants whose count it dropped, since another member coordinates them now.
+        /// Tenants whose counts it dropped because another member coordinates them now.
         dropped: usize,
-        /// Part of each limit that it gives out, in thousandths.
+        /// Part of each limit that it grants, in thousandths.
         share_permille: u32,
     },
     /// The number of cold replicas in a zone has changed, as this daemon knows them.
     ZoneWarmth {
-        /// Zone.
+        /// Zone name.
         zone: &'a str,
         /// Replicas that are cold.
         cold: usize,
-        /// Those that were before.
+        /// Previous number of cold replicas.
         before: usize,
-        /// Longest time for which one of them stays cold.
+        /// Longest remaining time until one of them is warm.
         longest_ms: u64,
     },
-    /// The replicas asked for were cold and had got what they bear: the request goes to a warm one elsewhere, or waits if
-    /// it is an item.
+    /// The replicas for a request were cold and at their capacity: it goes to a warm replica elsewhere, or waits if it
+    /// is a batch item.
     ColdPassedOver {
-        /// Request.
+        /// Request id.
         request: &'a str,
-        /// Service.
+        /// Service name.
         service: &'a str,
-        /// It is an item of a batch job.
+        /// True for an item of a batch job.
         item: bool,
     },
-    /// As the coordinator of a cold replica, this daemon counted a request for it.
+    /// The coordinator of a cold replica, this daemon, counted a request towards the replica's limited capacity.
     ColdCounted {
-        /// Replica.
+        /// Replica id.
         replica: &'a str,
-        /// Its zone.
+        /// Zone of the replica.
         zone: &'a str,
-        /// How much longer the replica stays cold.
+        /// Remaining time for which the replica is cold.
         cold_ms: u64,
-        /// Part of what the replica bears that this daemon gives out, in thousandths.
+        /// Part of a cold replica's capacity that this daemon grants, in thousandths.
         share_permille: u32,
     },
-    /// As the coordinator of cold replicas, this daemon turned requests away since the last tick: the replicas had got
-    /// what they bear, or this daemon has not coordinated them for long enough.
+    /// Requests refused by this daemon, as the coordinator of cold replicas, since the last tick: the replicas were at
+    /// their capacity, or this daemon has not coordinated them long enough.
     ColdTurnedAway {
-        /// Requests.
+        /// Number of them.
         requests: u32,
-        /// Part of what a replica bears that this daemon gives out, in thousandths.
+        /// Part of a cold replica's capacity that this daemon grants, in thousandths.
         share_permille: u32,
     },
-    /// A configuration was not taken over; what is in force stays so.
+    /// A configuration is invalid and was ignored; the one in force stays.
     ConfigurationRejected {
         /// Revision of the row.
         revision: u64,
-        /// Field and value.
+        /// Invalid field and its value.
         cause: &'a str,
     },
-    /// A batch job was accepted, refused or left in doubt.
+    /// A batch job was accepted or refused, or its commit is indeterminate.
     JobSubmitted {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Outcome.
+        /// `accepted`, `in_doubt` (indeterminate), or the cause of the refusal.
         outcome: &'a str,
-        /// Items.
+        /// Number of its items.
         items: usize,
-        /// Tenant; empty without tenants.
+        /// Tenant that submitted it; empty without tenants.
         tenant: &'a str,
-        /// Tokens of the tenant waiting on the route as this daemon knew them.
+        /// The tenant's tokens waiting on the route, as this daemon knew them.
         waiting_tokens: u64,
-        /// Revision of the commit, 0 if there is none.
+        /// Revision of the commit; 0 without one.
         revision: u64,
     },
     /// This daemon became the coordinator of a route's quota.
     QuotaKept {
-        /// Route.
+        /// Route name.
         route: &'a str,
-        /// Revision of its fence.
+        /// Revision of its fence row.
         fence: u64,
-        /// Jobs with items left, as read after the fence was written.
+        /// Unfinished jobs, as read after the fence was written.
         jobs: usize,
     },
-    /// This daemon became or ceased to be the owner of a job.
+    /// A job's ownership changed at this daemon, or was challenged.
     JobOwnership {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// What happened.
+        /// Kind of change, such as `adopted`, `handed over`, `challenged` or `refuted`.
         outcome: &'a str,
-        /// Epoch of the ownership.
+        /// Epoch of the ownership after the change.
         epoch: u64,
-        /// The owner before; empty if there was none.
+        /// Previous owner; empty if there was none.
         owner_before: &'a str,
-        /// Epoch before.
+        /// Epoch before the change.
         epoch_before: u64,
         /// Why the owner changed; empty where the outcome says it.
         reason: &'a str,
-        /// Daemons that this one held for living owners, itself among them.
+        /// Daemons that this one considers live owners, itself included.
         owners_known: usize,
     },
-    /// Results were listed, or the commit failed.
+    /// Results of a job were listed, or the commit of the listing failed.
     ResultsListed {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// First position.
+        /// First position in the listing.
         position: u32,
-        /// Results.
+        /// Number of results.
         count: usize,
-        /// Outcome.
+        /// `committed`, `job removed`, `not done`, or `in doubt` (indeterminate).
         outcome: &'a str,
     },
-    /// A job was ended by its client.
+    /// A client cancelled a job.
     JobEnded {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Outcome.
+        /// `ended` (cancelled), `missing`, `not_done`, or `in_doubt` (indeterminate).
         outcome: &'a str,
     },
-    /// A job's head was read from the store, and the answer is older than what was known of the store before.
+    /// A read of a job's header returned an older revision of the store than was known before.
     ReadOutdated {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Revision of the answer.
+        /// Store revision of the read.
         revision: u64,
-        /// Newest revision of the store that was known.
+        /// Newest store revision known before.
         newest_revision: u64,
     },
-    /// This daemon's copy of a job's head lists nothing at a position, and cannot say so alone: the store was asked.
+    /// This daemon's copy of a job's header lists nothing at a position and is not proven fresh: the store was read.
     ListingAsked {
-        /// Job, as its reader names it.
+        /// Job id as given by the reader.
         job: &'a str,
         /// Position that was read.
         position: u32,
-        /// Age of the copy's last proof, milliseconds; none if it was never proven.
+        /// Age of the copy's freshness proof; `None` without one.
         proof_age_ms: Option<u64>,
         /// `more`, `nothing`, `missing`, or `unsure`.
         outcome: &'a str,
     },
-    /// A run of an item failed or was given back.
+    /// A run of a batch item finished, failed or was returned.
     ItemRun {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Item.
+        /// Item id.
         item: &'a str,
-        /// Replica.
+        /// Replica id.
         replica: &'a str,
-        /// Outcome.
+        /// `finished`, `failed`, `impossible`, `yielded to online` (preempted), or the cause of an aborted run.
         outcome: &'a str,
-        /// Events received so far.
+        /// Number of the last event received; 0 without one.
         events: u64,
     },
-    /// Lines were dropped.
+    /// Lines of this log were dropped.
     LinesDropped {
         /// Lines dropped since the last such record.
         lines: u64,
@@ -620,7 +622,7 @@
 }
 
 impl Record<'_> {
-    /// How long the record is kept under load.
+    /// Returns the priority of the record when lines must be dropped.
     pub fn importance(&self) -> Importance {
         match self {
             Self::Sent { .. }
--- a/crates/decisions/src/space_metrics.rs
+++ b/crates/decisions/src/space_metrics.rs
@@ -1,10 +1,10 @@
-//! Figures on where a daemon reads the store's spaces.
+//! Metrics on the sources from which a daemon reads the store's spaces.
 
 use prometheus::{IntCounterVec, IntGauge, Opts, Registry};
 
 use crate::record::Record;
 
-/// Counters of sources.
+/// Counters and gauges of sources, by space.
 #[derive(Debug, Clone)]
 pub(crate) struct SpaceMetrics {
     relayed: IntGauge,
@@ -15,7 +15,7 @@
 }
 
 impl SpaceMetrics {
-    /// Registers them.
+    /// Registers the metrics; fails if a name is already taken.
     pub fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let counter = |name: &str, help: &str| {
             let vector = IntCounterVec::new(Opts::new(name, help), &["space"])?;
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Counts a decision.
+    /// Updates the metrics by one decision.
     pub fn observe(&self, record: &Record<'_>) {
         match record {
             Record::RelayMode {
--- a/crates/decisions/tests/log.rs
+++ b/crates/decisions/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log never waits, keeps failures longest, and counts what it does not write.
+//! Recording never blocks, failures are dropped last, and dropped lines are counted.
 
 use harrierward_decisions::{DecisionLog, DecisionMetrics, LogBounds, Record};
 
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn every_figure_has_a_name_of_its_own() {
+fn metric_names_are_unique() {
     assert!(DecisionMetrics::new().is_ok());
 }
 
 #[tokio::test]
-async fn figures_count_all_decisions_though_lines_are_sampled() {
+async fn metrics_count_decisions_whose_lines_are_dropped() {
     let log = DecisionLog::new(LogBounds {
-        ordinary_a_second: 3,
+        ordinary_per_second: 3,
         ..LogBounds::default()
     });
     for _ in 0..20 {
@@ -45,34 +45,34 @@
         text.contains("harrierward_requests_total{outcome=\"whole\"} 20"),
         "{text}"
     );
-    assert_eq!(log.held_lines(), 3);
+    assert_eq!(log.queued_lines(), 3);
     assert_eq!(log.dropped_lines(), 17);
 }
 
 #[tokio::test]
-async fn failures_are_kept_where_ordinary_lines_are_dropped() {
+async fn failures_are_queued_where_ordinary_lines_are_dropped() {
     let log = DecisionLog::new(LogBounds {
-        ordinary_a_second: 1_000,
+        ordinary_per_second: 1_000,
         queue_bytes: 2_000,
         ..LogBounds::default()
     });
     for _ in 0..100 {
         log.record(&ended("a"));
     }
-    let before = log.held_lines();
+    let before = log.queued_lines();
     log.record(&ended("b"));
     assert_eq!(
-        log.held_lines(),
+        log.queued_lines(),
         before,
         "ordinary lines fill half of the queue only"
     );
     log.record(&refused("c"));
-    assert_eq!(log.held_lines(), before + 1);
+    assert_eq!(log.queued_lines(), before + 1);
 }
 
-/// Figures stay bounded however many tenants there are.
+/// The cardinality of metrics stays bounded however many tenants there are.
 #[test]
-fn tenants_beyond_a_bound_are_counted_together() {
+fn tenants_beyond_the_bound_share_a_label() {
     let log = DecisionLog::new(LogBounds::default());
     for number in 0..400 {
         log.record(&Record::RateRefused {
@@ -93,7 +93,7 @@
 }
 
 #[tokio::test]
-async fn cold_replicas_are_shown_by_zone_and_requests_for_them_counted() {
+async fn cold_replicas_are_counted_by_zone_with_their_requests() {
     let log = DecisionLog::new(LogBounds::default());
     for (cold, before) in [(30, 0), (7, 30)] {
         log.record(&Record::ZoneWarmth {
@@ -123,9 +123,9 @@
     }
 }
 
-/// Writes of lines that nobody takes are dropped and counted; the count goes out with the first line that is taken.
+/// Lines that the output does not take are dropped, and their number is reported with the next line that it takes.
 #[test]
-fn dropped_lines_are_told_in_a_line_of_their_own() {
+fn dropped_lines_are_reported_in_a_separate_line() {
     let line = harrierward_decisions::dropped_record(7);
     let record: serde_json::Value = serde_json::from_str(&line).expect("JSON");
     assert_eq!(record["event"], "lines_dropped");
--- a/crates/edge/tests/discovery.rs
+++ b/crates/edge/tests/discovery.rs
@@ -200,12 +200,12 @@
         fixture.discovery.apply_replicas(&update);
     };
     apply("1:1", 2);
-    let lines = fixture.log.held_lines();
+    let lines = fixture.log.queued_lines();
     apply("1:1 6000", 3);
     apply("1:1 4800", 4);
-    assert_eq!(fixture.log.held_lines(), lines);
+    assert_eq!(fixture.log.queued_lines(), lines);
     apply("1:2 3600", 5);
-    assert_eq!(fixture.log.held_lines(), lines + 1, "its address is new");
+    assert_eq!(fixture.log.queued_lines(), lines + 1, "its address is new");
 }
 
 /// A page of a full read may be newer than the read's revision, so that the next read may be older than a row in it.
@@ -369,10 +369,10 @@
     let mut daemon = EvacuationFixture::new();
     let unknown_zones = (0..MAX_ZONES).map(|number| row(&format!("evacuate/z{number}"), "", 9));
     daemon.read_all(10, unknown_zones.collect());
-    let lines = daemon.fixture.log.held_lines();
+    let lines = daemon.fixture.log.queued_lines();
     daemon.follow(12, vec![change(EVACUATION, Some(""), 12)]);
     assert!(!daemon.is_evacuated());
-    assert_eq!(daemon.fixture.log.held_lines(), lines + 1);
+    assert_eq!(daemon.fixture.log.queued_lines(), lines + 1);
     // Its zone is evacuated once there is capacity and all rows are read again.
     daemon.follow(13, vec![change("evacuate/z0", None, 13)]);
     let mut rows: Vec<Row> = (1..MAX_ZONES)
--- a/crates/harrierward/src/logging.rs
+++ b/crates/harrierward/src/logging.rs
@@ -1,7 +1,7 @@
 //! Logs go to the console: plain lines or JSON lines.
 
 use eyre::Result;
-use harrierward_decisions::{ConsoleStream, DECISION_TARGET, DetachedConsole, dropped_record};
+use harrierward_decisions::{ConsoleStream, DECISION_TARGET, NonBlockingConsole, dropped_record};
 use log::LevelFilter;
 use log4rs::config::{Appender, Config, Logger, Root};
 use log4rs::encode::Encode;
@@ -33,7 +33,7 @@
         LogFormat::Plain => Box::new(PatternEncoder::new(PLAIN_PATTERN)),
         LogFormat::Json => Box::new(JsonEncoder::new()),
     };
-    let appender = DetachedConsole::start(ConsoleStream::Error, encoder, dropped_record)?;
+    let appender = NonBlockingConsole::start(ConsoleStream::Error, encoder, dropped_record)?;
     let appender = Appender::builder().build(APPENDER, Box::new(appender));
     let root = Root::builder().appender(APPENDER).build(level);
     let config = Config::builder()
@@ -47,7 +47,7 @@
 
 fn decision_appender() -> Result<Appender> {
     let encoder = Box::new(PatternEncoder::new(DECISION_PATTERN));
-    let appender = DetachedConsole::start(ConsoleStream::Error, encoder, dropped_record)?;
+    let appender = NonBlockingConsole::start(ConsoleStream::Error, encoder, dropped_record)?;
     Ok(Appender::builder().build(DECISION_APPENDER, Box::new(appender)))
 }
 
