--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,4 +1,5 @@
-//! A monotonic clock that counts suspensions of the machine, for ages of external state: freshness proofs, grants, deadlines.
+//! A monotonic clock that counts suspensions of the machine, for ages of external state: freshness proofs, grants,
+//! deadlines.
 //!
 //! `CLOCK_MONOTONIC` stops during a suspension, so stale state would look fresh afterwards; the wall clock may step.
 
@@ -29,16 +30,16 @@
     Duration::new(seconds, nanos)
 }
 
-/// Returns a lower bound of the boot clock's lead: the monotonic clock is read last, so that a preemption between the two
-/// readings never counts as a suspension.
+/// Returns a lower bound of the boot clock's lead: the monotonic clock is read last, so that a preemption between the
+/// two readings never counts as a suspension.
 fn min_lead() -> Duration {
     let boot = duration_of(clock_gettime(ClockId::Boottime));
     let steady = duration_of(clock_gettime(ClockId::Monotonic));
     boot.saturating_sub(steady)
 }
 
-/// Readings of the initial lead, of which the largest counts: a single one may be too small because of a preemption, which
-/// would show as a suspension in all later readings.
+/// Readings of the initial lead, of which the largest counts: a single one may be too small because of a preemption,
+/// which would show as a suspension in all later readings.
 const INITIAL_READINGS: usize = 8;
 
 fn initial_lead() -> Duration {
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Returns the total length of suspensions since the last one reported; `None` if there were none. Each is reported once.
+    /// Returns the total length of suspensions since the last one reported; `None` if there were none. Each is reported
+    /// once.
     pub fn take(&self) -> Option<Duration> {
         let now = micros(suspended());
         let known = self.known_micros.load(Ordering::Relaxed);
--- a/crates/decisions/src/record.rs
+++ b/crates/decisions/src/record.rs
@@ -56,12 +56,12 @@
     },
     /// The process exits after a planned stop.
     Stopped {
-        /// Requests aborted at the end of the drain period.
+        /// Requests aborted by the stop.
         cut_off: usize,
         /// Time since the signal.
         after_ms: u64,
     },
-    /// The settings file was read again on a signal.
+    /// The settings were read again.
     Reloaded {
         /// `read`, or the error.
         outcome: &'a str,
@@ -106,7 +106,7 @@
     },
     /// A newer configuration was put in force.
     ConfigurationInForce {
-        /// Version given by the operator.
+        /// Version of the configuration.
         version: u64,
         /// `store` or `peer`.
         source: &'a str,
@@ -182,7 +182,7 @@
         /// `answered` or `no answer`.
         outcome: &'a str,
     },
-    /// A replica is avoided for a while after failed attempts.
+    /// A replica is avoided for a while.
     ReplicaSuspected {
         /// Replica id.
         replica: &'a str,
@@ -224,7 +224,7 @@
     },
     /// Contact to a dependency was lost.
     DependencyLost {
-        /// `store`, or the kind of peer that is unresponsive.
+        /// Name of the dependency, such as `store`.
         dependency: &'a str,
         /// Error, or the id of the peer.
         cause: &'a str,
--- a/crates/execution/src/lib.rs
+++ b/crates/execution/src/lib.rs
@@ -1,7 +1,7 @@
 //! What is known of a request's execution, and which final response that knowledge allows.
 //!
-//! Clients retry after a 503 or a `Retry-After` header whatever the body says, so neither may be sent for a request that a
-//! replica may have begun. Both HTTP interfaces build their final responses here.
+//! Clients retry after a 503 or a `Retry-After` header whatever the body says, so neither may be sent for a request
+//! that a replica may have begun. Both HTTP interfaces build their final responses here.
 
 use std::time::Duration;
 
@@ -59,8 +59,8 @@
 }
 
 impl FinalResponse {
-    /// Returns the response for a request with this execution. A status that implies "not run", and `Retry-After`, are kept
-    /// only if the request certainly has not run.
+    /// Returns the response for a request with this execution. A status that implies "not run", and `Retry-After`, are
+    /// kept only if the request certainly has not run.
     pub fn of(execution: Execution, status: u16, retry_after: Option<Duration>) -> Self {
         if execution.is_not_run() {
             return Self {
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Returns the response to a resend under an idempotency key. Another resend runs nothing twice, so `Retry-After` is kept
-    /// whatever is known of the execution.
+    /// Returns the response to a resend under an idempotency key. Another resend runs nothing twice, so `Retry-After`
+    /// is kept whatever is known of the execution.
     pub fn for_idempotent_retry(
         execution: Execution,
         status: u16,
--- a/crates/wire/src/batch.rs
+++ b/crates/wire/src/batch.rs
@@ -1,20 +1,20 @@
-//! Rows of files, jobs, chunks and shards.
+//! Rows of batch files, jobs, chunks and shards.
 
 /// States of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum JobState {
-    /// Items are being run.
+    /// Items are queued or running.
     InProgress = 0,
-    /// Cancel is committed; running items are being stopped.
+    /// The cancellation is committed; running items are being stopped.
     Cancelling = 1,
-    /// Stopped; what had finished stays readable.
+    /// Terminal; results of items that had finished stay readable.
     Cancelled = 2,
-    /// Every item has its result.
+    /// Terminal: every item has its result.
     Completed = 3,
 }
 
-/// An uploaded file, stored as parts of a fixed number of lines.
+/// An uploaded file, stored as objects of a fixed number of lines each.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FileRow {
     /// File id.
@@ -32,7 +32,7 @@
     /// Number of lines.
     #[prost(uint32, tag = "5")]
     pub lines: u32,
-    /// Number of parts.
+    /// Number of part objects.
     #[prost(uint32, tag = "6")]
     pub parts: u32,
     /// Prefix of the part objects' names.
@@ -41,16 +41,16 @@
     /// Upload time, milliseconds since 1970.
     #[prost(uint64, tag = "8")]
     pub created_at_ms: u64,
-    /// Models the lines name.
+    /// Models that the lines name.
     #[prost(string, repeated, tag = "9")]
     pub models: Vec<String>,
-    /// URLs the lines name.
+    /// URLs that the lines name.
     #[prost(string, repeated, tag = "10")]
     pub urls: Vec<String>,
-    /// Digest of the content, for resent uploads.
+    /// Digest of the content, by which a resent upload is recognized.
     #[prost(bytes = "vec", tag = "11")]
     pub digest: Vec<u8>,
-    /// True once the caller deleted it.
+    /// True once the caller has deleted it.
     #[prost(bool, tag = "12")]
     pub deleted: bool,
 }
@@ -73,7 +73,7 @@
     /// Input file.
     #[prost(string, tag = "5")]
     pub input_file_id: String,
-    /// Prefix of the input's part objects.
+    /// Prefix of the names of the input's part objects.
     #[prost(string, tag = "6")]
     pub object_prefix: String,
     /// Number of items.
@@ -82,28 +82,28 @@
     /// Shard the job belongs to.
     #[prost(uint32, tag = "8")]
     pub shard: u32,
-    /// State.
+    /// A [`JobState`].
     #[prost(enumeration = "JobState", tag = "9")]
     pub state: i32,
-    /// Times in milliseconds since 1970; 0 if not reached.
+    /// Time of creation, milliseconds since 1970.
     #[prost(uint64, tag = "10")]
     pub created_at_ms: u64,
-    /// Deadline.
+    /// Deadline, milliseconds since 1970.
     #[prost(uint64, tag = "11")]
     pub deadline_at_ms: u64,
-    /// When cancel was committed.
+    /// When the cancellation was committed, milliseconds since 1970; 0 if it was not.
     #[prost(uint64, tag = "12")]
     pub cancelling_at_ms: u64,
-    /// When the job reached its last state.
+    /// When the job reached a terminal state, milliseconds since 1970; 0 before.
     #[prost(uint64, tag = "13")]
     pub ended_at_ms: u64,
-    /// Items completed, final once the job ended.
+    /// Items completed; final once the job ended.
     #[prost(uint32, tag = "14")]
     pub completed: u32,
-    /// Items failed, final once the job ended.
+    /// Items failed; final once the job ended.
     #[prost(uint32, tag = "15")]
     pub failed: u32,
-    /// Completion window as the caller gave it.
+    /// Completion window as given by the caller.
     #[prost(string, tag = "16")]
     pub completion_window: String,
     /// Caller's metadata as JSON.
@@ -111,10 +111,10 @@
     pub metadata: String,
 }
 
-/// Finds a job or file again by the key its caller sent.
+/// Maps an idempotency key to the job or file that its first request created.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct JobKeyRow {
-    /// Id given at first.
+    /// Id of the job or file.
     #[prost(string, tag = "1")]
     pub id: String,
     /// Digest of the first request's body.
@@ -122,15 +122,15 @@
     pub digest: Vec<u8>,
 }
 
-/// Index row: the job is open and belongs to the shard.
+/// Index row of an open job, under its shard.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct OpenJobRow {
-    /// Tenant, by which the job row is found.
+    /// Tenant, part of the job row's key.
     #[prost(string, tag = "1")]
     pub tenant: String,
 }
 
-/// Progress of an open job, written with chunk commits.
+/// Progress of an open job, written with each chunk commit.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ProgressRow {
     /// Items completed.
@@ -141,27 +141,27 @@
     pub failed: u32,
 }
 
-/// An object with results that count.
+/// An object that holds committed results.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ResultObject {
-    /// Object name; carries the attempt that wrote it.
+    /// Object name; contains the attempt that wrote it.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Lines in it.
+    /// Number of result lines.
     #[prost(uint32, tag = "2")]
     pub lines: u32,
 }
 
-/// State of a chunk. Absent means that nothing of it is done.
+/// State of a chunk of items. Without a row none of its items is done.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ChunkRow {
     /// Shard epoch of the last writer.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// One bit an item: its result is committed.
+    /// Bitmap by item: its result is committed.
     #[prost(bytes = "vec", tag = "2")]
     pub done: Vec<u8>,
-    /// One bit an item: an at-most-once item may have been dispatched.
+    /// Bitmap by item: an at-most-once item may have been dispatched.
     #[prost(bytes = "vec", tag = "3")]
     pub intents: Vec<u8>,
     /// Objects that hold the results.
@@ -175,11 +175,10 @@
     pub failed: u32,
 }
 
-/// Ownership of a shard or a replica. Whoever changes it raises the epoch; commits and orders of an older
-/// epoch are refused.
+/// Ownership of a shard or a replica. Each change raises the epoch, which fences commits and orders of earlier owners.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct OwnershipRow {
-    /// Member that owns it; empty if handed back.
+    /// Member id of the owner; empty if released.
     #[prost(string, tag = "1")]
     pub owner: String,
     /// Fencing epoch.
@@ -187,10 +186,10 @@
     pub epoch: u64,
 }
 
-/// Number of shards, fixed when the first daemon starts.
+/// Number of shards, fixed by the first daemon that starts.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ShardCountRow {
-    /// Number of shards.
+    /// The number.
     #[prost(uint32, tag = "1")]
     pub shards: u32,
 }
--- a/crates/wire/src/claim.rs
+++ b/crates/wire/src/claim.rs
@@ -6,11 +6,11 @@
 pub enum ClaimState {
     /// The request may be running, or may have run.
     Open = 0,
-    /// The request ran and its answer is stored.
+    /// The request ran and its response is stored.
     Done = 1,
 }
 
-/// A claim to run a marked request.
+/// A claim to run an at-most-once request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ClaimRow {
     /// Digest of the request body.
@@ -19,17 +19,17 @@
     /// Attempt that holds the claim.
     #[prost(string, tag = "2")]
     pub attempt: String,
-    /// State.
+    /// A [`ClaimState`].
     #[prost(enumeration = "ClaimState", tag = "3")]
     pub state: i32,
-    /// Stored answer, once done.
+    /// Stored response; empty while the claim is open.
     #[prost(bytes = "vec", tag = "4")]
     pub answer: Vec<u8>,
     /// When the claim was made, milliseconds since 1970.
     #[prost(uint64, tag = "5")]
     pub created_at_ms: u64,
-    /// Digest of what the request asks for, whichever way its answer is to be sent. Empty if written by a daemon that
-    /// knows only the digest of the whole body.
+    /// Digest of the request's content, without how its response is to be sent. Empty if written by a daemon that knows
+    /// only the digest of the whole body.
     #[prost(bytes = "vec", tag = "6")]
     pub content_digest: Vec<u8>,
 }
--- a/crates/wire/src/configuration.rs
+++ b/crates/wire/src/configuration.rs
@@ -1,17 +1,17 @@
-//! Rows and changes of the configuration.
+//! Rows and log entries of the configuration.
 
 /// The newest revision of the configuration.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ConfigHead {
-    /// Global revision.
+    /// Global revision of the newest change.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
 }
 
-/// One object as it stands.
+/// Current state of one object.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ConfigObjectRow {
-    /// Global revision that wrote it.
+    /// Global revision of its last change.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
     /// The object as JSON; empty if removed.
@@ -33,19 +33,19 @@
 /// One accepted change of the configuration.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ConfigLogEntry {
-    /// Global revision.
+    /// Global revision that the change was given.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Operation id, by which a lost answer is settled.
+    /// Operation id, by which a resent change is recognized.
     #[prost(string, tag = "2")]
     pub operation: String,
-    /// Who: the tenant of the operator key.
+    /// Tenant of the operator key; empty for the fleet's own set-up.
     #[prost(string, tag = "3")]
     pub operator: String,
-    /// When, milliseconds since 1970.
+    /// Time of the change, milliseconds since 1970.
     #[prost(uint64, tag = "4")]
     pub at_ms: u64,
-    /// What.
+    /// Changed objects.
     #[prost(message, repeated, tag = "5")]
     pub changes: Vec<ConfigChange>,
 }
--- a/crates/wire/src/inline_job.rs
+++ b/crates/wire/src/inline_job.rs
@@ -1,4 +1,4 @@
-//! Rows of inline batch jobs: jobs whose items are kept in the table itself.
+//! Rows of inline batch jobs, whose items are stored in rows of the store itself.
 
 use std::ops::RangeInclusive;
 
@@ -10,12 +10,12 @@
     /// Id of the part.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
-    /// Its tokens.
+    /// Length in tokens.
     #[prost(uint32, tag = "2")]
     pub tokens: u32,
 }
 
-/// A header that travels with an item.
+/// An HTTP header of an item's request.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct HeaderRow {
     /// Name.
@@ -26,7 +26,7 @@
     pub value: String,
 }
 
-/// One item as it was accepted.
+/// Request of one item, as accepted.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ItemBodyRow {
     /// Item id.
@@ -41,18 +41,18 @@
     /// Body.
     #[prost(bytes = "vec", tag = "4")]
     pub body: Vec<u8>,
-    /// Prompt parts.
+    /// Shared parts of the prompt.
     #[prost(message, repeated, tag = "5")]
     pub prompt: Vec<PromptPartRow>,
-    /// Prompt tokens.
+    /// Length of the prompt in tokens.
     #[prost(uint32, tag = "6")]
     pub prompt_tokens: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[prost(uint32, tag = "7")]
     pub output_tokens: u32,
 }
 
-/// All items of a job; kept in pieces, each in a row of its own.
+/// All items of a job; stored in pieces, each in its own row.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct JobItemsRow {
     /// The items.
@@ -60,102 +60,103 @@
     pub items: Vec<ItemBodyRow>,
 }
 
-/// What every daemon knows of an item.
+/// Summary of an item in its job's header.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ItemHeadRow {
     /// Item id.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Tokens of prompt and answer that the item may take.
+    /// Maximum number of tokens of its prompt and response.
     #[prost(uint64, tag = "2")]
     pub tokens: u64,
 }
 
-/// The job's head: small, watched by every daemon, changed only under its revision.
+/// A job's header: small, watched by every daemon, and changed only under its revision.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct JobHeadRow {
     /// Job id.
     #[prost(string, tag = "1")]
     pub job_id: String,
-    /// Route.
+    /// Route name.
     #[prost(string, tag = "2")]
     pub route: String,
     /// Host of the route.
     #[prost(string, tag = "3")]
     pub host: String,
-    /// The items.
+    /// Summaries of the items.
     #[prost(message, repeated, tag = "4")]
     pub items: Vec<ItemHeadRow>,
-    /// Item at each position of the results, by its number in `items`.
+    /// For each position of the listing, the item's index in `items`.
     #[prost(uint32, repeated, tag = "5")]
     pub listed: Vec<u32>,
-    /// Life of the daemon that runs the job; empty if nobody does.
+    /// Instance id of the daemon that runs the job; empty without an owner.
     #[prost(string, tag = "6")]
     pub owner: String,
-    /// Raised with each change of the owner.
+    /// Fencing epoch, raised with each change of the owner.
     #[prost(uint64, tag = "7")]
     pub epoch: u64,
-    /// Ended by its client.
+    /// True once its client has cancelled it.
     #[prost(bool, tag = "8")]
     pub ended: bool,
-    /// When it was accepted, on the store's clock, milliseconds.
+    /// Time of acceptance on the store's clock, milliseconds.
     #[prost(uint64, tag = "9")]
     pub accepted_ms: u64,
-    /// Rows that hold the items; 0 if an object does.
+    /// Number of rows that hold the items; 0 if an object does.
     #[prost(uint32, tag = "10")]
     pub item_rows: u32,
-    /// Object that holds the items, if they are too large for rows.
+    /// Name of the object that holds the items, if they are too large for rows; else empty.
     #[prost(string, tag = "11")]
     pub item_object: String,
-    /// Tenant that submitted it; empty if the configuration knew no tenants, or its route asks for no key.
+    /// Tenant that submitted it; empty if the configuration has no tenants, or its route needs no key.
     #[prost(string, tag = "12")]
     pub tenant: String,
-    /// Life of the daemon that ran the job last and gave it up; empty if somebody runs it.
+    /// Instance id of the last owner, which released the job; empty while it has an owner.
     #[prost(string, tag = "13")]
     pub last_owner: String,
-    /// Life of a daemon that holds the owner for gone; empty if none does since the owner last wrote the head.
+    /// Instance id of a daemon that considers the owner departed; empty if none has since the owner last wrote the
+    /// header.
     #[prost(string, tag = "14")]
     pub challenger: String,
-    /// Items that replicas have failed and that are not listed.
+    /// Failure counts of items that are not listed.
     #[prost(message, repeated, tag = "15")]
     pub failures: Vec<ItemFailuresRow>,
-    /// Takeovers of the job under a challenge.
+    /// Number of takeovers of the job under a challenge.
     #[prost(uint32, tag = "16")]
     pub takeovers: u32,
-    /// Fields that a later build has added, as it wrote them; empty in nearly all rows. [`decode_job_header`] fills it and [`encode_job_header`]
-    /// writes it back as fields of their own.
+    /// Encoded unknown fields of later builds. [`decode_job_header`] fills it, [`encode_job_header`] appends them to
+    /// the known fields.
     #[prost(bytes = "vec", tag = "536870911")]
     pub later_fields: Vec<u8>,
 }
 
-/// Numbers of the fields of a head that this build knows.
-const HEAD_FIELDS: RangeInclusive<u32> = 1..=16;
+/// Field numbers of a job header that this build knows.
+const HEADER_FIELDS: RangeInclusive<u32> = 1..=16;
 
-/// Reads a job's head, with whatever a later build has added to it; `None` if the bytes are not one.
+/// Decodes a job header and keeps its unknown fields; `None` if the bytes are not one.
 pub fn decode_job_header(bytes: &[u8]) -> Option<JobHeadRow> {
-    let mut head: JobHeadRow = decode(bytes)?;
-    head.later_fields = later_fields(bytes, &HEAD_FIELDS)?;
-    Some(head)
+    let mut header: JobHeadRow = decode(bytes)?;
+    header.later_fields = later_fields(bytes, &HEADER_FIELDS)?;
+    Some(header)
 }
 
-/// Bytes of a job's head, with whatever a later build has added to it.
-pub fn encode_job_header(head: &JobHeadRow) -> Vec<u8> {
-    if head.later_fields.is_empty() {
-        return encode(head);
+/// Encodes a job header, with its unknown fields.
+pub fn encode_job_header(header: &JobHeadRow) -> Vec<u8> {
+    if header.later_fields.is_empty() {
+        return encode(header);
     }
-    let own = JobHeadRow {
+    let known = JobHeadRow {
         later_fields: Vec::new(),
-        ..head.clone()
+        ..header.clone()
     };
-    let mut bytes = encode(&own);
-    bytes.extend_from_slice(&head.later_fields);
+    let mut bytes = encode(&known);
+    bytes.extend_from_slice(&header.later_fields);
     bytes
 }
 
-/// How often replicas have failed an item.
+/// Number of failed runs of an item at replicas.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ItemFailuresRow {
-    /// The item, by its number in the job.
+    /// Index of the item in its job.
     #[prost(uint32, tag = "1")]
     pub item: u32,
     /// Failed runs.
@@ -163,13 +164,13 @@
     pub count: u32,
 }
 
-/// A piece of a result.
+/// A piece of a result; results too large for one row are split.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ResultPieceRow {
-    /// The item failed for good.
+    /// True if the item failed permanently.
     #[prost(bool, tag = "1")]
     pub failed: bool,
-    /// Pieces of the result.
+    /// Total number of pieces of the result.
     #[prost(uint32, tag = "2")]
     pub pieces: u32,
     /// Text of this piece.
@@ -177,13 +178,13 @@
     pub text: String,
 }
 
-/// What was done of an item when its job changed hands.
+/// Progress of an unfinished item, stored when its job is handed over.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ItemProgressRow {
-    /// Last event received.
+    /// Number of the last event received.
     #[prost(uint64, tag = "1")]
     pub last_event: u64,
-    /// Data of the events so far.
+    /// Data of all events received.
     #[prost(string, repeated, tag = "2")]
     pub texts: Vec<String>,
     /// Failed attempts.
--- a/crates/wire/src/known_rows.rs
+++ b/crates/wire/src/known_rows.rs
@@ -1,29 +1,29 @@
-//! What a daemon knows of the store's rows, for one that starts while the store cannot be read.
+//! Copies of store rows, for a daemon that starts while the store is unreachable.
 
-/// A row as the store had it.
+/// A row as read from the store.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct KnownRow {
-    /// Key.
+    /// Key in the store.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Content.
+    /// Encoded content.
     #[prost(bytes = "vec", tag = "2")]
     pub value: Vec<u8>,
-    /// Revision.
+    /// Store revision of its last write.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
 }
 
-/// Rows by which a daemon can serve.
+/// The rows that a daemon needs to serve.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct KnownRows {
-    /// The configuration, if it is known.
+    /// The configuration; absent if unknown.
     #[prost(message, optional, tag = "1")]
     pub configuration: Option<KnownRow>,
-    /// The replicas.
+    /// Rows of the replicas.
     #[prost(message, repeated, tag = "2")]
     pub replicas: Vec<KnownRow>,
-    /// The evacuated zones.
+    /// The evacuated zones; absent if unknown.
     #[prost(message, optional, tag = "3")]
     pub evacuations: Option<crate::Evacuations>,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,6 +1,6 @@
-//! Messages between Harrierward's own processes and the rows it keeps in the platform's table.
+//! Messages between Harrierward's processes, and rows that it keeps in the store.
 //!
-//! The structs carry prost's derive, so the build needs no generator. Field numbers must never be reused.
+//! The structs carry prost's derives, so that no code generator is needed. Field numbers must never be reused.
 
 mod batch;
 mod claim;
@@ -49,18 +49,19 @@
 };
 pub use space::{SpaceContent, SpaceQuestion, SpaceReply, SpaceRow};
 
-/// Level of the formats of rows and messages, raised with each change of what a build writes, reads or keeps: 1 knows no failures in
-/// heads, 2 does, 3 keeps fields of later builds in heads and failures in the items' own rows too, 4 answers peers from its copies of the
-/// store's spaces. Builds of all levels work side by
-/// side; it tells an operator which are there.
+/// Version of the formats of rows and messages, raised with each change of what a build writes, reads or keeps. Builds
+/// of all levels interoperate; the level shows an operator which builds run.
+///
+/// Level 1 has no failures in job headers, 2 has them, 3 keeps unknown fields in headers and failures in the items'
+/// rows, 4 serves peers from its copies of the store's spaces.
 pub const FORMAT_LEVEL: u32 = 4;
 
-/// Reads a message; `None` if the bytes are not one.
+/// Decodes a message; `None` if the bytes are not one.
 pub fn decode<M: prost::Message + Default>(bytes: &[u8]) -> Option<M> {
     M::decode(bytes).ok()
 }
 
-/// Bytes of a message.
+/// Encodes a message.
 pub fn encode<M: prost::Message>(message: &M) -> Vec<u8> {
     message.encode_to_vec()
 }
--- a/crates/wire/src/membership.rs
+++ b/crates/wire/src/membership.rs
@@ -1,60 +1,60 @@
-//! Datagrams of the membership protocol.
+//! Datagrams of the membership protocol, of load reports and of preemption.
 
-/// States of a member as others see it.
+/// States of a member in the views of others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum MemberState {
-    /// Answers probes.
+    /// Acknowledges probes.
     Alive = 0,
-    /// Did not answer lately.
+    /// Failed to acknowledge recent probes.
     Suspect = 1,
-    /// Said that it leaves: gets no new work.
+    /// Announced that it leaves; receives no new work.
     Leaving = 2,
-    /// Taken for dead, or gone.
+    /// Considered dead, or departed.
     Dead = 3,
 }
 
-/// Kinds of datagram.
+/// Kinds of [`Datagram`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum DatagramKind {
-    /// Asks the receiver to answer.
+    /// Probes the receiver, which replies with an ack.
     Ping = 0,
-    /// Answers a ping.
+    /// Acknowledges a ping.
     Ack = 1,
-    /// Asks the receiver to ping `target` and pass its answer on.
+    /// Indirect probe: the receiver pings `target` and relays its ack.
     PingRequest = 2,
-    /// Sent to seeds by a member that has just started and knows nobody.
+    /// Sent to seeds by a member that has just started and knows no others.
     Join = 3,
-    /// Asks for the records of all buckets in which the receiver's view differs from the sender's.
+    /// Requests the records of all buckets in which the receiver's view differs from the sender's.
     SyncRequest = 4,
-    /// Whole buckets of the sender's view, in answer to a sync request.
+    /// Full buckets of the sender's view, in reply to a sync request.
     SyncReply = 5,
-    /// Records that the receiver's sync reply showed to be missing there.
+    /// Records that were missing in a sync reply, sent back to its sender.
     SyncReturn = 6,
 }
 
-/// Batch work that a member's shards have left for a service.
+/// Batch work of a service left at a member's shards.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ServiceBacklog {
     /// Service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Items ready to be granted, in steps of a power of two.
+    /// Items ready to be granted, rounded to a power of two.
     #[prost(uint32, tag = "2")]
     pub items: u32,
 }
 
-/// What is known of a member. A higher (incarnation, version) replaces a lower one.
+/// State of a member. A higher (incarnation, version) replaces a lower one.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct MemberRecord {
-    /// Member id, unique for each start of a daemon.
+    /// Member id, unique for each daemon instance.
     #[prost(string, tag = "1")]
     pub id: String,
     /// UDP address.
     #[prost(string, tag = "2")]
     pub udp_address: String,
-    /// HTTP address for peers.
+    /// HTTP address for requests of peers.
     #[prost(string, tag = "3")]
     pub peer_address: String,
     /// Zone.
@@ -63,57 +63,57 @@
     /// Region.
     #[prost(string, tag = "5")]
     pub region: String,
-    /// Raised only by the member itself, to refute a suspicion or spread news of itself.
+    /// Raised only by the member itself, to refute a suspicion or announce a change.
     #[prost(uint64, tag = "6")]
     pub incarnation: u64,
-    /// State.
+    /// A [`MemberState`].
     #[prost(enumeration = "MemberState", tag = "7")]
     pub state: i32,
     /// Batch work left at its shards.
     #[prost(message, repeated, tag = "8")]
     pub backlog: Vec<ServiceBacklog>,
-    /// The member cannot reach the store while most others can: what it owns there goes on elsewhere.
+    /// The member cannot reach the store while most others can: what it owns there is taken over.
     #[prost(bool, tag = "9")]
     pub detached: bool,
 }
 
-/// One datagram.
+/// One datagram of the membership protocol.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Datagram {
-    /// Kind.
+    /// A [`DatagramKind`].
     #[prost(enumeration = "DatagramKind", tag = "1")]
     pub kind: i32,
-    /// Sender's member id.
+    /// Member id of the sender.
     #[prost(string, tag = "2")]
     pub from: String,
-    /// Number of the probe that this belongs to.
+    /// Sequence number of the probe.
     #[prost(uint64, tag = "3")]
     pub probe: u64,
-    /// Member to probe, in a ping or a ping request; empty if whoever has the address may answer.
+    /// Member to probe, in a ping or a ping request; empty if any process at the address may reply.
     #[prost(string, tag = "4")]
     pub target: String,
-    /// Records passed on.
+    /// Gossiped records.
     #[prost(message, repeated, tag = "5")]
     pub records: Vec<MemberRecord>,
-    /// Sender's configuration revision.
+    /// Configuration revision of the sender.
     #[prost(uint64, tag = "6")]
     pub config_revision: u64,
-    /// Age of the sender's proof that this revision is the newest, milliseconds plus one; 0 if it has none.
+    /// Age of the sender's proof that this revision is the newest, milliseconds plus one; 0 without one.
     #[prost(uint64, tag = "7")]
     pub config_age_ms: u64,
-    /// Jobs cancelled lately: nothing of them may be started.
+    /// Recently cancelled jobs, whose items must not start.
     #[prost(string, repeated, tag = "8")]
     pub cancelled_jobs: Vec<String>,
-    /// Digest of the sender's view: two views with the same one hold the same members.
+    /// Digest of the sender's view; equal digests mean equal views.
     #[prost(fixed64, tag = "9")]
     pub view_digest: u64,
-    /// Members in the sender's view; 0 if it does not say.
+    /// Members in the sender's view; 0 if unknown.
     #[prost(uint32, tag = "10")]
     pub view_size: u32,
     /// In a sync request: digests of the buckets of the sender's view, two bytes each, little-endian.
     #[prost(bytes = "vec", tag = "11")]
     pub bucket_digests: Vec<u8>,
-    /// In a sync reply: number of buckets into which both views are divided.
+    /// In a sync reply: number of buckets of both views.
     #[prost(uint32, tag = "12")]
     pub bucket_count: u32,
     /// In a sync reply: buckets whose records are all in this datagram.
@@ -121,13 +121,13 @@
     pub whole_buckets: Vec<u32>,
 }
 
-/// Online requests of one gateway at one replica, for the replica's owner.
+/// Online requests of one gateway at one replica, sent to the replica's owner.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct OnlineCount {
-    /// Replica.
+    /// Replica id.
     #[prost(string, tag = "1")]
     pub replica: String,
-    /// Requests in flight.
+    /// Requests in progress.
     #[prost(uint32, tag = "2")]
     pub running: u32,
     /// Prompt tokens of them not yet prefilled.
@@ -135,27 +135,27 @@
     pub prefill_tokens: u32,
 }
 
-/// A gateway tells a replica owner of its online requests; the owner answers with [`ReplicaReports`].
+/// A gateway reports its online requests to a replica owner, which replies with [`ReplicaReports`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct OnlineNotice {
-    /// Sender's member id.
+    /// Member id of the sender.
     #[prost(string, tag = "1")]
     pub from: String,
-    /// Sender's UDP address.
+    /// UDP address of the sender.
     #[prost(string, tag = "2")]
     pub reply_to: String,
     /// Counts by replica.
     #[prost(message, repeated, tag = "3")]
     pub counts: Vec<OnlineCount>,
-    /// Sender's clock, milliseconds; comes back with the reports, so that their age is known.
+    /// Sender's clock, milliseconds; echoed in the reply, so that its age is known.
     #[prost(uint64, tag = "4")]
     pub sent_at_ms: u64,
 }
 
-/// Load of one replica as its owner knows it.
+/// Load of one replica, reported by its owner.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ReplicaReport {
-    /// Replica.
+    /// Replica id.
     #[prost(string, tag = "1")]
     pub replica: String,
     /// Online sequences running.
@@ -170,21 +170,21 @@
     /// Prompt tokens of online sequences not yet prefilled.
     #[prost(uint32, tag = "5")]
     pub waiting_prompt_tokens: u32,
-    /// Age of the numbers, milliseconds.
+    /// Age of the counts, milliseconds.
     #[prost(uint32, tag = "6")]
     pub age_ms: u32,
-    /// The replica must get no new work.
+    /// True if the replica must get no new work.
     #[prost(bool, tag = "7")]
     pub unavailable: bool,
 }
 
-/// Reports of a replica owner.
+/// A replica owner's reply to an [`OnlineNotice`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ReplicaReports {
-    /// The reports.
+    /// Loads by replica.
     #[prost(message, repeated, tag = "1")]
     pub reports: Vec<ReplicaReport>,
-    /// `sent_at_ms` of the notice that is answered.
+    /// `sent_at_ms` of the notice.
     #[prost(uint64, tag = "2")]
     pub echo_ms: u64,
 }
@@ -203,10 +203,10 @@
     pub batch: u32,
 }
 
-/// A daemon tells its peers what it has in progress; replicas not named have nothing.
+/// A daemon's report of its requests in progress to its peers; it has none at replicas not listed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LoadNotice {
-    /// Sender's member id.
+    /// Member id of the sender.
     #[prost(string, tag = "1")]
     pub from: String,
     /// Rises with each notice of the sender.
@@ -215,35 +215,35 @@
     /// Counts by replica.
     #[prost(message, repeated, tag = "3")]
     pub counts: Vec<ReplicaCount>,
-    /// Age of the sender's proof that its copy of the jobs' heads is true, milliseconds plus one; 0 if it has none.
+    /// Age of the freshness proof of the sender's copy of the job headers, milliseconds plus one; 0 without one.
     #[prost(uint32, tag = "4")]
     pub proof_age_ms: u32,
-    /// What the sender knows of evacuated zones, for those that the store turns away.
+    /// Evacuated zones known to the sender, for daemons that the store rejects.
     #[prost(message, optional, tag = "5")]
     pub evacuations: Option<crate::Evacuations>,
-    /// Version of the configuration that the sender has in force; 0 if none.
+    /// Version of the configuration in force at the sender; 0 if none.
     #[prost(uint64, tag = "6")]
     pub configuration_version: u64,
 }
 
-/// An online request found no free slot at a replica: the receiver's batch items there shall give some back.
+/// An online request found no free slot at a replica: the receiver is to preempt batch items there.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct YieldRequest {
     /// Hash of the replica's id.
     #[prost(fixed32, tag = "1")]
     pub replica: u32,
-    /// Slots wanted.
+    /// Number of slots wanted.
     #[prost(uint32, tag = "2")]
     pub slots: u32,
-    /// Number, at the receiver, of the lease whose item shall end; 0 for any item at the replica.
+    /// Lease number, at the receiver, of the item to preempt; 0 for any item at the replica.
     #[prost(uint32, tag = "3")]
     pub lease: u32,
 }
 
-/// Any datagram between daemons.
+/// Envelope of all datagrams between daemons.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct NodeDatagram {
-    /// What it carries.
+    /// The content; `None` if its kind is unknown to this build.
     #[prost(
         oneof = "node_datagram::Kind",
         tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13"
@@ -251,15 +251,15 @@
     pub kind: Option<node_datagram::Kind>,
 }
 
-/// Kinds of datagram between daemons.
+/// Kinds of [`NodeDatagram`].
 pub mod node_datagram {
-    /// What a datagram carries.
+    /// Content of a datagram.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub enum Kind {
         /// Membership protocol.
         #[prost(message, tag = "1")]
         Membership(super::Datagram),
-        /// Online requests at replicas.
+        /// Online requests at replicas, for the replicas' owner.
         #[prost(message, tag = "2")]
         OnlineNotice(super::OnlineNotice),
         /// Loads of replicas.
@@ -268,31 +268,31 @@
         /// Requests in progress of an edge daemon.
         #[prost(message, tag = "4")]
         LoadNotice(super::LoadNotice),
-        /// Batch items are to give slots back.
+        /// Requests the preemption of batch items.
         #[prost(message, tag = "5")]
         YieldRequest(super::YieldRequest),
-        /// Where may a request go?
+        /// Requests a slot lease.
         #[prost(message, tag = "6")]
         SlotAsk(crate::SlotAsk),
-        /// It may go there.
+        /// Reply to a request for a slot lease.
         #[prost(message, tag = "7")]
         SlotGrant(crate::SlotGrant),
-        /// Slots held and given back.
+        /// Leases held and released.
         #[prost(message, tag = "8")]
         SlotReport(crate::SlotReport),
-        /// A job wants its tokens of a quota.
+        /// Requests a job's tokens of a route's quota.
         #[prost(message, tag = "9")]
         QuotaAsk(crate::QuotaAsk),
-        /// What became of that.
+        /// Reply to a request for a job's tokens.
         #[prost(message, tag = "10")]
         QuotaAnswer(crate::QuotaAnswer),
-        /// A daemon wants tokens of a tenant's rate.
+        /// Requests tokens of a tenant's rate.
         #[prost(message, tag = "11")]
         RateAsk(crate::RateAsk),
-        /// What became of that.
+        /// Reply to a request for a rate's tokens.
         #[prost(message, tag = "12")]
         RateGrant(crate::RateGrant),
-        /// Contents under which replicas ended.
+        /// Contents under which replicas crashed.
         #[prost(message, tag = "13")]
         CrashNews(crate::CrashNews),
     }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,34 +1,34 @@
-//! Requests between daemons, carried by HTTP.
+//! Requests and replies between daemons, carried by HTTP.
 
 use crate::{ConfigLogEntry, ConfigObjectRow};
 
-/// An item that the caller of a pull still holds; naming it renews its grant.
+/// An item that the sender of a pull still holds; listing it renews its grant.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct RunningItem {
-    /// Job.
+    /// Job id.
     #[prost(string, tag = "1")]
     pub job_id: String,
     /// Item number within the job.
     #[prost(uint32, tag = "2")]
     pub item: u32,
-    /// Attempt.
+    /// Attempt id of the grant.
     #[prost(string, tag = "3")]
     pub attempt: String,
 }
 
-/// A replica owner asks a shard owner for items.
+/// A replica owner requests items from a shard owner.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PullRequest {
-    /// Member that asks.
+    /// Member id of the requester.
     #[prost(string, tag = "1")]
     pub member: String,
-    /// Service whose items it can run.
+    /// Service whose items the requester can run.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// Most items wanted.
+    /// Maximum number of items wanted.
     #[prost(uint32, tag = "3")]
     pub slots: u32,
-    /// Items granted by the receiver that the caller still holds.
+    /// Items granted by the receiver that the requester still holds.
     #[prost(message, repeated, tag = "4")]
     pub held: Vec<RunningItem>,
     /// Tenants whose items may run; empty means any.
@@ -36,10 +36,10 @@
     pub tenants: Vec<String>,
 }
 
-/// An item given out.
+/// An item granted to a replica owner.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Grant {
-    /// Job.
+    /// Job id.
     #[prost(string, tag = "1")]
     pub job_id: String,
     /// Tenant of the job.
@@ -51,7 +51,7 @@
     /// Item number within the job.
     #[prost(uint32, tag = "4")]
     pub item: u32,
-    /// Attempt.
+    /// Attempt id, unique for each grant.
     #[prost(string, tag = "5")]
     pub attempt: String,
     /// The item's input line.
@@ -65,13 +65,13 @@
     pub deadline_at_ms: u64,
 }
 
-/// Answer to a pull.
+/// Reply to a [`PullRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PullReply {
     /// Items granted.
     #[prost(message, repeated, tag = "1")]
     pub grants: Vec<Grant>,
-    /// Items of the service still to be granted.
+    /// Items of the service not yet granted.
     #[prost(uint32, tag = "2")]
     pub remaining: u32,
     /// Held items that must be stopped: cancelled, or no longer granted.
@@ -82,13 +82,13 @@
 /// Result of an item.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ItemResult {
-    /// Job.
+    /// Job id.
     #[prost(string, tag = "1")]
     pub job_id: String,
     /// Item number within the job.
     #[prost(uint32, tag = "2")]
     pub item: u32,
-    /// Attempt.
+    /// Attempt id of the grant.
     #[prost(string, tag = "3")]
     pub attempt: String,
     /// Shard of the job.
@@ -97,12 +97,12 @@
     /// The result line.
     #[prost(string, tag = "5")]
     pub line: String,
-    /// The item failed for good.
+    /// True if the item failed permanently.
     #[prost(bool, tag = "6")]
     pub failed: bool,
 }
 
-/// An item given back unfinished.
+/// An unfinished item that is returned.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct HandBack {
     /// The item.
@@ -111,37 +111,37 @@
     /// Shard of the job.
     #[prost(uint32, tag = "2")]
     pub shard: u32,
-    /// An engine may have run a part of it.
+    /// True if an engine may have run a part of it.
     #[prost(bool, tag = "3")]
     pub may_have_run: bool,
 }
 
-/// A replica owner returns results and hands items back.
+/// A replica owner delivers results and returns unfinished items.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ResultsRequest {
-    /// Results.
+    /// Results of finished items.
     #[prost(message, repeated, tag = "1")]
     pub results: Vec<ItemResult>,
-    /// Items handed back.
+    /// Returned items.
     #[prost(message, repeated, tag = "2")]
     pub handed_back: Vec<HandBack>,
 }
 
-/// Which of the results the receiver could not take because it does not own their shard.
+/// Results that the receiver refused because it does not own their shard.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ResultsReply {
-    /// Shards that are not the receiver's.
+    /// Shards that the receiver does not own.
     #[prost(uint32, repeated, tag = "1")]
     pub refused_shards: Vec<u32>,
 }
 
-/// A job was accepted, or something of it changed.
+/// Notifies a peer that a job was accepted or changed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct JobNotice {
     /// Tenant.
     #[prost(string, tag = "1")]
     pub tenant: String,
-    /// Job.
+    /// Job id.
     #[prost(string, tag = "2")]
     pub job_id: String,
     /// Shard.
@@ -149,49 +149,49 @@
     pub shard: u32,
 }
 
-/// A job's cancel is committed: run nothing more of it.
+/// Notifies a peer that a job's cancellation is committed: none of its items may start.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CancelNotice {
     /// The job.
     #[prost(message, optional, tag = "1")]
     pub job: Option<JobNotice>,
-    /// Address of a member that the receiver must tell in turn; its answer is passed back.
+    /// Address of a member to which the receiver must relay the notice, returning that member's reply; empty if none.
     #[prost(string, tag = "2")]
     pub relay_to: String,
 }
 
-/// Answer to a cancel notice.
+/// Reply to a [`CancelNotice`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CancelReply {
     /// Running items that were stopped.
     #[prost(uint32, tag = "1")]
     pub stopped: u32,
-    /// The member that was to be told has taken note.
+    /// True if the member to which the notice was relayed has acknowledged it.
     #[prost(bool, tag = "2")]
     pub noted: bool,
 }
 
-/// Asks for configuration changes above a revision.
+/// Requests configuration changes above a revision.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ConfigDeltaRequest {
-    /// Newest revision the caller holds.
+    /// Newest revision that the requester holds.
     #[prost(uint64, tag = "1")]
     pub after: u64,
 }
 
-/// Configuration changes, or all objects if the changes are no longer at hand.
+/// Configuration changes, or all objects if the changes are no longer available.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ConfigDeltaReply {
-    /// Changes in order of revision, without gap.
+    /// Changes in order of revision, without gaps.
     #[prost(message, repeated, tag = "1")]
     pub entries: Vec<ConfigLogEntry>,
-    /// True if `objects` holds everything as of `revision`.
+    /// True if `objects` is the full configuration at `revision`.
     #[prost(bool, tag = "2")]
     pub whole: bool,
-    /// All objects.
+    /// All objects; empty in a delta.
     #[prost(message, repeated, tag = "3")]
     pub objects: Vec<ConfigObjectRow>,
-    /// Revision the answer leads to.
+    /// Revision after the changes are applied.
     #[prost(uint64, tag = "4")]
     pub revision: u64,
 }
@@ -199,66 +199,66 @@
 /// A request to a peer.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PeerRequest {
-    /// What is asked.
+    /// The request; `None` if its kind is unknown to this build.
     #[prost(oneof = "peer_request::Kind", tags = "1, 2, 3, 4, 5, 6")]
     pub kind: Option<peer_request::Kind>,
 }
 
-/// Kinds of peer request.
+/// Kinds of [`PeerRequest`].
 pub mod peer_request {
-    /// What is asked.
+    /// Content of a request.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub enum Kind {
-        /// Items wanted.
+        /// Requests batch items.
         #[prost(message, tag = "1")]
         Pull(super::PullRequest),
-        /// Results returned.
+        /// Delivers results.
         #[prost(message, tag = "2")]
         Results(super::ResultsRequest),
-        /// A job was accepted.
+        /// Notifies a peer that a job was accepted or changed.
         #[prost(message, tag = "3")]
         JobNotice(super::JobNotice),
-        /// A job was cancelled.
+        /// Notifies of a job's cancellation.
         #[prost(message, tag = "4")]
         Cancel(super::CancelNotice),
-        /// Configuration wanted.
+        /// Requests configuration changes.
         #[prost(message, tag = "5")]
         ConfigDelta(super::ConfigDeltaRequest),
-        /// Asks which configuration revision is in force.
+        /// Requests the configuration revision in force.
         #[prost(bool, tag = "6")]
         ConfigRevision(bool),
     }
 }
 
-/// A peer's answer.
+/// A peer's reply.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PeerReply {
-    /// What is answered.
+    /// The reply; `None` if its kind is unknown to this build.
     #[prost(oneof = "peer_reply::Kind", tags = "1, 2, 3, 4, 5, 6")]
     pub kind: Option<peer_reply::Kind>,
 }
 
-/// Kinds of peer answer.
+/// Kinds of [`PeerReply`].
 pub mod peer_reply {
-    /// What is answered.
+    /// Content of a reply.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub enum Kind {
         /// Items granted.
         #[prost(message, tag = "1")]
         Pull(super::PullReply),
-        /// Results taken.
+        /// Results accepted, but for those of refused shards.
         #[prost(message, tag = "2")]
         Results(super::ResultsReply),
-        /// Taken note.
+        /// Acknowledges a notice.
         #[prost(bool, tag = "3")]
         Noted(bool),
-        /// Cancel carried out.
+        /// Acknowledges a cancellation.
         #[prost(message, tag = "4")]
         Cancel(super::CancelReply),
-        /// Configuration.
+        /// Configuration changes.
         #[prost(message, tag = "5")]
         ConfigDelta(super::ConfigDeltaReply),
-        /// Revision in force.
+        /// Configuration revision in force.
         #[prost(uint64, tag = "6")]
         ConfigRevision(u64),
     }
--- a/crates/wire/src/quota.rs
+++ b/crates/wire/src/quota.rs
@@ -1,67 +1,67 @@
-//! The coordinator of a route's quota: its fence in the store, and the datagrams by which jobs get their share.
+//! The fence row of a route's quota, and the datagrams by which its coordinator grants tokens to jobs.
 
-/// Who keeps the quota of a route. It lies in each partition of the jobs' heads; a job is kept only under the
-/// revision of this row, so that what an earlier coordinator granted comes to nothing.
+/// Coordinator of a route's quota, one row in each partition of the job headers. A job is committed only under this
+/// row's revision, which fences grants of earlier coordinators.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct QuotaFenceRow {
-    /// Route.
+    /// Route name.
     #[prost(string, tag = "1")]
     pub route: String,
-    /// Life of the daemon that keeps the quota.
+    /// Instance id of the coordinating daemon.
     #[prost(string, tag = "2")]
     pub coordinator: String,
 }
 
-/// A job wants its tokens.
+/// Requests tokens for a job, or returns them.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct QuotaAsk {
-    /// Number of the question at the asker.
+    /// Number of the request at the requester.
     #[prost(uint32, tag = "1")]
     pub number: u32,
-    /// Route.
+    /// Route name.
     #[prost(string, tag = "2")]
     pub route: String,
-    /// Job.
+    /// Job id.
     #[prost(string, tag = "3")]
     pub job: String,
-    /// Tokens of its items.
+    /// Tokens of all its items.
     #[prost(uint64, tag = "4")]
     pub tokens: u64,
-    /// The job will certainly not be kept: its tokens go back, and nothing is answered.
+    /// The job will certainly not be committed: its tokens are returned, without a reply.
     #[prost(bool, tag = "5")]
     pub returned: bool,
-    /// Tenant whose tokens they are; empty without tenants.
+    /// Tenant that the tokens count for; empty without tenants.
     #[prost(string, tag = "6")]
     pub tenant: String,
-    /// Which submission of the job asks, a number that no other one has.
+    /// Unique number of the submission of the job.
     #[prost(fixed64, tag = "7")]
     pub submission: u64,
 }
 
-/// A coordinator's answer.
+/// A coordinator's reply to a [`QuotaAsk`].
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct QuotaAnswer {
-    /// Number of the question at the asker.
+    /// Number of the request at the requester.
     #[prost(uint32, tag = "1")]
     pub number: u32,
-    /// What became of it.
+    /// A [`QuotaOutcome`].
     #[prost(enumeration = "QuotaOutcome", tag = "2")]
     pub outcome: i32,
-    /// Revision of the fence under which a granted job is to be kept.
+    /// Revision of the fence row under which a granted job is to be committed.
     #[prost(uint64, tag = "3")]
     pub fence: u64,
 }
 
-/// What became of a question for a job's tokens.
+/// Outcome of a request for a job's tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum QuotaOutcome {
-    /// The receiver does not keep the quota, or cannot tell what waits.
+    /// The receiver does not coordinate the quota, or does not know which jobs are waiting.
     NotCoordinator = 0,
-    /// The tokens are the job's.
+    /// The tokens are reserved for the job.
     Granted = 1,
-    /// The job does not fit.
+    /// The job exceeds the free quota.
     Full = 2,
-    /// The receiver has just become the coordinator and reads what waits.
+    /// The receiver has just become the coordinator and still reads the waiting jobs.
     Wait = 3,
 }
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -1,12 +1,9 @@
-//! Rows and messages of earlier builds are read as they were meant, and written back without a loss.
+//! Rows and messages of earlier builds must be decoded with their meaning, and rewritten without losing unknown fields.
 //!
-//! What happened: a build that did not know the failures in a job's head erased them whenever it rewrote the head, and on the way back from an
-//! upgrade 10 of 500 failing items ran a fourth or fifth time. Nothing in the code knew of other builds. The files under `formats/` hold
-//! what the builds that they are named after wrote; `fields.txt` holds the numbers, kinds and names of all fields.
-//!
-//! When the last test fails, a message has changed: add a file `formats/COMMIT.txt` with the samples as the build before the change wrote
-//! them, add what is new to the samples here, bring `fields.txt` up to date with what the test prints, and `docs/decisions/upgrades.md`
-//! with what older builds do.
+//! Each file `formats/COMMIT.txt` holds samples encoded by that build; `fields.txt` holds the numbers, kinds and names
+//! of all fields. When the last test fails, a message has changed: add a file with samples of the build before the
+//! change, add what is new to the samples here, update `fields.txt` from the test's output, and
+//! `docs/decisions/upgrades.md`.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -18,7 +15,7 @@
 
 const NODE_1: &str = "node-1@1a2b-0001";
 
-/// Samples of a file: bytes by name.
+/// Parses a file of samples: bytes by name.
 fn samples(text: &str) -> BTreeMap<&str, Vec<u8>> {
     text.lines()
         .map(|line| {
@@ -29,7 +26,7 @@
         .collect()
 }
 
-/// Reads a sample, which must be this message, and come out of a rewrite as it was.
+/// Checks that a sample decodes to this message and is encoded to the same bytes.
 fn check<M: Message + Default + PartialEq + std::fmt::Debug>(
     samples: &BTreeMap<&str, Vec<u8>>,
     name: &str,
@@ -41,7 +38,7 @@
     assert_eq!(encode(&read), *bytes, "{name}");
 }
 
-fn earliest_head() -> JobHeadRow {
+fn earliest_header() -> JobHeadRow {
     JobHeadRow {
         job_id: "job-1".into(),
         route: "lots".into(),
@@ -69,16 +66,16 @@
     }
 }
 
-fn head() -> JobHeadRow {
+fn header() -> JobHeadRow {
     JobHeadRow {
         challenger: "node-3@1a2b-0003".into(),
         failures: vec![ItemFailuresRow { item: 1, count: 2 }],
         takeovers: 3,
-        ..earliest_head()
+        ..earliest_header()
     }
 }
 
-/// What both builds write in the same way: rows.
+/// Checks the rows that both earlier builds write.
 fn check_rows(samples: &BTreeMap<&str, Vec<u8>>) {
     let item = ItemBodyRow {
         id: "item-0".into(),
@@ -112,8 +109,8 @@
     check(samples, "quota_fence", &fence);
 }
 
-/// The same for what daemons tell each other of the site.
-fn check_news(samples: &BTreeMap<&str, Vec<u8>>) {
+/// Checks messages between daemons on store rows, members, loads and crashes.
+fn check_announcements(samples: &BTreeMap<&str, Vec<u8>>) {
     let row = |key: &str, revision| KnownRow {
         key: key.into(),
         value: b"{}".to_vec(),
@@ -174,9 +171,9 @@
     check(samples, "crashed_content", &content);
 }
 
-/// The same for questions to coordinators.
+/// Checks requests to coordinators and their replies.
 fn check_coordination(samples: &BTreeMap<&str, Vec<u8>>) {
-    let ask = QuotaAsk {
+    let request = QuotaAsk {
         number: 3,
         route: "lots".into(),
         job: "job-1".into(),
@@ -185,14 +182,14 @@
         tenant: "tenant".into(),
         submission: 9,
     };
-    check(samples, "quota_ask", &ask);
-    let answer = QuotaAnswer {
+    check(samples, "quota_ask", &request);
+    let reply = QuotaAnswer {
         number: 3,
         outcome: QuotaOutcome::Granted as i32,
         fence: 77,
     };
-    check(samples, "quota_answer", &answer);
-    let ask = RateAsk {
+    check(samples, "quota_answer", &reply);
+    let request = RateAsk {
         number: 4,
         tenant: "tenant".into(),
         wanted: 5,
@@ -200,7 +197,7 @@
         fleet_seen_ms_ago: 7,
         silent: "node-2".into(),
     };
-    check(samples, "rate_ask", &ask);
+    check(samples, "rate_ask", &request);
     let grant = RateGrant {
         number: 4,
         outcome: RateOutcome::Empty as i32,
@@ -249,32 +246,32 @@
 }
 
 #[test]
-fn what_earlier_builds_wrote_is_read_as_it_was_meant() {
+fn samples_of_earlier_builds_are_decoded_and_reencoded() {
     let earliest = samples(include_str!("formats/9319f89.txt"));
     let later = samples(include_str!("formats/862e326.txt"));
     for samples in [&earliest, &later] {
         check_rows(samples);
-        check_news(samples);
+        check_announcements(samples);
         check_coordination(samples);
     }
-    check(&earliest, "job_head", &earliest_head());
-    check(&later, "job_head", &head());
-    let news = CrashNewsRow {
+    check(&earliest, "job_head", &earliest_header());
+    check(&later, "job_head", &header());
+    let updates = CrashNewsRow {
         life: NODE_1.into(),
         written_ms: 12,
         news: None,
     };
-    check(&later, "crash_news_row", &news);
+    check(&later, "crash_news_row", &updates);
 }
 
-/// The row of another kind that lies beside the heads: a build that does not know its key must not take it for one.
+/// Crash updates are stored next to job headers: a build that does not know their key must not decode them as a header.
 #[test]
-fn news_of_ends_are_no_head() {
+fn crash_updates_are_not_decoded_as_a_header() {
     let later = samples(include_str!("formats/862e326.txt"));
     assert_eq!(decode_job_header(&later["crash_news_row"]), None);
 }
 
-/// A field as a later build may write it: a number above all that are known here, of any kind.
+/// Generates an unknown field: any wire type, with a number above all known ones.
 fn later_field() -> impl Strategy<Value = Vec<u8>> {
     let number = 17_u32..100_000;
     let content = prop_oneof![
@@ -301,46 +298,46 @@
 }
 
 proptest! {
-    /// Whatever a later build has added to a head is there after this build has rewritten it, as it was.
+    /// A rewrite of a job header must keep the fields of later builds unchanged.
     #[test]
-    fn later_fields_of_a_head_survive_a_rewrite(
+    fn unknown_fields_of_a_header_survive_a_rewrite(
         before in prop::collection::vec(later_field(), 0..4),
         after in prop::collection::vec(later_field(), 0..4),
         epoch in any::<u64>(),
     ) {
-        let bytes = [before.concat(), encode(&head()), after.concat()].concat();
-        let read = decode_job_header(&bytes).expect("a head");
+        let bytes = [before.concat(), encode(&header()), after.concat()].concat();
+        let read = decode_job_header(&bytes).expect("a header");
         let rewritten = encode_job_header(&JobHeadRow { epoch, ..read });
-        let read_again = decode_job_header(&rewritten).expect("a head");
+        let read_again = decode_job_header(&rewritten).expect("a header");
         prop_assert_eq!(&read_again.later_fields, &[before.concat(), after.concat()].concat());
-        let own = JobHeadRow { later_fields: Vec::new(), ..read_again };
-        prop_assert_eq!(own, JobHeadRow { epoch, ..head() });
+        let known = JobHeadRow { later_fields: Vec::new(), ..read_again };
+        prop_assert_eq!(known, JobHeadRow { epoch, ..header() });
     }
 
-    /// Bytes of any kind are a head or none; nothing panics.
+    /// Decoding arbitrary bytes must not panic.
     #[test]
-    fn arbitrary_bytes_are_read_or_not(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = decode_job_header(&bytes);
         let _ = decode::<NodeDatagram>(&bytes);
         let _ = decode::<KnownRows>(&bytes);
     }
 
-    /// A datagram of a kind that this build does not know is one without a kind, which its receiver passes over.
+    /// A datagram of an unknown kind decodes to one without a kind, which its receiver ignores.
     #[test]
-    fn a_datagram_of_a_later_kind_has_no_kind(field in later_field()) {
+    fn a_datagram_of_an_unknown_kind_has_no_kind(field in later_field()) {
         let read: Option<NodeDatagram> = decode(&field);
         prop_assert!(read.is_none_or(|datagram| datagram.kind.is_none()));
     }
 }
 
-/// All numbers that a head knows are among those that a rewrite takes for its own.
+/// The range of known field numbers must cover all fields of a header; otherwise a rewrite would duplicate them.
 #[test]
-fn a_head_of_this_build_has_no_later_fields() {
-    let read = decode_job_header(&encode(&head())).expect("a head");
-    assert_eq!(read, head());
+fn a_header_of_this_build_has_no_unknown_fields() {
+    let read = decode_job_header(&encode(&header())).expect("a header");
+    assert_eq!(read, header());
 }
 
-/// Numbers, kinds and names of the fields of all messages, as the sources have them.
+/// Lists numbers, kinds and names of the fields of all messages, from the sources.
 fn fields() -> String {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let files = std::fs::read_dir(folder).expect("sources");
@@ -369,9 +366,9 @@
     fields
 }
 
-/// Builds before level 4 answer a question for a space with the rows that they know.
+/// Builds before format level 4 reply to a space request with `KnownRows`, which must not pass as a reply.
 #[test]
-fn the_rows_of_a_build_that_does_not_know_spaces_are_no_reply() {
+fn known_rows_are_not_decoded_as_a_space_reply() {
     let row = KnownRow {
         key: "op//config".into(),
         value: b"{}".to_vec(),
@@ -382,24 +379,24 @@
         replicas: vec![row],
         evacuations: Some(Evacuations::default()),
     };
-    let reply: SpaceReply = decode(&encode(&rows)).expect("unknown fields are passed over");
+    let reply: SpaceReply = decode(&encode(&rows)).expect("unknown fields are skipped");
     assert_eq!(reply.format, 0);
 }
 
 #[test]
-fn a_message_that_changes_has_samples_of_before() {
+fn a_changed_message_needs_samples_of_the_previous_build() {
     let known = include_str!("formats/fields.txt");
     let present = fields();
     let added: Vec<&str> = present
         .lines()
         .filter(|line| !known.contains(line))
         .collect();
-    let gone: Vec<&str> = known
+    let removed: Vec<&str> = known
         .lines()
         .filter(|line| !present.contains(line))
         .collect();
     assert!(
         known == present,
-        "added {added:#?}, gone {gone:#?}; see the top of this file. All fields are now:\n{present}"
+        "added {added:#?}, removed {removed:#?}; see the top of this file. All fields are now:\n{present}"
     );
 }
