--- a/crates/api/src/admin.rs
+++ b/crates/api/src/admin.rs
@@ -144,7 +144,7 @@
                 Self::new(StatusCode::SERVICE_UNAVAILABLE, "contended", message)
             }
             ConfigError::Store(error) => error.into(),
-            ConfigError::Unsettled(_) => {
+            ConfigError::Indeterminate(_) => {
                 let message = format!("{message}; send it again with the same Operation-Id");
                 Self::in_doubt("unsettled", message)
             }
--- a/crates/config/src/apply_file.rs
+++ b/crates/config/src/apply_file.rs
@@ -1,4 +1,4 @@
-//! The file that `config apply` takes and `config get` prints: TOML, one table an object.
+//! The TOML file that `config apply` reads and `config get` prints: one array of tables for each kind of object.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,18 +7,18 @@
 };
 use crate::store::RequestedChange;
 
-/// An object's head as the file gives it.
+/// An object as the file gives it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Entry<S> {
     name: String,
     owner: String,
-    /// Revision that the operator read.
+    /// Revision that the change is based on; `None` stands for the current one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     revision: Option<u64>,
     spec: S,
 }
 
-/// A file of objects to write and ids to remove.
+/// Objects to write and ids of objects to remove.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ApplyFile {
@@ -62,12 +62,12 @@
 }
 
 impl ApplyFile {
-    /// Reads a file; the error names the line and the key.
+    /// Parses a file; the error names the line and the key.
     pub fn parse(text: &str) -> Result<Self, String> {
         toml::from_str(text).map_err(|error| error.to_string())
     }
 
-    /// The changes it asks for.
+    /// Returns the requested changes. Fails if there are none, an id is malformed, or an object is named twice.
     pub fn changes(&self) -> Result<Vec<RequestedChange>, String> {
         let mut changes = Vec::new();
         changes.extend(self.tenant.iter().map(|entry| entry.change(Spec::Tenant)));
@@ -99,7 +99,7 @@
     }
 }
 
-/// Objects in the form of an apply file, with their revisions.
+/// Renders objects as an apply file, with their revisions.
 pub fn render_objects<'a>(objects: impl IntoIterator<Item = &'a ConfigObject>) -> String {
     let mut file = ApplyFile::default();
     for object in objects {
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,39 +1,39 @@
-//! Checks on a change before it is committed: names, owners, references, ranges and programs.
+//! Validates a change before it is committed: names, owners, references, ranges and programs.
 
 use std::collections::BTreeMap;
 
-use crate::errors::{ConfigError, Problem};
+use crate::errors::{ConfigError, ValidationError};
 use crate::objects::{ConfigObject, ObjectId, ObjectKind, Spec};
 use crate::snapshot::ConfigSnapshot;
 
-/// Longest name.
-const LONGEST_NAME: usize = 64;
+/// Maximum length of a name, characters.
+const MAX_NAME_LENGTH: usize = 64;
 
-/// Longest policy program, bytes.
-const LONGEST_PROGRAM: usize = 16 * 1024;
+/// Maximum size of a policy program, bytes.
+const MAX_PROGRAM_BYTES: usize = 16 * 1024;
 
-/// Checks a policy program; the error says what is wrong with it.
+/// Validates a policy program; the error describes what is wrong with it.
 pub type ProgramCheck<'a> = &'a (dyn Fn(&str) -> Result<(), String> + Sync);
 
-/// Objects to write (`Some`) or remove (`None`).
+/// Objects to write (`Some`) or remove (`None`), by id.
 pub type ChangeSet = BTreeMap<ObjectId, Option<ConfigObject>>;
 
 struct Checker<'a> {
     current: &'a ConfigSnapshot,
     changes: &'a ChangeSet,
-    problems: Vec<Problem>,
+    errors: Vec<ValidationError>,
 }
 
 impl Checker<'_> {
     fn report(&mut self, object: &ObjectId, field: &str, detail: impl Into<String>) {
-        self.problems.push(Problem {
+        self.errors.push(ValidationError {
             object: object.clone(),
             field: field.to_owned(),
             detail: detail.into(),
         });
     }
 
-    /// The object as it will stand after the change.
+    /// Returns the object as it would be after the change.
     fn find(&self, kind: ObjectKind, name: &str) -> Option<&ConfigObject> {
         let id = ObjectId {
             kind,
@@ -47,15 +47,15 @@
 
     fn check_name(&mut self, id: &ObjectId) {
         let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-        let good =
-            !id.name.is_empty() && id.name.len() <= LONGEST_NAME && id.name.chars().all(allowed);
-        if !good {
-            let detail = format!("1 to {LONGEST_NAME} letters, digits, '-', '_' or '.'");
+        let is_valid =
+            !id.name.is_empty() && id.name.len() <= MAX_NAME_LENGTH && id.name.chars().all(allowed);
+        if !is_valid {
+            let detail = format!("1 to {MAX_NAME_LENGTH} letters, digits, '-', '_' or '.'");
             self.report(id, "name", detail);
         }
     }
 
-    fn check_owned(&mut self, id: &ObjectId, owner: &str, kind: ObjectKind, name: &str) {
+    fn check_same_owner(&mut self, id: &ObjectId, owner: &str, kind: ObjectKind, name: &str) {
         let field = kind.name();
         match self.find(kind, name).map(|object| object.owner == owner) {
             None => self.report(id, field, format!("no {field} named {name}")),
@@ -83,8 +83,9 @@
                 }
                 let keys = spec.caller_keys.iter().chain(&spec.operator_keys);
                 for key in keys {
-                    let hex = key.0.len() == 64 && key.0.chars().all(|c| c.is_ascii_hexdigit());
-                    if !hex {
+                    let is_digest =
+                        key.0.len() == 64 && key.0.chars().all(|c| c.is_ascii_hexdigit());
+                    if !is_digest {
                         self.report(&id, "keys", "a key is given as SHA-256 in 64 hex digits");
                     }
                 }
@@ -95,13 +96,13 @@
                 }
             }
             Spec::Endpoint(spec) => {
-                self.check_owned(&id, &object.owner, ObjectKind::Service, &spec.service);
+                self.check_same_owner(&id, &object.owner, ObjectKind::Service, &spec.service);
                 for caller in &spec.callers {
                     self.check_tenant_exists(&id, "callers", caller);
                 }
             }
             Spec::Limits(spec) => {
-                self.check_owned(&id, &object.owner, ObjectKind::Endpoint, &spec.endpoint);
+                self.check_same_owner(&id, &object.owner, ObjectKind::Endpoint, &spec.endpoint);
                 self.check_tenant_exists(&id, "tenant", &spec.tenant);
                 if !(spec.requests_per_second > 0.0 && spec.requests_per_second <= 1e6) {
                     self.report(&id, "requests_per_second", "more than 0, at most 1000000");
@@ -114,9 +115,9 @@
                 }
             }
             Spec::Policy(spec) => {
-                self.check_owned(&id, &object.owner, ObjectKind::Service, &spec.service);
-                if spec.program.len() > LONGEST_PROGRAM {
-                    let detail = format!("at most {LONGEST_PROGRAM} bytes");
+                self.check_same_owner(&id, &object.owner, ObjectKind::Service, &spec.service);
+                if spec.program.len() > MAX_PROGRAM_BYTES {
+                    let detail = format!("at most {MAX_PROGRAM_BYTES} bytes");
                     self.report(&id, "program", detail);
                 } else if let Err(detail) = program_check(&spec.program) {
                     self.report(&id, "program", detail);
@@ -125,32 +126,32 @@
         }
     }
 
-    /// A key names one tenant: two tenants must not hold the same digest.
+    /// Reports keys that occur more than once, so that a key identifies one tenant and role.
     fn check_keys_unique(&mut self) {
         let changed = self.changes.values().flatten();
-        let kept = self
+        let unchanged = self
             .current
             .objects()
             .filter(|object| !self.changes.contains_key(&object.id()));
         let mut holders: BTreeMap<&str, &str> = BTreeMap::new();
-        let mut doubled = Vec::new();
-        for object in kept.chain(changed) {
+        let mut duplicates = Vec::new();
+        for object in unchanged.chain(changed) {
             let Spec::Tenant(spec) = &object.spec else {
                 continue;
             };
             for key in spec.caller_keys.iter().chain(&spec.operator_keys) {
                 let holder = holders.insert(&key.0, &object.name);
                 if holder.is_some() {
-                    doubled.push(object.id());
+                    duplicates.push(object.id());
                 }
             }
         }
-        for id in doubled {
+        for id in duplicates {
             self.report(&id, "keys", "this key is already in use");
         }
     }
 
-    /// Nothing that stays may refer to what is removed.
+    /// Reports removed objects to which a remaining object refers.
     fn check_removals(&mut self) {
         let removed: Vec<ObjectId> = self
             .changes
@@ -159,7 +160,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in removed {
-            let refers = |object: &ConfigObject| match (&object.spec, id.kind) {
+            let refers_to_it = |object: &ConfigObject| match (&object.spec, id.kind) {
                 (Spec::Endpoint(spec), ObjectKind::Service) => spec.service == id.name,
                 (Spec::Policy(spec), ObjectKind::Service) => spec.service == id.name,
                 (Spec::Limits(spec), ObjectKind::Endpoint) => spec.endpoint == id.name,
@@ -167,19 +168,19 @@
                 _ => false,
             };
             let changed = self.changes.values().flatten();
-            let kept = self
+            let unchanged = self
                 .current
                 .objects()
                 .filter(|object| !self.changes.contains_key(&object.id()));
-            let user = kept.chain(changed).find(|object| refers(object));
-            if let Some(user) = user.map(ConfigObject::id) {
-                self.report(&id, "remove", format!("{user} still refers to it"));
+            let referrer = unchanged.chain(changed).find(|object| refers_to_it(object));
+            if let Some(referrer) = referrer.map(ConfigObject::id) {
+                self.report(&id, "remove", format!("{referrer} still refers to it"));
             }
         }
     }
 }
 
-/// Checks `changes` against the configuration as it stands; all problems are listed at once.
+/// Validates `changes` against the current configuration; the error lists everything that is wrong.
 pub fn check_changes(
     current: &ConfigSnapshot,
     changes: &ChangeSet,
@@ -188,16 +189,16 @@
     let mut checker = Checker {
         current,
         changes,
-        problems: Vec::new(),
+        errors: Vec::new(),
     };
     for object in changes.values().flatten() {
         checker.check_object(object, program_check);
     }
     checker.check_keys_unique();
     checker.check_removals();
-    if checker.problems.is_empty() {
+    if checker.errors.is_empty() {
         Ok(())
     } else {
-        Err(ConfigError::Invalid(checker.problems))
+        Err(ConfigError::Invalid(checker.errors))
     }
 }
--- a/crates/config/src/objects.rs
+++ b/crates/config/src/objects.rs
@@ -1,15 +1,15 @@
-//! The typed objects of the configuration.
+//! Typed objects of the configuration.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// SHA-256 of an API key, in hex. Keys themselves are never stored.
+/// SHA-256 of an API key in hex. Keys themselves are never stored.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeyDigest(pub String);
 
 impl KeyDigest {
-    /// Digest of a key.
+    /// Returns the digest of a key.
     pub fn of(key: &str) -> Self {
         let digest = Sha256::digest(key.as_bytes());
         Self(digest.iter().map(|byte| format!("{byte:02x}")).collect())
@@ -20,20 +20,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ObjectKind {
-    /// A partner, with its keys.
+    /// A tenant, with its keys.
     Tenant,
     /// A model on a set of replicas.
     Service,
-    /// A name that callers use for a service.
+    /// A name under which callers reach a service.
     Endpoint,
-    /// Bounds on one tenant's use of an endpoint.
+    /// Limits of one tenant's use of an endpoint.
     Limits,
-    /// A lending and borrowing program.
+    /// A program for lending and borrowing capacity.
     Policy,
 }
 
 impl ObjectKind {
-    /// Name as written in ids and files.
+    /// Returns the name used in ids and files.
     pub fn name(self) -> &'static str {
         match self {
             Self::Tenant => "tenant",
@@ -48,7 +48,7 @@
 /// Identity of an object, written `kind/name`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ObjectId {
-    /// Kind.
+    /// First part of the id.
     pub kind: ObjectKind,
     /// Name, unique within the kind.
     pub name: String,
@@ -84,7 +84,7 @@
     }
 }
 
-/// A partner.
+/// A tenant, which owns itself.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantSpec {
@@ -104,44 +104,44 @@
     pub model: String,
 }
 
-/// A name that callers use for a service.
+/// A name under which callers reach a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSpec {
-    /// Service behind the endpoint; of the same owner.
+    /// Service that the endpoint forwards to; must have the same owner.
     pub service: String,
-    /// Tenants that may call it besides the owner.
+    /// Tenants that may call it, in addition to the owner.
     #[serde(default)]
     pub callers: Vec<String>,
 }
 
-/// Bounds on one tenant's use of one endpoint, set by the endpoint's owner.
+/// Limits of one tenant's use of one endpoint, set by the endpoint's owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LimitsSpec {
-    /// Endpoint; of the same owner.
+    /// Endpoint; must have the same owner.
     pub endpoint: String,
-    /// Tenant that is bounded.
+    /// Tenant whose use is limited.
     pub tenant: String,
-    /// Requests a second, more than 0.
+    /// Sustained request rate, more than 0.
     pub requests_per_second: f64,
-    /// Requests that may come at once, 1 or more.
+    /// Requests admitted at once beyond the rate, 1 or more.
     pub burst: u32,
-    /// Requests in progress at once, 1 or more.
+    /// Maximum number of requests in progress, 1 or more.
     pub concurrent_requests: u32,
 }
 
-/// A lending and borrowing program for a service of the same owner.
+/// A program for lending and borrowing capacity of a service of the same owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicySpec {
-    /// Service whose idle capacity the program speaks for.
+    /// Service whose idle capacity the program governs.
     pub service: String,
-    /// The program (Rhai).
+    /// Source of the program (Rhai).
     pub program: String,
 }
 
-/// What an object says.
+/// Kind-specific content of an object.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Spec {
@@ -158,7 +158,7 @@
 }
 
 impl Spec {
-    /// The object's kind.
+    /// Returns the kind of object.
     pub fn kind(&self) -> ObjectKind {
         match self {
             Self::Tenant(_) => ObjectKind::Tenant,
@@ -170,22 +170,22 @@
     }
 }
 
-/// One object.
+/// An object with its owner and revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigObject {
     /// Name, unique within the kind.
     pub name: String,
     /// Tenant whose operators may change it.
     pub owner: String,
-    /// Global revision that wrote it last; 0 before it is accepted.
+    /// Global revision of its last change; 0 before it is accepted.
     #[serde(default)]
     pub revision: u64,
-    /// What it says.
+    /// Kind-specific content.
     pub spec: Spec,
 }
 
 impl ConfigObject {
-    /// The object's identity.
+    /// Returns the object's identity.
     pub fn id(&self) -> ObjectId {
         ObjectId {
             kind: self.spec.kind(),
--- a/crates/config/src/replica.rs
+++ b/crates/config/src/replica.rs
@@ -1,7 +1,7 @@
 //! A daemon's replica of the configuration, as a pure state machine.
 //!
-//! Invariants: the revision never falls; every revision adopted is a whole prefix of the log; "fresh" is said
-//! only while a proof no older than the bound shows that the revision was the newest.
+//! Invariants: the revision never decreases; each adopted revision is a full prefix of the log; the replica is fresh
+//! only while a proof no older than the bound shows that its revision was the newest.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,68 +11,69 @@
 
 use crate::snapshot::ConfigSnapshot;
 
-/// Log entries kept for peers that are a little behind.
-const KEPT_ENTRIES: usize = 256;
+/// Log entries kept for deltas to peers.
+const MAX_RECENT_ENTRIES: usize = 256;
 
-/// Time bounds of freshness.
+/// Age limits of freshness proofs.
 #[derive(Debug, Clone, Copy)]
 pub struct FreshnessBounds {
-    /// A proof older than this no longer counts: the daemon takes the safe plan.
+    /// Maximum age of a proof; without a younger one the daemon falls back to the safe plan.
     pub safe_after: Duration,
-    /// With a proof older than this, a daemon asks the table itself.
-    pub ask_after: Duration,
-    /// How often the members chosen to ask do so.
-    pub poll_every: Duration,
+    /// Age of the proof after which any daemon polls the table.
+    pub poll_after: Duration,
+    /// Minimum interval between polls of one daemon.
+    pub poll_interval: Duration,
 }
 
 impl Default for FreshnessBounds {
     fn default() -> Self {
         Self {
             safe_after: Duration::from_secs(8),
-            ask_after: Duration::from_secs(3),
-            poll_every: Duration::from_secs(1),
+            poll_after: Duration::from_secs(3),
+            poll_interval: Duration::from_secs(1),
         }
     }
 }
 
-/// What a heartbeat told.
+/// Result of comparing a reported revision with the replica's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Observation {
-    /// The peer holds a newer revision: pull from it.
+    /// The reported revision is newer: pull it.
     Behind,
-    /// Nothing to do.
-    Level,
+    /// The reported revision is not newer.
+    UpToDate,
 }
 
-/// What became of a delta.
+/// Result of applying a delta.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Adoption {
-    /// The replica moved forward.
+    /// The replica moved to a newer revision.
     Adopted,
-    /// Nothing newer was in it.
+    /// The delta contains nothing newer.
     Unchanged,
-    /// It does not connect to what is held: ask for everything.
+    /// The delta does not follow the replica's revision, or is malformed: request all objects.
     Gap,
 }
 
-/// That the revision held was the newest `age` before `taken_at`. The two are kept apart since clocks start with their
-/// daemons: a proof may be older than the daemon that takes it, and has no time on its clock.
+/// Proof that the replica's revision was the newest `age` before `received_at`. A proof may be older than the daemon,
+/// whose clock starts at zero, so that the difference can't be stored.
 #[derive(Debug, Clone, Copy)]
 struct Proof {
-    taken_at: Duration,
+    received_at: Duration,
     age: Duration,
 }
 
 impl Proof {
     fn age_at(&self, now: Duration) -> Duration {
-        self.age + now.saturating_sub(self.taken_at)
+        self.age + now.saturating_sub(self.received_at)
     }
 }
 
-/// One daemon's replica. Times are the daemon's own monotonic clock.
+/// One daemon's replica. Times are of the daemon's own monotonic clock.
 #[derive(Debug, Clone)]
 pub struct ConfigReplica {
     bounds: FreshnessBounds,
+    /// Returns the configuration held.
     snapshot: Arc<ConfigSnapshot>,
     recent: VecDeque<ConfigLogEntry>,
     proof: Option<Proof>,
@@ -80,7 +81,7 @@
 }
 
 impl ConfigReplica {
-    /// A replica that knows nothing yet.
+    /// Returns an empty replica at revision 0.
     pub fn new(bounds: FreshnessBounds) -> Self {
         Self {
             bounds,
@@ -91,26 +92,26 @@
         }
     }
 
-    /// The configuration held.
+    /// Returns the configuration held.
     pub fn snapshot(&self) -> &Arc<ConfigSnapshot> {
         &self.snapshot
     }
 
-    /// Revision held.
+    /// Returns the revision held; 0 if empty.
     pub fn revision(&self) -> u64 {
         self.snapshot.revision()
     }
 
-    /// Takes a delta or a whole copy, if it leads forward.
+    /// Applies a delta or a full copy if it is newer.
     pub fn adopt(&mut self, delta: &ConfigDeltaReply) -> Adoption {
         if delta.revision <= self.revision() {
             return Adoption::Unchanged;
         }
         if delta.whole {
-            return self.adopt_whole(delta);
+            return self.adopt_full(delta);
         }
         let mut next = (*self.snapshot).clone();
-        let mut taken = Vec::new();
+        let mut applied = Vec::new();
         for entry in &delta.entries {
             if entry.revision <= next.revision() {
                 continue;
@@ -119,20 +120,20 @@
                 return Adoption::Gap;
             };
             next = after;
-            taken.push(entry.clone());
+            applied.push(entry.clone());
         }
-        if taken.is_empty() {
+        if applied.is_empty() {
             return Adoption::Gap;
         }
-        self.recent.extend(taken);
-        while self.recent.len() > KEPT_ENTRIES {
+        self.recent.extend(applied);
+        while self.recent.len() > MAX_RECENT_ENTRIES {
             self.recent.pop_front();
         }
         self.snapshot = Arc::new(next);
         Adoption::Adopted
     }
 
-    fn adopt_whole(&mut self, delta: &ConfigDeltaReply) -> Adoption {
+    fn adopt_full(&mut self, delta: &ConfigDeltaReply) -> Adoption {
         let Some(snapshot) = ConfigSnapshot::from_rows(delta.revision, &delta.objects) else {
             return Adoption::Gap;
         };
@@ -141,7 +142,7 @@
         Adoption::Adopted
     }
 
-    /// Changes above `after` for a peer, or everything if they are no longer kept.
+    /// Returns the changes above `after` for a peer, or all objects if those entries are no longer kept.
     pub fn delta(&self, after: u64) -> ConfigDeltaReply {
         let revision = self.revision();
         if after >= revision {
@@ -150,11 +151,11 @@
                 ..ConfigDeltaReply::default()
             };
         }
-        let kept = self
+        let is_available = self
             .recent
             .front()
             .is_some_and(|first| first.revision <= after + 1);
-        if kept {
+        if is_available {
             let newer = |entry: &&ConfigLogEntry| entry.revision > after;
             return ConfigDeltaReply {
                 entries: self.recent.iter().filter(newer).cloned().collect(),
@@ -170,9 +171,9 @@
         }
     }
 
-    /// Takes a peer's or the table's word that `revision` was the newest `age` ago.
+    /// Processes a report of a peer or the table that `revision` was the newest `age` ago.
     ///
-    /// `age` must count from before the proof was asked for, so that it never flatters.
+    /// `age` must count from before the report was requested, so that it is never too small.
     pub fn observe(&mut self, now: Duration, revision: u64, age: Option<Duration>) -> Observation {
         if revision > self.revision() {
             return Observation::Behind;
@@ -180,40 +181,43 @@
         if let Some(age) = age.filter(|_| revision == self.revision()) {
             let is_newer = self.proof_age(now).is_none_or(|held| age < held);
             if is_newer {
-                self.proof = Some(Proof { taken_at: now, age });
+                self.proof = Some(Proof {
+                    received_at: now,
+                    age,
+                });
             }
         }
-        Observation::Level
+        Observation::UpToDate
     }
 
-    /// Age of the newest proof that the revision held is the newest; `None` without one.
+    /// Returns the age of the newest proof that the revision held is the newest; `None` without one.
     pub fn proof_age(&self, now: Duration) -> Option<Duration> {
         self.proof.map(|proof| proof.age_at(now))
     }
 
-    /// True while the daemon may act on more than the safe plan.
+    /// True while the proof is young enough to act on more than the safe plan.
     pub fn is_fresh(&self, now: Duration) -> bool {
         self.proof_age(now)
             .is_some_and(|age| age <= self.bounds.safe_after)
     }
 
-    /// True if the daemon should ask the table now. `chosen` marks the few members of a zone that ask regularly.
-    pub fn poll_due(&self, now: Duration, chosen: bool) -> bool {
-        let interval = self.bounds.poll_every;
-        let lately = self
+    /// True if the daemon should poll the table now. `is_poller` marks the few members of a zone that poll regularly.
+    pub fn poll_due(&self, now: Duration, is_poller: bool) -> bool {
+        let interval = self.bounds.poll_interval;
+        let polled_recently = self
             .polled_at
             .is_some_and(|polled_at| now.saturating_sub(polled_at) < interval);
-        if lately {
+        if polled_recently {
             return false;
         }
         let overdue = self
             .proof_age(now)
-            .is_none_or(|age| age > self.bounds.ask_after);
-        chosen || overdue
+            .is_none_or(|age| age > self.bounds.poll_after);
+        is_poller || overdue
     }
 
-    /// Takes note that the table is being asked.
-    pub fn polling(&mut self, now: Duration) {
+    /// Records the start of a poll.
+    pub fn note_poll(&mut self, now: Duration) {
         self.polled_at = Some(now);
     }
 }
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! An immutable view of the whole configuration at one revision, with the look-ups that the request path needs.
+//! Immutable view of the configuration at one revision, with the look-ups of the request path.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,28 +8,30 @@
     ConfigObject, EndpointSpec, KeyDigest, LimitsSpec, ObjectId, PolicySpec, ServiceSpec, Spec,
 };
 
-/// What a key may do.
+/// Permissions of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Role {
-    /// Call endpoints and run jobs.
+    /// May call endpoints and run jobs.
     Caller,
-    /// Change the tenant's objects.
+    /// May change the tenant's objects.
     Operator,
 }
 
-/// Who holds a key.
+/// Owner and permissions of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Principal {
-    /// Tenant of the key.
+    /// Tenant that the key belongs to.
     pub tenant: String,
-    /// What the key may do.
+    /// Permissions of the key.
     pub role: Role,
 }
 
 /// The configuration at one revision.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigSnapshot {
+    /// Returns the global revision.
     revision: u64,
+    /// Returns all objects in order of id.
     objects: BTreeMap<ObjectId, ConfigObject>,
     keys: HashMap<KeyDigest, Principal>,
 }
@@ -68,7 +70,7 @@
         }
     }
 
-    /// The snapshot after `entry`, which must be the next revision; `None` if it is not, or is unreadable.
+    /// Applies the next log entry; `None` if it is not the next revision or is malformed.
     pub fn after(&self, entry: &ConfigLogEntry) -> Option<Self> {
         if entry.revision != self.revision + 1 {
             return None;
@@ -94,7 +96,7 @@
         Some(())
     }
 
-    /// A snapshot from stored rows; unreadable rows make it `None`.
+    /// Builds a snapshot from stored rows; `None` if one is malformed.
     pub fn from_rows(revision: u64, rows: &[ConfigObjectRow]) -> Option<Self> {
         let objects = rows
             .iter()
@@ -108,7 +110,7 @@
         Some(Self::new(revision, objects))
     }
 
-    /// Rows of all objects, to be sent to a peer.
+    /// Encodes all objects as rows, for a peer.
     pub fn to_rows(&self) -> Vec<ConfigObjectRow> {
         self.objects
             .values()
@@ -119,22 +121,22 @@
             .collect()
     }
 
-    /// Global revision.
+    /// Returns the global revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// All objects in order of id.
+    /// Returns all objects in order of id.
     pub fn objects(&self) -> impl Iterator<Item = &ConfigObject> {
         self.objects.values()
     }
 
-    /// One object.
+    /// Returns an object; `None` if it does not exist.
     pub fn object(&self, id: &ObjectId) -> Option<&ConfigObject> {
         self.objects.get(id)
     }
 
-    /// Who holds the key.
+    /// Returns owner and permissions of an API key; `None` if it is unknown.
     pub fn principal(&self, key: &str) -> Option<&Principal> {
         self.keys.get(&KeyDigest::of(key))
     }
@@ -147,7 +149,7 @@
         self.objects.get(&id)
     }
 
-    /// An endpoint and its owner.
+    /// Returns an endpoint with its object, which names the owner.
     pub fn endpoint(&self, name: &str) -> Option<(&ConfigObject, &EndpointSpec)> {
         let object = self.find(crate::ObjectKind::Endpoint, name)?;
         match &object.spec {
@@ -156,7 +158,7 @@
         }
     }
 
-    /// A service and its owner.
+    /// Returns a service with its object, which names the owner.
     pub fn service(&self, name: &str) -> Option<(&ConfigObject, &ServiceSpec)> {
         let object = self.find(crate::ObjectKind::Service, name)?;
         match &object.spec {
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Endpoints that a tenant may call.
+    /// Returns the endpoints that a tenant may call.
     pub fn endpoints_of<'a>(&'a self, tenant: &'a str) -> impl Iterator<Item = &'a ConfigObject> {
         self.objects.values().filter(move |object| {
             matches!(&object.spec, Spec::Endpoint(spec)
@@ -173,14 +175,14 @@
         })
     }
 
-    /// True if `tenant` may call the endpoint.
+    /// True if `tenant` owns the endpoint or is one of its callers.
     pub fn may_call(&self, tenant: &str, endpoint: &str) -> bool {
         self.endpoint(endpoint).is_some_and(|(object, spec)| {
             object.owner == tenant || spec.callers.iter().any(|caller| caller == tenant)
         })
     }
 
-    /// Limits set on a tenant at an endpoint.
+    /// Returns the limits of a tenant at an endpoint; `None` if none are set.
     pub fn limits(&self, tenant: &str, endpoint: &str) -> Option<&LimitsSpec> {
         self.objects.values().find_map(|object| match &object.spec {
             Spec::Limits(spec) if spec.tenant == tenant && spec.endpoint == endpoint => Some(spec),
@@ -188,7 +190,7 @@
         })
     }
 
-    /// All policies with their objects.
+    /// Returns all policies with their objects.
     pub fn policies(&self) -> impl Iterator<Item = (&ConfigObject, &PolicySpec)> {
         self.objects
             .values()
@@ -198,7 +200,7 @@
             })
     }
 
-    /// All services with their objects.
+    /// Returns all services with their objects.
     pub fn services(&self) -> impl Iterator<Item = (&ConfigObject, &ServiceSpec)> {
         self.objects
             .values()
--- a/crates/config/src/store.rs
+++ b/crates/config/src/store.rs
@@ -1,4 +1,4 @@
-//! The configuration's home in the platform's table: checked apply in one conditional transaction, and reads.
+//! Stores the configuration in the platform's table: validated apply in one conditional transaction, and reads.
 //!
 //! Rows: `config/head`, `config/object/{kind}/{name}`, `config/log/{revision}`, `config/operation/{id}`.
 
@@ -23,55 +23,55 @@
 const LOG_PREFIX: &str = "config/log/";
 const OPERATION_PREFIX: &str = "config/operation/";
 
-/// Tries against other operators' changes before giving up.
-const MOST_TRIES: usize = 12;
+/// Attempts under concurrent changes before giving up.
+const MAX_ATTEMPTS: usize = 12;
 
-/// Rows read in one scan.
+/// Rows per page of a scan.
 const SCAN_PAGE: usize = 500;
 
-/// Deltas longer than this are replaced by the whole configuration.
-const LONGEST_DELTA: u64 = 200;
+/// Deltas of more revisions are replaced by the full configuration.
+const MAX_DELTA_REVISIONS: u64 = 200;
 
-/// One object that an operator wants changed.
+/// One object that an operator wants to change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestedChange {
-    /// Object.
+    /// Object to change.
     pub id: ObjectId,
-    /// New state; `None` removes it.
+    /// New state; `None` removes the object.
     pub object: Option<ConfigObject>,
-    /// Revision that the operator read; `None` takes the one that stands at the first look.
+    /// Revision that the operator read; `None` uses the current one at the first attempt.
     pub based_on: Option<u64>,
 }
 
-/// An operator's change.
+/// An operator's change of one or more objects, applied atomically.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ApplyRequest {
-    /// Unique id, the same when the change is sent again.
+    /// Unique id, the same when the change is resent.
     pub operation: String,
-    /// Tenant of the operator key; `None` stands for the fleet's own set-up.
+    /// Tenant of the operator key; `None` for the fleet's own set-up, which may change all objects.
     pub operator: Option<String>,
     /// Time of the change, milliseconds since 1970.
     pub at_ms: u64,
-    /// What to change.
+    /// Changes by object.
     pub changes: Vec<RequestedChange>,
 }
 
 /// An accepted change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Applied {
-    /// Revision it was given.
+    /// Revision that the change was given.
     pub revision: u64,
-    /// The log entry, if this call wrote it; a resent operation has none.
+    /// Log entry, if this call wrote it; `None` for a resent operation.
     pub entry: Option<ConfigLogEntry>,
 }
 
-/// Client of the configuration's rows.
+/// Client of the configuration's rows in the table.
 #[derive(Clone)]
 pub struct ConfigStore {
     table: Arc<dyn Table>,
 }
 
-struct Held {
+struct StoredRows {
     head: Option<Row>,
     operation: Option<Row>,
     objects: BTreeMap<ObjectId, Option<Row>>,
@@ -104,7 +104,7 @@
     }
 }
 
-/// Revision of the configuration that wrote the object; 0 if it does not exist.
+/// Returns the revision that last wrote the object; 0 if it does not exist.
 fn object_revision(row: Option<&Row>) -> Result<u64, PlatformError> {
     let Some(row) = row else { return Ok(0) };
     let stored: ConfigObjectRow = decode(&row.value).ok_or_else(|| malformed(&row.key))?;
@@ -115,14 +115,14 @@
     })
 }
 
-fn check_reach(request: &ApplyRequest, current: &ConfigSnapshot) -> Result<(), ConfigError> {
+fn check_ownership(request: &ApplyRequest, current: &ConfigSnapshot) -> Result<(), ConfigError> {
     let Some(operator) = &request.operator else {
         return Ok(());
     };
     for change in &request.changes {
-        let present = current.object(&change.id);
-        let owners = present.into_iter().chain(&change.object);
-        for object in owners {
+        let existing = current.object(&change.id);
+        let objects = existing.into_iter().chain(&change.object);
+        for object in objects {
             if object.owner != *operator {
                 return Err(ConfigError::Forbidden {
                     object: change.id.clone(),
@@ -134,23 +134,23 @@
 }
 
 impl ConfigStore {
-    /// A client on `table`.
+    /// Creates a client of `table`.
     pub fn new(table: Arc<dyn Table>) -> Self {
         Self { table }
     }
 
-    /// The newest revision.
+    /// Returns the newest revision; 0 before the first change.
     pub async fn head(&self) -> Result<u64, PlatformError> {
         let keys = [HEAD_KEY.to_owned()];
         let rows = self.table.get(RequestClass::Urgent, &keys).await?;
         head_revision(rows.first().and_then(Option::as_ref))
     }
 
-    /// What leads from `after` to the newest revision.
+    /// Returns the changes from `after` to the newest revision, or all objects if there are too many.
     pub async fn delta(&self, after: u64) -> Result<ConfigDeltaReply, PlatformError> {
         let head = self.head().await?;
-        if head.saturating_sub(after) > LONGEST_DELTA {
-            return self.whole().await;
+        if head.saturating_sub(after) > MAX_DELTA_REVISIONS {
+            return self.read_all().await;
         }
         let rows = self.scan_all(LOG_PREFIX, &log_key(after)).await?;
         let entries = rows
@@ -165,9 +165,9 @@
         })
     }
 
-    /// Everything. Reads the head before and after, so that the rows are of one revision.
-    pub async fn whole(&self) -> Result<ConfigDeltaReply, PlatformError> {
-        for _ in 0..MOST_TRIES {
+    /// Returns all objects. The head is read before and after, so that all rows are of one revision.
+    pub async fn read_all(&self) -> Result<ConfigDeltaReply, PlatformError> {
+        for _ in 0..MAX_ATTEMPTS {
             let before = self.head().await?;
             let rows = self.scan_all(OBJECT_PREFIX, "").await?;
             if self.head().await? != before {
@@ -193,7 +193,7 @@
         ))
     }
 
-    /// Log entries above `after`, oldest first.
+    /// Returns the log entries above `after`, oldest first.
     pub async fn history(&self, after: u64) -> Result<Vec<ConfigLogEntry>, PlatformError> {
         let rows = self.scan_all(LOG_PREFIX, &log_key(after)).await?;
         rows.iter()
@@ -209,16 +209,16 @@
                 .table
                 .scan(RequestClass::Commit, prefix, &after, SCAN_PAGE)
                 .await?;
-            let full = page.len() == SCAN_PAGE;
+            let is_full = page.len() == SCAN_PAGE;
             rows.extend(page);
             match rows.last() {
-                Some(last) if full => after = last.key.clone(),
+                Some(last) if is_full => after = last.key.clone(),
                 _ => return Ok(rows),
             }
         }
     }
 
-    async fn hold(&self, request: &ApplyRequest) -> Result<Held, PlatformError> {
+    async fn read_rows(&self, request: &ApplyRequest) -> Result<StoredRows, PlatformError> {
         let mut keys = vec![
             HEAD_KEY.to_owned(),
             format!("{OPERATION_PREFIX}{}", request.operation),
@@ -232,55 +232,58 @@
         let head = rows.next().flatten();
         let operation = rows.next().flatten();
         let ids = request.changes.iter().map(|change| change.id.clone());
-        Ok(Held {
+        Ok(StoredRows {
             head,
             operation,
             objects: ids.zip(rows).collect(),
         })
     }
 
-    /// Checks and commits a change. Sent again with the same operation id it gives the same revision.
+    /// Validates and commits a change. A resent operation returns the same revision.
     pub async fn apply(
         &self,
         request: &ApplyRequest,
         program_check: ProgramCheck<'_>,
     ) -> Result<Applied, ConfigError> {
-        let mut bases: BTreeMap<ObjectId, u64> = request
+        let mut base_revisions: BTreeMap<ObjectId, u64> = request
             .changes
             .iter()
             .filter_map(|change| Some((change.id.clone(), change.based_on?)))
             .collect();
-        let mut last_error = None;
-        for _ in 0..MOST_TRIES {
-            match self.try_apply(request, &mut bases, program_check).await {
+        let mut indeterminate_error = None;
+        for _ in 0..MAX_ATTEMPTS {
+            match self
+                .try_apply(request, &mut base_revisions, program_check)
+                .await
+            {
                 Ok(Some(applied)) => return Ok(applied),
                 Ok(None) => {}
-                Err(ConfigError::Unsettled(error)) => last_error = Some(error),
-                Err(ConfigError::Store(_)) if last_error.is_some() => {}
+                Err(ConfigError::Indeterminate(error)) => indeterminate_error = Some(error),
+                Err(ConfigError::Store(_)) if indeterminate_error.is_some() => {}
                 Err(error) => return Err(error),
             }
         }
-        Err(last_error.map_or(ConfigError::Contended, ConfigError::Unsettled))
+        Err(indeterminate_error.map_or(ConfigError::Contended, ConfigError::Indeterminate))
     }
 
-    /// One try; `None` if another operator's change to other objects came between.
+    /// Attempts a change once; `None` if a concurrent change of other objects was committed meanwhile.
     async fn try_apply(
         &self,
         request: &ApplyRequest,
-        bases: &mut BTreeMap<ObjectId, u64>,
+        base_revisions: &mut BTreeMap<ObjectId, u64>,
         program_check: ProgramCheck<'_>,
     ) -> Result<Option<Applied>, ConfigError> {
-        let held = self.hold(request).await.map_err(ConfigError::Store)?;
-        if let Some(row) = &held.operation {
+        let stored = self.read_rows(request).await.map_err(ConfigError::Store)?;
+        if let Some(row) = &stored.operation {
             let revision = head_revision(Some(row)).map_err(ConfigError::Store)?;
             return Ok(Some(Applied {
                 revision,
                 entry: None,
             }));
         }
-        for (id, row) in &held.objects {
+        for (id, row) in &stored.objects {
             let current = object_revision(row.as_ref()).map_err(ConfigError::Store)?;
-            let based_on = *bases.entry(id.clone()).or_insert(current);
+            let based_on = *base_revisions.entry(id.clone()).or_insert(current);
             if based_on != current {
                 return Err(ConfigError::Conflict {
                     object: id.clone(),
@@ -289,34 +292,34 @@
                 });
             }
         }
-        let whole = self.whole().await.map_err(ConfigError::Store)?;
-        let current = ConfigSnapshot::from_rows(whole.revision, &whole.objects)
+        let all = self.read_all().await.map_err(ConfigError::Store)?;
+        let current = ConfigSnapshot::from_rows(all.revision, &all.objects)
             .ok_or_else(|| ConfigError::Store(malformed(OBJECT_PREFIX)))?;
-        let head = head_revision(held.head.as_ref()).map_err(ConfigError::Store)?;
+        let head = head_revision(stored.head.as_ref()).map_err(ConfigError::Store)?;
         if current.revision() != head {
             return Ok(None);
         }
-        check_reach(request, &current)?;
+        check_ownership(request, &current)?;
         let changes: ChangeSet = request
             .changes
             .iter()
             .map(|change| (change.id.clone(), change.object.clone()))
             .collect();
         check_changes(&current, &changes, program_check)?;
-        self.commit(request, &held, head + 1).await
+        self.commit(request, &stored, head + 1).await
     }
 
     async fn commit(
         &self,
         request: &ApplyRequest,
-        held: &Held,
+        stored: &StoredRows,
         revision: u64,
     ) -> Result<Option<Applied>, ConfigError> {
         let operation_key = format!("{OPERATION_PREFIX}{}", request.operation);
         let entry = log_entry(request, revision);
         let head = encode(&ConfigHead { revision });
         let mut transaction = Transaction::default()
-            .require(Condition::unchanged(HEAD_KEY, held.head.as_ref()))
+            .require(Condition::unchanged(HEAD_KEY, stored.head.as_ref()))
             .require(Condition::unchanged(&operation_key, None))
             .put(HEAD_KEY, head.clone())
             .put(operation_key, head)
@@ -327,14 +330,14 @@
                 Err(_) => continue,
             };
             let key = object_key(&id);
-            let row = held.objects.get(&id).and_then(Option::as_ref);
-            let stored = ConfigObjectRow {
+            let row = stored.objects.get(&id).and_then(Option::as_ref);
+            let updated = ConfigObjectRow {
                 revision,
                 object: change.object.clone(),
             };
             transaction = transaction
                 .require(Condition::unchanged(&key, row))
-                .put(key, encode(&stored));
+                .put(key, encode(&updated));
         }
         match self.table.transact(RequestClass::Urgent, transaction).await {
             Ok(TransactionOutcome::Committed { .. }) => Ok(Some(Applied {
@@ -342,7 +345,7 @@
                 entry: Some(entry),
             })),
             Ok(TransactionOutcome::Conflict { .. }) => Ok(None),
-            Err(error) if error.may_have_happened() => Err(ConfigError::Unsettled(error)),
+            Err(error) if error.may_have_happened() => Err(ConfigError::Indeterminate(error)),
             Err(error) => Err(ConfigError::Store(error)),
         }
     }
--- a/crates/node/src/config_task.rs
+++ b/crates/node/src/config_task.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use harrierward_config::{
-    ASK_POLLER_AFTER, ASK_POLLER_EVERY, Adoption, Observation, POLLERS_A_ZONE,
+    Adoption, Observation, POLLER_QUERY_INTERVAL, POLLERS_PER_ZONE, QUERY_POLLER_AFTER,
 };
 use harrierward_membership::ReceivedWord;
 use harrierward_routing::rank_by_rendezvous;
@@ -91,7 +91,7 @@
             let mut replica = lock(&shared.config_replica);
             let due = replica.poll_due(now, chosen);
             if due {
-                replica.polling(now);
+                replica.note_poll(now);
             }
             due
         };
@@ -107,8 +107,8 @@
 /// Asks one of the zone's pollers, so that the table need not be asked.
 async fn ask_poller(shared: &Arc<Shared>, now: Duration, asked_at: &mut Duration) {
     let age = lock(&shared.config_replica).proof_age(now);
-    let young = age.is_some_and(|age| age < ASK_POLLER_AFTER);
-    if young || now.saturating_sub(*asked_at) < ASK_POLLER_EVERY {
+    let young = age.is_some_and(|age| age < QUERY_POLLER_AFTER);
+    if young || now.saturating_sub(*asked_at) < POLLER_QUERY_INTERVAL {
         return;
     }
     *asked_at = now;
@@ -136,7 +136,7 @@
     let key = format!("config-poller/{zone}");
     rank_by_rendezvous(&key, peers)
         .into_iter()
-        .take(POLLERS_A_ZONE)
+        .take(POLLERS_PER_ZONE)
         .map(str::to_owned)
         .collect()
 }
@@ -145,7 +145,7 @@
 async fn poll(shared: &Arc<Shared>, asked_at: Duration) {
     let revision = lock(&shared.config_replica).revision();
     let result = if revision == 0 {
-        shared.config_store.whole().await
+        shared.config_store.read_all().await
     } else {
         shared.config_store.delta(revision).await
     };
@@ -157,7 +157,7 @@
         }
     };
     if adopt(shared, &delta) == Adoption::Gap
-        && let Ok(whole) = shared.config_store.whole().await
+        && let Ok(whole) = shared.config_store.read_all().await
     {
         adopt(shared, &whole);
     }
