--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -6,7 +6,7 @@
 use crate::objects::{ConfigObject, ObjectId, ObjectKind, Spec};
 use crate::snapshot::ConfigSnapshot;
 
-/// Maximum length of a name, characters.
+/// Maximum length of a name, bytes.
 const MAX_NAME_LENGTH: usize = 64;
 
 /// Maximum size of a policy program, bytes.
--- a/crates/config/src/replica.rs
+++ b/crates/config/src/replica.rs
@@ -73,7 +73,6 @@
 #[derive(Debug, Clone)]
 pub struct ConfigReplica {
     bounds: FreshnessBounds,
-    /// Returns the configuration held.
     snapshot: Arc<ConfigSnapshot>,
     recent: VecDeque<ConfigLogEntry>,
     proof: Option<Proof>,
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -29,9 +29,7 @@
 /// The configuration at one revision.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigSnapshot {
-    /// Returns the global revision.
     revision: u64,
-    /// Returns all objects in order of id.
     objects: BTreeMap<ObjectId, ConfigObject>,
     keys: HashMap<KeyDigest, Principal>,
 }
--- a/crates/decisions/src/metrics.rs
+++ b/crates/decisions/src/metrics.rs
@@ -21,34 +21,34 @@
     requests: IntCounterVec,
     request_seconds: Histogram,
     first_event_seconds: Histogram,
-    places: IntCounterVec,
+    slot_choices: IntCounterVec,
     sent_by_region: IntCounterVec,
-    items_ended: IntCounterVec,
+    items_preempted: IntCounterVec,
     attempts_failed: IntCounterVec,
     jobs_submitted: IntCounterVec,
     results_listed: IntCounterVec,
-    listings_asked: IntCounterVec,
-    peers_asked: IntCounterVec,
+    listing_reads: IntCounterVec,
+    peer_row_requests: IntCounterVec,
     item_runs: IntCounterVec,
-    ownerships: IntCounterVec,
+    job_ownership_changes: IntCounterVec,
     dependencies_lost: IntCounterVec,
     configuration_version: IntGauge,
     members_alive: IntGauge,
     zones_evacuated: IntGaugeVec,
     zones_running: IntGaugeVec,
     view_sync_records: IntCounter,
-    connections_silent: IntCounter,
+    stalled_connections_closed: IntCounter,
     lines_dropped: IntGauge,
     rate_refusals: IntCounterVec,
-    rate_stand_ins: IntCounterVec,
+    rate_fallbacks: IntCounterVec,
     tenant_refusals: IntCounterVec,
     cold_replicas: IntGaugeVec,
     cold_paced: IntCounterVec,
-    replica_standings: IntCounterVec,
+    replica_status_changes: IntCounterVec,
     replicas_ejected: IntGauge,
-    replicas_ended: IntCounterVec,
+    replica_crashes: IntCounterVec,
     replicas_rejected: IntGauge,
-    contents_held: IntGauge,
+    contents_quarantined: IntGauge,
     spaces: SpaceMetrics,
     tenants: Arc<Mutex<BTreeSet<String>>>,
 }
@@ -96,13 +96,13 @@
                 "harrierward_first_event_seconds",
                 "Time from a request's arrival to the first bytes of its answer's body",
             )?,
-            places: counter(
+            slot_choices: counter(
                 "harrierward_places_total",
                 "SlotLeases at replicas, by who chose the replica",
                 "chosen_by",
             )?,
             sent_by_region: sent_by_region(&registry)?,
-            items_ended: counter(
+            items_preempted: counter(
                 "harrierward_item_ends_ordered_total",
                 "Batch items that this daemon, as the coordinator of a replica, ended for online requests",
                 "of_peer",
@@ -122,12 +122,12 @@
                 "Writes that list results, by outcome",
                 "outcome",
             )?,
-            listings_asked: counter(
+            listing_reads: counter(
                 "harrierward_listings_asked_total",
                 "Reads of results that the copy of the job's head could not answer alone, by what the store said",
                 "outcome",
             )?,
-            peers_asked: counter(
+            peer_row_requests: counter(
                 "harrierward_peers_asked_total",
                 "Rounds in which a daemon that could not serve yet asked peers for their rows, by outcome",
                 "outcome",
@@ -137,7 +137,7 @@
                 "Runs of items of batch jobs, by outcome",
                 "outcome",
             )?,
-            ownerships: counter(
+            job_ownership_changes: counter(
                 "harrierward_job_ownership_changes_total",
                 "Changes of the owner of a job at this daemon, by kind",
                 "outcome",
@@ -166,7 +166,7 @@
                 "Requests and items of this daemon still in progress in an evacuated zone",
             )?,
             view_sync_records: view_sync_records(&registry)?,
-            connections_silent: connections_silent(&registry)?,
+            stalled_connections_closed: stalled_connections_closed(&registry)?,
             lines_dropped: gauge(
                 "harrierward_log_lines_dropped",
                 "Log lines dropped since the start",
@@ -176,7 +176,7 @@
                 "Requests that their tenant's rate did not admit, by what the coordinator said",
                 "outcome",
             )?,
-            rate_stand_ins: counter(
+            rate_fallbacks: counter(
                 "harrierward_rate_stand_ins_total",
                 "Questions of daemons to which a tenant's coordinator is silent, by what became of them here",
                 "outcome",
@@ -196,7 +196,7 @@
                 "Requests for cold replicas that this daemon, as their coordinator, counted or turned away",
                 "outcome",
             )?,
-            replica_standings: counter(
+            replica_status_changes: counter(
                 "harrierward_replica_standings_total",
                 "Replicas that this daemon, as their coordinator, ejected, spared, probed, took back, or gave less work",
                 "outcome",
@@ -205,7 +205,7 @@
                 "harrierward_replicas_ejected",
                 "Replicas that this daemon, as their coordinator, keeps out of service",
             )?,
-            replicas_ended: counter(
+            replica_crashes: counter(
                 "harrierward_replicas_ended_total",
                 "Replicas that ended while requests of this daemon were in progress there, by how that is known",
                 "known_by",
@@ -214,7 +214,7 @@
                 "harrierward_replica_entries_rejected",
                 "Entries of replicas since the start that could not be read, as last told",
             )?,
-            contents_held: gauge(
+            contents_quarantined: gauge(
                 "harrierward_contents_held",
                 "Contents that are held back since replicas ended under them",
             )?,
@@ -268,7 +268,7 @@
                 self.tenant_refusals.with_label_values(&[label]).inc();
             }
             Record::RateStoodIn { outcome, .. } => {
-                self.rate_stand_ins.with_label_values(&[*outcome]).inc();
+                self.rate_fallbacks.with_label_values(&[*outcome]).inc();
             }
             Record::AttemptFailed { not_run, .. } => {
                 let label = if *not_run { "true" } else { "false" };
@@ -280,13 +280,13 @@
                 left_region,
                 ..
             } => {
-                self.places.with_label_values(&[*chosen_by]).inc();
+                self.slot_choices.with_label_values(&[*chosen_by]).inc();
                 let why = left_region.unwrap_or("");
                 self.sent_by_region.with_label_values(&[*region, why]).inc();
             }
             Record::ItemEndOrdered { of_peer, .. } => {
                 let label = if *of_peer { "true" } else { "false" };
-                self.items_ended.with_label_values(&[label]).inc();
+                self.items_preempted.with_label_values(&[label]).inc();
             }
             Record::JobSubmitted { outcome, .. } => {
                 self.jobs_submitted.with_label_values(&[*outcome]).inc();
@@ -295,10 +295,10 @@
                 self.results_listed.with_label_values(&[*outcome]).inc();
             }
             Record::ListingAsked { outcome, .. } => {
-                self.listings_asked.with_label_values(&[*outcome]).inc();
+                self.listing_reads.with_label_values(&[*outcome]).inc();
             }
             Record::PeersAsked { outcome, .. } => {
-                self.peers_asked.with_label_values(&[*outcome]).inc();
+                self.peer_row_requests.with_label_values(&[*outcome]).inc();
             }
             Record::ItemRun { outcome, .. } => {
                 let known = RUN_OUTCOMES.iter().find(|known| *known == outcome);
@@ -306,7 +306,9 @@
                 self.item_runs.with_label_values(&[label]).inc();
             }
             Record::JobOwnership { outcome, .. } => {
-                self.ownerships.with_label_values(&[*outcome]).inc();
+                self.job_ownership_changes
+                    .with_label_values(&[*outcome])
+                    .inc();
             }
             Record::DependencyLost { dependency, .. } => {
                 self.dependencies_lost
@@ -318,14 +320,14 @@
                     .set(i64::try_from(*rejected).unwrap_or(i64::MAX));
             }
             Record::ReplicaEnded { known_by, .. } => {
-                self.replicas_ended.with_label_values(&[*known_by]).inc();
+                self.replica_crashes.with_label_values(&[*known_by]).inc();
             }
             Record::ContentHeld { held, .. } => {
-                self.contents_held
+                self.contents_quarantined
                     .set(i64::try_from(*held).unwrap_or(i64::MAX));
             }
             Record::ConnectionsSilent { closed, .. } => {
-                self.connections_silent.inc_by(*closed as u64);
+                self.stalled_connections_closed.inc_by(*closed as u64);
             }
             Record::ConfigurationInForce { version, .. } => {
                 let version = i64::try_from(*version).unwrap_or(i64::MAX);
@@ -360,7 +362,9 @@
             Record::ReplicaStanding {
                 outcome, ejected, ..
             } => {
-                self.replica_standings.with_label_values(&[*outcome]).inc();
+                self.replica_status_changes
+                    .with_label_values(&[*outcome])
+                    .inc();
                 self.set_ejected(*ejected);
             }
             Record::EjectionsDropped { ejected, .. } => self.set_ejected(*ejected),
@@ -405,13 +409,13 @@
     Ok(counter)
 }
 
-fn connections_silent(registry: &Registry) -> Result<IntCounter, prometheus::Error> {
-    let silent = IntCounter::new(
+fn stalled_connections_closed(registry: &Registry) -> Result<IntCounter, prometheus::Error> {
+    let counter = IntCounter::new(
         "harrierward_connections_silent_total",
         "Kept connections closed because an exchange with their peer fell silent",
     )?;
-    registry.register(Box::new(silent.clone()))?;
-    Ok(silent)
+    registry.register(Box::new(counter.clone()))?;
+    Ok(counter)
 }
 
 fn view_sync_records(registry: &Registry) -> Result<IntCounter, prometheus::Error> {
--- a/crates/decisions/src/record.rs
+++ b/crates/decisions/src/record.rs
@@ -398,7 +398,7 @@
         /// Time since the request arrived.
         after_ms: u64,
     },
-    /// A request was refused or given up before its response began.
+    /// A request was refused or aborted before its response began.
     Refused {
         /// Request id.
         request: &'a str,
@@ -574,7 +574,7 @@
         /// `committed`, `job removed`, `not done`, or `in doubt` (indeterminate).
         outcome: &'a str,
     },
-    /// A client cancelled a job.
+    /// A client requested the cancellation of a job.
     JobEnded {
         /// Job id.
         job: &'a str,
