--- a/crates/decisions/src/record.rs
+++ b/crates/decisions/src/record.rs
@@ -247,7 +247,7 @@
     },
     /// A daemon without configuration or replicas requested them from some peers.
     PeersAsked {
-        /// Peers that could be asked.
+        /// Peers that are eligible for the request.
         peers: usize,
         /// Replicas in the reply.
         replicas: usize,
@@ -496,7 +496,7 @@
         /// True for an item of a batch job.
         item: bool,
     },
-    /// The coordinator of a cold replica, this daemon, counted a request towards the replica's limited capacity.
+    /// As the coordinator of a cold replica, this daemon counted a request towards the replica's limited capacity.
     ColdCounted {
         /// Replica id.
         replica: &'a str,
