--- a/crates/membership/src/core/mod.rs
+++ b/crates/membership/src/core/mod.rs
@@ -61,7 +61,7 @@
     version_hash: u64,
     state_since: Duration,
     transmissions_left: usize,
-    /// The member announced that it leaves.
+    /// The member announced that it leaves, or a later instance runs at its address.
     left: bool,
 }
 
@@ -89,7 +89,7 @@
     sent_at: Duration,
 }
 
-/// State of one daemon's membership.
+/// Membership state of one daemon; does no I/O. Times are offsets on a clock of the caller.
 #[derive(Debug, Clone)]
 pub struct MembershipCore {
     settings: MembershipSettings,
@@ -148,7 +148,7 @@
         &self.record.udp_address
     }
 
-    /// True unless the member is dead after it announced that it leaves.
+    /// False for a dead member that left, or was replaced by a later instance: it is no longer probed.
     fn may_return(&self) -> bool {
         state_of(&self.record) != MemberState::Dead || !self.left
     }
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -46,13 +46,13 @@
 
 impl Partition {
     /// Returns the end, in simulated time.
-    pub fn ends(&self) -> Duration {
+    pub fn ends_at(&self) -> Duration {
         self.starts_at + self.duration
     }
 
     fn drops(&self, from: usize, to: usize, now: Duration) -> bool {
         let (from, to) = (self.part_of[from], self.part_of[to]);
-        if from == to || now < self.starts_at || now >= self.ends() {
+        if from == to || now < self.starts_at || now >= self.ends_at() {
             return false;
         }
         match self.kind {
--- a/crates/relay/src/relay/reading.rs
+++ b/crates/relay/src/relay/reading.rs
@@ -104,7 +104,7 @@
         self.store.read_page(space, start).await
     }
 
-    /// True while a space without a copy may wait for starting peers.
+    /// True unless a space without a copy has waited for starting peers until its deadline.
     fn may_wait_for_peers(&self, space: &str) -> bool {
         if self.copy_state(space).1.is_some() {
             return true;
--- a/crates/relay/tests/zone.rs
+++ b/crates/relay/tests/zone.rs
@@ -166,7 +166,7 @@
         sleep(Duration::from_millis(1)).await;
         if machine.is_unresponsive.load(Ordering::Relaxed) {
             sleep(request.hold + Duration::from_millis(400)).await;
-            return RelayReply::Failed(SourceFailure::Unresponsive, "no reply".to_owned());
+            return RelayReply::Failed(SourceFailure::Unresponsive, "silent".to_owned());
         }
         let Some(held) = machine.space.reply(&request).await else {
             return RelayReply::NotReady;
