--- a/crates/relay/tests/suspended_watch.rs
+++ b/crates/relay/tests/suspended_watch.rs
@@ -80,7 +80,7 @@
     // Suspensions start at different points of a held request; some are shorter than the hold time.
     for suspended in [3_000, 1_200, 500, 6_000, 3_000] {
         sleep(Duration::from_millis(1_370)).await;
-        harrierward_clock::imagine_suspension(Duration::from_millis(suspended));
+        harrierward_clock::simulate_suspension(Duration::from_millis(suspended));
         let resumed_at = harrierward_clock::now();
         sleep(PROVEN_WITHIN).await;
         let proof = proven.lock().unwrap().expect("a proof");
