--- a/crates/harrierward/src/client.rs
+++ b/crates/harrierward/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP towards a daemon, for the commands that act as a caller or an operator.
+//! HTTP client of a daemon's API, for commands of callers and operators.
 
 use bytes::Bytes;
 use eyre::{Result, WrapErr, bail};
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use serde_json::Value;
 
-/// A client of one daemon.
+/// Client of one daemon.
 pub struct Client {
     caller: HttpCaller,
     server: String,
@@ -16,7 +16,7 @@
 }
 
 impl Client {
-    /// A client of the daemon at `server` (`IP:PORT`) with an API key.
+    /// Creates a client of the daemon at `server` (`IP:PORT`) that authenticates with an API key.
     pub fn new(server: &str, key: &str) -> Self {
         Self {
             caller: HttpCaller::new(),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Sends a request and returns the answer's JSON; an error answer becomes an error.
+    /// Sends a request and returns the JSON of the response; an error status becomes an error.
     pub async fn json(
         &self,
         method: Method,
@@ -35,11 +35,11 @@
     ) -> Result<Value> {
         let response = self.open(method, path, headers, body).await?;
         let body = response.into_body().collect().await;
-        let body = body.wrap_err("the answer broke off")?.to_bytes();
-        serde_json::from_slice(&body).wrap_err("the answer is not JSON")
+        let body = body.wrap_err("the response broke off")?.to_bytes();
+        serde_json::from_slice(&body).wrap_err("the response is not JSON")
     }
 
-    /// Sends a request and returns the answer with its body still streaming.
+    /// Sends a request and returns the response with a streaming body; an error status becomes an error.
     pub async fn open(
         &self,
         method: Method,
@@ -59,10 +59,10 @@
             return Ok(response);
         }
         let body = response.into_body().collect().await?.to_bytes();
-        let words = serde_json::from_slice::<Value>(&body)
+        let message = serde_json::from_slice::<Value>(&body)
             .ok()
             .and_then(|value| Some(value.get("error")?.get("message")?.as_str()?.to_owned()))
             .unwrap_or_else(|| String::from_utf8_lossy(&body).into_owned());
-        bail!("{status}: {words}")
+        bail!("{status}: {message}")
     }
 }
--- a/crates/harrierward/src/command_line.rs
+++ b/crates/harrierward/src/command_line.rs
@@ -1,4 +1,4 @@
-//! Finds the command, prints help and version at each level, and turns outcomes into exit codes.
+//! Selects the command, prints help and version at each level, and maps outcomes to exit codes.
 
 use std::process::ExitCode;
 
@@ -6,19 +6,16 @@
 
 use crate::{commands, explain, serve, standalone};
 
-/// Done.
-const EXIT_DONE: u8 = 0;
-/// The command failed.
+const EXIT_SUCCESS: u8 = 0;
 const EXIT_FAILED: u8 = 1;
-/// The command line is wrong.
 const EXIT_USAGE: u8 = 2;
 
-/// Why a command did not succeed.
+/// Why a command did not succeed; decides the exit code.
 #[derive(Debug)]
 pub enum Failure {
     /// The command line is wrong.
     Usage(String),
-    /// The command failed.
+    /// The command itself failed.
     Failed(eyre::Report),
 }
 
@@ -28,20 +25,17 @@
     }
 }
 
-/// What a command's function gives.
+/// Result of a command.
 pub type Outcome = Result<(), Failure>;
 
-/// One command.
 struct Command {
-    /// Words that name it.
+    /// Words that select the command.
     words: &'static [&'static str],
-    /// Arguments besides options, for the help.
+    /// Positional arguments, as the help shows them; empty for none.
     arguments: &'static str,
-    /// What it does.
+    /// Description for the help.
     about: &'static str,
-    /// Adds its options.
     options: fn(&mut Options),
-    /// Runs it.
     run: fn(&Matches) -> Outcome,
 }
 
@@ -153,7 +147,7 @@
     },
 ];
 
-fn usage_of_all(prefix: &[&str]) -> String {
+fn full_usage(prefix: &[&str]) -> String {
     let mut text = String::from("Usage: harrierward COMMAND [OPTIONS]\n\nCommands:\n");
     for command in &COMMANDS {
         if command.words.starts_with(prefix) {
@@ -178,7 +172,7 @@
     matches!(word, "--version" | "-V")
 }
 
-/// Runs the command line.
+/// Parses and runs the command line.
 pub fn run(arguments: &[String]) -> ExitCode {
     let words: Vec<&str> = arguments.iter().map(String::as_str).collect();
     let command = COMMANDS
@@ -197,20 +191,17 @@
         .any(|command| command.words.starts_with(&named));
     if words.iter().any(|word| is_version(word)) {
         println!("{}", version());
-        return ExitCode::from(EXIT_DONE);
+        return ExitCode::from(EXIT_SUCCESS);
     }
     if group_exists && words.iter().any(|word| is_help(word)) {
-        print!("{}", usage_of_all(&named));
-        return ExitCode::from(EXIT_DONE);
+        print!("{}", full_usage(&named));
+        return ExitCode::from(EXIT_SUCCESS);
     }
     if words.is_empty() || group_exists {
-        eprint!("harrierward: a command is needed\n{}", usage_of_all(&named));
+        eprint!("harrierward: a command is needed\n{}", full_usage(&named));
     } else {
         let wrong = words.join(" ");
-        eprint!(
-            "harrierward: no such command: {wrong}\n{}",
-            usage_of_all(&[])
-        );
+        eprint!("harrierward: no such command: {wrong}\n{}", full_usage(&[]));
     }
     ExitCode::from(EXIT_USAGE)
 }
@@ -234,25 +225,25 @@
     };
     if matches.opt_present("help") {
         print!("{}", options.usage(&brief));
-        return ExitCode::from(EXIT_DONE);
+        return ExitCode::from(EXIT_SUCCESS);
     }
     if matches.opt_present("version") {
         println!("{}", version());
-        return ExitCode::from(EXIT_DONE);
+        return ExitCode::from(EXIT_SUCCESS);
     }
-    let wanted = usize::from(!command.arguments.is_empty());
+    let expected = usize::from(!command.arguments.is_empty());
     let open_ended = command.arguments.ends_with("...]");
-    let too_few = matches.free.len() < wanted;
-    if too_few || (matches.free.len() > wanted && !open_ended) {
+    let too_few = matches.free.len() < expected;
+    if too_few || (matches.free.len() > expected && !open_ended) {
         let given = matches.free.len();
         eprintln!(
-            "harrierward {name}: takes {wanted} argument(s), {given} given\n{}",
+            "harrierward {name}: takes {expected} argument(s), {given} given\n{}",
             options.usage(&brief)
         );
         return ExitCode::from(EXIT_USAGE);
     }
     match (command.run)(&matches) {
-        Ok(()) => ExitCode::from(EXIT_DONE),
+        Ok(()) => ExitCode::from(EXIT_SUCCESS),
         Err(Failure::Usage(message)) => {
             eprintln!("harrierward {name}: {message}");
             ExitCode::from(EXIT_USAGE)
--- a/crates/harrierward/src/commands.rs
+++ b/crates/harrierward/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands that are not servers.
+//! Commands of callers and operators, and offline checks.
 
 use std::io::{IsTerminal, Write};
 use std::time::Duration;
@@ -19,7 +19,7 @@
 
 const DEFAULT_SERVER: &str = "127.0.0.1:8080";
 const KEY_VARIABLE: &str = "HARRIERWARD_KEY";
-const FOLLOW_PAUSE: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 const DEFAULT_WINDOW: &str = "24h";
 
 pub fn no_options(_options: &mut Options) {}
@@ -160,12 +160,12 @@
 
 pub fn config_get(matches: &Matches) -> Outcome {
     let client = client(matches)?;
-    let answer = block_on(client.json(Method::GET, "/admin/v1/config", &[], Bytes::new()))?;
+    let response = block_on(client.json(Method::GET, "/admin/v1/config", &[], Bytes::new()))?;
     if matches.opt_present("json") {
-        return print_json(&answer);
+        return print_json(&response);
     }
-    println!("# revision {}", text(&answer, "revision"));
-    print!("{}", text(&answer, "file"));
+    println!("# revision {}", text(&response, "revision"));
+    print!("{}", text(&response, "file"));
     Ok(())
 }
 
@@ -179,17 +179,17 @@
         .unwrap_or_else(|| format!("{:016x}", rand::random::<u64>()));
     let headers = [("operation-id", operation.as_str())];
     let url = format!("/admin/v1/config?wait={wait}");
-    let answer = block_on(client.json(Method::POST, &url, &headers, content.into()))
+    let response = block_on(client.json(Method::POST, &url, &headers, content.into()))
         .wrap_err_with(|| format!("operation {operation}"))?;
     if matches.opt_present("json") {
-        return print_json(&answer);
+        return print_json(&response);
     }
-    println!("accepted as revision {}", text(&answer, "revision"));
-    if let Some(members) = answer.get("in_force").and_then(Value::as_object) {
+    println!("accepted as revision {}", text(&response, "revision"));
+    if let Some(members) = response.get("in_force").and_then(Value::as_object) {
         for (member, revision) in members {
             println!("  {member}: {revision}");
         }
-        if !members.is_empty() && answer.get("everywhere") != Some(&Value::Bool(true)) {
+        if !members.is_empty() && response.get("everywhere") != Some(&Value::Bool(true)) {
             return Err(eyre!("not in force everywhere within the wait").into());
         }
     }
@@ -198,11 +198,11 @@
 
 pub fn config_history(matches: &Matches) -> Outcome {
     let client = client(matches)?;
-    let answer = block_on(client.json(Method::GET, "/admin/v1/history", &[], Bytes::new()))?;
+    let response = block_on(client.json(Method::GET, "/admin/v1/history", &[], Bytes::new()))?;
     if matches.opt_present("json") {
-        return print_json(&answer);
+        return print_json(&response);
     }
-    for entry in answer["data"].as_array().into_iter().flatten() {
+    for entry in response["data"].as_array().into_iter().flatten() {
         let objects: Vec<String> = entry["changes"]
             .as_array()
             .into_iter()
@@ -222,18 +222,18 @@
 
 pub fn status(matches: &Matches) -> Outcome {
     let client = client(matches)?;
-    let answer = block_on(client.json(Method::GET, "/admin/v1/status", &[], Bytes::new()))?;
+    let response = block_on(client.json(Method::GET, "/admin/v1/status", &[], Bytes::new()))?;
     if matches.opt_present("json") {
-        return print_json(&answer);
+        return print_json(&response);
     }
-    for (field, value) in answer.as_object().into_iter().flatten() {
+    for (field, value) in response.as_object().into_iter().flatten() {
         println!("{field}: {value}");
     }
     Ok(())
 }
 
-/// Boundary of the upload form; chosen at random, so that no file holds it.
-fn form(content: &[u8], filename: &str) -> (String, Bytes) {
+/// Encodes the upload encode_form; returns its content type and body. The random boundary does not occur in the file.
+fn encode_form(content: &[u8], filename: &str) -> (String, Bytes) {
     let boundary = format!("harrierward-{:032x}", rand::random::<u128>());
     let mut body = Vec::with_capacity(content.len() + 512);
     let head = format!(
@@ -244,11 +244,11 @@
     body.extend_from_slice(head.as_bytes());
     body.extend_from_slice(content);
     body.extend_from_slice(format!("\r\n--{boundary}--\r\n").as_bytes());
-    let kind = format!("multipart/form-data; boundary={boundary}");
-    (kind, body.into())
+    let content_type = format!("multipart/form-data; boundary={boundary}");
+    (content_type, body.into())
 }
 
-/// The URL that the file's first line names; the server checks all the others.
+/// Returns the URL in the file's first line; the server validates all lines.
 fn first_url(content: &[u8]) -> Result<String> {
     let line = content
         .split(|byte| *byte == b'\n')
@@ -272,8 +272,11 @@
     let window = window.as_deref().unwrap_or(DEFAULT_WINDOW);
     let filename = path.rsplit('/').next().unwrap_or(path).replace('"', "_");
     let job = block_on(async {
-        let (kind, body) = form(&content, &filename);
-        let headers = [("content-type", kind.as_str()), ("idempotency-key", &key)];
+        let (content_type, body) = encode_form(&content, &filename);
+        let headers = [
+            ("content-type", content_type.as_str()),
+            ("idempotency-key", &key),
+        ];
         let file = client
             .json(Method::POST, "/v1/files", &headers, body)
             .await?;
@@ -317,25 +320,25 @@
     client.json(Method::GET, &path, &[], Bytes::new()).await
 }
 
-/// Follows a job to its end, with a progress line if a person watches.
+/// Polls a job until it has ended, with a progress line on a terminal.
 async fn follow(client: &Client, job_id: &str) -> Result<Value> {
-    let watched = std::io::stderr().is_terminal();
+    let is_terminal = std::io::stderr().is_terminal();
     loop {
         let job = get_job(client, job_id).await?;
         let status = text(&job, "status");
-        if watched {
+        if is_terminal {
             let counts = &job["request_counts"];
             let (done, total) = (text(counts, "completed"), text(counts, "total"));
             eprint!("\r{job_id}: {status}, {done} of {total} ");
             std::io::stderr().flush()?;
         }
         if !matches!(status.as_str(), "in_progress" | "cancelling") {
-            if watched {
+            if is_terminal {
                 eprintln!();
             }
             return Ok(job);
         }
-        sleep(FOLLOW_PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -382,8 +385,10 @@
             let frame = frame.wrap_err("the results broke off")?;
             if let Ok(data) = frame.into_data() {
                 match output.write_all(&data) {
-                    // The reader has seen enough.
-                    Err(error) if error.kind() == std::io::ErrorKind::BrokenPipe => return Ok(()),
+                    // The reader has closed the pipe, for example `head`.
+                    Err(error) if error.kind() == std::io::ErrorKind::BrokenPipe => {
+                        return Ok(());
+                    }
                     written => written?,
                 }
             }
--- a/crates/harrierward/src/explain.rs
+++ b/crates/harrierward/src/explain.rs
@@ -1,6 +1,6 @@
-//! `explain ID`: the story of a request, job, item, replica or zone from the decision logs of many machines.
+//! `explain ID`: the history of a request, job, item, replica or zone from the decision logs of many machines.
 //!
-//! Lines may carry a prefix, such as a machine's name; it is kept. A line that holds no record is passed over.
+//! Lines may carry a prefix, such as a machine's name, which is printed too. Lines without a record are skipped.
 
 use std::collections::BTreeSet;
 use std::io::Read;
@@ -11,11 +11,11 @@
 
 use crate::command_line::{Failure, Outcome};
 
-/// Fields that name what a record is about.
-const SUBJECTS: [&str; 5] = ["request", "job", "item", "replica", "zone"];
+/// Record fields that identify the subject.
+const SUBJECT_FIELDS: [&str; 5] = ["request", "job", "item", "replica", "zone"];
 
-/// Fields that are printed elsewhere.
-const SHOWN: [&str; 3] = ["at_ms", "event", "type"];
+/// Record fields that are not printed as inputs.
+const OMITTED_FIELDS: [&str; 3] = ["at_ms", "event", "type"];
 
 struct Entry {
     at_ms: u64,
@@ -23,17 +23,17 @@
     record: Map<String, Value>,
 }
 
-/// Prints the story of the id given.
+/// Prints the history of the given id.
 pub fn run(matches: &Matches) -> Outcome {
     let Some((id, files)) = matches.free.split_first() else {
-        return Err(Failure::Usage("which id?".to_owned()));
+        return Err(Failure::Usage("an id is needed".to_owned()));
     };
     let text = read_all(files)?;
-    let story = story(&text, id);
-    if story.is_empty() {
-        return Err(eyre::eyre!("no line speaks of {id}").into());
+    let history = history(&text, id);
+    if history.is_empty() {
+        return Err(eyre::eyre!("no record is about {id}").into());
     }
-    for line in story {
+    for line in history {
         println!("{line}");
     }
     Ok(())
@@ -65,19 +65,21 @@
     })
 }
 
-fn names(entry: &Entry, id: &str) -> bool {
-    SUBJECTS.iter().any(|field| is_about(entry, field, id))
+fn is_subject(entry: &Entry, id: &str) -> bool {
+    SUBJECT_FIELDS
+        .iter()
+        .any(|field| is_about(entry, field, id))
 }
 
-/// True if a field names the id. Jobs are kept under the id that their caller gave, a dot and a hash of its tenant.
+/// True if a field contains the id. The stored id of a job is the caller's id, a dot and a hash of its tenant.
 fn is_about(entry: &Entry, field: &str, id: &str) -> bool {
     let value = entry.record.get(field).and_then(Value::as_str);
     let rest = value.and_then(|value| value.strip_prefix(id));
     rest.is_some_and(|rest| rest.is_empty() || (field == "job" && rest.starts_with('.')))
 }
 
-/// Lines about `id`, in order of time; those of a job bring its items' lines.
-pub fn story(text: &str, id: &str) -> Vec<String> {
+/// Returns the lines about `id` in order of time; those of a job include its items' lines.
+pub fn history(text: &str, id: &str) -> Vec<String> {
     let entries: Vec<Entry> = text.lines().filter_map(parse).collect();
     let items: BTreeSet<String> = entries
         .iter()
@@ -87,41 +89,43 @@
         .collect();
     let mut about: Vec<&Entry> = entries
         .iter()
-        .filter(|entry| names(entry, id) || items.iter().any(|item| names(entry, item)))
+        .filter(|entry| is_subject(entry, id) || items.iter().any(|item| is_subject(entry, item)))
         .collect();
     about.sort_by_key(|entry| entry.at_ms);
     let first = about.first().map_or(0, |entry| entry.at_ms);
-    about.iter().map(|entry| tell(entry, first)).collect()
+    about.iter().map(|entry| describe(entry, first)).collect()
 }
 
-/// A record in plain words, its inputs behind.
-fn tell(entry: &Entry, first_ms: u64) -> String {
+/// Formats a record: time since the first one, origin, description and inputs.
+fn describe(entry: &Entry, first_ms: u64) -> String {
     let event = entry.record.get("event").and_then(Value::as_str);
     let event = event.unwrap_or("unknown");
-    let words = match event {
+    let description = match event {
         "sent" => "sent to a replica",
         "attempt_failed" => "the attempt failed",
-        "ended" => "the answer ended",
+        "ended" => "the response ended",
         "refused" => "refused or given up",
-        "rate_refused" => "the tenant's rate did not allow it, or nobody who counts it answered",
+        "rate_refused" => "the tenant's rate limit was exhausted, or its coordinator did not reply",
         "job_submitted" => "the job was submitted",
         "job_ownership" => "the job's owner changed",
         "results_listed" => "results were listed",
-        "job_ended" => "the job's client ended it",
+        "job_ended" => "the client cancelled the job",
         "item_run" => "a run of an item ended",
         "cold_passed_over" => {
-            "the replicas asked for were cold and had got what they bear: a warm one is chosen"
+            "the selected replicas were cold and at their sustained rate: a warm one is chosen"
         }
         "replica_changed" => "the replica changed",
-        "zone_evacuation" => "the zone went out of service, or came back",
+        "zone_evacuation" => "an evacuation of the zone began or ended",
         "zone_running" => "requests still running in the evacuated zone",
-        "lease_overruled" => "the coordinator had not heard; its lease was given back",
+        "lease_overruled" => {
+            "the coordinator granted a slot at an unusable replica; its lease was released"
+        }
         other => other,
     };
     let inputs: Vec<String> = entry
         .record
         .iter()
-        .filter(|(name, value)| !SHOWN.contains(&name.as_str()) && !value.is_null())
+        .filter(|(name, value)| !OMITTED_FIELDS.contains(&name.as_str()) && !value.is_null())
         .map(|(name, value)| format!("{name}={}", plain(value)))
         .collect();
     let after = entry.at_ms.saturating_sub(first_ms);
@@ -130,7 +134,7 @@
     } else {
         format!(" [{}]", entry.origin)
     };
-    format!("+{after:>6} ms{origin} {words}: {}", inputs.join(" "))
+    format!("+{after:>6} ms{origin} {description}: {}", inputs.join(" "))
 }
 
 fn plain(value: &Value) -> String {
--- a/crates/harrierward/src/logging.rs
+++ b/crates/harrierward/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs go to the console: plain lines or JSON lines.
+//! Logging to the console, as plain or JSON lines.
 
 use eyre::Result;
 use harrierward_decisions::{ConsoleStream, DECISION_TARGET, DetachedConsole, dropped_record};
@@ -8,26 +8,26 @@
 use log4rs::encode::json::JsonEncoder;
 use log4rs::encode::pattern::PatternEncoder;
 
-/// Pattern of plain lines: time (UTC), level, message.
+/// Pattern of plain lines: time in UTC, level, message.
 const PLAIN_PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l:<5} {m}{n}";
 
 const APPENDER: &str = "console";
 
-/// Pattern of decisions, which come as whole lines.
+/// Pattern of decision records, which are complete lines already.
 const DECISION_PATTERN: &str = "{m}";
 
 const DECISION_APPENDER: &str = "decisions";
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Text.
+    /// Plain text.
     Plain,
-    /// One JSON object a line, with fields.
+    /// One JSON object per line.
     Json,
 }
 
-/// Starts logging to standard error.
+/// Starts logging to standard error. Decision records bypass the format.
 pub fn start(format: LogFormat, level: LevelFilter) -> Result<()> {
     let encoder: Box<dyn Encode> = match format {
         LogFormat::Plain => Box::new(PatternEncoder::new(PLAIN_PATTERN)),
--- a/crates/harrierward/src/main.rs
+++ b/crates/harrierward/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: command line, settings and wiring only.
+//! The `harrierward` program: command line, settings and wiring.
 
 mod client;
 mod command_line;
@@ -14,7 +14,7 @@
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let code = command_line::run(&arguments);
-    // Lines that wait would end with the process.
+    // The log writes asynchronously; queued lines would be lost on exit.
     log::logger().flush();
     code
 }
--- a/crates/harrierward/src/serve.rs
+++ b/crates/harrierward/src/serve.rs
@@ -1,4 +1,4 @@
-//! `harrierward serve`: the daemon on real sockets.
+//! `harrierward serve`: runs the daemon on network sockets.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,7 +29,7 @@
 
 const PREFIX: &str = "serve:";
 
-/// Options that override the file, with the keys that they set.
+/// Options that override settings: option, settings key, description.
 const OVERRIDES: [(&str, &str, &str); 8] = [
     ("zone", "zone", "zone of this machine"),
     ("region", "region", "region of this machine"),
@@ -49,11 +49,11 @@
     ),
 ];
 
-/// Wait for the last connections to close after the drain.
-const CLOSE_LIMIT: Duration = Duration::from_secs(5);
+/// Time to wait after the drain for connections to close.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause between tries to reach the table at start.
-const START_PAUSE: Duration = Duration::from_secs(1);
+/// Delay between attempts to reach the table at startup.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 pub fn options(options: &mut Options) {
     options.reqopt("s", "settings", "settings file (TOML)", "FILE");
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-/// Makes HTTP clients of engines that share one connection pool.
+/// Creates HTTP clients of engines over a shared connection pool.
 struct HttpConnector {
     caller: HttpCaller,
 }
@@ -93,7 +93,7 @@
     }
 }
 
-/// A member id that no earlier start of any daemon had.
+/// Returns a member id that is unique for this daemon instance.
 fn new_member_id(settings: &Settings) -> String {
     let random: u64 = rand::random();
     let address = settings.peer_listen;
@@ -156,26 +156,26 @@
         .wrap_err_with(|| format!("cannot listen on {address}"))
 }
 
-/// A daemon that has never reached the table cannot know the fleet's shard count, so it waits.
+/// Waits until the table confirms the fleet's shard count, which a daemon cannot know otherwise.
 async fn wait_for_table(table: &dyn Table, shards: u32) -> Result<()> {
     loop {
         match Node::check_shard_count(table, shards).await {
             Ok(checked) => return Ok(checked?),
             Err(error) => {
                 log::warn!("{PREFIX} waiting for the table: {error}");
-                sleep(START_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Writes the first objects, if the fleet has no configuration yet.
+/// Writes the objects of the file at `path` if the fleet has no configuration yet.
 pub async fn bootstrap(table: Arc<dyn Table>, path: &str) -> Result<()> {
     let text = std::fs::read_to_string(path).wrap_err_with(|| format!("cannot read {path}"))?;
     bootstrap_text(table, &text).await
 }
 
-/// Writes the first objects from an apply file's text, if the fleet has no configuration yet.
+/// Writes the objects of an apply file's text if the fleet has no configuration yet.
 pub async fn bootstrap_text(table: Arc<dyn Table>, text: &str) -> Result<()> {
     let store = ConfigStore::new(table);
     if store.head().await? > 0 {
@@ -197,14 +197,14 @@
             );
             Ok(())
         }
-        // Another daemon that starts at the same time may have been first.
+        // Another daemon that starts at the same time may have committed first.
         Err(_) if store.head().await? > 0 => Ok(()),
         Err(error) => bail!(error),
     }
 }
 
-/// Waits for a signal to stop. A hangup, which would end the process if nobody took it, changes nothing: settings are
-/// fixed for the life of a process.
+/// Waits for a signal to stop. A hangup, whose default action would end the process, is logged only: settings are
+/// fixed for the lifetime of a process.
 async fn stop_signal() -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -218,7 +218,7 @@
     }
 }
 
-/// Serves until a signal, then drains: new work is refused, running answers finish.
+/// Serves until a signal to stop, then drains: refuses new work and completes responses in progress.
 pub async fn serve_until_stopped(node: Node, api: TcpListener, routes: Router) -> Result<()> {
     let (stop, mut stopped) = watch::channel(false);
     let shutdown = async move {
@@ -230,11 +230,11 @@
             .await
     });
     stop_signal().await?;
-    let whole = node.drain().await;
+    let drained = node.drain().await;
     stop.send(true)?;
-    let _ = timeout(CLOSE_LIMIT, server).await;
-    if !whole {
-        bail!("the drain timed out with answers in progress");
+    let _ = timeout(CLOSE_TIMEOUT, server).await;
+    if !drained {
+        bail!("the drain timed out with responses in progress");
     }
     Ok(())
 }
--- a/crates/harrierward/src/settings.rs
+++ b/crates/harrierward/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a daemon: TOML, every key known and checked, all problems reported at once.
+//! Settings file of a daemon in TOML: unknown keys are errors, and all problems are reported at once.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -10,14 +10,14 @@
 
 use crate::logging::LogFormat;
 
-/// One thing wrong with the settings.
+/// A problem with one setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingProblem {
-    /// Key, with its tables, as `batch.shards`.
+    /// Key with its tables, such as `batch.shards`.
     pub key: String,
-    /// Value as given; empty if missing.
+    /// Value as given; empty if it is missing.
     pub value: String,
-    /// What is wrong, with the allowed range.
+    /// The problem, with the allowed range or choices.
     pub detail: String,
 }
 
@@ -34,46 +34,46 @@
 /// Addresses of the platform's services, `ip:port`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformAddresses {
-    /// Table service.
+    /// Table that stores all shared state.
     pub table: String,
-    /// Object store.
+    /// Store of batch files and results.
     pub objects: String,
-    /// Machine list.
+    /// Service that lists the machines with engines.
     pub machines: String,
-    /// Weight store.
+    /// Store of model weights.
     pub weights: String,
 }
 
-/// Checked settings of a daemon.
+/// Validated settings of a daemon.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Zone.
+    /// Zone of this machine.
     pub zone: String,
-    /// Region.
+    /// Region of this machine.
     pub region: String,
-    /// Zones of the region.
+    /// Zones of the region; only this zone by default.
     pub region_zones: Vec<String>,
-    /// Address for callers and operators.
+    /// Address of the HTTP API for callers and operators.
     pub api_listen: SocketAddr,
-    /// Address for peers, HTTP.
+    /// Address of the HTTP interface for peers.
     pub peer_listen: SocketAddr,
-    /// Address for peers, UDP.
+    /// Address for datagrams of peers; the HTTP one by default.
     pub udp_listen: SocketAddr,
-    /// UDP addresses of daemons to join.
+    /// UDP addresses of daemons to contact for joining the fleet.
     pub seeds: Vec<String>,
-    /// The platform.
+    /// Services of the platform.
     pub platform: PlatformAddresses,
-    /// File of objects to begin with, if the fleet has no configuration at all.
+    /// File of objects to write if the fleet has no configuration.
     pub bootstrap: Option<String>,
-    /// Form of log lines.
+    /// Format of log lines.
     pub log_format: LogFormat,
-    /// Least level that is logged.
+    /// Minimum level of logged lines.
     pub log_level: LevelFilter,
-    /// Bounds of the roles.
+    /// Settings of the daemon's roles.
     pub node: NodeSettings,
 }
 
-/// Reads keys out of a table and keeps all problems.
+/// Reads keys from a table and collects all problems.
 struct Reader {
     table: Table,
     problems: Vec<SettingProblem>,
@@ -88,7 +88,7 @@
         });
     }
 
-    /// Takes a value out, so that what is left at the end is unknown.
+    /// Removes and returns a value; the remaining keys are reported as unknown.
     fn take(&mut self, key: &str) -> Option<Value> {
         let mut table = &mut self.table;
         let mut parts = key.split('.').peekable();
@@ -218,7 +218,6 @@
     }
 }
 
-/// Levels and formats by name.
 const LEVELS: [(&str, LevelFilter); 5] = [
     ("error", LevelFilter::Error),
     ("warn", LevelFilter::Warn),
@@ -228,16 +227,16 @@
 ];
 const FORMATS: [(&str, LogFormat); 2] = [("plain", LogFormat::Plain), ("json", LogFormat::Json)];
 
-/// A setting given on the command line, which goes before the file.
+/// A command-line option that overrides the file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Override {
-    /// Key, as in the file.
+    /// Key as in the file.
     pub key: &'static str,
-    /// Value.
+    /// Value as given, not validated yet.
     pub value: String,
 }
 
-/// Reads settings. Overrides replace what the file says.
+/// Parses and validates the settings after applying the overrides.
 pub fn read(text: &str, overrides: &[Override]) -> Result<Settings, Vec<SettingProblem>> {
     let mut table: Table = text.parse().map_err(|error: toml::de::Error| {
         vec![SettingProblem {
--- a/crates/harrierward/src/standalone.rs
+++ b/crates/harrierward/src/standalone.rs
@@ -1,4 +1,4 @@
-//! `harrierward standalone`: one node, an in-memory platform and emulated engines in one process.
+//! `harrierward standalone`: one node with an in-memory platform and emulated engines in one process.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -22,13 +22,13 @@
 
 const DEFAULT_LISTEN: &str = "127.0.0.1:8080";
 const ZONE: &str = "local";
-const REPLICAS_A_SERVICE: usize = 3;
+const REPLICAS_PER_SERVICE: usize = 3;
 const SHARDS: u32 = 8;
 
-/// Pause between looks whether the node is ready.
-const READY_PAUSE: Duration = Duration::from_millis(10);
+/// Interval at which the node's readiness is polled.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A tenant of the trial fleet with its service.
+/// A tenant of the trial fleet, with its service.
 struct Trial {
     tenant: &'static str,
     service: &'static str,
@@ -74,9 +74,9 @@
     format!("{tenant}-operator-key")
 }
 
-/// The first objects: two tenants, each with a service and an endpoint that the other may call, and a policy
-/// that lends half of what is idle.
-fn first_objects() -> String {
+/// Builds the configuration: two tenants, each with a service, an endpoint that the other may call, and a policy that
+/// lends half of its idle capacity.
+fn initial_objects() -> String {
     let mut text = String::new();
     for trial in &TRIALS {
         let other = TRIALS.iter().find(|other| other.tenant != trial.tenant);
@@ -115,7 +115,7 @@
     text
 }
 
-/// Emulated engines, found by address.
+/// Emulated engines by address.
 struct EmulatedEngines {
     engines: Vec<(String, EngineHandle)>,
 }
@@ -143,7 +143,7 @@
 fn start_engines(platform: &MemoryPlatform) -> EmulatedEngines {
     let mut engines = Vec::new();
     for trial in &TRIALS {
-        for number in 0..REPLICAS_A_SERVICE {
+        for number in 0..REPLICAS_PER_SERVICE {
             let name = format!("{}-{number}", trial.service);
             let models = vec![trial.service.to_owned()];
             let parameters = EngineParameters::default();
@@ -169,7 +169,7 @@
     let engines = start_engines(&platform);
     let shared: Arc<MemoryPlatform> = Arc::new(platform);
     Node::check_shard_count(shared.as_ref(), SHARDS).await??;
-    bootstrap_text(shared.clone(), &first_objects()).await?;
+    bootstrap_text(shared.clone(), &initial_objects()).await?;
     let identity = NodeIdentity {
         member: "standalone".to_owned(),
         udp_address: "127.0.0.1:0".to_owned(),
@@ -197,16 +197,16 @@
         settings,
     })?;
     let address = api.local_addr()?;
-    // A service of whose replicas nothing was heard yet refuses its first callers, who were just told that the node listens.
-    let all = TRIALS.len() * REPLICAS_A_SERVICE;
-    while !node.is_ready() || node.status().confirmed_replicas < all {
-        sleep(READY_PAUSE).await;
+    // Until expected_replicas replicas are confirmed, a service would refuse its first callers.
+    let expected_replicas = TRIALS.len() * REPLICAS_PER_SERVICE;
+    while !node.is_ready() || node.status().confirmed_replicas < expected_replicas {
+        sleep(READY_POLL_INTERVAL).await;
     }
     announce(&address.to_string());
     serve_until_stopped(node.clone(), api, harrierward_api::router(node)).await
 }
 
-/// Prints where the node listens and the keys. Nobody may be reading, which is no reason to stop.
+/// Prints the node's address and the keys. Output errors are ignored: standard output may be closed.
 fn announce(address: &str) {
     let mut text = format!("harrierward standalone on http://{address}; stop with Ctrl-C\n");
     for trial in &TRIALS {
--- a/crates/harrierward/tests/resend.rs
+++ b/crates/harrierward/tests/resend.rs
@@ -1,4 +1,5 @@
-//! A booking sent twice in a row to the program, as a new user would: the second answer is the first one, and says so.
+//! A request with an idempotency key sent twice: the second response must be the stored first one, and marked as
+//! stored.
 
 mod support;
 
@@ -12,7 +13,7 @@
 const BOOKINGS: usize = 30;
 const STORED_HEADER: &str = "idempotent-replayed";
 
-/// Sends a booking; its answer, and whether it is marked as stored.
+/// Sends a booking; returns its response, and whether that is marked as stored.
 async fn book(site: &Standalone, caller: &HttpCaller, key: &str) -> (Value, bool) {
     let body = json!({
         "model": "banco-lm", "max_tokens": 4,
@@ -25,20 +26,24 @@
     ];
     let path = "/v1/chat/completions";
     let body = Bytes::from(body.to_string());
-    let answer = caller
+    let response = caller
         .open(Method::POST, &site.address, path, &headers, body)
         .await
-        .expect("an answer");
-    let status = answer.status().as_u16();
-    let is_stored = answer.headers().contains_key(STORED_HEADER);
-    let body = answer.into_body().collect().await.expect("a whole body");
+        .expect("a response");
+    let status = response.status().as_u16();
+    let is_stored = response.headers().contains_key(STORED_HEADER);
+    let body = response
+        .into_body()
+        .collect()
+        .await
+        .expect("a complete body");
     let body = serde_json::from_slice(&body.to_bytes()).expect("JSON");
     assert_eq!(status, 200, "{key}: {body}");
     (body, is_stored)
 }
 
 #[tokio::test]
-async fn the_same_booking_twice_in_a_row_has_one_answer() {
+async fn the_same_booking_twice_in_a_row_has_one_response() {
     let standalone = Standalone::start();
     let caller = HttpCaller::new();
     for number in 0..BOOKINGS {
--- a/crates/harrierward/tests/support/mod.rs
+++ b/crates/harrierward/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! The program started as a new user would, for tests.
+//! Starts the program for tests, as a new user would.
 
-// Each test program uses a part of it.
+// Each test program uses only a part of this module.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader};
@@ -8,10 +8,10 @@
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_harrierward");
 
-/// A running `standalone`, ended when it is dropped.
+/// A running `harrierward standalone`; killed on drop.
 pub struct Standalone {
     process: Child,
-    /// `IP:PORT` for callers.
+    /// Address for callers, `IP:PORT`.
     pub address: String,
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl Standalone {
-    /// Starts it, and waits until it says that it listens.
+    /// Starts the program on a free port, and waits until it listens.
     pub fn start() -> Self {
         let mut process = Command::new(PROGRAM)
             .args(["standalone", "--listen", "127.0.0.1:0"])
@@ -44,7 +44,7 @@
         Self { process, address }
     }
 
-    /// Runs another command of the program against it.
+    /// Runs a client command against it.
     pub fn run(&self, key: &str, arguments: &[&str]) -> Output {
         Command::new(PROGRAM)
             .args(arguments)
@@ -53,14 +53,14 @@
             .expect("the command runs")
     }
 
-    /// Sends a signal, as `kill` names it.
+    /// Sends a signal, named as for `kill`.
     pub fn signal(&self, signal: &str) {
         let id = self.process.id().to_string();
         let killed = Command::new("kill").args([signal, &id]).status();
         assert!(killed.expect("kill runs").success());
     }
 
-    /// Asks it to stop; how it ended.
+    /// Stops it with SIGTERM; returns its exit status.
     pub fn stop(mut self) -> ExitStatus {
         self.signal("-TERM");
         self.process.wait().expect("it ends")
--- a/crates/harrierward/tests/whole_path.rs
+++ b/crates/harrierward/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The main path as a new user runs it: the program, a chat answer, a batch job, a planned stop.
+//! The main path of a new user: the program, a chat response, a batch job, a planned stop.
 
 mod support;
 
@@ -62,7 +62,7 @@
     assert!(standalone.stop().success(), "SIGTERM ends with exit code 0");
 }
 
-/// A signal that no handler takes ends the process, and with it every answer in progress.
+/// Without a handler the signal would end the process and all responses in progress.
 #[test]
 fn a_hangup_ends_nothing() {
     let standalone = Standalone::start();
