--- a/crates/edge/tests/discovery.rs
+++ b/crates/edge/tests/discovery.rs
@@ -120,7 +120,7 @@
 fn a_stale_full_read_reverts_nothing() {
     let mut copy = SpaceCopy::default();
     let first = snapshot(10, vec![row("a", "1", 8), row("b", "1", 9)]);
-    assert!(copy.take_snapshot(first).is_some());
+    assert!(copy.apply_snapshot(first).is_some());
     let changes = ChangePage {
         changes: vec![RowChange {
             key: "a".to_owned(),
@@ -131,25 +131,25 @@
         store_time_ms: 2,
         proof: None,
     };
-    assert_eq!(copy.take_changes(changes).removed, ["a"]);
+    assert_eq!(copy.apply_changes(changes).removed, ["a"]);
     let stale = snapshot(11, vec![row("a", "1", 8), row("b", "1", 9)]);
-    assert!(copy.take_snapshot(stale).is_none());
+    assert!(copy.apply_snapshot(stale).is_none());
     assert_eq!(copy.revision(), 12);
 }
 
 #[test]
 fn a_full_read_recovers_changes_that_the_feed_skipped() {
     let mut copy = SpaceCopy::default();
-    copy.take_snapshot(snapshot(10, vec![row("a", "1", 8), row("b", "1", 9)]));
+    copy.apply_snapshot(snapshot(10, vec![row("a", "1", 8), row("b", "1", 9)]));
     // The store's feed skipped revision 11.
-    copy.take_changes(ChangePage {
+    copy.apply_changes(ChangePage {
         changes: Vec::new(),
         revision: 14,
         store_time_ms: 2,
         proof: None,
     });
     let full_read = snapshot(15, vec![row("a", "1", 8), row("c", "1", 11)]);
-    let update = copy.take_snapshot(full_read).expect("the read is newer");
+    let update = copy.apply_snapshot(full_read).expect("the read is newer");
     assert_eq!(update.removed, ["b"]);
     let keys: Vec<&str> = update.written.iter().map(|row| row.key.as_str()).collect();
     assert_eq!(keys, ["c"]);
@@ -200,12 +200,12 @@
         fixture.discovery.apply_replicas(&update);
     };
     apply("1:1", 2);
-    let lines = fixture.log.held_lines();
+    let lines = fixture.log.queued_lines();
     apply("1:1 6000", 3);
     apply("1:1 4800", 4);
-    assert_eq!(fixture.log.held_lines(), lines);
+    assert_eq!(fixture.log.queued_lines(), lines);
     apply("1:2 3600", 5);
-    assert_eq!(fixture.log.held_lines(), lines + 1, "its address is new");
+    assert_eq!(fixture.log.queued_lines(), lines + 1, "its address is new");
 }
 
 /// A page of a full read may be newer than the read's revision, so that the next read may be older than a row in it.
@@ -250,13 +250,13 @@
     }
 
     fn read_all(&mut self, revision: u64, rows: Vec<Row>) {
-        if let Some(update) = self.copy.take_snapshot(snapshot(revision, rows)) {
+        if let Some(update) = self.copy.apply_snapshot(snapshot(revision, rows)) {
             self.fixture.discovery.apply_configuration(&update, "store");
         }
     }
 
     fn follow(&mut self, revision: u64, changes: Vec<RowChange>) {
-        let update = self.copy.take_changes(ChangePage {
+        let update = self.copy.apply_changes(ChangePage {
             changes,
             revision,
             store_time_ms: 2,
@@ -369,10 +369,10 @@
     let mut daemon = EvacuationFixture::new();
     let unknown_zones = (0..MAX_ZONES).map(|number| row(&format!("evacuate/z{number}"), "", 9));
     daemon.read_all(10, unknown_zones.collect());
-    let lines = daemon.fixture.log.held_lines();
+    let lines = daemon.fixture.log.queued_lines();
     daemon.follow(12, vec![change(EVACUATION, Some(""), 12)]);
     assert!(!daemon.is_evacuated());
-    assert_eq!(daemon.fixture.log.held_lines(), lines + 1);
+    assert_eq!(daemon.fixture.log.queued_lines(), lines + 1);
     // Its zone is evacuated once there is capacity and all rows are read again.
     daemon.follow(13, vec![change("evacuate/z0", None, 13)]);
     let mut rows: Vec<Row> = (1..MAX_ZONES)
