--- a/crates/harrierward/src/commands.rs
+++ b/crates/harrierward/src/commands.rs
@@ -386,9 +386,7 @@
             if let Ok(data) = frame.into_data() {
                 match output.write_all(&data) {
                     // The reader has closed the pipe, for example `head`.
-                    Err(error) if error.kind() == std::io::ErrorKind::BrokenPipe => {
-                        return Ok(());
-                    }
+                    Err(error) if error.kind() == std::io::ErrorKind::BrokenPipe => return Ok(()),
                     written => written?,
                 }
             }
