--- a/crates/api/src/admin.rs
+++ b/crates/api/src/admin.rs
@@ -1,4 +1,4 @@
-//! `/admin/v1`: operators read and change their own tenant's objects.
+//! `/admin/v1`: operators read and change the configuration objects of their tenant.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,30 +19,30 @@
 use crate::auth::Operator;
 use crate::errors::ApiError;
 
-/// Header that names an operation, so that sending it again changes nothing more.
+/// Request header with the idempotency key of a configuration change.
 const OPERATION_HEADER: &str = "operation-id";
 
-/// Longest wait for a change to be in force.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+/// Upper bound of the `wait` parameter.
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// Pause between questions to the members.
-const WAIT_STEP: Duration = Duration::from_millis(200);
+/// Poll interval of the revisions in force at the members.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Debug, Serialize)]
-pub(crate) struct ConfigAnswer {
+pub(crate) struct ConfigBody {
     revision: u64,
     objects: Vec<ConfigObject>,
-    /// The same objects in the form that `config apply` takes.
+    /// The same objects in the format of `config apply`.
     file: String,
 }
 
-pub(crate) async fn get(State(node): State<Node>, operator: Operator) -> Json<ConfigAnswer> {
+pub(crate) async fn get(State(node): State<Node>, operator: Operator) -> Json<ConfigBody> {
     let config = node.config();
     let own = config
         .objects()
         .filter(|object| object.owner == operator.tenant);
     let objects: Vec<ConfigObject> = own.cloned().collect();
-    Json(ConfigAnswer {
+    Json(ConfigBody {
         revision: config.revision(),
         file: render_objects(&objects),
         objects,
@@ -51,16 +51,16 @@
 
 #[derive(Debug, Deserialize)]
 pub(crate) struct ApplyQuery {
-    /// Seconds to wait for the change to be in force everywhere.
+    /// Seconds to wait until the change is in force at every member.
     wait: Option<f64>,
 }
 
 #[derive(Debug, Serialize)]
-pub(crate) struct ApplyAnswer {
+pub(crate) struct ApplyResult {
     revision: u64,
-    /// Revision at each member; none if it did not answer. Empty unless waiting was asked for.
+    /// Revision at each member; `None` if it did not reply. Empty unless `wait` was given.
     in_force: BTreeMap<String, Option<u64>>,
-    /// True if every member in view has the revision.
+    /// True if every member in view has reached the revision.
     everywhere: bool,
 }
 
@@ -70,7 +70,7 @@
     Query(query): Query<ApplyQuery>,
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
-) -> Result<Json<ApplyAnswer>, ApiError> {
+) -> Result<Json<ApplyResult>, ApiError> {
     let body = body?;
     let text = std::str::from_utf8(&body).map_err(|error| ApiError::bad_field("body", error))?;
     let file = ApplyFile::parse(text).map_err(|error| ApiError::bad_field("body", error))?;
@@ -82,7 +82,9 @@
         Some(Ok(operation)) if !operation.is_empty() => {
             format!("{}-{operation}", operator.tenant)
         }
-        Some(_) => return Err(ApiError::bad_field("Operation-Id", "must be visible text")),
+        Some(_) => {
+            return Err(ApiError::bad_field("Operation-Id", "must be visible text"));
+        }
     };
     let request = ApplyRequest {
         operation,
@@ -101,9 +103,9 @@
     }
     let wait = Duration::try_from_secs_f64(query.wait.unwrap_or(0.0))
         .map_err(|error| ApiError::bad_field("wait", error))?;
-    let in_force = wait_in_force(&node, applied.revision, wait.min(LONGEST_WAIT)).await;
+    let in_force = wait_in_force(&node, applied.revision, wait.min(MAX_WAIT)).await;
     let has = |revision: &Option<u64>| revision.is_some_and(|held| held >= applied.revision);
-    Ok(Json(ApplyAnswer {
+    Ok(Json(ApplyResult {
         revision: applied.revision,
         everywhere: !in_force.is_empty() && in_force.values().all(has),
         in_force,
@@ -127,7 +129,7 @@
         if everywhere || Instant::now() >= deadline {
             return in_force;
         }
-        sleep(WAIT_STEP).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -146,7 +148,7 @@
             ConfigError::Store(error) => error.into(),
             ConfigError::Indeterminate(_) => {
                 let message = format!("{message}; send it again with the same Operation-Id");
-                Self::in_doubt("unsettled", message)
+                Self::indeterminate("unsettled", message)
             }
         }
     }
--- a/crates/api/src/auth.rs
+++ b/crates/api/src/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls: bearer keys name the tenant and the role.
+//! Authentication: a bearer key identifies the tenant and its role.
 
 use axum::extract::FromRequestParts;
 use axum::http::request::Parts;
@@ -8,18 +8,16 @@
 
 use crate::errors::ApiError;
 
-/// Header of a caller's idempotency key.
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
-/// Longest idempotency key, bytes.
-const LONGEST_KEY: usize = 255;
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 
-/// A caller with a caller key.
+/// Extractor for requests that need a key with the role `Caller`.
 pub(crate) struct Caller {
     pub tenant: String,
 }
 
-/// An operator with an operator key.
+/// Extractor for requests that need a key with the role `Operator`.
 pub(crate) struct Operator {
     pub tenant: String,
 }
@@ -81,8 +79,8 @@
     }
 }
 
-/// Refuses new work on a daemon that leaves.
-pub(crate) fn check_taking_work(node: &Node) -> Result<(), ApiError> {
+/// Rejects new work while the daemon drains.
+pub(crate) fn check_accepting_work(node: &Node) -> Result<(), ApiError> {
     if node.is_draining() {
         let message = "this daemon is leaving; ask another";
         return Err(ApiError::new(
@@ -94,14 +92,14 @@
     Ok(())
 }
 
-/// The caller's idempotency key, if it sent one.
+/// Returns the idempotency key of the request, if it has one.
 pub(crate) fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, ApiError> {
     let Some(value) = headers.get(IDEMPOTENCY_HEADER) else {
         return Ok(None);
     };
     let key = value.to_str().unwrap_or_default();
-    if key.is_empty() || key.len() > LONGEST_KEY {
-        let detail = format!("1 to {LONGEST_KEY} visible characters");
+    if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES {
+        let detail = format!("1 to {MAX_IDEMPOTENCY_KEY_BYTES} visible characters");
         return Err(ApiError::bad_field("Idempotency-Key", detail));
     }
     Ok(Some(key.to_owned()))
--- a/crates/api/src/batches.rs
+++ b/crates/api/src/batches.rs
@@ -12,18 +12,18 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::auth::{Caller, check_taking_work, idempotency_key};
+use crate::auth::{Caller, check_accepting_work, idempotency_key};
 use crate::errors::ApiError;
 use crate::files::Page;
 
-/// Prefix of the id of a job's output file.
+/// Prefix of output file ids; the job id follows.
 const OUTPUT_PREFIX: &str = "file-output-";
 
-/// Longest completion window, hours.
-const LONGEST_WINDOW_HOURS: u64 = 24 * 14;
+/// Upper bound of `completion_window`.
+const MAX_WINDOW_HOURS: u64 = 24 * 14;
 
-/// The job whose output a file id names.
-pub(crate) fn job_of_output(file_id: &str) -> Option<&str> {
+/// Returns the job id in the id of an output file; `None` for an uploaded file.
+pub(crate) fn output_job_id(file_id: &str) -> Option<&str> {
     file_id.strip_prefix(OUTPUT_PREFIX)
 }
 
@@ -46,10 +46,10 @@
         .parse::<u64>()
         .ok()
         .map(|number| number.saturating_mul(unit_hours))
-        .filter(|hours| (1..=LONGEST_WINDOW_HOURS).contains(hours))
+        .filter(|hours| (1..=MAX_WINDOW_HOURS).contains(hours))
         .map(|hours| hours * 3600 * 1000)
         .ok_or_else(|| {
-            let detail = format!("1h to {LONGEST_WINDOW_HOURS}h, or in days as 14d");
+            let detail = format!("1h to {MAX_WINDOW_HOURS}h, or in days as 14d");
             ApiError::bad_field("completion_window", detail)
         })
 }
@@ -98,7 +98,7 @@
     })
 }
 
-/// The service that runs the file's items, if the tenant may call it.
+/// Returns the service that runs the file's items, if the tenant may call it.
 fn service_of(node: &Node, tenant: &str, file: &FileRow) -> Result<String, ApiError> {
     let config = node.config();
     let model = file.models.first().map(String::as_str).unwrap_or_default();
@@ -118,7 +118,7 @@
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
 ) -> Result<Json<Value>, ApiError> {
-    check_taking_work(&node)?;
+    check_accepting_work(&node)?;
     let body: CreateBody =
         serde_json::from_slice(&body?).map_err(|error| ApiError::bad_field("body", error))?;
     if EndpointKind::from_path(&body.endpoint).is_none() {
--- a/crates/api/src/errors.rs
+++ b/crates/api/src/errors.rs
@@ -1,4 +1,4 @@
-//! Error answers in the shape of the OpenAI API, with what is known of the execution.
+//! Error responses in the format of the OpenAI API, extended with the execution state of the request.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use harrierward_gateway::{GatewayError, SpecError};
 use serde::Serialize;
 
-/// Header that says what is known of the execution.
+/// Response header with the execution state of the request.
 pub(crate) const EXECUTION_HEADER: &str = "harrierward-execution";
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -24,21 +24,20 @@
     code: &'static str,
 }
 
-/// The body of an error answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(crate) struct ErrorBody {
     error: ErrorDetail,
     execution: Execution,
 }
 
-/// An error answer: its status and pause have been derived from what is known of the execution.
+/// An error response whose status and `retry-after` follow from the execution state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ApiError {
-    answer: FinalResponse,
+    response: FinalResponse,
     body: ErrorBody,
 }
 
-fn kind_of(status: StatusCode) -> &'static str {
+fn error_type(status: StatusCode) -> &'static str {
     match status {
         StatusCode::UNAUTHORIZED => "authentication_error",
         StatusCode::FORBIDDEN => "permission_error",
@@ -49,22 +48,22 @@
 }
 
 impl ApiError {
-    /// An error of a request that certainly did not run.
+    /// An error of a request that definitely did not run.
     pub fn new(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         let execution = Execution::NotRun;
-        let answer = FinalResponse::of(execution, status.as_u16(), None);
-        Self::with(answer, execution, code, message)
+        let response = FinalResponse::of(execution, status.as_u16(), None);
+        Self::with(response, execution, code, message)
     }
 
     fn with(
-        answer: FinalResponse,
+        response: FinalResponse,
         execution: Execution,
         code: &'static str,
         message: impl Into<String>,
     ) -> Self {
         let detail = ErrorDetail {
             message: message.into(),
-            kind: kind_of(status_of(answer)),
+            kind: error_type(status_of(response)),
             param: None,
             code,
         };
@@ -72,10 +71,10 @@
             error: detail,
             execution,
         };
-        Self { answer, body }
+        Self { response, body }
     }
 
-    /// A field is wrong.
+    /// A 400 response that names the invalid field in `param`.
     pub fn bad_field(field: impl Into<String>, detail: impl std::fmt::Display) -> Self {
         let field = field.into();
         let message = format!("{field}: {detail}");
@@ -84,48 +83,48 @@
         error
     }
 
-    /// The body, for an error within a stream.
+    /// The body, sent as an event when a response stream fails.
     pub fn body(&self) -> &ErrorBody {
         &self.body
     }
 
-    /// What was asked for may have been done, or may yet be.
-    pub fn in_doubt(code: &'static str, message: impl Into<String>) -> Self {
+    /// A 504 response: the operation may have been done, or may still be done.
+    pub fn indeterminate(code: &'static str, message: impl Into<String>) -> Self {
         let execution = Execution::Unknown;
-        let answer = FinalResponse::of(execution, StatusCode::GATEWAY_TIMEOUT.as_u16(), None);
-        Self::with(answer, execution, code, message)
+        let response = FinalResponse::of(execution, StatusCode::GATEWAY_TIMEOUT.as_u16(), None);
+        Self::with(response, execution, code, message)
     }
 
-    /// A call of the store failed: "not run" is said only if it certainly did nothing.
-    fn of_store(error: &PlatformError) -> Self {
+    /// A failed store call; reported as "not run" only if it definitely had no effect.
+    fn from_store(error: &PlatformError) -> Self {
         let message = error.to_string();
         if error.may_have_happened() {
-            return Self::in_doubt("store_in_doubt", message);
+            return Self::indeterminate("store_in_doubt", message);
         }
         let execution = Execution::NotRun;
         let wait = match error.kind {
             PlatformErrorKind::RateLimited { retry_after } => retry_after,
-            _ => STORE_RETRY,
+            _ => STORE_RETRY_AFTER,
         };
         let status = StatusCode::SERVICE_UNAVAILABLE.as_u16();
-        let answer = FinalResponse::of(execution, status, Some(wait));
-        Self::with(answer, execution, "store_unavailable", message)
+        let response = FinalResponse::of(execution, status, Some(wait));
+        Self::with(response, execution, "store_unavailable", message)
     }
 }
 
-/// When a caller whose call the store did not take may come back.
-const STORE_RETRY: Duration = Duration::from_secs(1);
+/// `retry-after` for a store call that was not executed and names no delay of its own.
+const STORE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-fn status_of(answer: FinalResponse) -> StatusCode {
-    StatusCode::from_u16(answer.status()).unwrap_or(StatusCode::BAD_GATEWAY)
+fn status_of(response: FinalResponse) -> StatusCode {
+    StatusCode::from_u16(response.status()).unwrap_or(StatusCode::BAD_GATEWAY)
 }
 
 impl IntoResponse for ApiError {
     fn into_response(self) -> Response {
         let execution = HeaderValue::from_static(self.body.execution.name());
-        let mut response = (status_of(self.answer), Json(self.body)).into_response();
+        let mut response = (status_of(self.response), Json(self.body)).into_response();
         response.headers_mut().insert(EXECUTION_HEADER, execution);
-        if let Some(wait) = self.answer.retry_after() {
+        if let Some(wait) = self.response.retry_after() {
             let seconds = wait.as_secs_f64().ceil().max(1.0) as u64;
             response
                 .headers_mut()
@@ -150,7 +149,7 @@
 
 impl From<PlatformError> for ApiError {
     fn from(error: PlatformError) -> Self {
-        Self::of_store(&error)
+        Self::from_store(&error)
     }
 }
 
@@ -168,8 +167,8 @@
             }
             BatchError::NotCancellable { .. } => Self::new(StatusCode::CONFLICT, "ended", message),
             BatchError::Store(error) => error.into(),
-            // An earlier try may have been done, whatever the last one came to.
-            BatchError::Indeterminate(_) => Self::in_doubt("store_in_doubt", message),
+            // An earlier attempt may have been applied, whatever the result of the last one.
+            BatchError::Indeterminate(_) => Self::indeterminate("store_in_doubt", message),
         }
     }
 }
@@ -185,8 +184,8 @@
     }
 }
 
-/// Answer for paths that do not exist.
-pub(crate) async fn no_such_route(uri: Uri) -> ApiError {
+/// Response for unknown paths.
+pub(crate) async fn unknown_path(uri: Uri) -> ApiError {
     let message = format!("no such path: {}", uri.path());
     ApiError::new(StatusCode::NOT_FOUND, "no_such_path", message)
 }
--- a/crates/api/src/files.rs
+++ b/crates/api/src/files.rs
@@ -1,4 +1,4 @@
-//! `/v1/files`: uploads are streamed in, results are streamed out.
+//! `/v1/files`: streamed uploads of batch input and streamed downloads of input and results.
 
 use axum::Json;
 use axum::body::Body;
@@ -13,18 +13,18 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::auth::{Caller, check_taking_work, idempotency_key};
-use crate::batches::job_of_output;
+use crate::auth::{Caller, check_accepting_work, idempotency_key};
+use crate::batches::output_job_id;
 use crate::errors::ApiError;
 
-/// The only purpose that files are taken for.
+/// The only supported `purpose` of an upload.
 const PURPOSE: &str = "batch";
 
-/// Greatest and usual number of entries in a list.
-const MOST_LISTED: usize = 100;
-const USUALLY_LISTED: usize = 20;
+/// Maximum and default of the `limit` parameter of lists.
+const MAX_PAGE_SIZE: usize = 100;
+const DEFAULT_PAGE_SIZE: usize = 20;
 
-/// Paging of a list.
+/// Query parameters of a paginated list.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Page {
     after: Option<String>,
@@ -37,11 +37,14 @@
     }
 
     pub fn limit(&self) -> Result<usize, ApiError> {
-        let limit = self.limit.unwrap_or(USUALLY_LISTED);
-        if (1..=MOST_LISTED).contains(&limit) {
+        let limit = self.limit.unwrap_or(DEFAULT_PAGE_SIZE);
+        if (1..=MAX_PAGE_SIZE).contains(&limit) {
             Ok(limit)
         } else {
-            Err(ApiError::bad_field("limit", format!("1 to {MOST_LISTED}")))
+            Err(ApiError::bad_field(
+                "limit",
+                format!("1 to {MAX_PAGE_SIZE}"),
+            ))
         }
     }
 }
@@ -72,7 +75,7 @@
     headers: HeaderMap,
     form: Result<Multipart, axum::extract::multipart::MultipartRejection>,
 ) -> Result<Json<Value>, ApiError> {
-    check_taking_work(&node)?;
+    check_accepting_work(&node)?;
     let mut form = form.map_err(|error| ApiError::bad_field("body", error))?;
     let now_ms = now_ms();
     let request = UploadRequest {
@@ -154,7 +157,7 @@
     caller: Caller,
     Path(file_id): Path<String>,
 ) -> Result<Json<Value>, ApiError> {
-    if let Some(job_id) = job_of_output(&file_id) {
+    if let Some(job_id) = output_job_id(&file_id) {
         let job = node.jobs().get(&caller.tenant, job_id).await?;
         return Ok(Json(json!({
             "id": file_id,
@@ -188,14 +191,14 @@
     response
 }
 
-/// Streams a file's content. A store failure on the way breaks the connection, so that a part is not taken for
-/// the whole.
+/// Streams a file's content. A store failure midway aborts the connection, so that the caller detects the
+/// truncated response.
 pub(crate) async fn content(
     State(node): State<Node>,
     caller: Caller,
     Path(file_id): Path<String>,
 ) -> Result<Response, ApiError> {
-    if let Some(job_id) = job_of_output(&file_id) {
+    if let Some(job_id) = output_job_id(&file_id) {
         node.jobs().get(&caller.tenant, job_id).await?;
         let reader = ResultReader::new(node.table(), node.objects(), job_id);
         let parts = stream::try_unfold(reader, |mut reader| async move {
--- a/crates/api/src/generate.rs
+++ b/crates/api/src/generate.rs
@@ -1,4 +1,4 @@
-//! `/v1/chat/completions` and `/v1/completions`, plain and streamed.
+//! `/v1/chat/completions` and `/v1/completions`, with complete or streamed responses.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -19,22 +19,22 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-use crate::auth::{Caller, check_taking_work, idempotency_key};
+use crate::auth::{Caller, check_accepting_work, idempotency_key};
 use crate::errors::{ApiError, EXECUTION_HEADER};
 
-/// Header by which a caller marks a request as at most once.
-const MARK_HEADER: &str = "harrierward-execution";
+/// Request header that selects at-most-once execution.
+const EXECUTION_MODE_HEADER: &str = "harrierward-execution";
 const AT_MOST_ONCE: &str = "at-most-once";
 
-/// Header of an answer that is the stored one of an earlier send.
-const STORED_HEADER: &str = "idempotent-replayed";
+/// Response header, set when the stored response to an earlier request with the same key is replayed.
+const REPLAYED_HEADER: &str = "idempotent-replayed";
 
-/// Header by which a caller bounds the time for its request to start, milliseconds.
+/// Request header with the maximum time until the request starts, in milliseconds.
 const DEADLINE_HEADER: &str = "harrierward-deadline-ms";
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
-const LONGEST_DEADLINE_MS: u64 = 600_000;
+const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// End of a whole stream.
+/// Last event of a complete stream.
 const DONE: &str = "data: [DONE]\n\n";
 
 pub(crate) async fn chat(
@@ -62,12 +62,12 @@
     headers: HeaderMap,
     body: Bytes,
 ) -> Result<Response, ApiError> {
-    check_taking_work(&node)?;
+    check_accepting_work(&node)?;
     let value = serde_json::from_slice(&body)
         .map_err(|error| ApiError::bad_field("body", format!("is not JSON: {error}")))?;
     let spec = parse_request(kind, &value)?;
     let digest = || RequestDigest::of(kind.path(), &body, &content_bytes(&value));
-    let marked = mark(&caller, &headers, digest)?;
+    let marked = at_most_once_call(&caller, &headers, digest)?;
     let call = Call {
         tenant: caller.tenant,
         spec: spec.clone(),
@@ -77,35 +77,35 @@
     };
     let answer = node.gateway().call(call).await?;
     let is_stored = answer.is_stored();
-    let head = AnswerHead::new(answer.identity().clone(), &spec);
+    let header = ResponseHeader::new(answer.identity().clone(), &spec);
     let mut response = if spec.stream {
-        streamed(head, spec, answer)
+        streamed_response(header, spec, answer)
     } else {
-        whole(head, answer).await?
+        complete_response(header, answer).await?
     };
     if is_stored {
-        mark_stored(&mut response);
+        add_replay_headers(&mut response);
     }
     Ok(response)
 }
 
-/// Tells the caller that the answer is that of an earlier send.
-fn mark_stored(response: &mut Response) {
+/// Adds the headers of a replayed response.
+fn add_replay_headers(response: &mut Response) {
     let stored = HeaderValue::from_static("true");
-    response.headers_mut().insert(STORED_HEADER, stored);
+    response.headers_mut().insert(REPLAYED_HEADER, stored);
     let ran = HeaderValue::from_static(Execution::Ran.name());
     response.headers_mut().insert(EXECUTION_HEADER, ran);
 }
 
-fn mark(
+fn at_most_once_call(
     caller: &Caller,
     headers: &HeaderMap,
     digest: impl FnOnce() -> RequestDigest,
 ) -> Result<Option<MarkedCall>, ApiError> {
-    let Some(mark) = headers.get(MARK_HEADER) else {
+    let Some(mode) = headers.get(EXECUTION_MODE_HEADER) else {
         return Ok(None);
     };
-    if mark.as_bytes() != AT_MOST_ONCE.as_bytes() {
+    if mode.as_bytes() != AT_MOST_ONCE.as_bytes() {
         let detail = format!("only {AT_MOST_ONCE} is known");
         return Err(ApiError::bad_field("Harrierward-Execution", detail));
     }
@@ -129,10 +129,10 @@
         .to_str()
         .ok()
         .and_then(|text| text.parse::<u64>().ok())
-        .filter(|millis| (1..=LONGEST_DEADLINE_MS).contains(millis))
+        .filter(|millis| (1..=MAX_DEADLINE_MS).contains(millis))
         .map(Duration::from_millis)
         .ok_or_else(|| {
-            let detail = format!("1 to {LONGEST_DEADLINE_MS}");
+            let detail = format!("1 to {MAX_DEADLINE_MS}");
             ApiError::bad_field("Harrierward-Deadline-Ms", detail)
         })
 }
@@ -149,15 +149,15 @@
     }
 }
 
-/// What all parts of an answer have in common.
+/// Fields that all chunks of a response share.
 #[derive(Debug, Clone)]
-struct AnswerHead {
+struct ResponseHeader {
     identity: AnswerIdentity,
     model: String,
     kind: EndpointKind,
 }
 
-impl AnswerHead {
+impl ResponseHeader {
     fn new(identity: AnswerIdentity, spec: &GenerationSpec) -> Self {
         Self {
             identity,
@@ -166,8 +166,8 @@
         }
     }
 
-    fn part<'a>(&'a self, object: &'static str, choices: Vec<Choice<'a>>) -> Answer<'a> {
-        Answer {
+    fn chunk<'a>(&'a self, object: &'static str, choices: Vec<Choice<'a>>) -> ResponseBody<'a> {
+        ResponseBody {
             id: &self.identity.id,
             object,
             created: self.identity.created,
@@ -206,7 +206,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Answer<'a> {
+struct ResponseBody<'a> {
     id: &'a str,
     object: &'static str,
     created: u64,
@@ -226,10 +226,13 @@
     }
 }
 
-async fn whole(head: AnswerHead, answer: AnswerStream) -> Result<Response, ApiError> {
+async fn complete_response(
+    header: ResponseHeader,
+    answer: AnswerStream,
+) -> Result<Response, ApiError> {
     let answer = answer.collect_answer().await?;
     let finish_reason = Some(answer.reason.name());
-    let (object, choice) = match head.kind {
+    let (object, choice) = match header.kind {
         EndpointKind::Chat => (
             "chat.completion",
             Choice {
@@ -250,7 +253,7 @@
             },
         ),
     };
-    let mut body = head.part(object, vec![choice]);
+    let mut body = header.chunk(object, vec![choice]);
     body.usage = Some(answer.usage.into());
     let mut response = Json(body).into_response();
     let ran = HeaderValue::from_static(Execution::Ran.name());
@@ -258,28 +261,28 @@
     Ok(response)
 }
 
-fn frame(body: &impl Serialize) -> String {
+fn encode_event(body: &impl Serialize) -> String {
     let json = serde_json::to_string(body).unwrap_or_default();
     format!("data: {json}\n\n")
 }
 
-/// Turns answer events into the lines of a streamed answer.
-struct Framer {
-    head: AnswerHead,
+/// Encodes response events as server-sent events.
+struct EventEncoder {
+    header: ResponseHeader,
     include_usage: bool,
     first: bool,
 }
 
-impl Framer {
+impl EventEncoder {
     fn object(&self) -> &'static str {
-        match self.head.kind {
+        match self.header.kind {
             EndpointKind::Chat => "chat.completion.chunk",
             EndpointKind::Completion => "text_completion",
         }
     }
 
     fn text(&mut self, text: &str) -> String {
-        let choice = match self.head.kind {
+        let choice = match self.header.kind {
             EndpointKind::Chat => Choice {
                 delta: Some(Message {
                     role: std::mem::take(&mut self.first).then_some("assistant"),
@@ -292,7 +295,7 @@
                 ..Choice::default()
             },
         };
-        frame(&self.head.part(self.object(), vec![choice]))
+        encode_event(&self.header.chunk(self.object(), vec![choice]))
     }
 
     fn finish(&self, reason: FinishReason, usage: Usage) -> String {
@@ -301,39 +304,51 @@
             content: None,
         };
         let choice = Choice {
-            delta: (self.head.kind == EndpointKind::Chat).then_some(empty),
-            text: (self.head.kind == EndpointKind::Completion).then_some(""),
+            delta: (self.header.kind == EndpointKind::Chat).then_some(empty),
+            text: (self.header.kind == EndpointKind::Completion).then_some(""),
             finish_reason: Some(reason.name()),
             ..Choice::default()
         };
-        let mut frames = frame(&self.head.part(self.object(), vec![choice]));
+        let mut frames = encode_event(&self.header.chunk(self.object(), vec![choice]));
         if self.include_usage {
-            let mut part = self.head.part(self.object(), Vec::new());
-            part.usage = Some(usage.into());
-            frames.push_str(&frame(&part));
+            let mut chunk = self.header.chunk(self.object(), Vec::new());
+            chunk.usage = Some(usage.into());
+            frames.push_str(&encode_event(&chunk));
         }
         frames.push_str(DONE);
         frames
     }
 }
 
-fn streamed(head: AnswerHead, spec: GenerationSpec, answer: AnswerStream) -> Response {
-    let framer = Framer {
-        head,
+fn streamed_response(
+    header: ResponseHeader,
+    spec: GenerationSpec,
+    response: AnswerStream,
+) -> Response {
+    let encoder = EventEncoder {
+        header,
         include_usage: spec.include_usage,
         first: true,
     };
-    let lines = stream::unfold((answer, framer), |(mut answer, mut framer)| async move {
-        let line = match answer.next().await? {
-            Ok(AnswerEvent::Text(text)) => framer.text(&text),
-            Ok(AnswerEvent::Finished { reason, usage }) => framer.finish(reason, usage),
-            // An error event and no [DONE]: the caller must not take the answer for whole.
-            Err(error) => frame(ApiError::from(error).body()),
-        };
-        Some((Ok::<_, std::convert::Infallible>(line), (answer, framer)))
-    });
-    let mut response = Response::new(Body::from_stream(lines));
+    let frames = stream::unfold(
+        (response, encoder),
+        |(mut response, mut encoder)| async move {
+            let frame = match response.next().await? {
+                Ok(AnswerEvent::Text(text)) => encoder.text(&text),
+                Ok(AnswerEvent::Finished { reason, usage }) => encoder.finish(reason, usage),
+                // Without [DONE] the caller detects that the response is incomplete.
+                Err(error) => encode_event(ApiError::from(error).body()),
+            };
+            Some((
+                Ok::<_, std::convert::Infallible>(frame),
+                (response, encoder),
+            ))
+        },
+    );
+    let mut http_response = Response::new(Body::from_stream(frames));
     let event_stream = HeaderValue::from_static("text/event-stream");
-    response.headers_mut().insert(CONTENT_TYPE, event_stream);
-    response
+    http_response
+        .headers_mut()
+        .insert(CONTENT_TYPE, event_stream);
+    http_response
 }
--- a/crates/api/src/health.rs
+++ b/crates/api/src/health.rs
@@ -1,4 +1,4 @@
-//! Health, readiness and metrics; without a key.
+//! Health, readiness and metrics routes; they need no API key.
 
 use axum::extract::State;
 use axum::http::StatusCode;
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP towards callers and operators: the OpenAI-compatible API, health, metrics and administration.
+//! HTTP interface for callers and operators: OpenAI-compatible API, health, metrics and administration.
 
 mod admin;
 mod auth;
@@ -14,17 +14,17 @@
 use axum::routing::{get, post};
 use harrierward_node::Node;
 
-/// Largest body of a request that is not an upload, bytes.
-const BODY_LIMIT: usize = 4 << 20;
+/// Maximum body of a request that is not an upload, in bytes.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Largest upload, bytes.
-const UPLOAD_LIMIT: usize = 2 << 30;
+/// Maximum body of an upload, in bytes.
+const MAX_UPLOAD_BYTES: usize = 2 << 30;
 
-/// All routes of one daemon's caller interface.
+/// Returns the routes served to callers and operators.
 pub fn router(node: Node) -> Router {
     let uploads = Router::new()
         .route("/v1/files", post(files::upload))
-        .layer(DefaultBodyLimit::max(UPLOAD_LIMIT));
+        .layer(DefaultBodyLimit::max(MAX_UPLOAD_BYTES));
     Router::new()
         .route("/v1/models", get(models::list))
         .route("/v1/models/{model}", get(models::get))
@@ -42,8 +42,8 @@
         .route("/admin/v1/config", get(admin::get).post(admin::apply))
         .route("/admin/v1/history", get(admin::history))
         .route("/admin/v1/status", get(admin::status))
-        .layer(DefaultBodyLimit::max(BODY_LIMIT))
+        .layer(DefaultBodyLimit::max(MAX_BODY_BYTES))
         .merge(uploads)
-        .fallback(errors::no_such_route)
+        .fallback(errors::unknown_path)
         .with_state(node)
 }
--- a/crates/api/src/models.rs
+++ b/crates/api/src/models.rs
@@ -1,4 +1,4 @@
-//! `/v1/models`: the endpoints that a tenant may call.
+//! `/v1/models`: lists the endpoints that a tenant may call.
 
 use axum::Json;
 use axum::extract::{Path, State};
