--- a/crates/bench/src/faults/checker.rs
+++ b/crates/bench/src/faults/checker.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use harrierward_emulator::{Execution, ExecutionOutcome, expected_answer};
+use harrierward_emulator::{Execution, ExecutionOutcome, expected_response};
 use harrierward_wire::{ChunkRow, JobRow, JobState, decode};
 use serde_json::Value;
 
@@ -91,7 +91,7 @@
 fn check_answers(history: &History, checked: &mut Checked) {
     const PROMISE: &str = "the whole answer to its own request, and only that";
     for call in &history.online {
-        let expected = expected_answer(&call.model, &call.prompt, call.maximum_tokens);
+        let expected = expected_response(&call.model, &call.prompt, call.maximum_tokens);
         let good = match &call.outcome {
             OnlineOutcome::Answered { text } => *text == expected,
             OnlineOutcome::Refused { partial, .. } | OnlineOutcome::Lost { partial } => {
@@ -238,7 +238,7 @@
             checked.report(ONCE, format!("{key} {id}: not an item of the job"));
             continue;
         };
-        let expected = expected_answer(&job.model, prompt, job.maximum_tokens);
+        let expected = expected_response(&job.model, prompt, job.maximum_tokens);
         let text = &values[0]["response"]["body"]["choices"][0]["text"];
         let unknown = values[0]["error"]["code"] == "unknown_execution";
         let once = job.at_most_once.contains(id);
@@ -276,7 +276,7 @@
         let Some(engine) = world.engines.get(name) else {
             continue;
         };
-        let refused = engine.refused_leaving().into_iter();
+        let refused = engine.refused_while_leaving().into_iter();
         for late in refused.filter(|refused| refused.at > *left + LEAVE_BOUND) {
             let detail = format!(
                 "{name} left at {left:?}: {} at {:?}",
--- a/crates/bench/src/faults/parts.rs
+++ b/crates/bench/src/faults/parts.rs
@@ -60,7 +60,7 @@
 async fn simulate(seed: u64, length: Duration, is_cut: bool) -> Result<PartsReport> {
     let parameters = EngineParameters {
         step_base_micros: STEP_MICROS,
-        maximum_running: ENGINE_SEQUENCES,
+        max_running: ENGINE_SEQUENCES,
         ..EngineParameters::default()
     };
     let world = World::start_with(seed, BrokenGuards::default(), parameters).await?;
--- a/crates/bench/src/faults/world.rs
+++ b/crates/bench/src/faults/world.rs
@@ -95,7 +95,7 @@
     pub async fn start(seed: u64, broken: BrokenGuards) -> Result<Self> {
         // Small engines, so that jobs last long enough for faults to meet them.
         let parameters = EngineParameters {
-            maximum_running: ENGINE_SEQUENCES,
+            max_running: ENGINE_SEQUENCES,
             ..EngineParameters::default()
         };
         Self::start_with(seed, broken, parameters).await
--- a/crates/bench/src/speed/mod.rs
+++ b/crates/bench/src/speed/mod.rs
@@ -44,7 +44,7 @@
         step_base_micros: u64::try_from(step.as_micros())?,
         step_sequence_micros: 0,
         prefill_token_nanos: 0,
-        maximum_running: 100_000,
+        max_running: 100_000,
         prefill_budget: u32::MAX,
         ..EngineParameters::default()
     };
--- a/crates/bench/tests/loopback.rs
+++ b/crates/bench/tests/loopback.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use bytes::Bytes;
-use harrierward_emulator::expected_answer;
+use harrierward_emulator::expected_response;
 use http::Method;
 use http_body_util::BodyExt;
 use serde_json::{Value, json};
@@ -84,7 +84,7 @@
         };
         answers.push(answer["choices"][0]["text"].clone());
     }
-    let expected = expected_answer(MODEL, "book desk 17", 6);
+    let expected = expected_response(MODEL, "book desk 17", 6);
     assert!(
         answers.iter().all(|answer| *answer == expected),
         "{answers:?}"
--- a/crates/bench/tests/resend.rs
+++ b/crates/bench/tests/resend.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use harrierward_claims::{ClaimKey, RequestDigest};
-use harrierward_emulator::{EngineHandle, MemoryPlatform, expected_answer};
+use harrierward_emulator::{EngineHandle, MemoryPlatform, expected_response};
 use harrierward_external::{RequestClass, Table, Transaction};
 use harrierward_node::Node;
 use harrierward_wire::{ClaimRow, ClaimState, encode};
@@ -236,7 +236,7 @@
     let parts = streamed.parts();
     assert_eq!(
         streamed_text(&parts),
-        expected_answer(MODEL, PROMPT, TOKENS)
+        expected_response(MODEL, PROMPT, TOKENS)
     );
     for part in &parts {
         assert_same_head(part, &whole.json());
--- a/crates/emulator/src/answers.rs
+++ b/crates/emulator/src/answers.rs
@@ -39,7 +39,7 @@
 }
 
 /// The whole answer to a request limited to `maximum_tokens`.
-pub fn expected_answer(model: &str, prompt: &str, maximum_tokens: u32) -> String {
+pub fn expected_response(model: &str, prompt: &str, maximum_tokens: u32) -> String {
     let length = natural_length(model, prompt).min(maximum_tokens);
     (0..length)
         .map(|sequence| token_text(model, prompt, sequence))
--- a/crates/emulator/src/engine_core.rs
+++ b/crates/emulator/src/engine_core.rs
@@ -29,7 +29,7 @@
     /// Most prompt tokens prefilled in a step.
     pub prefill_budget: u32,
     /// Most sequences running at once.
-    pub maximum_running: usize,
+    pub max_running: usize,
     /// Age of a load report when read, microseconds.
     pub load_lag_micros: u64,
     /// Time to load a model, microseconds.
@@ -45,7 +45,7 @@
             step_sequence_micros: 60,
             prefill_token_nanos: 40_000,
             prefill_budget: 2048,
-            maximum_running: 128,
+            max_running: 128,
             load_lag_micros: 1_000_000,
             model_load_micros: 20_000_000,
             cache: CacheParameters::default(),
@@ -224,13 +224,12 @@
 
     fn admit(&mut self) {
         while !self.waiting_online.is_empty() {
-            if self.running.len() >= self.parameters.maximum_running && !self.preempt_batch() {
+            if self.running.len() >= self.parameters.max_running && !self.preempt_batch() {
                 return;
             }
             self.start_front(Priority::Online);
         }
-        while self.running.len() < self.parameters.maximum_running && !self.waiting_batch.is_empty()
-        {
+        while self.running.len() < self.parameters.max_running && !self.waiting_batch.is_empty() {
             self.start_front(Priority::Batch);
         }
     }
--- a/crates/emulator/src/engine_handle.rs
+++ b/crates/emulator/src/engine_handle.rs
@@ -50,7 +50,7 @@
 
 /// A request that came although the engine had said that it leaves.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RefusedLeaving {
+pub struct RefusedWhileLeaving {
     /// Attempt's request id.
     pub request_id: String,
     /// When, by the engine's clock.
@@ -78,7 +78,7 @@
     core: EngineCore,
     senders: BTreeMap<String, EventSender>,
     executions: Vec<Execution>,
-    refused_leaving: Vec<RefusedLeaving>,
+    refused_while_leaving: Vec<RefusedWhileLeaving>,
     indexes: HashMap<String, usize>,
 }
 
@@ -113,7 +113,7 @@
             core: EngineCore::new(parameters, models, seed),
             senders: BTreeMap::new(),
             executions: Vec::new(),
-            refused_leaving: Vec::new(),
+            refused_while_leaving: Vec::new(),
             indexes: HashMap::new(),
         };
         let shared = Arc::new(Shared {
@@ -149,8 +149,8 @@
     }
 
     /// Requests that came although the engine had said that it leaves.
-    pub fn refused_leaving(&self) -> Vec<RefusedLeaving> {
-        self.shared.lock().refused_leaving.clone()
+    pub fn refused_while_leaving(&self) -> Vec<RefusedWhileLeaving> {
+        self.shared.lock().refused_while_leaving.clone()
     }
 
     /// The engine's load without lag, for measurement only.
@@ -342,8 +342,8 @@
                 if refusal == SubmitRefusal::Leaving {
                     let at = self.shared.started.elapsed();
                     inner
-                        .refused_leaving
-                        .push(RefusedLeaving { request_id, at });
+                        .refused_while_leaving
+                        .push(RefusedWhileLeaving { request_id, at });
                 }
                 return Err(self.refusal(STEP, sent, refusal));
             }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -11,9 +11,11 @@
 mod prefix_cache;
 pub mod server;
 
-pub use answers::{expected_answer, natural_length, prompt_tokens, token_text};
+pub use answers::{expected_response, natural_length, prompt_tokens, token_text};
 pub use engine_core::{EngineCore, EngineParameters, StepPlan, SubmitRefusal};
-pub use engine_handle::{EngineFaults, EngineHandle, Execution, ExecutionOutcome, RefusedLeaving};
+pub use engine_handle::{
+    EngineFaults, EngineHandle, Execution, ExecutionOutcome, RefusedWhileLeaving,
+};
 pub use faults::{StoreFaults, StoreFaultsHandle};
 pub use memory_platform::{MemoryPlatform, PlatformParameters};
 pub use prefix_cache::{CacheParameters, PrefixCache};
--- a/crates/emulator/src/memory_platform.rs
+++ b/crates/emulator/src/memory_platform.rs
@@ -29,7 +29,7 @@
     /// Object calls a second.
     pub object_rate: f64,
     /// Weight loads a minute.
-    pub weight_loads_a_minute: f64,
+    pub weight_loads_per_minute: f64,
     /// Time of one store call.
     pub store_delay: Duration,
     /// Lag of the machine list.
@@ -43,7 +43,7 @@
         Self {
             table_rate: 2000.0,
             object_rate: 2000.0,
-            weight_loads_a_minute: 20.0,
+            weight_loads_per_minute: 20.0,
             store_delay: Duration::from_millis(2),
             machine_lag: Duration::from_secs(5),
             seed: 1,
@@ -89,7 +89,7 @@
             writes: 0,
             calls: 0,
         };
-        let weight_rate = parameters.weight_loads_a_minute / 60.0;
+        let weight_rate = parameters.weight_loads_per_minute / 60.0;
         Self {
             state: Arc::new(Mutex::new(state)),
             table_budget: Arc::new(RateBudget::new(
