--- a/crates/bench/src/faults/gated_platform.rs
+++ b/crates/bench/src/faults/gated_platform.rs
@@ -168,7 +168,7 @@
 
     async fn load(&self) -> Result<EngineLoad, EngineError> {
         let mut load = self.gate.around(self.engine.load()).await?;
-        load.leaving &= !self.broken.no_leaving_word;
+        load.leaving &= !self.broken.no_leaving_report;
         Ok(load)
     }
 
--- a/crates/bench/src/faults/mod.rs
+++ b/crates/bench/src/faults/mod.rs
@@ -8,7 +8,7 @@
 mod gated_platform;
 mod history;
 mod network;
-mod parts;
+mod partition;
 mod world;
 
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 use tokio::time::sleep;
 
 pub use checker::{Checked, Violation};
-pub use parts::{PartsReport, run_one_part, run_two_parts};
+pub use partition::{PartitionReport, run_connected, run_partitioned};
 pub use world::BrokenGuards;
 use world::World;
 
@@ -116,7 +116,7 @@
 #[derive(Debug, Clone)]
 pub struct OutageReport {
     /// Longest time until a marked request got its answer.
-    pub longest_refusal: Duration,
+    pub max_marked_latency: Duration,
     /// Marked requests that were refused as not run.
     pub marked_refused: usize,
     /// Marked requests sent.
@@ -141,7 +141,7 @@
             });
         let until = world.now() + length;
         let mut report = OutageReport {
-            longest_refusal: Duration::ZERO,
+            max_marked_latency: Duration::ZERO,
             marked_refused: 0,
             marked: 0,
             unmarked_answered: 0,
@@ -153,7 +153,7 @@
             if clients::probe(&world, report.marked, true).await? {
                 report.marked_refused += 1;
             }
-            report.longest_refusal = report.longest_refusal.max(world.now() - started);
+            report.max_marked_latency = report.max_marked_latency.max(world.now() - started);
             report.unmarked += 1;
             if clients::probe(&world, report.unmarked, false).await? {
                 report.unmarked_answered += 1;
--- a/crates/bench/src/faults/parts.rs
+++ b/crates/bench/src/faults/partition.rs
@@ -30,11 +30,11 @@
 
 /// What a fleet in two parts did.
 #[derive(Debug, Clone)]
-pub struct PartsReport {
+pub struct PartitionReport {
     /// Takeovers of the shard that changed hands most often, in the time given.
-    pub most_shard_takeovers: u64,
+    pub max_shard_takeovers: u64,
     /// Takeovers of the replica that changed hands most often.
-    pub most_replica_takeovers: u64,
+    pub max_replica_takeovers: u64,
     /// Takeovers of all shards and replicas.
     pub takeovers: u64,
     /// Jobs accepted.
@@ -42,22 +42,22 @@
     /// Jobs that had not ended then.
     pub open_jobs: usize,
     /// When the last job was seen to have ended, since the first was accepted.
-    pub all_ended_after: Option<Duration>,
+    pub all_completed_after: Option<Duration>,
     /// The promises.
     pub checked: Checked,
 }
 
 /// Runs jobs for `length` in a fleet whose first daemon and the others never hear of each other.
-pub fn run_two_parts(seed: u64, length: Duration) -> Result<PartsReport> {
+pub fn run_partitioned(seed: u64, length: Duration) -> Result<PartitionReport> {
     virtual_time()?.block_on(simulate(seed, length, true))
 }
 
 /// Runs the same jobs in a fleet in which all hear each other.
-pub fn run_one_part(seed: u64, length: Duration) -> Result<PartsReport> {
+pub fn run_connected(seed: u64, length: Duration) -> Result<PartitionReport> {
     virtual_time()?.block_on(simulate(seed, length, false))
 }
 
-async fn simulate(seed: u64, length: Duration, is_cut: bool) -> Result<PartsReport> {
+async fn simulate(seed: u64, length: Duration, is_cut: bool) -> Result<PartitionReport> {
     let parameters = EngineParameters {
         step_base_micros: STEP_MICROS,
         max_running: ENGINE_SEQUENCES,
@@ -71,11 +71,11 @@
     let before = epochs(&world);
     let began = world.now();
     let jobs = submit_jobs(&world).await?;
-    let mut all_ended_after = None;
+    let mut all_completed_after = None;
     while world.now() < began + length {
         sleep(LOOK_EVERY).await;
-        if all_ended_after.is_none() && open_jobs(&world) == 0 {
-            all_ended_after = Some(world.now() - began);
+        if all_completed_after.is_none() && open_jobs(&world) == 0 {
+            all_completed_after = Some(world.now() - began);
         }
     }
     let takeovers = takeovers(&before, &epochs(&world));
@@ -83,13 +83,13 @@
         let kind = takeovers.iter().filter(|(key, _)| key.starts_with(prefix));
         kind.map(|(_, count)| *count).max().unwrap_or_default()
     };
-    Ok(PartsReport {
-        most_shard_takeovers: most(SHARDS_PREFIX),
-        most_replica_takeovers: most(REPLICAS_PREFIX),
+    Ok(PartitionReport {
+        max_shard_takeovers: most(SHARDS_PREFIX),
+        max_replica_takeovers: most(REPLICAS_PREFIX),
         takeovers: takeovers.values().sum(),
         jobs,
         open_jobs: open_jobs(&world),
-        all_ended_after,
+        all_completed_after,
         checked: checker::check(&world),
     })
 }
--- a/crates/bench/src/faults/world.rs
+++ b/crates/bench/src/faults/world.rs
@@ -62,7 +62,7 @@
     /// Cancels are committed, but told to nobody and not found by those who ask.
     pub no_cancel_notice: bool,
     /// Engines do not say that they leave.
-    pub no_leaving_word: bool,
+    pub no_leaving_report: bool,
 }
 
 /// The fleet; cheap to clone.
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -108,7 +108,7 @@
         Some("claims") => broken.no_claims = true,
         Some("event-check") => broken.no_event_check = true,
         Some("cancel-notice") => broken.no_cancel_notice = true,
-        Some("leaving-word") => broken.no_leaving_word = true,
+        Some("leaving-word") => broken.no_leaving_report = true,
         Some(other) => return Err(eyre!("--break: no such guard: {other}")),
     }
     Ok(broken)
--- a/crates/bench/tests/faults.rs
+++ b/crates/bench/tests/faults.rs
@@ -126,7 +126,7 @@
 #[test]
 fn engines_that_leave_without_a_word_are_caught() {
     let broken = BrokenGuards {
-        no_leaving_word: true,
+        no_leaving_report: true,
         ..BrokenGuards::default()
     };
     is_caught(broken, "a leaving back end gets no new work");
@@ -140,7 +140,7 @@
     assert_eq!(report.marked_refused, report.marked, "{report:?}");
     assert_eq!(report.unmarked_answered, report.unmarked, "{report:?}");
     assert!(
-        report.longest_refusal <= Duration::from_secs(1),
+        report.max_marked_latency <= Duration::from_secs(1),
         "{report:?}"
     );
 }
--- a/crates/bench/tests/two_parts.rs
+++ b/crates/bench/tests/partition.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use eyre::Result;
-use harrierward_bench::faults::{PartsReport, run_one_part, run_two_parts};
+use harrierward_bench::faults::{PartitionReport, run_connected, run_partitioned};
 
 const LENGTH: Duration = Duration::from_secs(60);
 const SEEDS: [u64; 3] = [1, 2, 3];
@@ -12,7 +12,7 @@
 /// two take it in turns 4, 8, 16, 24, 40 and 56 s after the first two turns.
 const MOST_TAKEOVERS: u64 = 8;
 
-fn reports(run: impl Fn(u64, Duration) -> Result<PartsReport>) -> Vec<PartsReport> {
+fn reports(run: impl Fn(u64, Duration) -> Result<PartitionReport>) -> Vec<PartitionReport> {
     let reports = SEEDS.map(|seed| run(seed, LENGTH).expect("the simulation runs"));
     for (seed, report) in SEEDS.iter().zip(&reports) {
         println!("seed {seed}: {report:?}");
@@ -22,11 +22,11 @@
 
 #[test]
 fn parts_that_never_hear_each_other_take_things_in_few_turns_and_end_their_jobs() {
-    let reports = reports(run_two_parts);
+    let reports = reports(run_partitioned);
     for report in &reports {
-        assert!(report.most_shard_takeovers <= MOST_TAKEOVERS, "{reports:?}");
+        assert!(report.max_shard_takeovers <= MOST_TAKEOVERS, "{reports:?}");
         assert!(
-            report.most_replica_takeovers <= MOST_TAKEOVERS,
+            report.max_replica_takeovers <= MOST_TAKEOVERS,
             "{reports:?}"
         );
         assert_eq!(report.open_jobs, 0, "{reports:?}");
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_fleet_that_hears_itself_ends_the_same_jobs_without_a_takeover() {
-    let reports = reports(run_one_part);
+    let reports = reports(run_connected);
     for report in &reports {
         assert_eq!(report.takeovers, 0, "{reports:?}");
         assert_eq!(report.open_jobs, 0, "{reports:?}");
