--- a/crates/bench/src/faults/checker.rs
+++ b/crates/bench/src/faults/checker.rs
@@ -1,4 +1,4 @@
-//! Checks the promises from the history and from what the engines really ran.
+//! Checks the service's guarantees against the client history and the engines' execution records.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,40 +10,40 @@
 use super::history::{History, JobRecord, OnlineCall, OnlineOutcome};
 use super::world::World;
 
-/// Time after an acknowledged cancel within which the job stops.
+/// Maximum time between an acknowledged cancellation and the last start of an item.
 const CANCEL_BOUND: Duration = Duration::from_secs(2);
 
-/// Time after an engine says that it leaves within which new work stops coming.
+/// Maximum time between the announcement that an engine leaves and the last request sent to it.
 const LEAVE_BOUND: Duration = Duration::from_secs(3);
 
-/// Time within which an accepted change is in force or the daemon is on the safe plan.
+/// Maximum time until an accepted change is in force or the daemon uses the safe plan.
 const CONFIG_BOUND: Duration = Duration::from_secs(8);
 
-/// A promise that was broken, with where.
+/// A violated guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// The promise.
+    /// Text of the guarantee.
     pub promise: &'static str,
-    /// What was found.
+    /// Request, job or daemon concerned, and what was found.
     pub detail: String,
 }
 
-/// What was checked.
+/// Number of checked items of each kind, and the violations.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Checked {
-    /// Online invocations.
+    /// Online calls, resends included.
     pub online: usize,
-    /// Marked requests (not invocations).
+    /// Distinct marked requests, each with its resends.
     pub marked: usize,
     /// Acknowledged jobs.
     pub jobs: usize,
-    /// Their items.
+    /// Items of the acknowledged jobs.
     pub items: usize,
-    /// Executions at engines.
+    /// Executions recorded by the engines.
     pub executions: usize,
-    /// Accepted changes of configuration.
+    /// Accepted configuration changes.
     pub changes: usize,
-    /// Broken promises.
+    /// Violated guarantees.
     pub violations: Vec<Violation>,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// Checks everything.
+/// Checks all guarantees at the end of a run.
 pub fn check(world: &World) -> Checked {
     let history = world.recorder.lock();
     let mut executions: BTreeMap<String, Vec<Execution>> = BTreeMap::new();
@@ -74,7 +74,7 @@
         changes: history.accepted.len(),
         ..Checked::default()
     };
-    check_answers(&history, &mut checked);
+    check_responses(&history, &mut checked);
     check_not_run(&history, &executions, &mut checked);
     check_marked(&history, &executions, &mut checked);
     for (key, job) in &history.jobs {
@@ -82,29 +82,29 @@
     }
     check_leaving(world, &history, &mut checked);
     check_config(&history, &mut checked);
-    for member in &history.cut_stops {
+    for member in &history.interrupted_drains {
         checked.report("a planned stop cuts off nothing", member.clone());
     }
     checked
 }
 
-fn check_answers(history: &History, checked: &mut Checked) {
+fn check_responses(history: &History, checked: &mut Checked) {
     const PROMISE: &str = "the whole answer to its own request, and only that";
     for call in &history.online {
         let expected = expected_response(&call.model, &call.prompt, call.maximum_tokens);
-        let good = match &call.outcome {
+        let is_valid = match &call.outcome {
             OnlineOutcome::Answered { text } => *text == expected,
             OnlineOutcome::Refused { partial, .. } | OnlineOutcome::Lost { partial } => {
                 expected.starts_with(partial)
             }
         };
-        if !good {
+        if !is_valid {
             checked.report(PROMISE, format!("{}: {:?}", call.prompt, call.outcome));
         }
     }
 }
 
-fn by_prompt(history: &History) -> BTreeMap<&str, Vec<&OnlineCall>> {
+fn calls_by_prompt(history: &History) -> BTreeMap<&str, Vec<&OnlineCall>> {
     let mut calls: BTreeMap<&str, Vec<&OnlineCall>> = BTreeMap::new();
     for call in &history.online {
         calls.entry(&call.prompt).or_default().push(call);
@@ -112,17 +112,17 @@
     calls
 }
 
-/// If every invocation of a request was told "not run", it must not have run.
+/// Checks that a request did not run if every call for it was refused as not run.
 fn check_not_run(
     history: &History,
     executions: &BTreeMap<String, Vec<Execution>>,
     checked: &mut Checked,
 ) {
-    for (prompt, calls) in by_prompt(history) {
-        let never = calls
+    for (prompt, calls) in calls_by_prompt(history) {
+        let all_not_run = calls
             .iter()
             .all(|call| super::clients::never_dispatched(&call.outcome));
-        if never && executions.contains_key(prompt) {
+        if all_not_run && executions.contains_key(prompt) {
             checked.report("\"not run\" is true", prompt);
         }
     }
@@ -133,7 +133,7 @@
     executions: &BTreeMap<String, Vec<Execution>>,
     checked: &mut Checked,
 ) {
-    for (prompt, calls) in by_prompt(history) {
+    for (prompt, calls) in calls_by_prompt(history) {
         if !calls.iter().any(|call| call.marked) {
             continue;
         }
@@ -189,7 +189,7 @@
     }
 }
 
-/// Result lines by custom id, with how often each occurs.
+/// Returns the result lines by custom id; `None` if a row or object is missing or malformed.
 fn result_lines(world: &World, job_id: &str) -> Option<BTreeMap<String, Vec<Value>>> {
     let mut lines: BTreeMap<String, Vec<Value>> = BTreeMap::new();
     for row in world.platform.peek_prefix(&format!("chunk/{job_id}/")) {
@@ -241,8 +241,8 @@
         let expected = expected_response(&job.model, prompt, job.maximum_tokens);
         let text = &values[0]["response"]["body"]["choices"][0]["text"];
         let unknown = values[0]["error"]["code"] == "unknown_execution";
-        let once = job.at_most_once.contains(id);
-        if *text != expected && !(unknown && once) {
+        let at_most_once = job.at_most_once.contains(id);
+        if *text != expected && !(unknown && at_most_once) {
             let detail = format!("{key} {id}: {}", values[0]);
             checked.report("the whole answer to its own request, and only that", detail);
         }
@@ -272,7 +272,7 @@
 }
 
 fn check_leaving(world: &World, history: &History, checked: &mut Checked) {
-    for (name, left) in &history.left {
+    for (name, left) in &history.leaving_since {
         let Some(engine) = world.engines.get(name) else {
             continue;
         };
@@ -290,25 +290,30 @@
 fn check_config(history: &History, checked: &mut Checked) {
     let mut last: BTreeMap<&str, u64> = BTreeMap::new();
     let mut first_seen: BTreeMap<&str, Duration> = BTreeMap::new();
-    for seen in &history.seen {
-        let previous = last.insert(&seen.member, seen.revision).unwrap_or_default();
-        if seen.revision < previous {
-            let detail = format!("{}: from {previous} to {}", seen.member, seen.revision);
+    for observed in &history.observed {
+        let previous = last
+            .insert(&observed.member, observed.revision)
+            .unwrap_or_default();
+        if observed.revision < previous {
+            let detail = format!(
+                "{}: from {previous} to {}",
+                observed.member, observed.revision
+            );
             checked.report("configuration never reverts", detail);
         }
-        let started = *first_seen.entry(&seen.member).or_insert(seen.at);
-        let must_have = history
+        let started = *first_seen.entry(&observed.member).or_insert(observed.at);
+        let required = history
             .accepted
             .iter()
-            .filter(|accepted| accepted.at + CONFIG_BOUND < seen.at)
+            .filter(|accepted| accepted.at + CONFIG_BOUND < observed.at)
             .map(|accepted| accepted.revision)
             .max()
             .unwrap_or_default();
-        let settled = seen.at > started + CONFIG_BOUND;
-        if seen.revision < must_have && seen.fresh && settled {
+        let settled = observed.at > started + CONFIG_BOUND;
+        if observed.revision < required && observed.fresh && settled {
             let detail = format!(
-                "{} at {:?}: {} in force and called fresh, {must_have} accepted",
-                seen.member, seen.at, seen.revision
+                "{} at {:?}: {} in force and called fresh, {required} accepted",
+                observed.member, observed.at, observed.revision
             );
             checked.report("accepted configuration is in force", detail);
         }
--- a/crates/bench/src/faults/clients.rs
+++ b/crates/bench/src/faults/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the simulated fleet: online requests, marked requests that are resent, jobs, operators.
+//! Clients of the simulated fleet: online requests, marked requests with resends, jobs, configuration changes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,18 +18,18 @@
 use serde_json::json;
 use tokio::time::{Instant, sleep};
 
-use super::history::{ConfigAccepted, ConfigSeen, JobRecord, OnlineCall, OnlineOutcome};
+use super::history::{AcceptedConfig, JobRecord, ObservedConfig, OnlineCall, OnlineOutcome};
 use super::world::{Daemon, TENANTS, World};
 
-/// Characters of a prompt that clients of a tenant share.
+/// Common prefix of the prompts, which prefix caches can reuse.
 const SHARED_PROMPT: &str =
     "You help people in a hurry. Answer briefly and say only what is asked for. ";
 
-/// Resends of a marked request at most.
-const MOST_RESENDS: usize = 6;
+/// Maximum number of sends of a marked request.
+const MAX_RESENDS: usize = 6;
 
-/// Items of a job at most.
-const MOST_ITEMS: usize = 260;
+/// Exclusive upper bound of the number of items of a job.
+const MAX_ITEMS: usize = 260;
 
 fn spec(model: &str, prompt: &str, maximum_tokens: u32) -> GenerationSpec {
     GenerationSpec {
@@ -53,13 +53,13 @@
     }
 }
 
-fn any_tenant(world: &World) -> (&'static str, &'static str) {
+fn random_tenant(world: &World) -> (&'static str, &'static str) {
     let index = world.random(|random| random.random_range(0..TENANTS.len()));
     TENANTS[index]
 }
 
-/// Sends one request to one daemon and reads what the client would see.
-async fn call_once(daemon: &Daemon, call: Call) -> OnlineOutcome {
+/// Sends a request to a daemon and returns the outcome that the client receives.
+async fn send_once(daemon: &Daemon, call: Call) -> OnlineOutcome {
     let mut partial = String::new();
     let exchange = async {
         daemon.gate.pass().await;
@@ -105,17 +105,17 @@
     }
 }
 
-/// Sends unmarked requests, one after the other, until `until`.
+/// Sends unmarked requests sequentially until `until`.
 pub async fn run_online(world: World, client: usize, until: Duration) {
     let mut number = 0;
     while world.now() < until {
         let pause = world.random(|random| random.random_range(20..400));
         sleep(Duration::from_millis(pause)).await;
         number += 1;
-        let (tenant, model) = any_tenant(&world);
+        let (tenant, model) = random_tenant(&world);
         let prompt = format!("{SHARED_PROMPT}online {client}-{number}");
         let maximum_tokens = world.random(|random| random.random_range(1..60));
-        let Ok(daemon) = world.any_daemon() else {
+        let Ok(daemon) = world.random_daemon() else {
             continue;
         };
         let call = Call {
@@ -125,7 +125,7 @@
             marked: None,
             deadline: Instant::now() + Duration::from_secs(20),
         };
-        let outcome = call_once(&daemon, call).await;
+        let outcome = send_once(&daemon, call).await;
         record(&world, &prompt, model, maximum_tokens, false, outcome);
     }
 }
@@ -147,14 +147,14 @@
     });
 }
 
-/// Sends marked requests and resends them, to any daemon, until one is settled; sometimes twice at once.
+/// Sends marked requests with resends to random daemons, some of them twice concurrently.
 pub async fn run_marked(world: World, client: usize, until: Duration) {
     let mut number = 0;
     while world.now() < until {
         let pause = world.random(|random| random.random_range(50..800));
         sleep(Duration::from_millis(pause)).await;
         number += 1;
-        let (tenant, model) = any_tenant(&world);
+        let (tenant, model) = random_tenant(&world);
         let prompt = format!("{SHARED_PROMPT}booking {client}-{number}");
         let maximum_tokens = world.random(|random| random.random_range(1..40));
         let request = MarkedRequest {
@@ -179,8 +179,8 @@
 }
 
 async fn send_marked(world: &World, request: &MarkedRequest) {
-    for _ in 0..MOST_RESENDS {
-        let Ok(daemon) = world.any_daemon() else {
+    for _ in 0..MAX_RESENDS {
+        let Ok(daemon) = world.random_daemon() else {
             return;
         };
         let marked = MarkedCall {
@@ -197,7 +197,7 @@
             marked: (!world.broken.no_claims).then_some(marked),
             deadline: Instant::now() + Duration::from_secs(20),
         };
-        let outcome = call_once(&daemon, call).await;
+        let outcome = send_once(&daemon, call).await;
         let settled = matches!(outcome, OnlineOutcome::Answered { .. });
         let model = request.model;
         record(
@@ -216,21 +216,27 @@
     }
 }
 
-/// One line of a job's input.
-pub fn input_line(model: &str, id: &str, prompt: &str, maximum_tokens: u32, once: bool) -> String {
+/// Returns one line of a job's input file.
+pub fn input_line(
+    model: &str,
+    id: &str,
+    prompt: &str,
+    maximum_tokens: u32,
+    at_most_once: bool,
+) -> String {
     let mut line = json!({
         "custom_id": id,
         "method": "POST",
         "url": "/v1/completions",
         "body": {"model": model, "prompt": prompt, "max_tokens": maximum_tokens},
     });
-    if once {
+    if at_most_once {
         line["execution"] = json!("at-most-once");
     }
     format!("{line}\n")
 }
 
-/// Creates jobs, resends them until acknowledged, and cancels some.
+/// Submits jobs, resends them until acknowledged, and cancels some of them.
 pub async fn run_jobs(world: World, client: usize, until: Duration) {
     let mut number = 0;
     while world.now() < until {
@@ -249,15 +255,15 @@
 }
 
 async fn submit_job(world: &World, key: &str) {
-    // A quarter of the jobs is a borrower's: its tenant does not own the service.
-    let (owner, model) = any_tenant(world);
+    // A quarter of the jobs borrows capacity: the tenant does not own the service.
+    let (owner, model) = random_tenant(world);
     let borrowed = world.random(|random| random.random_bool(0.25));
     let other = TENANTS.iter().find(|(other, _)| *other != owner);
     let tenant = match other {
         Some((other, _)) if borrowed => *other,
         _ => owner,
     };
-    let items = world.random(|random| random.random_range(1..MOST_ITEMS));
+    let items = world.random(|random| random.random_range(1..MAX_ITEMS));
     let maximum_tokens = world.random(|random| random.random_range(1..30));
     let mut job = JobRecord {
         tenant: tenant.to_owned(),
@@ -272,18 +278,24 @@
     for number in 0..items {
         let id = format!("item-{number}");
         let prompt = format!("{SHARED_PROMPT}{key} {id}");
-        let once = number % 7 == 3;
-        input.push_str(&input_line(model, &id, &prompt, maximum_tokens, once));
-        if once {
+        let at_most_once = number % 7 == 3;
+        input.push_str(&input_line(
+            model,
+            &id,
+            &prompt,
+            maximum_tokens,
+            at_most_once,
+        ));
+        if at_most_once {
             job.at_most_once.push(id.clone());
         }
         job.prompts.insert(id, prompt);
     }
     world.recorder.lock().jobs.insert(key.to_owned(), job);
-    let resent_anyway = world.random(|random| random.random_bool(0.3));
+    let resends_acknowledged = world.random(|random| random.random_bool(0.3));
     let mut acknowledged = 0;
     for _ in 0..60 {
-        let Ok(daemon) = world.any_daemon() else {
+        let Ok(daemon) = world.random_daemon() else {
             return;
         };
         let submission = submit_to(world, &daemon, tenant, model, key, &input);
@@ -299,7 +311,7 @@
             }
             acknowledged += 1;
         }
-        if acknowledged > usize::from(resent_anyway) {
+        if acknowledged > usize::from(resends_acknowledged) {
             return;
         }
         let pause = world.random(|random| random.random_range(100..2000));
@@ -307,7 +319,7 @@
     }
 }
 
-/// Uploads a job's input to a daemon and creates the job; its id.
+/// Uploads a job's input to a daemon and creates the job; returns the job id.
 pub async fn submit_to(
     world: &World,
     daemon: &Daemon,
@@ -359,7 +371,7 @@
         return;
     };
     for _ in 0..20 {
-        let Ok(daemon) = world.any_daemon() else {
+        let Ok(daemon) = world.random_daemon() else {
             return;
         };
         let now_ms = u64::try_from(world.now().as_millis())
@@ -401,7 +413,7 @@
     }
 }
 
-/// Operators of both tenants change limits, racing each other.
+/// Changes limits of a tenant repeatedly, concurrently with the other operators.
 pub async fn run_operator(world: World, operator: usize, until: Duration) {
     let (tenant, service) = TENANTS[operator % TENANTS.len()];
     let mut number = 0;
@@ -409,7 +421,7 @@
         let pause = world.random(|random| random.random_range(300..3000));
         sleep(Duration::from_millis(pause)).await;
         number += 1;
-        let Ok(daemon) = world.any_daemon() else {
+        let Ok(daemon) = world.random_daemon() else {
             continue;
         };
         let object = ConfigObject {
@@ -463,33 +475,33 @@
     };
     if let Some(Ok(revision)) = outcome {
         let at = world.now();
-        let accepted = ConfigAccepted { revision, at };
+        let accepted = AcceptedConfig { revision, at };
         world.recorder.lock().accepted.push(accepted);
     }
 }
 
-/// Looks again and again which revision each daemon has in force.
-pub async fn watch_config(world: World, until: Duration) {
-    const PAUSE: Duration = Duration::from_millis(200);
+/// Polls and records the configuration revision that each daemon has in force.
+pub async fn poll_config(world: World, until: Duration) {
+    const POLL_INTERVAL: Duration = Duration::from_millis(200);
     while world.now() < until {
         for daemon in world.live() {
             if daemon.gate.state() != super::gate::GateState::Open {
                 continue;
             }
             let status = daemon.node.status();
-            let seen = ConfigSeen {
+            let observed = ObservedConfig {
                 member: daemon.member.clone(),
                 revision: status.config_revision,
                 fresh: status.config_fresh,
                 at: world.now(),
             };
-            world.recorder.lock().seen.push(seen);
+            world.recorder.lock().observed.push(observed);
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// True if the error code says that a claim was refused; such a request was never dispatched.
+/// Returns true if the client received an error that says that the request did not run.
 pub fn never_dispatched(outcome: &OnlineOutcome) -> bool {
     matches!(
         outcome,
@@ -500,8 +512,8 @@
     )
 }
 
-/// Sends one request during an outage: true for a marked one that was refused as not run, and for an unmarked one that
-/// was answered whole.
+/// Sends one request during a store outage. Returns true if a marked one was refused as not run, or an unmarked one
+/// received a complete response.
 pub async fn probe(world: &World, number: usize, marked: bool) -> eyre::Result<bool> {
     const MAXIMUM_TOKENS: u32 = 12;
     let (tenant, model) = TENANTS[number % TENANTS.len()];
@@ -518,8 +530,8 @@
         marked: marked.then_some(MarkedCall { key, digest }),
         deadline: Instant::now() + Duration::from_secs(20),
     };
-    let daemon = world.any_daemon()?;
-    let outcome = call_once(&daemon, call).await;
+    let daemon = world.random_daemon()?;
+    let outcome = send_once(&daemon, call).await;
     Ok(if marked {
         never_dispatched(&outcome)
     } else {
--- a/crates/bench/src/faults/gate.rs
+++ b/crates/bench/src/faults/gate.rs
@@ -1,7 +1,6 @@
-//! The border between a simulated daemon and everything outside: it can be paused, or closed for good.
+//! Gate between a simulated daemon and everything outside; pausing or closing it stalls or stops all its I/O.
 //!
-//! Why a border and not a killed task: a closed gate makes a daemon invisible from outside at one instant,
-//! whatever its tasks were doing, which is what losing a machine means.
+//! Closing the gate isolates all tasks of the daemon at the same instant, as the loss of a machine does.
 
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -11,30 +10,30 @@
 use harrierward_external::{EngineError, EngineEvent, EventStream};
 use tokio::sync::Notify;
 
-/// What passes the gate.
+/// Which I/O a gate lets through.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GateState {
-    /// Everything.
+    /// All I/O.
     Open,
-    /// Nothing for now.
+    /// None until it is opened again.
     Paused,
-    /// Nothing any more.
+    /// None, permanently.
     Closed,
 }
 
 type SharedStream = Arc<Mutex<Option<EventStream>>>;
 
 #[derive(Debug)]
-struct Border {
+struct GateInner {
     state: Mutex<GateState>,
-    /// Wakes those who wait, in the order they came, so that a run can be repeated.
+    /// Wakes waiting tasks in FIFO order, which keeps runs reproducible.
     changed: Notify,
 }
 
-/// The gate of one daemon; cheap to clone.
+/// Gate of one daemon; clones share its state.
 #[derive(Clone)]
 pub struct Gate {
-    border: Arc<Border>,
+    inner: Arc<GateInner>,
     streams: Arc<Mutex<Vec<SharedStream>>>,
 }
 
@@ -45,26 +44,26 @@
 }
 
 impl Gate {
-    /// An open gate.
+    /// Creates an open gate.
     pub fn new() -> Self {
-        let border = Border {
+        let inner = GateInner {
             state: Mutex::new(GateState::Open),
             changed: Notify::new(),
         };
         Self {
-            border: Arc::new(border),
+            inner: Arc::new(inner),
             streams: Arc::default(),
         }
     }
 
-    /// The present state.
+    /// Returns the current state.
     pub fn state(&self) -> GateState {
-        *lock(&self.border.state)
+        *lock(&self.inner.state)
     }
 
     async fn wait_for(&self, wanted: GateState) {
         loop {
-            let changed = self.border.changed.notified();
+            let changed = self.inner.changed.notified();
             if self.state() == wanted {
                 return;
             }
@@ -72,7 +71,7 @@
         }
     }
 
-    /// Waits until the gate is open; for ever if it is closed.
+    /// Waits until the gate is open; never returns if it is closed.
     pub async fn pass(&self) {
         self.wait_for(GateState::Open).await;
     }
@@ -82,32 +81,32 @@
         self.wait_for(GateState::Closed).await;
     }
 
-    /// Passes, runs `call` and passes again: a pause may fall before the call or before its answer is seen.
-    pub async fn around<T>(&self, call: impl Future<Output = T>) -> T {
+    /// Waits for the gate before and after `call`, so a pause can delay the call or its response.
+    pub async fn call_through<T>(&self, call: impl Future<Output = T>) -> T {
         self.pass().await;
         let result = call.await;
         self.pass().await;
         result
     }
 
-    /// Pauses or opens the gate, unless it is closed.
+    /// Sets the state, unless the gate is closed already; closing breaks all engine streams.
     pub fn set(&self, next: GateState) {
         {
-            let mut state = lock(&self.border.state);
+            let mut state = lock(&self.inner.state);
             if *state != GateState::Closed {
                 *state = next;
             }
         }
-        self.border.changed.notify_waiters();
+        self.inner.changed.notify_waiters();
         if next == GateState::Closed {
-            // Connections of a lost machine break: engines see their readers go.
+            // Breaks the connections of the lost machine, which engines detect as cancelled streams.
             for stream in lock(&self.streams).drain(..) {
                 lock(&stream).take();
             }
         }
     }
 
-    /// An engine stream that passes this gate.
+    /// Wraps an engine stream so that its events wait for the gate.
     pub fn guard(&self, stream: EventStream) -> EventStream {
         let shared = Arc::new(Mutex::new(Some(stream)));
         let mut streams = lock(&self.streams);
--- a/crates/bench/src/faults/gated_platform.rs
+++ b/crates/bench/src/faults/gated_platform.rs
@@ -1,4 +1,4 @@
-//! The platform and the engines as one simulated daemon reaches them: through its gate.
+//! Access of a simulated daemon to platform and engines through its gate, with optionally disabled guards.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,17 +19,17 @@
 use super::gate::Gate;
 use super::world::BrokenGuards;
 
-/// The stores through a gate.
+/// Platform behind a gate.
 pub struct GatedPlatform {
     pub gate: Gate,
     pub platform: MemoryPlatform,
     pub broken: BrokenGuards,
 }
 
-/// Rows whose conditions fence earlier owners.
+/// Key prefixes of rows whose conditions fence previous owners.
 const FENCED_PREFIXES: [&str; 2] = ["owner/shard/", "chunk/"];
 
-/// The row of a job as it was before its cancel.
+/// Reverts a job row in state cancelling to in progress.
 fn hide_cancel(mut row: Row) -> Row {
     if row.key.starts_with("job/")
         && let Some(mut job) = decode::<JobRow>(&row.value)
@@ -44,13 +44,13 @@
 fn without_fences(mut transaction: Transaction) -> Transaction {
     transaction.conditions.retain(|condition| {
         let key = condition.key();
-        let taking = transaction.writes.iter().any(|write| match write {
+        let is_takeover = transaction.writes.iter().any(|write| match write {
             Write::Put { key: written, .. } => {
                 written == key && key.starts_with(FENCED_PREFIXES[0])
             }
             Write::Delete { .. } => false,
         });
-        taking || !FENCED_PREFIXES.iter().any(|prefix| key.starts_with(prefix))
+        is_takeover || !FENCED_PREFIXES.iter().any(|prefix| key.starts_with(prefix))
     });
     transaction
 }
@@ -68,7 +68,7 @@
             transaction
         };
         let call = self.platform.transact(class, transaction);
-        self.gate.around(call).await
+        self.gate.call_through(call).await
     }
 
     async fn get(
@@ -77,7 +77,7 @@
         keys: &[String],
     ) -> Result<Vec<Option<Row>>, PlatformError> {
         let call = Table::get(&self.platform, class, keys);
-        let rows = self.gate.around(call).await?;
+        let rows = self.gate.call_through(call).await?;
         if self.broken.no_cancel_notice && class == RequestClass::Urgent {
             return Ok(rows.into_iter().map(|row| row.map(hide_cancel)).collect());
         }
@@ -92,59 +92,63 @@
         limit: usize,
     ) -> Result<Vec<Row>, PlatformError> {
         let call = self.platform.scan(class, prefix, after, limit);
-        self.gate.around(call).await
+        self.gate.call_through(call).await
     }
 }
 
 #[async_trait]
 impl ObjectStore for GatedPlatform {
     async fn put(&self, class: RequestClass, name: &str, body: Bytes) -> Result<(), PlatformError> {
-        self.gate.around(self.platform.put(class, name, body)).await
+        self.gate
+            .call_through(self.platform.put(class, name, body))
+            .await
     }
 
     async fn get(&self, class: RequestClass, name: &str) -> Result<Bytes, PlatformError> {
         let call = ObjectStore::get(&self.platform, class, name);
-        self.gate.around(call).await
+        self.gate.call_through(call).await
     }
 
     async fn delete(&self, class: RequestClass, name: &str) -> Result<(), PlatformError> {
-        self.gate.around(self.platform.delete(class, name)).await
+        self.gate
+            .call_through(self.platform.delete(class, name))
+            .await
     }
 }
 
 #[async_trait]
 impl MachineList for GatedPlatform {
     async fn list(&self) -> Result<Vec<Machine>, PlatformError> {
-        self.gate.around(self.platform.list()).await
+        self.gate.call_through(self.platform.list()).await
     }
 }
 
 #[async_trait]
 impl WeightStore for GatedPlatform {
     async fn reserve(&self, model: &str) -> Result<WeightTransfer, PlatformError> {
-        self.gate.around(self.platform.reserve(model)).await
+        self.gate.call_through(self.platform.reserve(model)).await
     }
 }
 
-/// An engine through a gate.
+/// Engine behind a gate.
 struct GatedEngine {
     gate: Gate,
     engine: EngineHandle,
     broken: BrokenGuards,
 }
 
-/// Makes every event look as if it were the reader's own and next.
-fn disguise(stream: EventStream, request: &GenerateRequest) -> EventStream {
+/// Gives every event the reader's request id and the next sequence number, so that misrouted ones pass its checks.
+fn overwrite_event_ids(stream: EventStream, request: &GenerateRequest) -> EventStream {
     let request_id = request.request_id.clone();
     let mut next = request.resume_from;
-    let disguised = stream.map(move |event| {
+    let overwritten = stream.map(move |event| {
         let mut event = event?;
         event.request_id = request_id.clone();
         event.sequence = next;
         next += 1;
         Ok(event)
     });
-    Box::pin(disguised)
+    Box::pin(overwritten)
 }
 
 #[async_trait]
@@ -153,7 +157,7 @@
         self.gate.pass().await;
         let stream = self.engine.generate(request.clone()).await?;
         let stream = if self.broken.no_event_check {
-            disguise(stream, &request)
+            overwrite_event_ids(stream, &request)
         } else {
             stream
         };
@@ -163,33 +167,39 @@
     }
 
     async fn cancel(&self, request_id: &str) -> Result<(), EngineError> {
-        self.gate.around(self.engine.cancel(request_id)).await
+        self.gate.call_through(self.engine.cancel(request_id)).await
     }
 
     async fn load(&self) -> Result<EngineLoad, EngineError> {
-        let mut load = self.gate.around(self.engine.load()).await?;
+        let mut load = self.gate.call_through(self.engine.load()).await?;
         load.leaving &= !self.broken.no_leaving_report;
         Ok(load)
     }
 
     async fn cache_events(&self, after: u64) -> Result<CacheEventPage, EngineError> {
-        self.gate.around(self.engine.cache_events(after)).await
+        self.gate
+            .call_through(self.engine.cache_events(after))
+            .await
     }
 
     async fn order(&self, order: EngineOrder) -> Result<(), EngineError> {
-        self.gate.around(self.engine.order(order)).await
+        self.gate.call_through(self.engine.order(order)).await
     }
 
     async fn export_prefix(&self, block: u64) -> Result<Option<Vec<u64>>, EngineError> {
-        self.gate.around(self.engine.export_prefix(block)).await
+        self.gate
+            .call_through(self.engine.export_prefix(block))
+            .await
     }
 
     async fn import_prefix(&self, blocks: Vec<u64>) -> Result<(), EngineError> {
-        self.gate.around(self.engine.import_prefix(blocks)).await
+        self.gate
+            .call_through(self.engine.import_prefix(blocks))
+            .await
     }
 }
 
-/// Finds engines by address.
+/// Connects to engines by address, behind a gate.
 pub struct GatedConnector {
     pub gate: Gate,
     pub engines: Arc<BTreeMap<String, EngineHandle>>,
--- a/crates/bench/src/faults/history.rs
+++ b/crates/bench/src/faults/history.rs
@@ -1,4 +1,4 @@
-//! What clients and operators did and saw.
+//! History of client and operator calls, for the checker.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -6,24 +6,24 @@
 
 use harrierward_gateway::Execution;
 
-/// How an online request ended for its client.
+/// Outcome of an online request as its client received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OnlineOutcome {
-    /// A whole answer.
+    /// A complete response.
     Answered {
-        /// The text.
+        /// Text of the response.
         text: String,
     },
-    /// An explicit error.
+    /// An error response.
     Refused {
-        /// What was said of the execution.
+        /// Execution status that the error reported.
         execution: Execution,
-        /// Code of the error.
+        /// Error code.
         code: &'static str,
         /// Text delivered before.
         partial: String,
     },
-    /// The connection broke: nothing was said.
+    /// The connection broke without a response or in the middle of one.
     Lost {
         /// Text delivered before.
         partial: String,
@@ -33,86 +33,86 @@
 /// One invocation of an online request.
 #[derive(Debug, Clone)]
 pub struct OnlineCall {
-    /// The prompt; the same for resends of a marked request, else unique.
+    /// Prompt: the same for all resends of a marked request, otherwise unique.
     pub prompt: String,
-    /// Most tokens asked for.
+    /// Requested maximum of tokens.
     pub maximum_tokens: u32,
-    /// Model.
+    /// Model that was requested.
     pub model: String,
-    /// Must run at most once.
+    /// Whether the request must run at most once.
     pub marked: bool,
-    /// Outcome.
+    /// What the client received.
     pub outcome: OnlineOutcome,
 }
 
-/// One job as its client knows it.
+/// A submitted job and what its client received.
 #[derive(Debug, Clone)]
 pub struct JobRecord {
-    /// Tenant.
+    /// Tenant that submitted it.
     pub tenant: String,
-    /// Model.
+    /// Model that all its items request.
     pub model: String,
-    /// Prompts by custom id.
+    /// Prompts of the items by custom id.
     pub prompts: BTreeMap<String, String>,
     /// Custom ids of at-most-once items.
     pub at_most_once: Vec<String>,
-    /// Most tokens of each item.
+    /// Maximum of tokens of each item.
     pub maximum_tokens: u32,
-    /// Ids that were acknowledged; all must be the same.
+    /// Job id of each acknowledgement; all must be equal.
     pub acknowledged: Vec<String>,
-    /// When a cancel was acknowledged.
+    /// When the cancellation was first acknowledged; `None` if it never was.
     pub cancel_acknowledged: Option<Duration>,
 }
 
 /// An accepted change of configuration.
 #[derive(Debug, Clone)]
-pub struct ConfigAccepted {
-    /// Revision.
+pub struct AcceptedConfig {
+    /// Revision that the change produced.
     pub revision: u64,
-    /// When.
+    /// When the client received the acceptance.
     pub at: Duration,
 }
 
-/// Revision that a daemon had in force.
+/// Configuration status of a daemon at one time.
 #[derive(Debug, Clone)]
-pub struct ConfigSeen {
-    /// Daemon.
+pub struct ObservedConfig {
+    /// Member id of the daemon.
     pub member: String,
-    /// Revision.
+    /// Revision in force.
     pub revision: u64,
-    /// True if it may act on more than the safe plan.
+    /// True if the daemon considers its configuration fresh, so that it need not fall back to the safe plan.
     pub fresh: bool,
-    /// When.
+    /// When it was polled.
     pub at: Duration,
 }
 
-/// The whole history.
+/// Everything that clients, operators and fault injection recorded.
 #[derive(Debug, Default)]
 pub struct History {
-    /// Online invocations.
+    /// Online calls, resends included.
     pub online: Vec<OnlineCall>,
-    /// Jobs by the client's key.
+    /// Jobs by client key.
     pub jobs: BTreeMap<String, JobRecord>,
-    /// Accepted changes.
-    pub accepted: Vec<ConfigAccepted>,
-    /// Revisions seen.
-    pub seen: Vec<ConfigSeen>,
-    /// When engines said that they leave, by address.
-    pub left: BTreeMap<String, Duration>,
-    /// Planned stops that cut something off.
-    pub cut_stops: Vec<String>,
-    /// Faults injected, by kind.
+    /// Accepted configuration changes.
+    pub accepted: Vec<AcceptedConfig>,
+    /// Polled configuration status of daemons, in order of time.
+    pub observed: Vec<ObservedConfig>,
+    /// When engines announced that they leave, by address.
+    pub leaving_since: BTreeMap<String, Duration>,
+    /// Member ids of daemons whose drain interrupted work.
+    pub interrupted_drains: Vec<String>,
+    /// Number of injected faults by kind.
     pub faults: BTreeMap<&'static str, u64>,
 }
 
-/// A history that many tasks write.
+/// Shared [`History`]; clones refer to the same one.
 #[derive(Debug, Clone, Default)]
 pub struct Recorder {
     history: Arc<Mutex<History>>,
 }
 
 impl Recorder {
-    /// Access to the history.
+    /// Locks the history.
     pub fn lock(&self) -> MutexGuard<'_, History> {
         self.history
             .lock()
--- a/crates/bench/src/faults/mod.rs
+++ b/crates/bench/src/faults/mod.rs
@@ -1,5 +1,5 @@
-//! The fault simulation: whole daemons on virtual time, clients that resend, faults together and twice, and a
-//! checker over the history and the engines' own logs.
+//! Fault simulation: complete daemons on virtual time with clients and injected faults, and a checker
+//! over the client history and the engines' execution records.
 
 mod chaos;
 mod checker;
@@ -23,30 +23,29 @@
 pub use world::BrokenGuards;
 use world::World;
 
-/// Clients of each kind.
 const ONLINE_CLIENTS: usize = 4;
 const MARKED_CLIENTS: usize = 3;
 const JOB_CLIENTS: usize = 2;
 const OPERATORS: usize = 2;
 
-/// Time without faults before the first.
-const QUIET_START: Duration = Duration::from_secs(3);
+/// Time before the first fault or request, in which the daemons discover each other.
+const FAULT_FREE_START: Duration = Duration::from_secs(3);
 
-/// Longest time after the faults for all jobs to end.
-const SETTLE_LIMIT: Duration = Duration::from_secs(300);
+/// Maximum time after the faults in which open jobs can complete.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// What one seed gave.
+/// Result of the simulation with one seed.
 #[derive(Debug, Clone)]
 pub struct SeedReport {
-    /// Seed.
+    /// Seed of the simulation.
     pub seed: u64,
-    /// What was checked and found.
+    /// Result of the checker.
     pub checked: Checked,
-    /// Faults injected, by kind.
+    /// Number of injected faults by kind.
     pub faults: BTreeMap<&'static str, u64>,
 }
 
-/// A runtime of one thread whose clock jumps to the next timer whenever nothing else is to be done.
+/// Creates a single-threaded runtime whose clock advances to the next timer when all tasks are idle.
 fn virtual_time() -> std::io::Result<Runtime> {
     tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -54,14 +53,14 @@
         .build()
 }
 
-/// Runs one seed: `length` of faults, then healing, then the check. The same seed gives the same report.
+/// Runs the simulation with faults for `length`, then recovery and the checker. Deterministic for each seed.
 pub fn run_seed(seed: u64, length: Duration, broken: BrokenGuards) -> Result<SeedReport> {
     virtual_time()?.block_on(simulate(seed, length, broken))
 }
 
 async fn simulate(seed: u64, length: Duration, broken: BrokenGuards) -> Result<SeedReport> {
     let world = World::start(seed, broken).await?;
-    sleep(QUIET_START).await;
+    sleep(FAULT_FREE_START).await;
     let until = world.now() + length;
     let mut tasks = Vec::new();
     for client in 0..ONLINE_CLIENTS {
@@ -92,16 +91,16 @@
             until,
         )));
     }
-    tokio::spawn(clients::watch_config(world.clone(), until + SETTLE_LIMIT));
+    tokio::spawn(clients::poll_config(world.clone(), until + SETTLE_TIMEOUT));
     chaos::run(world.clone(), until).await;
     for task in tasks {
         task.await?;
     }
-    let limit = world.now() + SETTLE_LIMIT;
+    let limit = world.now() + SETTLE_TIMEOUT;
     while world.now() < limit && !world.platform.peek_prefix("open/").is_empty() {
         sleep(Duration::from_millis(500)).await;
     }
-    // Late messages and late grants would show now.
+    // Waits for delayed messages and grants before the checker runs.
     sleep(Duration::from_secs(20)).await;
     let checked = checker::check(&world);
     let faults = world.recorder.lock().faults.clone();
@@ -112,26 +111,26 @@
     })
 }
 
-/// What clients met while the store was down.
+/// Responses to clients while the store was down.
 #[derive(Debug, Clone)]
 pub struct OutageReport {
-    /// Longest time until a marked request got its answer.
+    /// Maximum time until the response to a marked request.
     pub max_marked_latency: Duration,
     /// Marked requests that were refused as not run.
     pub marked_refused: usize,
     /// Marked requests sent.
     pub marked: usize,
-    /// Unmarked requests that were answered whole.
+    /// Unmarked requests that received a complete response.
     pub unmarked_answered: usize,
     /// Unmarked requests sent.
     pub unmarked: usize,
 }
 
-/// Takes the store down for `length` of virtual time and sends marked and unmarked requests meanwhile.
+/// Sends marked and unmarked requests while the store is down for `length` of virtual time.
 pub fn run_store_outage(seed: u64, length: Duration) -> Result<OutageReport> {
     virtual_time()?.block_on(async {
         let world = World::start(seed, BrokenGuards::default()).await?;
-        sleep(QUIET_START).await;
+        sleep(FAULT_FREE_START).await;
         world
             .platform
             .faults()
--- a/crates/bench/src/faults/network.rs
+++ b/crates/bench/src/faults/network.rs
@@ -1,4 +1,4 @@
-//! The network between simulated daemons: it delays, loses datagrams and answers, and can be cut.
+//! Simulated network between daemons, with delays, loss of datagrams and replies, and partitions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -15,8 +15,8 @@
 
 const STEP: &str = "peer.call";
 
-/// Greatest one-way delay, microseconds; the least is a tenth.
-const DELAY_MICROS: u64 = 2_000;
+/// Maximum one-way delay, microseconds; the minimum is a tenth of it.
+const MAX_DELAY_MICROS: u64 = 2_000;
 
 struct Endpoint {
     node: Node,
@@ -30,14 +30,14 @@
     random: ChaCha8Rng,
 }
 
-/// The network; cheap to clone.
+/// Simulated network; clones share its state.
 #[derive(Clone)]
 pub struct SimulatedNetwork {
     state: Arc<Mutex<State>>,
 }
 
 impl SimulatedNetwork {
-    /// A network without daemons.
+    /// Creates a network without daemons; `seed` determines delays and loss.
     pub fn new(seed: u64) -> Self {
         Self {
             state: Arc::new(Mutex::new(State {
@@ -55,26 +55,26 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Adds a daemon.
+    /// Adds a daemon, reachable at `address` unless its gate is closed.
     pub fn add(&self, address: &str, node: Node, gate: Gate) {
         self.lock()
             .endpoints
             .insert(address.to_owned(), Endpoint { node, gate });
     }
 
-    /// Cuts the two daemons off from each other, in both directions.
+    /// Partitions two daemons from each other, in both directions.
     pub fn cut(&self, one: &str, other: &str) {
         let mut state = self.lock();
         state.cut.insert((one.to_owned(), other.to_owned()));
         state.cut.insert((other.to_owned(), one.to_owned()));
     }
 
-    /// Mends all cuts.
-    pub fn mend(&self) {
+    /// Removes all partitions.
+    pub fn heal(&self) {
         self.lock().cut.clear();
     }
 
-    /// Sets the share of datagrams and answers that are lost.
+    /// Sets the probability from 0 to 1 that a datagram or reply is lost.
     pub fn set_loss(&self, loss: f64) {
         self.lock().loss = loss;
     }
@@ -83,18 +83,18 @@
         let micros = self
             .lock()
             .random
-            .random_range(DELAY_MICROS / 10..=DELAY_MICROS);
+            .random_range(MAX_DELAY_MICROS / 10..=MAX_DELAY_MICROS);
         Duration::from_micros(micros)
     }
 
-    fn lost(&self) -> bool {
+    fn draw_loss(&self) -> bool {
         let mut state = self.lock();
         let loss = state.loss;
         loss > 0.0 && state.random.random::<f64>() < loss
     }
 
-    /// The daemon at `to`, if `from` can reach it.
-    fn reach(&self, from: &str, to: &str) -> Option<(Node, Gate)> {
+    /// Returns the daemon at `to` if it is live and not partitioned from `from`.
+    fn reachable(&self, from: &str, to: &str) -> Option<(Node, Gate)> {
         let state = self.lock();
         if state.cut.contains(&(from.to_owned(), to.to_owned())) {
             return None;
@@ -105,19 +105,19 @@
     }
 }
 
-/// The network as one daemon sees it.
-pub struct NetworkFrom {
+/// One daemon's access to the network, through its gate.
+pub struct NodeNetwork {
     pub network: SimulatedNetwork,
     pub address: String,
     pub gate: Gate,
 }
 
 #[async_trait]
-impl PeerNetwork for NetworkFrom {
+impl PeerNetwork for NodeNetwork {
     async fn call(&self, address: &str, request: PeerRequest) -> Result<PeerReply, PeerError> {
         self.gate.pass().await;
         sleep(self.network.delay()).await;
-        let Some((node, gate)) = self.network.reach(&self.address, address) else {
+        let Some((node, gate)) = self.network.reachable(&self.address, address) else {
             return Err(PeerError::NotSent {
                 step: STEP,
                 peer: address.to_owned(),
@@ -128,9 +128,9 @@
         let reply = node.serve_peer(request).await;
         gate.pass().await;
         sleep(self.network.delay()).await;
-        let cut = self.network.reach(address, &self.address).is_none();
+        let cut = self.network.reachable(address, &self.address).is_none();
         self.gate.pass().await;
-        if cut || self.network.lost() {
+        if cut || self.network.draw_loss() {
             return Err(PeerError::Lost {
                 step: STEP,
                 peer: address.to_owned(),
@@ -142,14 +142,14 @@
 
     async fn send(&self, address: &str, datagram: Vec<u8>) {
         self.gate.pass().await;
-        if self.network.lost() {
+        if self.network.draw_loss() {
             return;
         }
         let network = self.network.clone();
         let (from, to) = (self.address.clone(), address.to_owned());
         tokio::spawn(async move {
             sleep(network.delay()).await;
-            if let Some((node, gate)) = network.reach(&from, &to)
+            if let Some((node, gate)) = network.reachable(&from, &to)
                 && gate.state() == GateState::Open
             {
                 node.receive_datagram(&datagram).await;
--- a/crates/bench/src/faults/partition.rs
+++ b/crates/bench/src/faults/partition.rs
@@ -1,4 +1,4 @@
-//! A fleet in two parts that never hear each other, all of it in touch with a store that is well, and jobs of slow items.
+//! Jobs of slow items in a fleet with a network partition between daemons, while all of them reach the store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,80 +12,77 @@
 use super::clients::{input_line, submit_to};
 use super::history::JobRecord;
 use super::world::{BrokenGuards, ENGINE_SEQUENCES, TENANTS, World};
-use super::{QUIET_START, virtual_time};
+use super::{FAULT_FREE_START, virtual_time};
 
-/// Time of one token, microseconds: with the tokens of an item 5 s.
+/// Step time of the engines, microseconds: an item takes 5 s.
 const STEP_MICROS: u64 = 100_000;
 
-/// Tokens of an item.
 const ITEM_TOKENS: u32 = 50;
 
-const ITEMS_A_JOB: usize = 12;
+const ITEMS_PER_JOB: usize = 12;
 
-/// Jobs of each tenant.
-const JOBS_A_TENANT: usize = 6;
+const JOBS_PER_TENANT: usize = 6;
 
-/// How often it is looked whether jobs have ended.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a fleet in two parts did.
+/// Takeovers and job progress in one run.
 #[derive(Debug, Clone)]
 pub struct PartitionReport {
-    /// Takeovers of the shard that changed hands most often, in the time given.
+    /// Maximum number of takeovers of a shard.
     pub max_shard_takeovers: u64,
-    /// Takeovers of the replica that changed hands most often.
+    /// Maximum number of takeovers of a replica.
     pub max_replica_takeovers: u64,
-    /// Takeovers of all shards and replicas.
+    /// Total takeovers of shards and replicas.
     pub takeovers: u64,
     /// Jobs accepted.
     pub jobs: usize,
-    /// Jobs that had not ended then.
+    /// Jobs still open at the end of the run.
     pub open_jobs: usize,
-    /// When the last job was seen to have ended, since the first was accepted.
+    /// Time from the first submission until no job was open; `None` if some remained open.
     pub all_completed_after: Option<Duration>,
-    /// The promises.
+    /// Result of the checker.
     pub checked: Checked,
 }
 
-/// Runs jobs for `length` in a fleet whose first daemon and the others never hear of each other.
+/// Runs jobs for `length` while the first daemon is partitioned from the others from the start.
 pub fn run_partitioned(seed: u64, length: Duration) -> Result<PartitionReport> {
     virtual_time()?.block_on(simulate(seed, length, true))
 }
 
-/// Runs the same jobs in a fleet in which all hear each other.
+/// Runs the same jobs without a partition.
 pub fn run_connected(seed: u64, length: Duration) -> Result<PartitionReport> {
     virtual_time()?.block_on(simulate(seed, length, false))
 }
 
-async fn simulate(seed: u64, length: Duration, is_cut: bool) -> Result<PartitionReport> {
+async fn simulate(seed: u64, length: Duration, is_partitioned: bool) -> Result<PartitionReport> {
     let parameters = EngineParameters {
         step_base_micros: STEP_MICROS,
         max_running: ENGINE_SEQUENCES,
         ..EngineParameters::default()
     };
     let world = World::start_with(seed, BrokenGuards::default(), parameters).await?;
-    if is_cut {
-        separate(&world);
+    if is_partitioned {
+        cut_off_first_daemon(&world);
     }
-    sleep(QUIET_START).await;
+    sleep(FAULT_FREE_START).await;
     let before = epochs(&world);
-    let began = world.now();
+    let started = world.now();
     let jobs = submit_jobs(&world).await?;
     let mut all_completed_after = None;
-    while world.now() < began + length {
-        sleep(LOOK_EVERY).await;
+    while world.now() < started + length {
+        sleep(POLL_INTERVAL).await;
         if all_completed_after.is_none() && open_jobs(&world) == 0 {
-            all_completed_after = Some(world.now() - began);
+            all_completed_after = Some(world.now() - started);
         }
     }
     let takeovers = takeovers(&before, &epochs(&world));
-    let most = |prefix: &str| {
+    let max_takeovers = |prefix: &str| {
         let kind = takeovers.iter().filter(|(key, _)| key.starts_with(prefix));
         kind.map(|(_, count)| *count).max().unwrap_or_default()
     };
     Ok(PartitionReport {
-        max_shard_takeovers: most(SHARDS_PREFIX),
-        max_replica_takeovers: most(REPLICAS_PREFIX),
+        max_shard_takeovers: max_takeovers(SHARDS_PREFIX),
+        max_replica_takeovers: max_takeovers(REPLICAS_PREFIX),
         takeovers: takeovers.values().sum(),
         jobs,
         open_jobs: open_jobs(&world),
@@ -97,8 +94,8 @@
 const SHARDS_PREFIX: &str = "owner/shard/";
 const REPLICAS_PREFIX: &str = "owner/replica/";
 
-/// Cuts the first daemon off from the others before any datagram has been sent.
-fn separate(world: &World) {
+/// Partitions the first daemon from the others; called before any datagram is sent.
+fn cut_off_first_daemon(world: &World) {
     let daemons = world.live();
     for other in &daemons[1..] {
         world.network.cut(&daemons[0].address, &other.address);
@@ -109,7 +106,7 @@
     world.platform.peek_prefix("open/").len()
 }
 
-/// Epochs of what is owned, by the keys of the rows.
+/// Returns the epochs of all ownership rows by row key.
 fn epochs(world: &World) -> BTreeMap<String, u64> {
     let rows = world.platform.peek_prefix("owner/").into_iter();
     rows.filter_map(|row| {
@@ -130,12 +127,12 @@
         .collect()
 }
 
-/// Submits jobs to all daemons in turns; how many.
+/// Submits jobs to the daemons in round-robin order; returns their number.
 async fn submit_jobs(world: &World) -> Result<usize> {
     let daemons = world.live();
     let mut jobs = 0;
     for (tenant, model) in TENANTS {
-        for number in 0..JOBS_A_TENANT {
+        for number in 0..JOBS_PER_TENANT {
             let key = format!("slow-{tenant}-{number}");
             let daemon = &daemons[jobs % daemons.len()];
             let mut job = slow_job(tenant, model, &key);
@@ -152,11 +149,11 @@
     Ok(jobs)
 }
 
-/// A job of items whose answers are as long as the limit; an item's prompt is its id too.
+/// Builds a job whose responses all reach the token limit; each item's prompt is also its id.
 fn slow_job(tenant: &str, model: &str, key: &str) -> JobRecord {
     let prompts = (0..).map(|number| format!("{key} item {number}"));
     let is_slow = |prompt: &String| natural_length(model, prompt) >= ITEM_TOKENS;
-    let slow = prompts.filter(is_slow).take(ITEMS_A_JOB);
+    let slow = prompts.filter(is_slow).take(ITEMS_PER_JOB);
     JobRecord {
         tenant: tenant.to_owned(),
         model: model.to_owned(),
--- a/crates/bench/src/faults/world.rs
+++ b/crates/bench/src/faults/world.rs
@@ -20,63 +20,61 @@
 use super::gate::{Gate, GateState};
 use super::gated_platform::{GatedConnector, GatedPlatform};
 use super::history::Recorder;
-use super::network::{NetworkFrom, SimulatedNetwork};
+use super::network::{NodeNetwork, SimulatedNetwork};
 
 /// Tenants and the service that each owns.
 pub const TENANTS: [(&str, &str); 2] = [("desks", "banco-lm"), ("trakia", "lot-oracle")];
 
-/// Engines of each service.
-const ENGINES_A_SERVICE: usize = 3;
+const ENGINES_PER_SERVICE: usize = 3;
 
-/// Sequences that an engine runs at once.
+/// Maximum number of concurrent sequences of an engine.
 pub const ENGINE_SEQUENCES: usize = 12;
 
-/// Daemons.
+/// Number of daemons at the start.
 pub const DAEMONS: usize = 3;
 
-/// Shards of the simulated fleet.
 const SHARDS: u32 = 6;
 
-/// One daemon.
+/// A simulated daemon and its gate.
 #[derive(Clone)]
 pub struct Daemon {
-    /// Member id.
+    /// Member id in the membership protocol.
     pub member: String,
-    /// Address, the same for HTTP and UDP.
+    /// Address for HTTP and UDP in the simulated network.
     pub address: String,
-    /// The daemon.
+    /// The running daemon.
     pub node: Node,
-    /// Its border.
+    /// Gate that all its I/O passes.
     pub gate: Gate,
 }
 
-/// Guards that can be turned off, to show that the checker sees it.
+/// Guards that can be disabled to show that the checker detects it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct BrokenGuards {
-    /// Writes are no longer conditional on ownership and chunk rows, so an earlier owner's writes count.
+    /// Writes aren't conditional on ownership and chunk rows, so a previous owner's writes succeed.
     pub no_fencing: bool,
     /// Marked requests are sent without a claim.
     pub no_claims: bool,
-    /// Events look as if they were the reader's own and in sequence, so that checking them is in vain.
+    /// Events carry the reader's request id and consecutive sequence numbers, so its checks pass.
     pub no_event_check: bool,
-    /// Cancels are committed, but told to nobody and not found by those who ask.
+    /// Cancellations are committed, but neither announced to daemons nor visible in their reads.
     pub no_cancel_notice: bool,
-    /// Engines do not say that they leave.
+    /// Load reports don't say that the engine is leaving.
     pub no_leaving_report: bool,
 }
 
-/// The fleet; cheap to clone.
+/// Simulated fleet; clones share its state.
 #[derive(Clone)]
 pub struct World {
-    /// The platform.
+    /// Platform shared by all daemons.
     pub platform: MemoryPlatform,
     /// Engines by address.
     pub engines: Arc<BTreeMap<String, EngineHandle>>,
-    /// The network.
+    /// Network between the daemons.
     pub network: SimulatedNetwork,
-    /// What happened.
+    /// History of the clients and the injected faults.
     pub recorder: Recorder,
-    /// Guards turned off.
+    /// Disabled guards.
     pub broken: BrokenGuards,
     daemons: Arc<Mutex<Vec<Daemon>>>,
     random: Arc<Mutex<ChaCha8Rng>>,
@@ -91,9 +89,9 @@
 }
 
 impl World {
-    /// A fleet with all daemons started.
+    /// Starts the platform, the engines and all daemons.
     pub async fn start(seed: u64, broken: BrokenGuards) -> Result<Self> {
-        // Small engines, so that jobs last long enough for faults to meet them.
+        // Small engines keep jobs running long enough to overlap with faults.
         let parameters = EngineParameters {
             max_running: ENGINE_SEQUENCES,
             ..EngineParameters::default()
@@ -101,7 +99,7 @@
         Self::start_with(seed, broken, parameters).await
     }
 
-    /// A fleet with all daemons started, before engines of these parameters.
+    /// Like [`Self::start`], with engines of the given parameters.
     pub async fn start_with(
         seed: u64,
         broken: BrokenGuards,
@@ -114,7 +112,7 @@
         });
         let mut engines = BTreeMap::new();
         for (_, service) in TENANTS {
-            for number in 0..ENGINES_A_SERVICE {
+            for number in 0..ENGINES_PER_SERVICE {
                 let name = format!("{service}-{number}");
                 let models = vec![service.to_owned()];
                 let engine = EngineHandle::start(&name, parameters, models, 1.0, true);
@@ -139,14 +137,14 @@
             started: Instant::now(),
             next_daemon: Arc::default(),
         };
-        world.write_first_objects().await?;
+        world.write_initial_config().await?;
         for _ in 0..DAEMONS {
             world.start_daemon()?;
         }
         Ok(world)
     }
 
-    async fn write_first_objects(&self) -> Result<()> {
+    async fn write_initial_config(&self) -> Result<()> {
         let mut changes = Vec::new();
         for (tenant, service) in TENANTS {
             let other = TENANTS.iter().find(|(other, _)| *other != tenant);
@@ -208,7 +206,7 @@
         Ok(())
     }
 
-    /// Starts a daemon that joins the others.
+    /// Starts a daemon with all live daemons as its seeds.
     pub fn start_daemon(&self) -> Result<Daemon> {
         let number = {
             let mut next = lock(&self.next_daemon);
@@ -244,7 +242,7 @@
                 engines: self.engines.clone(),
                 broken: self.broken,
             }),
-            network: Arc::new(NetworkFrom {
+            network: Arc::new(NodeNetwork {
                 network: self.network.clone(),
                 address: member.clone(),
                 gate: gate.clone(),
@@ -276,17 +274,17 @@
         settings
     }
 
-    /// Time since the start of the simulation.
+    /// Returns the virtual time since the start of the simulation.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Draws from the simulation's randomness.
+    /// Draws from the random generator of clients and faults.
     pub fn random<T>(&self, draw: impl FnOnce(&mut ChaCha8Rng) -> T) -> T {
         draw(&mut lock(&self.random))
     }
 
-    /// Daemons that are not lost.
+    /// Returns the daemons whose gate is not closed.
     pub fn live(&self) -> Vec<Daemon> {
         let daemons = lock(&self.daemons);
         let live = daemons
@@ -295,8 +293,8 @@
         live.cloned().collect()
     }
 
-    /// A live daemon.
-    pub fn any_daemon(&self) -> Result<Daemon> {
+    /// Returns a random live daemon; fails if there is none.
+    pub fn random_daemon(&self) -> Result<Daemon> {
         let live = self.live();
         if live.is_empty() {
             return Err(eyre!("no daemon is left"));
@@ -305,7 +303,7 @@
         Ok(live[index].clone())
     }
 
-    /// Loses a daemon's machine.
+    /// Closes a daemon's gate, as if its machine were lost.
     pub fn kill(&self, daemon: &Daemon) {
         daemon.gate.set(GateState::Closed);
     }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,4 +1,4 @@
-//! Measuring and proving: fault simulation, and load over real sockets.
+//! Fault simulation on virtual time, and load measurements over real sockets.
 
 pub mod faults;
 pub mod speed;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `harrierward-bench`: faults and load, from the command line.
+//! `harrierward-bench`: command line of the fault simulation and the load measurements.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let result = match arguments.split_first() {
-        Some((command, rest)) if command == "faults" => faults(rest),
-        Some((command, _)) if command == "speed" => speed(),
+        Some((command, rest)) if command == "faults" => run_faults(rest),
+        Some((command, _)) if command == "speed" => run_speed(),
         _ => {
             eprintln!(
                 "Usage: harrierward-bench COMMAND [OPTIONS]\n\nCommands:\n  faults   fault simulation on virtual time\n  speed    load over real loopback, against the engine called directly"
@@ -28,7 +28,7 @@
     }
 }
 
-fn number<T: std::str::FromStr>(matches: &Matches, name: &str, default: T) -> Result<T> {
+fn parse_number<T: std::str::FromStr>(matches: &Matches, name: &str, default: T) -> Result<T> {
     match matches.opt_str(name) {
         None => Ok(default),
         Some(text) => text
@@ -37,7 +37,7 @@
     }
 }
 
-fn faults(arguments: &[String]) -> Result<()> {
+fn run_faults(arguments: &[String]) -> Result<()> {
     let mut options = Options::new();
     options.optopt("", "seed", "first seed (default 1)", "S");
     options.optopt("", "seeds", "number of seeds (default 1)", "N");
@@ -55,10 +55,10 @@
         "GUARD",
     );
     let matches = options.parse(arguments)?;
-    let first: u64 = number(&matches, "seed", 1)?;
-    let count: u64 = number(&matches, "seeds", 1)?;
-    let minutes: f64 = number(&matches, "minutes", 0.5)?;
-    let threads: u64 = number(&matches, "threads", 1)?;
+    let first: u64 = parse_number(&matches, "seed", 1)?;
+    let count: u64 = parse_number(&matches, "seeds", 1)?;
+    let minutes: f64 = parse_number(&matches, "minutes", 0.5)?;
+    let threads: u64 = parse_number(&matches, "threads", 1)?;
     let broken = broken_guards(matches.opt_str("break").as_deref())?;
     let length = Duration::from_secs_f64(minutes * 60.0);
     let mut violations = 0;
@@ -66,15 +66,15 @@
         .collect::<Vec<_>>()
         .chunks(threads.max(1) as usize)
     {
-        let runs: Vec<_> = group
+        let simulations: Vec<_> = group
             .iter()
             .map(|seed| {
                 let seed = *seed;
                 std::thread::spawn(move || run_seed(seed, length, broken))
             })
             .collect();
-        for run in runs {
-            let report = run.join().map_err(|_| eyre!("a seed panicked"))??;
+        for simulation in simulations {
+            let report = simulation.join().map_err(|_| eyre!("a seed panicked"))??;
             let checked = &report.checked;
             println!(
                 "seed {}: online {}, marked {}, jobs {}, items {}, executions {}, changes {}, faults {:?}, violations {}",
@@ -114,7 +114,7 @@
     Ok(broken)
 }
 
-fn speed() -> Result<()> {
+fn run_speed() -> Result<()> {
     let runtime = tokio::runtime::Runtime::new()?;
     let report = runtime.block_on(harrierward_bench::speed::run())?;
     println!("{}", serde_json::to_string_pretty(&report)?);
--- a/crates/bench/src/speed/mod.rs
+++ b/crates/bench/src/speed/mod.rs
@@ -1,6 +1,6 @@
-//! Load over real loopback: what a gateway adds to an engine called directly, and short requests a second.
+//! Load measurements over loopback: latency that the gateway adds to an engine, and throughput of short requests.
 //!
-//! Everything runs in this one process, stand-ins included, so the figures are ratios and lower bounds.
+//! Clients, daemon and emulated engines share one process, so throughput is a lower bound.
 
 mod setup;
 
@@ -20,24 +20,24 @@
 use serde::Serialize;
 use tokio::net::TcpListener;
 
-/// Figures of a load run.
+/// Latency and throughput of a load run.
 #[derive(Debug, Clone, Serialize)]
 pub struct SpeedReport {
-    /// Streams in flight through the gateway while the times below were taken.
+    /// Concurrent background streams through the gateway during the latency measurements.
     pub streams: usize,
-    /// First event of a short stream from an engine called directly, microseconds: p50 and p99.
+    /// Time to the first event of a short stream from the engine directly, microseconds: p50 and p99.
     pub direct_micros: [u64; 2],
-    /// First event of a short stream through the gateway, microseconds: p50 and p99.
+    /// Time to the first event of a short stream through the gateway, microseconds: p50 and p99.
     pub gateway_micros: [u64; 2],
-    /// What the gateway adds, microseconds: p50 and p99.
+    /// Difference of the two quantiles above, microseconds: p50 and p99.
     pub added_micros: [i64; 2],
-    /// Short requests a second through the gateway, without the streams.
+    /// Short requests per second through the gateway, without background streams.
     pub short_requests_per_second: f64,
-    /// Short requests a second to the engine directly, without the streams.
+    /// Short requests per second to the engine directly, without background streams.
     pub short_direct_per_second: f64,
 }
 
-/// An engine stand-in served over HTTP; its steps take `step`, or almost no time.
+/// Serves an emulated engine with the given step time over HTTP; returns its address.
 pub async fn serve_engine(model: &str, step: Duration) -> Result<String> {
     let time_scale = if step.is_zero() { 0.0 } else { 1.0 };
     let parameters = EngineParameters {
@@ -66,7 +66,7 @@
     ]
 }
 
-/// A target of requests.
+/// Server that requests are sent to.
 #[derive(Clone)]
 pub enum Target {
     /// An engine, called directly.
@@ -77,13 +77,13 @@
         address: String,
         /// Value of the authorization header.
         authorization: String,
-        /// HTTP client.
+        /// Client that keeps the connections.
         caller: HttpCaller,
     },
 }
 
 impl Target {
-    /// Runs one request; the time until its first event, or its answer's first bytes.
+    /// Runs one request; returns the time to its first event, or to the first bytes of the response.
     async fn run(&self, model: &str, number: u64, tokens: u32, stream: bool) -> Result<Duration> {
         use futures::StreamExt;
         let prompt = format!("speed {number}");
@@ -136,7 +136,7 @@
     }
 }
 
-/// Keeps `clients` requests in flight until `total` were run; the rate, and the times to the first event.
+/// Runs `total` requests with `clients` in flight; returns requests per second and the times to the first event.
 pub async fn load(
     target: &Target,
     model: &str,
@@ -173,7 +173,7 @@
     Ok((rate, histogram))
 }
 
-/// Measures both targets in turn.
+/// Measures throughput and latency of both targets; fails if a request fails.
 pub async fn measure(engine: Target, gateway: Target) -> Result<SpeedReport> {
     const STREAMS: usize = 2000;
     const PROBES: u64 = 8000;
@@ -187,32 +187,32 @@
     let (short, _) = load(&gateway, fast, SHORT_CLIENTS, SHORT, 1, false).await?;
     let background = {
         let gateway = gateway.clone();
-        // More requests than can end while the probes run; the rest is dropped with the task.
+        // Never completes: the task is aborted after the measurements.
         tokio::spawn(async move {
             load(&gateway, setup::SLOW_MODEL, STREAMS, u64::MAX, 120, true).await
         })
     };
     tokio::time::sleep(Duration::from_secs(3)).await;
     let (_, direct) = load(&engine, fast, PROBE_CLIENTS, PROBES, 2, true).await?;
-    let (_, through) = load(&gateway, fast, PROBE_CLIENTS, PROBES, 2, true).await?;
+    let (_, via_gateway) = load(&gateway, fast, PROBE_CLIENTS, PROBES, 2, true).await?;
     ensure!(
         !background.is_finished(),
         "the streams in the background ended"
     );
     background.abort();
-    let (direct, through) = (quantiles(&direct), quantiles(&through));
-    let added = |index: usize| through[index] as i64 - direct[index] as i64;
+    let (direct, via_gateway) = (quantiles(&direct), quantiles(&via_gateway));
+    let added = |index: usize| via_gateway[index] as i64 - direct[index] as i64;
     Ok(SpeedReport {
         streams: STREAMS,
         direct_micros: direct,
-        gateway_micros: through,
+        gateway_micros: via_gateway,
         added_micros: [added(0), added(1)],
         short_requests_per_second: short,
         short_direct_per_second: short_direct,
     })
 }
 
-/// Starts everything in this process and measures.
+/// Starts engines and daemon in this process and measures them.
 pub async fn run() -> Result<SpeedReport> {
     let (engine, gateway) = setup::start().await?;
     measure(engine, gateway).await
--- a/crates/bench/src/speed/setup.rs
+++ b/crates/bench/src/speed/setup.rs
@@ -1,4 +1,4 @@
-//! A daemon over real loopback before the fast engine stand-in.
+//! Starts a daemon and emulated engines on loopback sockets.
 
 use std::sync::Arc;
 
@@ -15,28 +15,28 @@
 
 use super::{Target, serve_engine};
 
-/// Model whose engine takes almost no time.
+/// Model whose engine has no step time.
 pub const FAST_MODEL: &str = "fast";
 
-/// Model whose engine takes its time, for streams in the background.
+/// Model whose engine has a long step time, for background streams.
 pub const SLOW_MODEL: &str = "slow";
 
-/// Step of the slow engine.
+/// Step time of the engine of [`SLOW_MODEL`].
 const SLOW_STEP: Duration = Duration::from_millis(100);
-const KEY: &str = "speed-key";
+const CALLER_KEY: &str = "speed-key";
 
-struct Connector {
+struct HttpConnector {
     caller: HttpCaller,
 }
 
-impl EngineConnector for Connector {
+impl EngineConnector for HttpConnector {
     fn connect(&self, machine: &Machine) -> Arc<dyn Engine> {
         Arc::new(HttpEngine::new(self.caller.clone(), &machine.address))
     }
 }
 
-async fn write_objects(platform: &MemoryPlatform) -> Result<()> {
-    let digest = KeyDigest::of(KEY).0;
+async fn apply_config(platform: &MemoryPlatform) -> Result<()> {
+    let digest = KeyDigest::of(CALLER_KEY).0;
     let mut text =
         format!("[[tenant]]\nname = 't'\nowner = 't'\nspec = {{ caller_keys = ['{digest}'] }}\n");
     for model in [FAST_MODEL, SLOW_MODEL] {
@@ -59,12 +59,12 @@
     Ok(())
 }
 
-/// Starts engine and daemon; the two targets.
+/// Starts the engines and the daemon; returns the fast engine and the daemon as targets.
 pub async fn start() -> Result<(Target, Target)> {
-    let engine_address = serve_engine(FAST_MODEL, Duration::ZERO).await?;
+    let fast_address = serve_engine(FAST_MODEL, Duration::ZERO).await?;
     let slow_address = serve_engine(SLOW_MODEL, SLOW_STEP).await?;
     let platform = MemoryPlatform::new(PlatformParameters::default());
-    for (model, address) in [(FAST_MODEL, &engine_address), (SLOW_MODEL, &slow_address)] {
+    for (model, address) in [(FAST_MODEL, &fast_address), (SLOW_MODEL, &slow_address)] {
         platform.seed_machine(Machine {
             replica: ReplicaId(model.to_owned()),
             service: model.to_owned(),
@@ -73,7 +73,7 @@
             state: MachineState::Live,
         });
     }
-    write_objects(&platform).await?;
+    apply_config(&platform).await?;
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
     let shared = Arc::new(platform);
@@ -96,7 +96,7 @@
         objects: shared.clone(),
         machines: shared.clone(),
         weights: shared,
-        connector: Arc::new(Connector {
+        connector: Arc::new(HttpConnector {
             caller: HttpCaller::new(),
         }),
         network: Arc::new(NoPeers),
@@ -109,10 +109,10 @@
     sleep(Duration::from_secs(1)).await;
     let routes = harrierward_api::router(node);
     tokio::spawn(async move { axum::serve(without_delay(listener), routes).await });
-    let engine = HttpEngine::new(HttpCaller::new(), &engine_address);
+    let engine = HttpEngine::new(HttpCaller::new(), &fast_address);
     let gateway = Target::Gateway {
         address,
-        authorization: format!("Bearer {KEY}"),
+        authorization: format!("Bearer {CALLER_KEY}"),
         caller: HttpCaller::new(),
     };
     Ok((Target::Engine(Arc::new(engine)), gateway))
