--- a/crates/bench/tests/faults.rs
+++ b/crates/bench/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The promises under faults, over fixed seeds on virtual time; and that the checker sees each guard removed.
+//! Guarantees under faults for fixed seeds on virtual time, and detection of each disabled guard by the checker.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,10 +6,10 @@
 
 use harrierward_bench::faults::{BrokenGuards, SeedReport, run_seed, run_store_outage};
 
-const LENGTH: Duration = Duration::from_secs(30);
+const DURATION: Duration = Duration::from_secs(30);
 const THREADS: usize = 8;
 
-/// Runs seeds on several threads; each seed has a runtime and a virtual clock of its own.
+/// Runs seeds on several threads, each seed with its own runtime and virtual clock.
 fn run_seeds(first: u64, count: u64, broken: BrokenGuards) -> Vec<SeedReport> {
     let next = AtomicU64::new(first);
     let reports = Mutex::new(Vec::new());
@@ -21,7 +21,7 @@
                     if seed >= first + count {
                         return;
                     }
-                    let report = run_seed(seed, LENGTH, broken).expect("the simulation runs");
+                    let report = run_seed(seed, DURATION, broken).expect("the simulation runs");
                     reports.lock().expect("no seed panicked").push(report);
                 }
             });
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn no_promise_is_broken_in_200_seeds() {
+fn no_guarantee_is_violated_in_200_seeds() {
     let reports = run_seeds(1, 200, BrokenGuards::default());
     let found = violations(&reports);
     assert!(found.is_empty(), "{}", found.join("\n"));
@@ -56,22 +56,22 @@
 
 #[test]
 fn the_same_seed_gives_the_same_report() {
-    let once = run_seed(7, LENGTH, BrokenGuards::default()).expect("it runs");
-    let again = run_seed(7, LENGTH, BrokenGuards::default()).expect("it runs");
+    let once = run_seed(7, DURATION, BrokenGuards::default()).expect("it runs");
+    let again = run_seed(7, DURATION, BrokenGuards::default()).expect("it runs");
     assert_eq!(once.checked, again.checked);
     assert_eq!(once.faults, again.faults);
 }
 
-/// Seeds that once found a fault, with what it was.
+/// Guards against the failure named at each seed.
 #[test]
-fn seeds_that_found_faults_stay_clean() {
+fn regression_seeds_have_no_violations() {
     let seeds = [
-        5,    // a penalty's end made a leaving replica available again
-        10,   // an upload whose commit's answer was lost removed the accepted input
-        28,   // a daemon just started sent work to a replica that had left
-        102,  // two halves of a fleet never met again after all seeds had gone
-        829,  // members that were cut off stayed dead to each other after the cut
-        2053, // a daemon just started took an old proof of its configuration for as young as itself
+        5,    // a leaving replica becomes available again when its penalty expires
+        10,   // an upload whose commit response is lost removes the accepted input
+        28,   // a new daemon sends requests to a replica that has left
+        102,  // two halves of a fleet never rejoin after all seed daemons have departed
+        829,  // partitioned members still consider each other dead after the partition
+        2053, // a new daemon considers an old proof of freshness as recent as its own start
     ];
     for seed in seeds {
         let found = violations(&run_seeds(seed, 1, BrokenGuards::default()));
@@ -79,7 +79,7 @@
     }
 }
 
-fn is_caught(broken: BrokenGuards, promise: &str) {
+fn assert_detected(broken: BrokenGuards, promise: &str) {
     let found = violations(&run_seeds(1, 48, broken));
     assert!(
         found.iter().any(|violation| violation.contains(promise)),
@@ -88,52 +88,52 @@
 }
 
 #[test]
-fn missing_fences_are_caught() {
+fn missing_fences_are_detected() {
     let broken = BrokenGuards {
         no_fencing: true,
         ..BrokenGuards::default()
     };
-    is_caught(broken, "at-most-once runs at most once");
+    assert_detected(broken, "at-most-once runs at most once");
 }
 
 #[test]
-fn missing_claims_are_caught() {
+fn missing_claims_are_detected() {
     let broken = BrokenGuards {
         no_claims: true,
         ..BrokenGuards::default()
     };
-    is_caught(broken, "at-most-once runs at most once");
+    assert_detected(broken, "at-most-once runs at most once");
 }
 
 #[test]
-fn unchecked_events_are_caught() {
+fn unchecked_events_are_detected() {
     let broken = BrokenGuards {
         no_event_check: true,
         ..BrokenGuards::default()
     };
-    is_caught(broken, "the whole answer to its own request");
+    assert_detected(broken, "the whole answer to its own request");
 }
 
 #[test]
-fn cancels_told_to_nobody_are_caught() {
+fn unannounced_cancellations_are_detected() {
     let broken = BrokenGuards {
         no_cancel_notice: true,
         ..BrokenGuards::default()
     };
-    is_caught(broken, "a cancelled job stops");
+    assert_detected(broken, "a cancelled job stops");
 }
 
 #[test]
-fn engines_that_leave_without_a_word_are_caught() {
+fn unreported_leaving_is_detected() {
     let broken = BrokenGuards {
         no_leaving_report: true,
         ..BrokenGuards::default()
     };
-    is_caught(broken, "a leaving back end gets no new work");
+    assert_detected(broken, "a leaving back end gets no new work");
 }
 
 #[test]
-fn a_store_outage_of_minutes_refuses_marked_requests_quickly_and_touches_no_others() {
+fn store_outage_refuses_marked_requests_quickly_and_does_not_affect_others() {
     let length = Duration::from_secs(180);
     let report = run_store_outage(1, length).expect("the simulation runs");
     assert!(report.marked > 100, "{report:?}");
--- a/crates/bench/tests/loopback.rs
+++ b/crates/bench/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! Three daemons over real loopback before one stand-in platform: what was sent to one holds at the others.
+//! Requests and jobs accepted by one daemon must be visible at the others, with real sockets and an emulated platform.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use http::Method;
 use http_body_util::BodyExt;
 use serde_json::{Value, json};
-use support::{MODEL, PAUSE, start_daemon, start_platform};
+use support::{MODEL, POLL_INTERVAL, start_daemon, start_platform};
 use tokio::time::sleep;
 
 async fn send(
@@ -17,9 +17,13 @@
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
 ) -> (u16, Bytes) {
-    let answer = support::open(address, method, path, headers, body).await;
-    let status = answer.status().as_u16();
-    let body = answer.into_body().collect().await.expect("a whole body");
+    let response = support::open(address, method, path, headers, body).await;
+    let status = response.status().as_u16();
+    let body = response
+        .into_body()
+        .collect()
+        .await
+        .expect("a complete body");
     (status, body.to_bytes())
 }
 
@@ -56,14 +60,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn what_one_daemon_accepted_holds_at_the_others() {
+async fn requests_accepted_by_one_daemon_are_visible_at_the_others() {
     let (_, engine, platform) = start_platform().await;
     let (one, first, seed) = start_daemon(&platform, Vec::new()).await;
     let (_, second, _) = start_daemon(&platform, vec![seed.clone()]).await;
     let (_, third, _) = start_daemon(&platform, vec![seed]).await;
     let replicas_are_known = || one.status().members == 3 && one.status().replicas == 1;
     while !replicas_are_known() {
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 
     let body = json!({"model": MODEL, "prompt": "book desk 17", "max_tokens": 6});
@@ -72,23 +76,20 @@
         ("harrierward-execution", "at-most-once"),
     ];
     let path = "/v1/completions";
-    let mut answers = Vec::new();
+    let mut texts = Vec::new();
     for address in [&first, &second, &third] {
-        // A daemon that has just started may not have heard of the replica yet; that is "not run".
-        let answer = loop {
-            let (status, answer) = send_json(address, Method::POST, path, &marked, &body).await;
+        // A new daemon may not have discovered the replica yet and refuses the request as not run.
+        let response = loop {
+            let (status, response) = send_json(address, Method::POST, path, &marked, &body).await;
             if status == 200 {
-                break answer;
+                break response;
             }
-            sleep(PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         };
-        answers.push(answer["choices"][0]["text"].clone());
+        texts.push(response["choices"][0]["text"].clone());
     }
     let expected = expected_response(MODEL, "book desk 17", 6);
-    assert!(
-        answers.iter().all(|answer| *answer == expected),
-        "{answers:?}"
-    );
+    assert!(texts.iter().all(|text| *text == expected), "{texts:?}");
     let bookings = engine.executions();
     let bookings = bookings.iter().filter(|run| run.prompt == "book desk 17");
     assert_eq!(bookings.count(), 1, "the marked request ran once");
@@ -119,7 +120,7 @@
             assert_eq!(state["request_counts"]["completed"], 30);
             break;
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
     let results_path = format!("/v1/files/file-output-{job}/content");
     let (_, results) = send(&third, Method::GET, &results_path, &[], Bytes::new()).await;
--- a/crates/bench/tests/not_run.rs
+++ b/crates/bench/tests/not_run.rs
@@ -1,5 +1,5 @@
-//! The OpenAI interface says that a request has not run, or invites its caller to send it again, only where no engine has
-//! begun it and nothing of it is kept.
+//! The OpenAI-compatible API must not report a request as not run, or suggest a retry, if an engine may have started it
+//! or its job may be stored.
 
 mod support;
 
@@ -18,40 +18,44 @@
 use http::{HeaderMap, Method};
 use http_body_util::BodyExt;
 use serde_json::{Value, json};
-use support::{MODEL, PAUSE, serve, start_daemon, start_platform};
+use support::{MODEL, POLL_INTERVAL, serve, start_daemon, start_platform};
 use tokio::time::sleep;
 
 const PROMPT: &str = "describe lot 17";
 
-/// Statuses by which a caller learns that its request has not run and never will.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// Statuses that promise that the request has not run and will not run.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-struct Seen {
+struct Received {
     status: u16,
     headers: HeaderMap,
     text: String,
 }
 
-impl Seen {
+impl Received {
     fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// The caller learns that it may have run, and is not asked to send it again.
-    fn assert_uncertain(&self) {
-        assert!(!PROMISES.contains(&self.status), "{}", self.text);
+    /// Checks that the response says that the request may have run, and suggests no retry.
+    fn assert_indeterminate(&self) {
+        assert!(!NOT_RUN_STATUSES.contains(&self.status), "{}", self.text);
         assert!(self.status >= 500, "{}: {}", self.status, self.text);
         assert_eq!(self.header("harrierward-execution"), Some("unknown"));
         assert_eq!(self.header("retry-after"), None, "{}", self.text);
     }
 }
 
-async fn call(address: &str, path: &str, headers: &[(&str, &str)], body: String) -> Seen {
-    let answer = support::open(address, Method::POST, path, headers, body).await;
-    let status = answer.status().as_u16();
-    let headers = answer.headers().clone();
-    let body = answer.into_body().collect().await.expect("a whole body");
-    Seen {
+async fn call(address: &str, path: &str, headers: &[(&str, &str)], body: String) -> Received {
+    let response = support::open(address, Method::POST, path, headers, body).await;
+    let status = response.status().as_u16();
+    let headers = response.headers().clone();
+    let body = response
+        .into_body()
+        .collect()
+        .await
+        .expect("a complete body");
+    Received {
         status,
         headers,
         text: String::from_utf8_lossy(&body.to_bytes()).into_owned(),
@@ -62,11 +66,11 @@
     json!({"model": MODEL, "prompt": prompt, "max_tokens": 6}).to_string()
 }
 
-async fn complete(address: &str, headers: &[(&str, &str)]) -> Seen {
+async fn complete(address: &str, headers: &[(&str, &str)]) -> Received {
     call(address, "/v1/completions", headers, completion(PROMPT)).await
 }
 
-const MARK: [(&str, &str); 2] = [
+const MARKED_HEADERS: [(&str, &str); 2] = [
     ("idempotency-key", "lot-17"),
     ("harrierward-execution", "at-most-once"),
 ];
@@ -87,14 +91,14 @@
         node,
         address,
     };
-    site.settle().await;
+    site.wait_until_serving().await;
     site
 }
 
 impl Site {
-    async fn settle(&self) {
+    async fn wait_until_serving(&self) {
         while !(self.node.is_ready() && self.node.status().replicas == 1) {
-            sleep(PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
         let body = completion("settle");
         while call(&self.address, "/v1/completions", &[], body.clone())
@@ -102,7 +106,7 @@
             .status
             != 200
         {
-            sleep(PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -111,38 +115,40 @@
         runs.iter().filter(|run| run.prompt == PROMPT).count()
     }
 
-    /// Sends a request, and lets the engine crash once it has begun it.
-    async fn crash_under(&self, headers: &'static [(&str, &str)]) -> Seen {
+    /// Sends a request and crashes the engine after it started the request.
+    async fn crash_during(&self, headers: &'static [(&str, &str)]) -> Received {
         let frozen = &self.engine.faults().frozen;
         frozen.store(true, Ordering::Relaxed);
         let address = self.address.clone();
-        let asked = tokio::spawn(async move { complete(&address, headers).await });
+        let request = tokio::spawn(async move { complete(&address, headers).await });
         while self.runs() == 0 {
-            sleep(PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
         self.engine.crash();
-        asked.await.expect("an answer")
+        request.await.expect("a response")
     }
 }
 
-/// The engine had begun; nobody else was there to go on, and the answer to that was the one of a request that never found
-/// an engine: 503, with a time to come back.
+/// Guards against the response of a request that found no engine (503 with `retry-after`) for one that had started
+/// at the only engine.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_request_whose_engine_broke_off_is_not_refused_as_not_run() {
+async fn request_interrupted_by_an_engine_crash_is_not_refused_as_not_run() {
     let site = start_site().await;
-    site.crash_under(&[]).await.assert_uncertain();
+    site.crash_during(&[]).await.assert_indeterminate();
     assert_eq!(site.runs(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_marked_request_whose_engine_broke_off_is_not_refused_as_not_run() {
+async fn marked_request_interrupted_by_an_engine_crash_is_not_refused_as_not_run() {
     let site = start_site().await;
-    site.crash_under(&MARK).await.assert_uncertain();
+    site.crash_during(&MARKED_HEADERS)
+        .await
+        .assert_indeterminate();
     assert_eq!(site.runs(), 1);
 }
 
-/// An engine that begins each request and then answers with a failure in place of the stream.
-async fn start_site_with_lost_heads() -> Site {
+/// Starts a site whose engine starts each request, then responds with an error instead of the stream.
+async fn start_site_with_lost_responses() -> Site {
     let (platform, _, store) = start_platform().await;
     let models = vec![MODEL.to_owned()];
     let engine = EngineHandle::start("lossy", EngineParameters::default(), models, 0.1, true);
@@ -151,7 +157,7 @@
     let router =
         engine_router(engine.clone()).layer(from_fn(move |request: Request, next: Next| {
             let lost = lost.clone();
-            async move { lose_head(&lost, request, next).await }
+            async move { lose_response(&lost, request, next).await }
         }));
     platform.seed_machine(Machine {
         replica: ReplicaId("engine".to_owned()),
@@ -167,43 +173,45 @@
         node,
         address,
     };
-    site.settle().await;
+    site.wait_until_serving().await;
     is_lost.store(true, Ordering::Relaxed);
     site
 }
 
-async fn lose_head(lost: &AtomicBool, request: Request, next: Next) -> Response {
+async fn lose_response(lost: &AtomicBool, request: Request, next: Next) -> Response {
     let is_generation = request.uri().path() == "/engine/generate";
-    let answer = next.run(request).await;
+    let response = next.run(request).await;
     if is_generation && lost.load(Ordering::Relaxed) {
         return (StatusCode::INTERNAL_SERVER_ERROR, "lost").into_response();
     }
-    answer
+    response
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_request_that_an_engine_may_have_begun_is_not_refused_as_not_run() {
-    let site = start_site_with_lost_heads().await;
-    complete(&site.address, &[]).await.assert_uncertain();
+async fn request_with_a_lost_engine_response_is_not_refused_as_not_run() {
+    let site = start_site_with_lost_responses().await;
+    complete(&site.address, &[]).await.assert_indeterminate();
     assert!(site.runs() >= 1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_marked_request_that_an_engine_may_have_begun_is_not_refused_as_not_run() {
-    let site = start_site_with_lost_heads().await;
-    complete(&site.address, &MARK).await.assert_uncertain();
+async fn marked_request_with_a_lost_engine_response_is_not_refused_as_not_run() {
+    let site = start_site_with_lost_responses().await;
+    complete(&site.address, &MARKED_HEADERS)
+        .await
+        .assert_indeterminate();
     assert_eq!(site.runs(), 1);
 }
 
-/// The claim is written and its answer lost: the request is refused, never sent, and the claim does not stay.
+/// If the response to the claim write is lost, the request must be refused without dispatch and the claim removed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_request_whose_claim_is_in_doubt_is_never_sent() {
+async fn request_with_an_indeterminate_claim_is_never_dispatched() {
     let site = start_site().await;
     site.platform.faults().set(StoreFaults {
         lose_answers: 1.0,
         ..StoreFaults::default()
     });
-    let refused = complete(&site.address, &MARK).await;
+    let refused = complete(&site.address, &MARKED_HEADERS).await;
     if refused.status == 503 {
         assert_eq!(refused.header("harrierward-execution"), Some("not_run"));
         sleep(Duration::from_millis(500)).await;
@@ -212,11 +220,11 @@
     site.platform.faults().set(StoreFaults::default());
     let again = async {
         loop {
-            let again = complete(&site.address, &MARK).await;
+            let again = complete(&site.address, &MARKED_HEADERS).await;
             if again.status == 200 {
                 return;
             }
-            sleep(PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
     let again = tokio::time::timeout(Duration::from_secs(20), again).await;
@@ -224,35 +232,35 @@
     assert_eq!(site.runs(), 1);
 }
 
-/// The first send runs and the store is away, so that nobody can see its claim: what the resend is told holds of the resend, which
-/// is never sent. The key keeps the caller from a second run, and leads to the first one's answer.
+/// A resend while the store is down must be refused without dispatch, and later resends must receive the first run's
+/// response.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_resend_that_cannot_see_the_first_run_is_never_sent() {
+async fn resend_that_cannot_read_the_claim_is_never_dispatched() {
     let site = start_site().await;
     let frozen = &site.engine.faults().frozen;
     frozen.store(true, Ordering::Relaxed);
     let address = site.address.clone();
-    let first = tokio::spawn(async move { complete(&address, &MARK).await });
+    let first = tokio::spawn(async move { complete(&address, &MARKED_HEADERS).await });
     while site.runs() == 0 {
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
     site.platform.faults().set(StoreFaults {
         down: true,
         ..StoreFaults::default()
     });
-    let resend = complete(&site.address, &MARK).await;
+    let resend = complete(&site.address, &MARKED_HEADERS).await;
     assert_eq!(resend.status, 503, "{}", resend.text);
     assert!(resend.text.contains("claim_refused"), "{}", resend.text);
     site.platform.faults().set(StoreFaults::default());
     frozen.store(false, Ordering::Relaxed);
-    assert_eq!(first.await.expect("an answer").status, 200);
+    assert_eq!(first.await.expect("a response").status, 200);
     let stored = async {
         loop {
-            let again = complete(&site.address, &MARK).await;
+            let again = complete(&site.address, &MARKED_HEADERS).await;
             if again.status == 200 {
                 return again;
             }
-            sleep(PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
     let stored = tokio::time::timeout(Duration::from_secs(20), stored).await;
@@ -261,9 +269,9 @@
     assert_eq!(site.runs(), 1);
 }
 
-/// The store did what it was asked and its answers were lost: the job may be kept.
+/// If the store's responses are lost, the job may be stored, so its creation must be reported as indeterminate.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_job_that_may_be_kept_is_not_refused_as_not_kept() {
+async fn indeterminate_job_creation_is_not_refused_as_not_created() {
     let site = start_site().await;
     let line = json!({
         "custom_id": "one", "method": "POST", "url": "/v1/completions",
@@ -288,5 +296,5 @@
         "input_file_id": file["id"], "endpoint": "/v1/completions", "completion_window": "24h",
     });
     let seen = call(&site.address, "/v1/batches", &[], job.to_string()).await;
-    seen.assert_uncertain();
+    seen.assert_indeterminate();
 }
--- a/crates/bench/tests/resend.rs
+++ b/crates/bench/tests/resend.rs
@@ -1,5 +1,5 @@
-//! Resends of at-most-once requests at whole daemons: the stored answer comes back as it was, whichever daemon is asked,
-//! and a resend during the run waits for it.
+//! Resends of at-most-once requests must receive the identical stored response from any daemon, and wait for it
+//! while the first run is in progress.
 
 mod support;
 
@@ -14,18 +14,18 @@
 use http::{HeaderMap, Method};
 use http_body_util::BodyExt;
 use serde_json::{Value, json};
-use support::{MODEL, PAUSE, start_daemon, start_platform};
+use support::{MODEL, POLL_INTERVAL, start_daemon, start_platform};
 use tokio::time::{sleep, timeout};
 
 const PROMPT: &str = "book desk 17";
 const TOKENS: u32 = 6;
 const STORED_HEADER: &str = "idempotent-replayed";
 
-/// Longest time for which a resend may wait for the answer of the run in progress, with room for a busy machine.
-const LONGEST_WAIT: Duration = Duration::from_millis(2_500);
+/// Maximum time until a resend is refused while the run is in progress, including scheduling delays.
+const MAX_WAIT: Duration = Duration::from_millis(2_500);
 
-/// Shortest time for which it waits before it is refused.
-const SHORTEST_WAIT: Duration = Duration::from_millis(900);
+/// Minimum time for which a resend waits before it is refused.
+const MIN_WAIT: Duration = Duration::from_millis(900);
 
 struct Fleet {
     platform: MemoryPlatform,
@@ -35,14 +35,14 @@
     nodes: [Node; 2],
 }
 
-/// Two daemons that both know the engine.
+/// Starts two daemons and waits until both serve requests.
 async fn start_fleet() -> Fleet {
     let (platform, engine, address) = start_platform().await;
     let (one, first, seed) = start_daemon(&address, Vec::new()).await;
     let (two, second, _) = start_daemon(&address, vec![seed]).await;
-    let knows = |node: &Node| node.is_ready() && node.status().replicas == 1;
-    while !(knows(&one) && knows(&two)) {
-        sleep(PAUSE).await;
+    let can_serve = |node: &Node| node.is_ready() && node.status().replicas == 1;
+    while !(can_serve(&one) && can_serve(&two)) {
+        sleep(POLL_INTERVAL).await;
     }
     let fleet = Fleet {
         platform,
@@ -51,24 +51,24 @@
         second,
         nodes: [one, two],
     };
-    fleet.settle().await;
+    fleet.wait_until_serving().await;
     fleet
 }
 
 #[derive(Debug, Clone)]
-struct Seen {
+struct Received {
     status: u16,
     headers: HeaderMap,
     text: String,
 }
 
-impl Seen {
+impl Received {
     fn json(&self) -> Value {
         serde_json::from_str(&self.text).unwrap_or_default()
     }
 
-    /// The JSON parts of a streamed answer that ended whole.
-    fn parts(&self) -> Vec<Value> {
+    /// Returns the JSON events of a complete streamed response.
+    fn events(&self) -> Vec<Value> {
         let mut lines: Vec<&str> = self.text.split_terminator("\n\n").collect();
         assert_eq!(lines.pop(), Some("data: [DONE]"), "{}", self.text);
         lines
@@ -85,19 +85,23 @@
     }
 }
 
-async fn call(address: &str, path: &str, headers: &[(&str, &str)], body: &Value) -> Seen {
-    let answer = support::open(address, Method::POST, path, headers, body.to_string()).await;
-    let status = answer.status().as_u16();
-    let headers = answer.headers().clone();
-    let body = answer.into_body().collect().await.expect("a whole body");
-    Seen {
+async fn call(address: &str, path: &str, headers: &[(&str, &str)], body: &Value) -> Received {
+    let response = support::open(address, Method::POST, path, headers, body.to_string()).await;
+    let status = response.status().as_u16();
+    let headers = response.headers().clone();
+    let body = response
+        .into_body()
+        .collect()
+        .await
+        .expect("a complete body");
+    Received {
         status,
         headers,
         text: String::from_utf8_lossy(&body.to_bytes()).into_owned(),
     }
 }
 
-async fn book(address: &str, key: &str, body: &Value) -> Seen {
+async fn send_marked(address: &str, key: &str, body: &Value) -> Received {
     let headers = [
         ("idempotency-key", key),
         ("harrierward-execution", "at-most-once"),
@@ -114,12 +118,12 @@
 }
 
 impl Fleet {
-    /// Until both daemons serve: one that has just started may not have heard of the engine yet.
-    async fn settle(&self) {
+    /// Waits until both daemons serve requests: a new one may not have discovered the engine yet.
+    async fn wait_until_serving(&self) {
         let body = json!({"model": MODEL, "prompt": "settle", "max_tokens": 1});
         for address in [&self.first, &self.second] {
             while call(address, "/v1/completions", &[], &body).await.status != 200 {
-                sleep(PAUSE).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
     }
@@ -129,15 +133,15 @@
         runs.iter().filter(|run| run.prompt == PROMPT).count()
     }
 
-    /// Writes a claim as a daemon does that is not there any more.
-    async fn write_claim(&self, key: &str, state: ClaimState, answer: &[u8]) {
+    /// Writes the claim of a daemon that no longer runs.
+    async fn write_claim(&self, key: &str, state: ClaimState, response: &[u8]) {
         let body = completion(false).to_string();
         let digest = RequestDigest::of("/v1/completions", body.as_bytes(), b"");
         let row = ClaimRow {
             digest: digest.body,
             attempt: "gone-claim-1".to_owned(),
             state: state as i32,
-            answer: answer.to_vec(),
+            answer: response.to_vec(),
             created_at_ms: 1,
             content_digest: Vec::new(),
         };
@@ -155,15 +159,16 @@
         frozen.store(is_frozen, Ordering::Relaxed);
     }
 
-    /// Sends a booking to the first daemon while the engine runs no steps, and waits until the engine has it.
-    async fn start_frozen_booking(&self, key: &'static str) -> tokio::task::JoinHandle<Seen> {
+    /// Freezes the engine, sends a marked request to the first daemon, and waits until the engine accepted it.
+    async fn start_frozen_request(&self, key: &'static str) -> tokio::task::JoinHandle<Received> {
         self.freeze(true);
         let address = self.first.clone();
-        let booking = tokio::spawn(async move { book(&address, key, &completion(false)).await });
+        let request =
+            tokio::spawn(async move { send_marked(&address, key, &completion(false)).await });
         while self.runs() == 0 {
-            sleep(PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
-        booking
+        request
     }
 }
 
@@ -175,36 +180,36 @@
     key.row_key()
 }
 
-fn assert_stored(seen: &Seen) {
+fn assert_stored(seen: &Received) {
     assert_eq!(seen.status, 200, "{}", seen.text);
     assert_eq!(seen.header(STORED_HEADER), Some("true"), "{seen:?}");
     assert_eq!(seen.header("harrierward-execution"), Some("ran"));
 }
 
-fn assert_same_head(part: &Value, whole: &Value) {
+fn assert_same_metadata(event: &Value, unstreamed: &Value) {
     for field in ["id", "created", "model"] {
-        assert!(!whole[field].is_null(), "{whole}");
-        assert_eq!(part[field], whole[field], "{field}");
+        assert!(!unstreamed[field].is_null(), "{unstreamed}");
+        assert_eq!(event[field], unstreamed[field], "{field}");
     }
 }
 
-fn streamed_text(parts: &[Value]) -> String {
-    parts
+fn streamed_text(events: &[Value]) -> String {
+    events
         .iter()
-        .filter_map(|part| part["choices"][0]["text"].as_str())
+        .filter_map(|event| event["choices"][0]["text"].as_str())
         .collect()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_resend_gets_the_stored_answer_as_it_was_at_any_daemon() {
+async fn resend_receives_the_identical_stored_response_at_any_daemon() {
     let fleet = start_fleet().await;
-    let first = book(&fleet.first, "booking", &completion(false)).await;
+    let first = send_marked(&fleet.first, "booking", &completion(false)).await;
     assert_eq!(first.status, 200, "{}", first.text);
     assert_eq!(first.header(STORED_HEADER), None, "the first one ran");
-    // So that an answer made anew would show another time.
+    // Ensures that a newly generated response would have another creation time.
     sleep(Duration::from_millis(1_100)).await;
     for address in [&fleet.first, &fleet.second] {
-        let again = book(address, "booking", &completion(false)).await;
+        let again = send_marked(address, "booking", &completion(false)).await;
         assert_stored(&again);
         assert_eq!(again.json(), first.json());
     }
@@ -212,7 +217,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_chat_answer_keeps_its_id_too() {
+async fn replayed_chat_response_keeps_its_id() {
     let fleet = start_fleet().await;
     let body = json!({"model": MODEL, "messages": [{"role": "user", "content": "desk 17"}]});
     let headers = [
@@ -228,53 +233,56 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_stored_answer_is_streamed_to_who_asks_for_a_stream() {
+async fn response_stored_from_an_unstreamed_request_can_be_streamed() {
     let fleet = start_fleet().await;
-    let whole = book(&fleet.first, "whole-first", &completion(false)).await;
-    let streamed = book(&fleet.second, "whole-first", &completion(true)).await;
+    let unstreamed = send_marked(&fleet.first, "whole-first", &completion(false)).await;
+    let streamed = send_marked(&fleet.second, "whole-first", &completion(true)).await;
     assert_stored(&streamed);
-    let parts = streamed.parts();
+    let events = streamed.events();
     assert_eq!(
-        streamed_text(&parts),
+        streamed_text(&events),
         expected_response(MODEL, PROMPT, TOKENS)
     );
-    for part in &parts {
-        assert_same_head(part, &whole.json());
+    for event in &events {
+        assert_same_metadata(event, &unstreamed.json());
     }
     assert_eq!(fleet.runs(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_streamed_answer_is_given_again_streamed_or_whole() {
+async fn response_stored_from_a_stream_can_be_replayed_streamed_or_unstreamed() {
     let fleet = start_fleet().await;
-    let first = book(&fleet.first, "stream-first", &completion(true)).await;
+    let first = send_marked(&fleet.first, "stream-first", &completion(true)).await;
     assert_eq!(first.status, 200, "{}", first.text);
     assert_eq!(first.header(STORED_HEADER), None, "the first one ran");
-    let first = first.parts();
-    let streamed = book(&fleet.second, "stream-first", &completion(true)).await;
+    let first = first.events();
+    let streamed = send_marked(&fleet.second, "stream-first", &completion(true)).await;
     assert_stored(&streamed);
-    let parts = streamed.parts();
-    assert_eq!(streamed_text(&parts), streamed_text(&first));
-    let whole = book(&fleet.second, "stream-first", &completion(false)).await;
-    assert_stored(&whole);
-    assert_eq!(whole.json()["choices"][0]["text"], streamed_text(&first));
-    for part in first.iter().chain(&parts) {
-        assert_same_head(part, &whole.json());
+    let events = streamed.events();
+    assert_eq!(streamed_text(&events), streamed_text(&first));
+    let unstreamed = send_marked(&fleet.second, "stream-first", &completion(false)).await;
+    assert_stored(&unstreamed);
+    assert_eq!(
+        unstreamed.json()["choices"][0]["text"],
+        streamed_text(&first)
+    );
+    for event in first.iter().chain(&events) {
+        assert_same_metadata(event, &unstreamed.json());
     }
     assert_eq!(fleet.runs(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_resend_during_the_run_waits_for_its_answer() {
+async fn resend_during_the_run_waits_for_its_response() {
     let fleet = start_fleet().await;
-    let booking = fleet.start_frozen_booking("during").await;
+    let request = fleet.start_frozen_request("during").await;
     let resends = [&fleet.first, &fleet.second].map(|address| {
         let address = address.clone();
-        tokio::spawn(async move { book(&address, "during", &completion(false)).await })
+        tokio::spawn(async move { send_marked(&address, "during", &completion(false)).await })
     });
     sleep(Duration::from_millis(300)).await;
     fleet.freeze(false);
-    let first = booking.await.expect("the booking ends");
+    let first = request.await.expect("the booking ends");
     assert_eq!(first.status, 200, "{}", first.text);
     for resend in resends {
         let again = resend.await.expect("the resend ends");
@@ -285,59 +293,57 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_resend_that_waited_in_vain_is_told_to_come_back() {
+async fn resend_that_times_out_is_refused_with_a_retry_time() {
     let fleet = start_fleet().await;
-    let booking = fleet.start_frozen_booking("long").await;
+    let request = fleet.start_frozen_request("long").await;
     for address in [&fleet.first, &fleet.second] {
-        let asked_at = Instant::now();
-        let refused = book(address, "long", &completion(false)).await;
-        let waited = asked_at.elapsed();
+        let sent_at = Instant::now();
+        let refused = send_marked(address, "long", &completion(false)).await;
+        let waited = sent_at.elapsed();
         assert_eq!(refused.status, 409, "{}", refused.text);
         assert_eq!(refused.header("harrierward-execution"), Some("unknown"));
         assert!(refused.header("retry-after").is_some(), "{refused:?}");
-        assert!(
-            (SHORTEST_WAIT..LONGEST_WAIT).contains(&waited),
-            "{waited:?}"
-        );
+        assert!((MIN_WAIT..MAX_WAIT).contains(&waited), "{waited:?}");
     }
     fleet.freeze(false);
-    let first = booking.await.expect("the booking ends");
-    let again = book(&fleet.second, "long", &completion(false)).await;
+    let first = request.await.expect("the booking ends");
+    let again = send_marked(&fleet.second, "long", &completion(false)).await;
     assert_stored(&again);
     assert_eq!(again.json(), first.json());
     assert_eq!(fleet.runs(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_key_with_another_request_is_refused_at_once() {
+async fn reusing_a_key_for_another_request_is_refused() {
     let fleet = start_fleet().await;
-    let first = book(&fleet.first, "mine", &completion(false)).await;
+    let first = send_marked(&fleet.first, "mine", &completion(false)).await;
     assert_eq!(first.status, 200, "{}", first.text);
     let mut longer = completion(true);
     longer["max_tokens"] = json!(TOKENS + 1);
-    let refused = book(&fleet.second, "mine", &longer).await;
+    let refused = send_marked(&fleet.second, "mine", &longer).await;
     assert_eq!(refused.status, 422, "{}", refused.text);
     assert_eq!(fleet.runs(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_resend_runs_what_was_released_while_it_waited() {
+async fn resend_runs_the_request_after_its_claim_is_released() {
     let fleet = start_fleet().await;
     fleet.write_claim("released", ClaimState::Open, b"").await;
     let address = fleet.second.clone();
-    let resend = tokio::spawn(async move { book(&address, "released", &completion(false)).await });
+    let resend =
+        tokio::spawn(async move { send_marked(&address, "released", &completion(false)).await });
     sleep(Duration::from_millis(200)).await;
     assert_eq!(fleet.runs(), 0, "another attempt holds the claim");
     let release = Transaction::default().delete(row_key("released"));
     fleet.change_claims(release).await;
-    let answer = resend.await.expect("the resend ends");
-    assert_eq!(answer.status, 200, "{}", answer.text);
-    assert_eq!(answer.header(STORED_HEADER), None, "it ran");
+    let response = resend.await.expect("the resend ends");
+    assert_eq!(response.status, 200, "{}", response.text);
+    assert_eq!(response.header(STORED_HEADER), None, "it ran");
     assert_eq!(fleet.runs(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_answer_stored_without_an_id_is_still_given_and_marked() {
+async fn response_stored_without_an_id_is_replayed() {
     let fleet = start_fleet().await;
     let stored = json!({
         "text": "booked", "reason": "stop",
@@ -347,20 +353,21 @@
     fleet
         .write_claim("old", ClaimState::Done, stored.as_bytes())
         .await;
-    let again = book(&fleet.second, "old", &completion(false)).await;
+    let again = send_marked(&fleet.second, "old", &completion(false)).await;
     assert_stored(&again);
     assert_eq!(again.json()["choices"][0]["text"], "booked");
     assert_eq!(fleet.runs(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_planned_stop_waits_for_a_resend_that_waits() {
+async fn drain_waits_for_a_pending_resend() {
     let fleet = start_fleet().await;
-    let booking = fleet.start_frozen_booking("stop").await;
+    let request = fleet.start_frozen_request("stop").await;
     let address = fleet.second.clone();
-    let resend = tokio::spawn(async move { book(&address, "stop", &completion(false)).await });
+    let resend =
+        tokio::spawn(async move { send_marked(&address, "stop", &completion(false)).await });
     let [_, second] = &fleet.nodes;
-    // A planned stop waits until the load is nothing.
+    // Draining waits until the load is zero.
     let is_counted = async {
         while second.gateway().load() == (0, 0) {
             sleep(Duration::from_millis(5)).await;
@@ -376,6 +383,6 @@
     assert!(stop.await.expect("the stop ends"), "it cuts nothing off");
     let again = resend.await.expect("the resend ends");
     assert_stored(&again);
-    let first = booking.await.expect("the booking ends");
+    let first = request.await.expect("the booking ends");
     assert_eq!(again.json(), first.json());
 }
--- a/crates/bench/tests/support/mod.rs
+++ b/crates/bench/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Whole daemons over real loopback before one stand-in platform.
+//! Starts daemons over loopback with one emulated platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,20 +21,19 @@
 use prometheus::Registry;
 use tokio::net::{TcpListener, UdpSocket};
 
-/// The only model.
+/// Model, service and endpoint name of the only engine.
 pub const MODEL: &str = "banco-lm";
-/// Key of the only tenant's callers.
-pub const KEY: &str = "caller";
+/// API key of the only tenant's callers.
+pub const CALLER_KEY: &str = "caller";
 const SHARDS: u32 = 4;
-/// Pause between looks whether something has come about.
-pub const PAUSE: Duration = Duration::from_millis(50);
+/// Interval between checks of a condition that a test waits for.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Connects to engines over HTTP.
-struct Connector {
+struct HttpConnector {
     caller: HttpCaller,
 }
 
-impl EngineConnector for Connector {
+impl EngineConnector for HttpConnector {
     fn connect(&self, machine: &Machine) -> Arc<dyn Engine> {
         Arc::new(HttpEngine::new(self.caller.clone(), &machine.address))
     }
@@ -47,7 +46,7 @@
     address
 }
 
-/// Starts a platform with one engine; its HTTP address is the last.
+/// Starts a platform with one engine; returns both and the HTTP address of the platform.
 pub async fn start_platform() -> (MemoryPlatform, EngineHandle, String) {
     let platform = MemoryPlatform::new(PlatformParameters::default());
     let models = vec![MODEL.to_owned()];
@@ -60,7 +59,7 @@
         address: engine_address,
         state: MachineState::Live,
     });
-    let digest = KeyDigest::of(KEY).0;
+    let digest = KeyDigest::of(CALLER_KEY).0;
     let text = format!(
         "[[tenant]]\nname='desks'\nowner='desks'\nspec={{caller_keys=['{digest}']}}\n\
          [[service]]\nname='{MODEL}'\nowner='desks'\nspec={{model='{MODEL}'}}\n\
@@ -80,7 +79,7 @@
     (platform, engine, address)
 }
 
-/// Starts a daemon on sockets of its own; its API address and UDP address.
+/// Starts a daemon on its own sockets; returns it with its API address and its UDP address.
 pub async fn start_daemon(platform: &str, seeds: Vec<String>) -> (Node, String, String) {
     let udp = Arc::new(UdpSocket::bind("127.0.0.1:0").await.expect("a port"));
     let peers = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -101,7 +100,7 @@
         objects: Arc::new(HttpObjectStore::new(caller.clone(), platform)),
         machines: Arc::new(HttpMachineList::new(caller.clone(), platform)),
         weights: Arc::new(HttpWeightStore::new(caller.clone(), platform)),
-        connector: Arc::new(Connector {
+        connector: Arc::new(HttpConnector {
             caller: caller.clone(),
         }),
         network: Arc::new(SocketNetwork::new(caller, udp.clone())),
@@ -119,7 +118,7 @@
     (node, api, udp_address)
 }
 
-/// Sends a request with the caller's key and leaves the answer's body unread.
+/// Sends a request with the caller's key; returns the response with its body unread.
 pub async fn open(
     address: &str,
     method: Method,
@@ -127,11 +126,11 @@
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
 ) -> Response<Incoming> {
-    let authorization = format!("Bearer {KEY}");
+    let authorization = format!("Bearer {CALLER_KEY}");
     let mut all = vec![("authorization", authorization.as_str())];
     all.extend_from_slice(headers);
     HttpCaller::new()
         .open(method, address, path, &all, body.into())
         .await
-        .expect("an answer")
+        .expect("a response")
 }
