--- a/crates/harrierward/src/commands.rs
+++ b/crates/harrierward/src/commands.rs
@@ -232,7 +232,7 @@
     Ok(())
 }
 
-/// Encodes the upload encode_form; returns its content type and body. The random boundary does not occur in the file.
+/// Encodes the upload form; returns its content type and body. The random boundary does not occur in the file.
 fn encode_form(content: &[u8], filename: &str) -> (String, Bytes) {
     let boundary = format!("harrierward-{:032x}", rand::random::<u128>());
     let mut body = Vec::with_capacity(content.len() + 512);
--- a/crates/harrierward/src/settings.rs
+++ b/crates/harrierward/src/settings.rs
@@ -34,9 +34,9 @@
 /// Addresses of the platform's services, `ip:port`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformAddresses {
-    /// Table that stores all shared state.
+    /// Table: rows with conditional transactions.
     pub table: String,
-    /// Store of batch files and results.
+    /// Object store.
     pub objects: String,
     /// Service that lists the machines with engines.
     pub machines: String,
@@ -165,8 +165,8 @@
         let Some(value) = self.take(key) else {
             return default;
         };
-        let whole = value.as_integer().map(|number| number as f64);
-        let number = value.as_float().or(whole);
+        let integer = value.as_integer().map(|number| number as f64);
+        let number = value.as_float().or(integer);
         match number.filter(|number| range.contains(number)) {
             Some(number) => number,
             None => {
--- a/crates/harrierward/src/standalone.rs
+++ b/crates/harrierward/src/standalone.rs
@@ -197,7 +197,7 @@
         settings,
     })?;
     let address = api.local_addr()?;
-    // Until expected_replicas replicas are confirmed, a service would refuse its first callers.
+    // Until all replicas are confirmed, a service would refuse its first callers.
     let expected_replicas = TRIALS.len() * REPLICAS_PER_SERVICE;
     while !node.is_ready() || node.status().confirmed_replicas < expected_replicas {
         sleep(READY_POLL_INTERVAL).await;
--- a/crates/harrierward/tests/whole_path.rs
+++ b/crates/harrierward/tests/whole_path.rs
@@ -50,9 +50,9 @@
     ids.dedup();
     assert_eq!(ids.len(), 450, "every item has exactly one result");
 
-    let foreign = standalone.run("desks-caller-key", &["batch", "status", job_id]);
-    assert_eq!(foreign.status.code(), Some(1));
-    assert!(text(&foreign.stderr).contains("404"));
+    let other_tenant = standalone.run("desks-caller-key", &["batch", "status", job_id]);
+    assert_eq!(other_tenant.status.code(), Some(1));
+    assert!(text(&other_tenant.stderr).contains("404"));
 
     std::fs::write(&file, "{\"custom_id\":\"a\"}\n").expect("a bad input is written");
     let bad = standalone.run(key, &["batch", "submit", &path]);
