--- a/crates/api/src/admin.rs
+++ b/crates/api/src/admin.rs
@@ -82,9 +82,7 @@
         Some(Ok(operation)) if !operation.is_empty() => {
             format!("{}-{operation}", operator.tenant)
         }
-        Some(_) => {
-            return Err(ApiError::bad_field("Operation-Id", "must be visible text"));
-        }
+        Some(_) => return Err(ApiError::bad_field("Operation-Id", "must be visible text")),
     };
     let request = ApplyRequest {
         operation,
--- a/crates/node/src/batch_item.rs
+++ b/crates/node/src/batch_item.rs
@@ -1,4 +1,4 @@
-//! Runs one batch item at an engine and makes its result line.
+//! Runs one batch item at an engine and renders its result line.
 
 use futures::StreamExt;
 use harrierward_external::{
@@ -10,28 +10,28 @@
 
 use crate::runner::ItemTask;
 
-/// How an item's run ended.
+/// Outcome of running an item.
 #[derive(Debug)]
 pub(crate) enum ItemOutcome {
-    /// It has its result line.
+    /// The item completed with a result line, which may report an error.
     Done {
-        /// The line.
+        /// Line of the output file.
         line: String,
-        /// It failed for good.
+        /// True if the item is invalid, so that a retry can't succeed.
         failed: bool,
     },
-    /// It must be run again elsewhere, or is doubtful if it must run at most once.
-    HandBack {
-        /// An engine may have run a part of it.
+    /// The item must be retried; if it is at most once and may have run, it is indeterminate instead.
+    Returned {
+        /// True if an engine may have run a part of it.
         may_have_run: bool,
     },
-    /// The engine obeys a newer owner. Not run.
+    /// The engine rejected the epoch of this owner; the item did not run.
     Fenced,
-    /// It was told to stop.
+    /// The runner stopped the item.
     Stopped,
 }
 
-/// Wait for an item's next event.
+/// Timeout for the next event of an item.
 const STALL_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(20);
 
 struct ItemRequest {
@@ -39,7 +39,7 @@
     spec: GenerationSpec,
 }
 
-fn read_item(line: &str) -> Result<ItemRequest, String> {
+fn parse_item(line: &str) -> Result<ItemRequest, String> {
     let value: Value = serde_json::from_str(line).map_err(|error| error.to_string())?;
     let kind = value
         .get("url")
@@ -52,9 +52,9 @@
     Ok(ItemRequest { custom_id, spec })
 }
 
-/// Runs an item to its end, or until it is told to stop.
+/// Runs an item until it completes or the runner stops it.
 pub(crate) async fn run_item(task: &ItemTask) -> ItemOutcome {
-    let item = match read_item(&task.grant.line) {
+    let item = match parse_item(&task.grant.line) {
         Ok(item) => item,
         Err(detail) => {
             return ItemOutcome::Done {
@@ -72,25 +72,29 @@
         resume_from: 0,
         epoch: Some(task.epoch),
     };
-    let opening = timeout(STALL_TIMEOUT, task.replica.engine.generate(request));
+    let generation = timeout(STALL_TIMEOUT, task.replica.engine.generate(request));
     let opened = tokio::select! {
         biased;
         () = task.stop.notified() => return ItemOutcome::Stopped,
-        opened = opening => opened,
+        opened = generation => opened,
     };
     match opened {
-        Ok(Ok(events)) => read_answer(task, &item, events).await,
-        Ok(Err(EngineError::NotRun { .. })) => ItemOutcome::HandBack {
+        Ok(Ok(events)) => read_response(task, &item, events).await,
+        Ok(Err(EngineError::NotRun { .. })) => ItemOutcome::Returned {
             may_have_run: false,
         },
         Ok(Err(EngineError::Fenced { .. })) => ItemOutcome::Fenced,
         Ok(Err(EngineError::Unknown { .. })) | Err(_) => {
-            ItemOutcome::HandBack { may_have_run: true }
+            ItemOutcome::Returned { may_have_run: true }
         }
     }
 }
 
-async fn read_answer(task: &ItemTask, item: &ItemRequest, mut events: EventStream) -> ItemOutcome {
+async fn read_response(
+    task: &ItemTask,
+    item: &ItemRequest,
+    mut events: EventStream,
+) -> ItemOutcome {
     let mut text = String::new();
     let mut next_sequence = 0;
     loop {
@@ -100,13 +104,13 @@
             event = timeout(STALL_TIMEOUT, events.next()) => event,
         };
         let Ok(Some(Ok(event))) = event else {
-            return ItemOutcome::HandBack { may_have_run: true };
+            return ItemOutcome::Returned { may_have_run: true };
         };
         if event.request_id != task.request_id || event.sequence < next_sequence {
             continue;
         }
         if event.sequence > next_sequence {
-            return ItemOutcome::HandBack { may_have_run: true };
+            return ItemOutcome::Returned { may_have_run: true };
         }
         match event.finish {
             None => {
@@ -115,7 +119,7 @@
                 task.progress.add_token();
             }
             Some(FinishReason::Cancelled) => {
-                return ItemOutcome::HandBack { may_have_run: true };
+                return ItemOutcome::Returned { may_have_run: true };
             }
             Some(reason) => {
                 return ItemOutcome::Done {
--- a/crates/node/src/cancel_task.rs
+++ b/crates/node/src/cancel_task.rs
@@ -1,5 +1,5 @@
-//! Spreads cancels: every member in view is told, through others where it cannot be reached itself, and cancels
-//! of the last seconds ride on all datagrams. Keeps the daemon assured that it has missed none.
+//! Announces cancellations to all members, directly, through relays, and piggybacked on datagrams; reads the rows of
+//! jobs held when probe replies don't prove that none was missed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,48 +14,47 @@
 use rand::seq::IndexedRandom;
 use tokio::time::{sleep, timeout};
 
-use crate::assurance::{ASSURANCE_LIFETIME, CANCEL_WAIT, CONFIRM_EVERY};
+use crate::cancel_freshness::{CANCEL_ACK_TIMEOUT, FRESHNESS_TTL, TABLE_READ_INTERVAL};
 use crate::node::{Shared, lock};
 
 const PREFIX: &str = "cancels:";
 
-/// Wait for a member to take note of a cancel.
+/// Timeout of one cancellation notice.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Members asked to pass a notice on.
+/// Members that forward a notice to an unreachable one, per attempt.
 const RELAYS: usize = 3;
 
-/// Pause between tries to reach a member.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Delay between attempts to notify a member.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How long a cancel rides on datagrams, and how many do at most.
-const NEWS_LIFETIME: Duration = Duration::from_secs(15);
-const MOST_NEWS: usize = 8;
+/// How long a cancellation is piggybacked on datagrams, and the maximum number per datagram.
+const PIGGYBACK_DURATION: Duration = Duration::from_secs(15);
+const MAX_PIGGYBACKED: usize = 8;
 
-/// Share of members missing above which being in touch with the others is not enough: one in so many.
-const MISSING_ONE_IN: usize = 20;
+/// Above one unhealthy member in this many, probe replies no longer suffice and the table is read.
+const UNHEALTHY_ONE_IN: usize = 20;
 
-/// Job rows read in one call.
-const ROWS_A_CALL: usize = 64;
+const ROWS_PER_CALL: usize = 64;
 
-/// Cancels of the last seconds.
+/// Recent cancellations with the time at which they were received.
 #[derive(Debug, Default)]
-pub(crate) struct CancelNews {
+pub(crate) struct RecentCancels {
     jobs: BTreeMap<String, Duration>,
 }
 
-impl CancelNews {
-    /// Jobs to name in datagrams now.
+impl RecentCancels {
+    /// Returns the jobs to name in datagrams, most recent first.
     pub fn names(&mut self, now: Duration) -> Vec<String> {
         self.jobs
-            .retain(|_, at| now.saturating_sub(*at) < NEWS_LIFETIME);
+            .retain(|_, at| now.saturating_sub(*at) < PIGGYBACK_DURATION);
         let mut jobs: Vec<(&String, &Duration)> = self.jobs.iter().collect();
         jobs.sort_by_key(|(_, at)| std::cmp::Reverse(**at));
-        let newest = jobs.into_iter().take(MOST_NEWS);
+        let newest = jobs.into_iter().take(MAX_PIGGYBACKED);
         newest.map(|(job, _)| job.clone()).collect()
     }
 
-    /// True if the cancel is news.
+    /// Records a cancellation; true if it was unknown.
     fn add(&mut self, job_id: &str, now: Duration) -> bool {
         if self.jobs.contains_key(job_id) {
             return false;
@@ -65,27 +64,27 @@
     }
 }
 
-/// Stops everything of the job here; how many items ran.
+/// Stops all items of the job on this daemon and returns how many were running.
 pub(crate) fn cancel_here(shared: &Arc<Shared>, job_id: &str) -> u32 {
     let now = shared.now();
-    lock(&shared.cancel_news).add(job_id, now);
+    lock(&shared.recent_cancels).add(job_id, now);
     shared.owner.cancel_job(job_id);
     let stopped = lock(&shared.runner).cancel_job(job_id, now);
     u32::try_from(stopped).unwrap_or(u32::MAX)
 }
 
-/// Takes cancels that rode on a datagram.
-pub(crate) fn heard(shared: &Arc<Shared>, jobs: &[String]) {
+/// Applies the cancellations piggybacked on a datagram.
+pub(crate) fn apply_piggybacked(shared: &Arc<Shared>, jobs: &[String]) {
     let now = shared.now();
     for job_id in jobs {
-        let is_news = lock(&shared.cancel_news).add(job_id, now);
-        if is_news {
+        let is_new = lock(&shared.recent_cancels).add(job_id, now);
+        if is_new {
             cancel_here(shared, job_id);
         }
     }
 }
 
-/// Answers a notice: takes note, or passes it on.
+/// Handles a notice: applies it, or forwards it to the member named in it.
 pub(crate) async fn serve(shared: &Arc<Shared>, notice: CancelNotice) -> CancelReply {
     let Some(job) = notice.job else {
         return CancelReply::default();
@@ -97,11 +96,11 @@
             noted: true,
         };
     }
-    let noted = tell(shared, &notice.relay_to, &job, "").await;
+    let noted = notify(shared, &notice.relay_to, &job, "").await;
     CancelReply { stopped: 0, noted }
 }
 
-async fn tell(shared: &Arc<Shared>, address: &str, job: &JobNotice, relay_to: &str) -> bool {
+async fn notify(shared: &Arc<Shared>, address: &str, job: &JobNotice, relay_to: &str) -> bool {
     let request = PeerRequest {
         kind: Some(peer_request::Kind::Cancel(CancelNotice {
             job: Some(job.clone()),
@@ -118,29 +117,29 @@
     }
 }
 
-/// Tells a member, through others if need be, until it has noted the cancel or the wait is over.
-async fn tell_until_noted(shared: &Arc<Shared>, member: &str, job: &JobNotice) {
-    let deadline = shared.now() + CANCEL_WAIT;
+/// Notifies a member, also through relays, until it acknowledges or the timeout expires.
+async fn notify_until_noted(shared: &Arc<Shared>, member: &str, job: &JobNotice) {
+    let deadline = shared.now() + CANCEL_ACK_TIMEOUT;
     while shared.now() < deadline {
         let Some(address) = shared.peer_address(member) else {
-            // Declared dead. It may still run, cut off, so the wait goes on until it must have stopped.
-            sleep(RETRY_PAUSE).await;
+            // Considered dead, but it may still run behind a partition until its proof expires.
+            sleep(RETRY_DELAY).await;
             continue;
         };
-        if tell(shared, &address, job, "").await {
+        if notify(shared, &address, job, "").await {
             return;
         }
         let relays = choose_relays(shared, member);
-        let passes = relays
+        let forwards = relays
             .iter()
-            .map(|relay| tell(shared, relay, job, &address));
-        if futures::future::join_all(passes).await.contains(&true) {
+            .map(|relay| notify(shared, relay, job, &address));
+        if futures::future::join_all(forwards).await.contains(&true) {
             return;
         }
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
     log::info!(
-        "{PREFIX} {member} could not be told of the cancel of {}",
+        "{PREFIX} {member} did not acknowledge the cancellation of {}; its proof has expired by now",
         job.job_id
     );
 }
@@ -159,7 +158,7 @@
     })
 }
 
-/// Tells everybody of a committed cancel. Returns once nobody can start an item of the job any more.
+/// Announces a committed cancellation. Returns once no member can start another item of the job.
 pub(crate) async fn announce(shared: &Arc<Shared>, job: &JobNotice) {
     cancel_here(shared, &job.job_id);
     let view = shared.view.load_full();
@@ -167,31 +166,31 @@
         .members
         .iter()
         .filter(|member| member.id != shared.identity.member);
-    let notices = others.map(|member| tell_until_noted(shared, &member.id, job));
+    let notices = others.map(|member| notify_until_noted(shared, &member.id, job));
     futures::future::join_all(notices).await;
 }
 
-/// Asks the table about the jobs held, whenever the peers do not give enough assurance.
+/// Reads the rows of the jobs held whenever probe replies don't prove that no cancellation was missed.
 pub(crate) async fn run_confirm(shared: Arc<Shared>) {
     loop {
         let now = shared.now();
-        let (troubled, known) = lock(&shared.membership).unhealthy_counts();
-        let missing = troubled * MISSING_ONE_IN > known;
-        let wants = lock(&shared.assurance).wants_table(now);
-        if (wants || missing) && confirm(&shared).await {
-            lock(&shared.assurance).table_confirmed(now);
+        let (unhealthy, known) = lock(&shared.membership).unhealthy_counts();
+        let has_many_unhealthy = unhealthy * UNHEALTHY_ONE_IN > known;
+        let is_stale = lock(&shared.cancel_freshness).needs_table_read(now);
+        if (is_stale || has_many_unhealthy) && confirm(&shared).await {
+            lock(&shared.cancel_freshness).note_table_read(now);
         }
-        sleep(CONFIRM_EVERY.min(ASSURANCE_LIFETIME / 3)).await;
+        sleep(TABLE_READ_INTERVAL.min(FRESHNESS_TTL / 3)).await;
     }
 }
 
-/// Reads the rows of all jobs of which items are held here; false if the table did not answer.
+/// Reads the rows of all jobs held and stops those cancelled; false if a read failed.
 async fn confirm(shared: &Arc<Shared>) -> bool {
     let mut held = shared.owner.job_tenants();
     held.extend(lock(&shared.runner).job_tenants());
     let jobs: Vec<(String, String)> = held.into_iter().collect();
-    for group in jobs.chunks(ROWS_A_CALL) {
-        let keys: Vec<String> = group
+    for batch in jobs.chunks(ROWS_PER_CALL) {
+        let keys: Vec<String> = batch
             .iter()
             .map(|(job_id, tenant)| job_row_key(tenant, job_id))
             .collect();
--- a/crates/node/src/capacity_task.rs
+++ b/crates/node/src/capacity_task.rs
@@ -1,4 +1,4 @@
-//! Makes the capacity plan at each control tick, off the request path.
+//! Computes the capacity plan at each control tick, outside of the request path.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,10 +21,10 @@
         let input = input(&shared);
         let (plan, problems) = planner.plan(&config, &input);
         for problem in problems {
-            let words = problem.error.to_string();
-            if reported.get(&problem.policy) != Some(&words) {
-                log::warn!("{PREFIX} policy {} {words}", problem.policy);
-                reported.insert(problem.policy, words);
+            let detail = problem.error.to_string();
+            if reported.get(&problem.policy) != Some(&detail) {
+                log::warn!("{PREFIX} policy {} {detail}", problem.policy);
+                reported.insert(problem.policy, detail);
             }
         }
         shared.plan.store(Arc::new(plan));
@@ -32,7 +32,7 @@
     }
 }
 
-/// Loads as this daemon sees them: its own replicas stand for the service.
+/// Builds the planner input from the loads of the replicas in the directory of this daemon.
 fn input(shared: &Arc<Shared>) -> PlanInput {
     let now = shared.now();
     let backlog = shared.owner.backlog_by_tenant();
--- a/crates/node/src/config_task.rs
+++ b/crates/node/src/config_task.rs
@@ -1,4 +1,4 @@
-//! Keeps the configuration replica: pulls from peers that are ahead, polls of the table, and its adoption.
+//! Keeps the configuration up to date by pulls from peers with a newer revision and polls of the table.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,29 +22,28 @@
 const PREFIX: &str = "config:";
 const TICK: Duration = Duration::from_millis(100);
 
-/// Wait for a peer's answer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A peer's word came with a heartbeat.
-pub(crate) fn heard(shared: &Arc<Shared>, received: &PeerReport, now: Duration) {
-    let word = received.config;
-    // The age counts from the sending of the probe: the answer may have waited since, but not longer.
-    let age = received.probe_sent_at.zip(word.proof_age);
+/// Applies the configuration status in a peer's datagram; schedules a pull if the peer is ahead.
+pub(crate) fn apply_report(shared: &Arc<Shared>, received: &PeerReport, now: Duration) {
+    let status = received.config;
+    // Counting from the probe overestimates the age of the proof, never underestimates it.
+    let age = received.probe_sent_at.zip(status.proof_age);
     let age = age.map(|(sent_at, age)| now.saturating_sub(sent_at) + age);
-    let observation = lock(&shared.config_replica).observe(now, word.revision, age);
+    let observation = lock(&shared.config_replica).observe(now, status.revision, age);
     if observation == Observation::Behind {
         let _ = shared.config_pulls.send(received.from.clone());
     }
 }
 
-/// Takes a delta, if it leads forward, and puts it in force.
+/// Applies a delta and puts it in force, if it is newer.
 pub(crate) fn adopt(shared: &Arc<Shared>, delta: &ConfigDeltaReply) -> Adoption {
     let (adoption, snapshot) = {
         let mut replica = lock(&shared.config_replica);
         (replica.adopt(delta), replica.snapshot().clone())
     };
     if adoption == Adoption::Adopted {
-        // Whoever stores last must store the newest, though several tasks may adopt at once.
+        // Several tasks may adopt concurrently; an older snapshot must not replace a newer one.
         shared.config.rcu(|current| {
             if current.revision() < snapshot.revision() {
                 snapshot.clone()
@@ -54,12 +53,12 @@
         });
         shared.gateway.configure(&shared.config.load());
         log::info!("{PREFIX} revision {} is in force", snapshot.revision());
-        membership_task::spread_config(shared);
+        membership_task::gossip_config(shared);
     }
     adoption
 }
 
-/// Pulls from peers that said they are ahead.
+/// Pulls the configuration from peers that reported a newer revision.
 pub(crate) async fn run_pulls(shared: Arc<Shared>, mut peers: mpsc::UnboundedReceiver<String>) {
     while let Some(peer) = peers.recv().await {
         let after = lock(&shared.config_replica).revision();
@@ -81,9 +80,9 @@
     }
 }
 
-/// Asks the table now and then: few members of each zone regularly, all others only without newer proof.
+/// Polls the table: the pollers of each zone regularly, all other members only if their proof gets too old.
 pub(crate) async fn run_polls(shared: Arc<Shared>) {
-    let mut asked_at = Duration::ZERO;
+    let mut queried_at = Duration::ZERO;
     loop {
         let now = shared.now();
         let chosen = is_poller(&shared);
@@ -98,20 +97,20 @@
         if due {
             poll(&shared, now).await;
         } else if !chosen {
-            ask_poller(&shared, now, &mut asked_at).await;
+            query_poller(&shared, now, &mut queried_at).await;
         }
         sleep(TICK).await;
     }
 }
 
-/// Asks one of the zone's pollers, so that the table need not be asked.
-async fn ask_poller(shared: &Arc<Shared>, now: Duration, asked_at: &mut Duration) {
+/// Queries a random poller of the zone if the proof is old, to avoid a read of the table.
+async fn query_poller(shared: &Arc<Shared>, now: Duration, queried_at: &mut Duration) {
     let age = lock(&shared.config_replica).proof_age(now);
-    let young = age.is_some_and(|age| age < QUERY_POLLER_AFTER);
-    if young || now.saturating_sub(*asked_at) < POLLER_QUERY_INTERVAL {
+    let is_recent = age.is_some_and(|age| age < QUERY_POLLER_AFTER);
+    if is_recent || now.saturating_sub(*queried_at) < POLLER_QUERY_INTERVAL {
         return;
     }
-    *asked_at = now;
+    *queried_at = now;
     let pollers = pollers(shared);
     let chosen = shared.with_random(|random| pollers.choose(random).cloned());
     if let Some(poller) = chosen {
@@ -119,12 +118,12 @@
     }
 }
 
-/// True for the few members of a zone that read the table on behalf of the others.
+/// True if this member polls the table on behalf of its zone.
 pub(crate) fn is_poller(shared: &Arc<Shared>) -> bool {
     pollers(shared).contains(&shared.identity.member)
 }
 
-/// The members of the zone that ask the table regularly.
+/// Returns the members of the zone that poll the table, chosen by rendezvous hashing.
 fn pollers(shared: &Arc<Shared>) -> Vec<String> {
     let view = shared.view.load();
     let zone = &shared.identity.zone;
@@ -141,8 +140,8 @@
         .collect()
 }
 
-/// The proof counts from before the question, so that it never flatters.
-async fn poll(shared: &Arc<Shared>, asked_at: Duration) {
+/// Reads the table. The age of the proof counts from before the read, so it is never underestimated.
+async fn poll(shared: &Arc<Shared>, queried_at: Duration) {
     let revision = lock(&shared.config_replica).revision();
     let result = if revision == 0 {
         shared.config_store.read_all().await
@@ -152,24 +151,24 @@
     let delta = match result {
         Ok(delta) => delta,
         Err(error) => {
-            log::debug!("{PREFIX} cannot ask the table: {error}");
+            log::debug!("{PREFIX} cannot poll the table: {error}");
             return;
         }
     };
     if adopt(shared, &delta) == Adoption::Gap
-        && let Ok(whole) = shared.config_store.read_all().await
+        && let Ok(full) = shared.config_store.read_all().await
     {
-        adopt(shared, &whole);
+        adopt(shared, &full);
     }
     let now = shared.now();
-    let age = now.saturating_sub(asked_at);
+    let age = now.saturating_sub(queried_at);
     lock(&shared.config_replica).observe(now, delta.revision, Some(age));
 }
 
-/// Asks every member in view which revision is in force there.
+/// Queries every member in view for the revision in force.
 pub(crate) async fn in_force(shared: &Arc<Shared>) -> BTreeMap<String, Option<u64>> {
     let view = shared.view.load_full();
-    let questions = view.members.iter().map(|member| async {
+    let queries = view.members.iter().map(|member| async {
         if member.id == shared.identity.member {
             let own = shared.config.load().revision();
             return (member.id.clone(), Some(own));
@@ -187,7 +186,7 @@
         };
         (member.id.clone(), revision)
     });
-    futures::future::join_all(questions)
+    futures::future::join_all(queries)
         .await
         .into_iter()
         .collect()
--- a/crates/node/src/directory_task.rs
+++ b/crates/node/src/directory_task.rs
@@ -1,5 +1,5 @@
-//! Keeps the replica directory: machine list, loads of owned replicas, and the exchange of counts and reports
-//! between gateways and replica owners.
+//! Maintains the replica directory from the machine list, engine loads, and the online counts and load reports
+//! that gateways and replica owners exchange.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,22 +17,22 @@
 
 const PREFIX: &str = "replicas:";
 
-/// Shortest time between notices while online requests come and go.
-const NOTICE_TICK: Duration = Duration::from_millis(50);
+/// Interval at which changed online counts are sent.
+const NOTICE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest time between notices to an owner; also brings its reports.
-const NOTICE_IDLE: Duration = Duration::from_secs(1);
+/// Interval at which unchanged counts are sent again; the owner replies with its load reports.
+const NOTICE_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Wait for an engine's load.
+/// Timeout of a load request to an engine.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Pause while no replica is known.
-const FIRST_LOOK: Duration = Duration::from_millis(20);
+/// Poll interval while no replica is known.
+const EMPTY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A replica of which nothing was heard for this long is asked directly, microseconds.
-const UNHEARD_MICROS: u64 = 1_300_000;
+/// Age of a replica's last report after which its load is read directly, in microseconds.
+const MAX_REPORT_AGE_MICROS: u64 = 1_300_000;
 
-/// Reads the machine list.
+/// Polls the machine list.
 pub(crate) async fn run_list(shared: Arc<Shared>) {
     loop {
         match shared.machines.list().await {
@@ -42,62 +42,62 @@
             }
             Err(error) => log::debug!("{PREFIX} cannot read the machine list: {error}"),
         }
-        sleep(shared.settings.machines_every).await;
+        sleep(shared.settings.machine_list_interval).await;
     }
 }
 
-/// Number of replicas of which this daemon heard lately.
+/// Returns the number of replicas with a recent report.
 pub(crate) fn confirmed_replicas(shared: &Shared) -> usize {
     let now_micros = shared.now_micros();
     let directory = shared.directory.load();
     let replicas = directory.replicas.values();
-    let confirmed =
-        replicas.filter(|replica| replica.load.confirmation_age(now_micros) <= UNHEARD_MICROS);
+    let confirmed = replicas
+        .filter(|replica| replica.load.confirmation_age(now_micros) <= MAX_REPORT_AGE_MICROS);
     confirmed.count()
 }
 
-/// Replicas whose load this daemon reads itself: those it owns, and those of which it has heard nothing lately.
+/// Returns the replicas whose load this daemon reads itself: those it owns and those without a recent report.
 fn replicas_to_read(shared: &Arc<Shared>) -> Vec<Arc<Replica>> {
     let owned = lock(&shared.ownership).replicas();
     let directory = shared.directory.load();
     let now_micros = shared.now_micros();
     let owned = owned.iter().filter_map(|id| directory.replicas.get(id));
-    let unheard = directory
+    let unreported = directory
         .services
         .values()
         .flat_map(|entry| &entry.replicas)
-        .filter(|replica| replica.load.confirmation_age(now_micros) > UNHEARD_MICROS);
-    let mut replicas: Vec<Arc<Replica>> = owned.chain(unheard).cloned().collect();
+        .filter(|replica| replica.load.confirmation_age(now_micros) > MAX_REPORT_AGE_MICROS);
+    let mut replicas: Vec<Arc<Replica>> = owned.chain(unreported).cloned().collect();
     replicas.sort_by_key(|replica| replica.number);
     replicas.dedup_by_key(|replica| replica.number);
     replicas
 }
 
-/// Reads loads; a replica that leaves or does not answer is taken out of the choice.
+/// Polls replica loads; a replica that is leaving becomes unavailable, one that does not respond expires.
 pub(crate) async fn run_loads(shared: Arc<Shared>) {
     loop {
         let replicas = replicas_to_read(&shared);
-        let asked_at = shared.now();
+        let requested_at = shared.now();
         let reads = replicas.iter().map(|replica| async {
             let load = timeout(LOAD_TIMEOUT, replica.engine.load()).await;
             (replica.clone(), load.ok().and_then(Result::ok))
         });
         for (replica, load) in futures::future::join_all(reads).await {
-            // Without an answer nothing is confirmed, and the last word soon grows too old to act on.
+            // Without a response the last report expires.
             if let Some(load) = load {
-                take_load(&shared, &replica, load, asked_at);
+                apply_load(&shared, &replica, load, requested_at);
             }
         }
         let pause = if replicas.is_empty() {
-            FIRST_LOOK
+            EMPTY_POLL_INTERVAL
         } else {
-            shared.settings.load_every
+            shared.settings.load_interval
         };
         sleep(pause).await;
     }
 }
 
-fn take_load(shared: &Arc<Shared>, replica: &Arc<Replica>, load: EngineLoad, as_of: Duration) {
+fn apply_load(shared: &Arc<Shared>, replica: &Arc<Replica>, load: EngineLoad, as_of: Duration) {
     let unavailable = load.leaving || replica.machine.state == MachineState::Leaving;
     let report = LoadReport {
         running_online: load.running_online,
@@ -112,9 +112,9 @@
     lock(&shared.runner).set_report(name, load, unavailable, as_of);
 }
 
-/// Tells owners of the online requests that this gateway has at their replicas.
+/// Sends replica owners the number of online requests that this gateway has at their replicas.
 pub(crate) async fn run_notices(shared: Arc<Shared>) {
-    let mut told: BTreeMap<String, (u32, u32, Duration)> = BTreeMap::new();
+    let mut sent: BTreeMap<String, (u32, u32, Duration)> = BTreeMap::new();
     loop {
         let now = shared.now();
         let mut notices: BTreeMap<String, Vec<OnlineCount>> = BTreeMap::new();
@@ -123,14 +123,14 @@
             for replica in &entry.replicas {
                 let name = &replica.machine.replica.0;
                 let (running, prefill_tokens) = replica.online.get();
-                let fresh = told.get(name).is_some_and(|(old_running, old_tokens, at)| {
-                    let same = *old_running == running && *old_tokens == prefill_tokens;
-                    same && now.saturating_sub(*at) < NOTICE_IDLE
+                let is_current = sent.get(name).is_some_and(|(old_running, old_tokens, at)| {
+                    let is_unchanged = *old_running == running && *old_tokens == prefill_tokens;
+                    is_unchanged && now.saturating_sub(*at) < NOTICE_REFRESH_INTERVAL
                 });
-                if fresh {
+                if is_current {
                     continue;
                 }
-                told.insert(name.clone(), (running, prefill_tokens, now));
+                sent.insert(name.clone(), (running, prefill_tokens, now));
                 let Some(owner) = shared.owner_of(name) else {
                     continue;
                 };
@@ -145,7 +145,7 @@
         for (owner, counts) in notices {
             send_notice(&shared, &owner, counts).await;
         }
-        sleep(NOTICE_TICK).await;
+        sleep(NOTICE_INTERVAL).await;
     }
 }
 
@@ -157,7 +157,7 @@
         sent_at_ms: u64::try_from(shared.now().as_millis()).unwrap_or(u64::MAX),
     };
     if owner == shared.identity.member {
-        shared.online.take(&notice, shared.now());
+        shared.online.apply(&notice, shared.now());
         shared.runner_wake.notify_one();
         return;
     }
@@ -172,8 +172,8 @@
     shared.network.send(&address, encode(&datagram)).await;
 }
 
-/// Answers a notice with reports of the replicas that it names.
-pub(crate) async fn answer_notice(shared: &Arc<Shared>, notice: &OnlineNotice) {
+/// Replies to a notice with load reports of the replicas that it names.
+pub(crate) async fn reply_to_notice(shared: &Arc<Shared>, notice: &OnlineNotice) {
     let reports: Vec<ReplicaReport> = {
         let runner = lock(&shared.runner);
         let now = shared.now();
@@ -193,10 +193,10 @@
     shared.network.send(&notice.reply_to, bytes).await;
 }
 
-/// Takes an owner's reports into the load estimates.
-pub(crate) fn take_reports(shared: &Arc<Shared>, reports: &ReplicaReports) {
+/// Applies the load reports of an owner to the load estimates.
+pub(crate) fn apply_reports(shared: &Arc<Shared>, reports: &ReplicaReports) {
     let directory = shared.directory.load();
-    let asked_micros = reports.echo_ms * 1000;
+    let requested_micros = reports.echo_ms * 1000;
     for report in &reports.reports {
         let id = harrierward_external::ReplicaId(report.replica.clone());
         let Some(replica) = directory.replicas.get(&id) else {
@@ -209,8 +209,8 @@
             waiting_prompt_tokens: report.waiting_prompt_tokens,
             waiting_online: report.waiting_online,
         };
-        // The answer may have waited since it was asked for, but not longer.
-        let as_of_micros = asked_micros.saturating_sub(age_micros);
+        // Counting from the request overestimates the age of the report, never underestimates it.
+        let as_of_micros = requested_micros.saturating_sub(age_micros);
         replica.load.apply_report(load, as_of_micros);
         replica
             .load
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,10 +1,8 @@
-//! One daemon, put together from its roles, apart from its transports.
-//!
-//! Why apart: the program gives it sockets, and the fault simulation gives the very same code a network that
-//! loses, delays and cuts, on virtual time.
+//! One daemon, independent of its transport: production uses sockets, the fault simulation a network with loss,
+//! delay and partitions on virtual time.
 
-mod assurance;
 mod batch_item;
+mod cancel_freshness;
 mod cancel_task;
 mod capacity_task;
 mod clock;
--- a/crates/node/src/membership_task.rs
+++ b/crates/node/src/membership_task.rs
@@ -1,4 +1,4 @@
-//! Drives the membership protocol over datagrams and keeps the view that other parts read.
+//! Drives the membership protocol over datagrams and publishes the membership view.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     }
 }
 
-/// Asks members at the addresses for their view.
+/// Requests the view of the members at the addresses.
 pub(crate) async fn join(shared: &Arc<Shared>, addresses: &[String]) {
     let actions = lock(&shared.membership).join(addresses);
     send_all(shared, actions).await;
@@ -30,8 +30,8 @@
 
 fn step(shared: &Arc<Shared>, now: Duration) -> Vec<OutgoingDatagram> {
     let backlog = advertised_backlog(shared);
-    let config = config_word(shared, now);
-    let cancelled = lock(&shared.cancel_news).names(now);
+    let config = config_status(shared, now);
+    let cancelled = lock(&shared.recent_cancels).names(now);
     let mut membership = lock(&shared.membership);
     membership.set_config(config);
     membership.set_cancelled_jobs(cancelled);
@@ -47,7 +47,7 @@
     actions
 }
 
-fn config_word(shared: &Arc<Shared>, now: Duration) -> ConfigStatus {
+fn config_status(shared: &Arc<Shared>, now: Duration) -> ConfigStatus {
     let replica = lock(&shared.config_replica);
     ConfigStatus {
         revision: replica.revision(),
@@ -55,7 +55,7 @@
     }
 }
 
-/// Backlogs in steps of a power of two, so that small changes are not news for the whole fleet.
+/// Returns backlogs rounded up to powers of two, so that small changes are not gossiped to the whole fleet.
 fn advertised_backlog(shared: &Arc<Shared>) -> Vec<ServiceBacklog> {
     let backlog = shared.owner.backlog();
     backlog
@@ -67,9 +67,9 @@
         .collect()
 }
 
-/// Tells some members of a configuration revision that was just adopted.
-pub(crate) fn spread_config(shared: &Arc<Shared>) {
-    let config = config_word(shared, shared.now());
+/// Gossips a newly adopted configuration revision to some members.
+pub(crate) fn gossip_config(shared: &Arc<Shared>) {
+    let config = config_status(shared, shared.now());
     let actions = {
         let mut membership = lock(&shared.membership);
         membership.set_config(config);
@@ -79,7 +79,7 @@
     tokio::spawn(async move { send_all(&shared, actions).await });
 }
 
-/// Asks a member that reads the table regularly for its word on the configuration.
+/// Probes a poller, whose reply carries its configuration revision and proof.
 pub(crate) async fn probe_poller(shared: &Arc<Shared>, poller: &str) {
     let action = lock(&shared.membership).probe_member(poller, shared.now());
     send_all(shared, action.into_iter().collect()).await;
@@ -95,8 +95,8 @@
     }
 }
 
-/// Tells the news to as many members as one tick's probe would reach in a while; used when leaving.
-pub(crate) async fn spread_now(shared: &Arc<Shared>) {
+/// Sends several rounds of gossip without waiting for the protocol timers; used when leaving.
+pub(crate) async fn gossip_departure(shared: &Arc<Shared>) {
     const ROUNDS: u32 = 3;
     for _ in 0..ROUNDS {
         let actions = step(shared, shared.now());
@@ -112,23 +112,23 @@
     match kind {
         node_datagram::Kind::Membership(datagram) => receive_membership(shared, &datagram).await,
         node_datagram::Kind::OnlineNotice(notice) => {
-            shared.online.take(&notice, shared.now());
+            shared.online.apply(&notice, shared.now());
             shared.runner_wake.notify_one();
-            directory_task::answer_notice(shared, &notice).await;
+            directory_task::reply_to_notice(shared, &notice).await;
         }
         node_datagram::Kind::ReplicaReports(reports) => {
-            directory_task::take_reports(shared, &reports);
+            directory_task::apply_reports(shared, &reports);
         }
-        // Only edge daemons count this way.
+        // Other datagrams are exchanged between edge daemons only.
         _ => {}
     }
 }
 
 async fn receive_membership(shared: &Arc<Shared>, datagram: &Datagram) {
     let now = shared.now();
-    // The word must be of now, not of the last tick: this daemon may have been paused in between.
-    let config = config_word(shared, now);
-    let (actions, word) = {
+    // Refreshed, because this daemon may have been paused since the last tick.
+    let config = config_status(shared, now);
+    let (actions, report) = {
         let mut membership = lock(&shared.membership);
         membership.set_config(config);
         let received = membership.receive(datagram, now);
@@ -137,10 +137,10 @@
         }
         received
     };
-    if let Some(sent_at) = word.probe_sent_at {
-        lock(&shared.assurance).peer_answered(sent_at);
+    if let Some(sent_at) = report.probe_sent_at {
+        lock(&shared.cancel_freshness).note_probe_reply(sent_at);
     }
-    cancel_task::heard(shared, &word.cancelled_jobs);
-    config_task::heard(shared, &word, now);
+    cancel_task::apply_piggybacked(shared, &report.cancelled_jobs);
+    config_task::apply_report(shared, &report, now);
     send_all(shared, actions).await;
 }
--- a/crates/node/src/network.rs
+++ b/crates/node/src/network.rs
@@ -1,4 +1,4 @@
-//! What a daemon needs of the network towards its peers.
+//! Interface of the network between daemons.
 
 use async_trait::async_trait;
 use harrierward_wire::{PeerReply, PeerRequest};
@@ -9,21 +9,21 @@
     /// The peer cannot have received the request.
     #[error("{step} at {peer}: not sent: {detail}")]
     NotSent {
-        /// What was being done.
+        /// Operation that failed.
         step: &'static str,
-        /// Peer's address.
+        /// Address of the peer.
         peer: String,
-        /// Cause in words.
+        /// Description of the cause.
         detail: String,
     },
     /// The peer may have acted on the request.
     #[error("{step} at {peer}: answer lost: {detail}")]
     Lost {
-        /// What was being done.
+        /// Operation that failed.
         step: &'static str,
-        /// Peer's address.
+        /// Address of the peer.
         peer: String,
-        /// Cause in words.
+        /// Description of the cause.
         detail: String,
     },
 }
@@ -31,14 +31,14 @@
 /// Calls and datagrams between daemons.
 #[async_trait]
 pub trait PeerNetwork: Send + Sync {
-    /// Sends a request to the peer at `address` and waits for its answer.
+    /// Sends a request to the peer at `address` and waits for the reply; the caller sets the timeout.
     async fn call(&self, address: &str, request: PeerRequest) -> Result<PeerReply, PeerError>;
 
-    /// Sends a datagram; it may be lost.
+    /// Sends a datagram without a delivery guarantee; errors are ignored.
     async fn send(&self, address: &str, datagram: Vec<u8>);
 }
 
-/// A network for a daemon that is alone.
+/// Network of a standalone daemon: calls fail and datagrams are dropped.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NoPeers;
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The daemon: its shared state, its start and its drain.
+//! The daemon: shared state, startup, drain and the interface of the HTTP layer.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -28,8 +28,8 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{Instant, sleep};
 
-use crate::assurance::Assurance;
-use crate::cancel_task::CancelNews;
+use crate::cancel_freshness::CancelFreshness;
+use crate::cancel_task::RecentCancels;
 use crate::clock::now_ms;
 use crate::network::PeerNetwork;
 use crate::online_view::OnlineView;
@@ -43,86 +43,86 @@
 
 const PREFIX: &str = "node:";
 
-/// Row that fixes the number of shards for a fleet.
+/// Row with the number of shards, written once by the first daemon of a fleet.
 const SHARD_COUNT_KEY: &str = "meta/shards";
 
-/// Who a daemon is and where it is reached.
+/// Member id, location and addresses of a daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeIdentity {
-    /// Member id, new for each start.
+    /// Member id, unique to this daemon instance.
     pub member: String,
     /// UDP address for datagrams.
     pub udp_address: String,
     /// HTTP address for peers.
     pub peer_address: String,
-    /// Zone.
+    /// Zone in which the daemon runs.
     pub zone: String,
-    /// Region.
+    /// Region to which the zone belongs.
     pub region: String,
-    /// Zones of the region.
+    /// All zones of the region, its own included.
     pub region_zones: Vec<String>,
     /// UDP addresses of daemons to join.
     pub seeds: Vec<String>,
 }
 
-/// What a daemon is put together from.
+/// Dependencies and settings of a daemon.
 pub struct NodeParts {
-    /// Who it is.
+    /// Member id and addresses, which it also advertises to the other members.
     pub identity: NodeIdentity,
-    /// Table service.
+    /// Table service, not yet rate limited.
     pub table: Arc<dyn Table>,
-    /// Object store.
+    /// Object store, not yet rate limited.
     pub objects: Arc<dyn ObjectStore>,
-    /// Machine list.
+    /// Source of the replicas that exist.
     pub machines: Arc<dyn MachineList>,
-    /// Weight store.
+    /// Store of model weights; unused by the daemon itself.
     pub weights: Arc<dyn WeightStore>,
-    /// Makes clients of engines.
+    /// Creates the engine client of each replica.
     pub connector: Arc<dyn EngineConnector>,
-    /// Network towards peers.
+    /// Calls and datagrams to other daemons.
     pub network: Arc<dyn PeerNetwork>,
-    /// Registry of metrics.
+    /// Registry in which the daemon registers its metrics.
     pub registry: Registry,
-    /// Settings.
+    /// Intervals and limits.
     pub settings: NodeSettings,
 }
 
-/// What a daemon says of itself.
+/// Status of a daemon, as the admin API returns it.
 #[derive(Debug, Clone, PartialEq, serde::Serialize)]
 pub struct NodeStatus {
-    /// Member id.
+    /// Member id of the daemon instance.
     pub member: String,
-    /// Zone.
+    /// Zone in which it runs.
     pub zone: String,
-    /// May take new work.
+    /// True if it accepts new work.
     pub ready: bool,
-    /// Is draining.
+    /// True once a drain has begun.
     pub draining: bool,
-    /// Configuration revision in force.
+    /// Configuration revision in force; 0 before the first.
     pub config_revision: u64,
-    /// The configuration is proved to be the newest.
+    /// True while a recent proof shows that the configuration is the newest.
     pub config_fresh: bool,
-    /// Members in view.
+    /// Members in its view, itself included.
     pub members: usize,
-    /// Replicas listed.
+    /// Replicas in the machine list.
     pub replicas: usize,
-    /// Replicas owned.
+    /// Replicas whose batch work it controls.
     pub owned_replicas: usize,
-    /// Replicas that told their load lately: the others get no requests.
+    /// Replicas with a recent load report; the others get no requests.
     pub confirmed_replicas: usize,
-    /// Shards owned.
+    /// Job shards that it owns.
     pub owned_shards: usize,
-    /// Open jobs at its shards.
+    /// Unfinished jobs of its shards.
     pub open_jobs: usize,
-    /// Online requests running here.
+    /// Online requests that its gateway has sent to replicas.
     pub online_running: u32,
-    /// Online requests waiting here.
+    /// Online requests queued at its gateway.
     pub online_waiting: usize,
-    /// Batch items running on owned replicas.
+    /// Batch items running on the owned replicas.
     pub batch_running: usize,
 }
 
-/// State shared by a daemon's tasks.
+/// State shared by the tasks of a daemon.
 pub(crate) struct Shared {
     pub identity: NodeIdentity,
     pub settings: NodeSettings,
@@ -134,7 +134,7 @@
     pub config: Arc<ArcSwap<ConfigSnapshot>>,
     pub config_replica: Mutex<ConfigReplica>,
     pub config_store: ConfigStore,
-    /// Members that said they hold a newer configuration.
+    /// Members that reported a newer configuration.
     pub config_pulls: mpsc::UnboundedSender<String>,
     pub membership: Mutex<MembershipCore>,
     pub view: ArcSwap<MembershipView>,
@@ -148,26 +148,26 @@
     pub plan: ArcSwap<CapacityPlan>,
     pub runner: Mutex<Runner>,
     pub runner_wake: Notify,
-    pub cancel_news: Mutex<CancelNews>,
-    pub assurance: Mutex<Assurance>,
+    pub recent_cancels: Mutex<RecentCancels>,
+    pub cancel_freshness: Mutex<CancelFreshness>,
     pub draining: AtomicBool,
     counter: AtomicU64,
     random: Mutex<StdRng>,
     started: Instant,
 }
 
-/// One daemon; cheap to clone.
+/// Handle to one daemon; clones share its state.
 #[derive(Clone)]
 pub struct Node {
     pub(crate) shared: Arc<Shared>,
 }
 
-/// Tells ownership of shards that turned out to be lost.
-struct LostShards {
+/// Forwards shards that the owner driver found taken over to the ownership task.
+struct LostShardSender {
     lost: mpsc::UnboundedSender<u32>,
 }
 
-impl OwnerEvents for LostShards {
+impl OwnerEvents for LostShardSender {
     fn shard_lost(&self, shard: u32) {
         let _ = self.lost.send(shard);
     }
@@ -183,7 +183,7 @@
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Checks the body of a batch line as a request of that URL would be checked.
+/// Returns the check of batch lines; it validates the body like an online request to the same URL.
 fn line_check() -> LineCheck {
     Arc::new(|url, body| {
         let kind = EndpointKind::from_path(url)
@@ -196,16 +196,16 @@
     })
 }
 
-/// Why a daemon could not start.
+/// Errors of daemon startup.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Metrics could not be registered.
+    /// Registration of a metric failed.
     #[error("metrics: {0}")]
     Metrics(#[from] prometheus::Error),
-    /// The fleet has another number of shards.
+    /// The settings disagree with the number of shards stored for the fleet.
     #[error("shards: this fleet has {fleet} shards, the settings say {settings}")]
     ShardCount {
-        /// Number in the table.
+        /// Number stored in the table.
         fleet: u32,
         /// Number in the settings.
         settings: u32,
@@ -213,7 +213,7 @@
 }
 
 impl Node {
-    /// Starts a daemon on the current tokio runtime. It is ready once [`Node::is_ready`] says so.
+    /// Starts a daemon on the current tokio runtime. It accepts work once [`Node::is_ready`] returns true.
     pub fn start(parts: NodeParts) -> Result<Self, StartError> {
         let started = Instant::now();
         let settings = parts.settings;
@@ -254,7 +254,7 @@
             &identity.member,
             table.clone(),
             objects.clone(),
-            Arc::new(LostShards { lost }),
+            Arc::new(LostShardSender { lost }),
             settings.owner,
         );
         let own_record = MemberRecord {
@@ -285,8 +285,8 @@
             plan: ArcSwap::from_pointee(CapacityPlan::default()),
             runner: Mutex::new(Runner::new(settings.slots)),
             runner_wake: Notify::new(),
-            cancel_news: Mutex::default(),
-            assurance: Mutex::default(),
+            recent_cancels: Mutex::default(),
+            cancel_freshness: Mutex::default(),
             draining: AtomicBool::new(false),
             counter: AtomicU64::new(1),
             random: Mutex::new(StdRng::seed_from_u64(settings.seed)),
@@ -318,7 +318,7 @@
         Ok(Self { shared })
     }
 
-    /// Checks the number of shards against the fleet's, or fixes it if this is the first daemon.
+    /// Compares `shards` with the number stored for the fleet; the first daemon stores it.
     pub async fn check_shard_count(
         table: &dyn Table,
         shards: u32,
@@ -346,73 +346,73 @@
         }))
     }
 
-    /// The request path.
+    /// Returns the gateway for online requests.
     pub fn gateway(&self) -> &Gateway {
         &self.shared.gateway
     }
 
-    /// The file service.
+    /// Returns the service for batch input files.
     pub fn files(&self) -> &FileService {
         &self.shared.files
     }
 
-    /// The job service.
+    /// Returns the service that creates, reads and cancels batch jobs.
     pub fn jobs(&self) -> &JobService {
         &self.shared.jobs
     }
 
-    /// The table, under this daemon's rate budget.
+    /// Returns the table, limited by the rate budget of this daemon.
     pub fn table(&self) -> Arc<dyn Table> {
         self.shared.table.clone()
     }
 
-    /// The object store, under this daemon's rate budget.
+    /// Returns the object store, limited by the rate budget of this daemon.
     pub fn objects(&self) -> Arc<dyn ObjectStore> {
         self.shared.objects.clone()
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force; revision 0 and empty before the first.
     pub fn config(&self) -> Arc<ConfigSnapshot> {
         self.shared.config.load_full()
     }
 
-    /// The configuration's store.
+    /// Returns the store to which configuration changes are committed.
     pub fn config_store(&self) -> &ConfigStore {
         &self.shared.config_store
     }
 
-    /// Registry of metrics.
+    /// Returns the registry from which metrics are exported.
     pub fn registry(&self) -> &Registry {
         &self.shared.registry
     }
 
-    /// The capacity plan in force.
+    /// Returns the capacity plan of the last control tick.
     pub fn plan(&self) -> Arc<CapacityPlan> {
         self.shared.plan.load_full()
     }
 
-    /// Members in view.
+    /// Returns the current membership view.
     pub fn view(&self) -> Arc<MembershipView> {
         self.shared.view.load_full()
     }
 
-    /// Takes a configuration change that was just committed, without waiting for the next poll.
+    /// Applies a committed configuration change without waiting for the next poll.
     pub fn adopt_config(&self, delta: &harrierward_wire::ConfigDeltaReply) {
         config_task::adopt(&self.shared, delta);
     }
 
-    /// Revisions in force at each member, asked now; `None` for one that did not answer.
+    /// Queries the revision in force at each member; `None` for one that did not reply.
     pub async fn config_in_force(&self) -> BTreeMap<String, Option<u64>> {
         config_task::in_force(&self.shared).await
     }
 
-    /// A job was accepted here: its shard's owner is told.
+    /// Notifies the owner of the shard that a job was accepted.
     pub async fn job_accepted(&self, tenant: &str, job_id: &str, shard: u32) {
         peer_service::announce_job(&self.shared, tenant, job_id, shard).await;
     }
 
-    /// A job's cancel was committed here: everybody who may run items of it is told. Returns once none of them can
-    /// start another.
+    /// Announces a committed cancellation to all members. Returns once none of them can start another item of
+    /// the job.
     pub async fn job_cancelled(&self, tenant: &str, job_id: &str, shard: u32) {
         let job = harrierward_wire::JobNotice {
             tenant: tenant.to_owned(),
@@ -422,7 +422,7 @@
         cancel_task::announce(&self.shared, &job).await;
     }
 
-    /// Answers a request of a peer.
+    /// Handles a request of a peer.
     pub async fn serve_peer(
         &self,
         request: harrierward_wire::PeerRequest,
@@ -430,32 +430,32 @@
         peer_service::serve(&self.shared, request).await
     }
 
-    /// Takes a datagram.
+    /// Handles a datagram; one that can't be decoded is dropped.
     pub async fn receive_datagram(&self, bytes: &[u8]) {
         membership_task::receive(&self.shared, bytes).await;
     }
 
-    /// A number that this daemon has not given out yet, for ids.
+    /// Returns a number unique within this daemon instance, for ids.
     pub fn next_number(&self) -> u64 {
         self.shared.next_number()
     }
 
-    /// A random number, for ids.
+    /// Returns a random number for ids, drawn from the seeded generator.
     pub fn random_id(&self) -> u64 {
         self.shared.with_random(Rng::random)
     }
 
-    /// May take new work: knows a configuration proved to be the newest once, and is not leaving.
+    /// True if the daemon accepts new work: it has a configuration and is not draining.
     pub fn is_ready(&self) -> bool {
         !self.is_draining() && self.shared.config.load().revision() > 0
     }
 
-    /// Is leaving.
+    /// True once a drain has begun.
     pub fn is_draining(&self) -> bool {
         self.shared.draining.load(Ordering::Acquire)
     }
 
-    /// What the daemon says of itself.
+    /// Returns a snapshot of the status.
     pub fn status(&self) -> NodeStatus {
         let shared = &self.shared;
         let (online_running, online_waiting) = shared.gateway.load();
@@ -483,15 +483,15 @@
         }
     }
 
-    /// Leaves: takes no new work, hands batch work and ownership back, waits for running answers. True if
-    /// nothing was cut off.
+    /// Drains the daemon: rejects new work, returns batch items, releases ownership and waits for running
+    /// responses. True if none was aborted.
     pub async fn drain(&self) -> bool {
         let shared = &self.shared;
         shared.draining.store(true, Ordering::Release);
         log::info!("{PREFIX} draining");
         lock(&shared.membership).leave();
-        membership_task::spread_now(shared).await;
-        runner::hand_back_all(shared).await;
+        membership_task::gossip_departure(shared).await;
+        runner::return_all(shared).await;
         ownership::release_all(shared).await;
         let deadline = Instant::now() + shared.settings.drain_timeout;
         while Instant::now() < deadline {
@@ -502,18 +502,18 @@
             }
             sleep(Duration::from_millis(50)).await;
         }
-        log::warn!("{PREFIX} drain timed out with answers in progress");
+        log::warn!("{PREFIX} drain timed out; responses still in progress are aborted");
         false
     }
 }
 
 impl Shared {
-    /// Time since start, microseconds, as replica loads are dated.
+    /// Returns the time since startup in microseconds, the time base of replica loads.
     pub fn now_micros(&self) -> u64 {
         u64::try_from(self.now().as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// Time since start, by the monotonic clock.
+    /// Returns the monotonic time since startup.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
@@ -530,14 +530,14 @@
         draw(&mut lock(&self.random))
     }
 
-    /// Member that should own `key`, by the present view.
+    /// Returns the member that should own `key` by rendezvous hashing over the current view.
     pub fn owner_of(&self, key: &str) -> Option<String> {
         let view = self.view.load();
         let ids = view.staying().map(|member| member.id.as_str());
         harrierward_routing::rendezvous_owner(key, ids).map(str::to_owned)
     }
 
-    /// HTTP address of a member; `None` if it is not in view.
+    /// Returns the HTTP address of a member; `None` if it is not in view.
     pub fn peer_address(&self, member: &str) -> Option<String> {
         let view = self.view.load();
         view.member(member)
--- a/crates/node/src/online_view.rs
+++ b/crates/node/src/online_view.rs
@@ -1,4 +1,4 @@
-//! Online requests in flight at owned replicas, as all gateways tell them.
+//! Online requests in flight at owned replicas, as reported by all gateways.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -8,59 +8,59 @@
 
 use crate::node::lock;
 
-/// A gateway that was not heard of for this long no longer counts.
-const LIFETIME: Duration = Duration::from_secs(3);
+/// Time after which the counts of a gateway that sends no notices are dropped.
+const COUNT_TTL: Duration = Duration::from_secs(3);
 
 /// Online load of one replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OnlineLoad {
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub running: u32,
-    /// Their prompt tokens not yet prefilled.
+    /// Prompt tokens of these requests that are not yet prefilled.
     pub prefill_tokens: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct ReportedLoad {
     load: OnlineLoad,
-    at: Duration,
+    received_at: Duration,
 }
 
-/// Sums what gateways tell.
+/// Online counts by replica and gateway.
 #[derive(Debug, Default)]
 pub struct OnlineView {
-    replicas: Mutex<BTreeMap<String, BTreeMap<String, Told>>>,
+    replicas: Mutex<BTreeMap<String, BTreeMap<String, ReportedLoad>>>,
 }
 
 impl OnlineView {
-    /// Takes a notice.
-    pub fn take(&self, notice: &OnlineNotice, now: Duration) {
+    /// Replaces the counts of the gateway for the replicas that its notice names.
+    pub fn apply(&self, notice: &OnlineNotice, now: Duration) {
         let mut replicas = lock(&self.replicas);
         for count in &notice.counts {
-            let told = Told {
+            let reported = ReportedLoad {
                 load: OnlineLoad {
                     running: count.running,
                     prefill_tokens: count.prefill_tokens,
                 },
-                at: now,
+                received_at: now,
             };
             let gateways = replicas.entry(count.replica.clone()).or_default();
-            gateways.insert(notice.from.clone(), told);
+            gateways.insert(notice.from.clone(), reported);
         }
     }
 
-    /// The replica's online load over all other gateways.
+    /// Returns the online load of a replica, summed over all gateways.
     pub fn load(&self, replica: &str, now: Duration) -> OnlineLoad {
         let mut replicas = lock(&self.replicas);
         let Some(gateways) = replicas.get_mut(replica) else {
             return OnlineLoad::default();
         };
-        gateways.retain(|_, told| now.saturating_sub(told.at) < LIFETIME);
+        gateways.retain(|_, reported| now.saturating_sub(reported.received_at) < COUNT_TTL);
         gateways
             .values()
-            .fold(OnlineLoad::default(), |sum, told| OnlineLoad {
-                running: sum.running + told.load.running,
-                prefill_tokens: sum.prefill_tokens + told.load.prefill_tokens,
+            .fold(OnlineLoad::default(), |sum, reported| OnlineLoad {
+                running: sum.running + reported.load.running,
+                prefill_tokens: sum.prefill_tokens + reported.load.prefill_tokens,
             })
     }
 }
--- a/crates/node/src/ownership.rs
+++ b/crates/node/src/ownership.rs
@@ -1,7 +1,5 @@
-//! Owns shards and replicas: whom the view names takes the ownership row, raising its epoch.
-//!
-//! Why no renewal: safety comes from the epoch alone, so holding costs nothing at the table. Two members may
-//! believe for a while that they own the same thing; the older one's writes and orders are refused.
+//! Ownership of shards and replicas: the member chosen by the view takes over the ownership row and raises its epoch.
+//! Ownership needs no renewal: writes and orders with an older epoch are rejected, so a superseded owner is harmless.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -23,20 +21,19 @@
 
 const PREFIX: &str = "ownership:";
 
-/// Ownership rows read in one call.
-const ROWS_A_CALL: usize = 64;
+const ROWS_PER_CALL: usize = 64;
 
-/// Time to commit finished results before a shard is handed back.
-const FLUSH_LIMIT: Duration = Duration::from_secs(2);
+/// Time to commit finished results before a shard is released.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What is owned.
+/// A resource with exactly one owner by its ownership row.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Asset {
+enum Resource {
     Shard(u32),
     Replica(ReplicaId),
 }
 
-impl Asset {
+impl Resource {
     fn key(&self) -> String {
         match self {
             Self::Shard(shard) => shard_key(*shard),
@@ -51,84 +48,83 @@
     revision: u64,
 }
 
-/// What this member owns, as far as it knows.
+/// What this member owns according to its last successful writes of ownership rows.
 #[derive(Debug, Default)]
 pub(crate) struct Ownership {
-    held: BTreeMap<Asset, Held>,
-    wanted_since: BTreeMap<Asset, Duration>,
-    /// What other members took from this one, while it is not known who did.
-    lost: BTreeSet<Asset>,
-    /// Something was lost, and what else is held has not been compared with the table since.
+    held: BTreeMap<Resource, Held>,
+    wanted_since: BTreeMap<Resource, Duration>,
+    /// Resources that another member took over, until the new owner has been read from the row.
+    lost: BTreeSet<Resource>,
+    /// A resource was lost, and the others have not been compared with the table since.
     must_verify: bool,
-    /// Members that took something from this one live, whatever its view says, and are left alone for a while.
-    rests: Cooldowns,
+    /// Members that took a resource from this one: they are alive even if out of view, so nothing is taken from them.
+    cooldowns: Cooldowns,
 }
 
-/// Patience with a member that took something from this one the first time, in times of the first patience; it doubles each
-/// time.
-const FIRST_REST: u32 = 2;
+/// First cooldown after a member took over a resource, in multiples of the grace period; doubles each time.
+const FIRST_COOLDOWN_FACTOR: u32 = 2;
 
-/// The same at most: longer would keep things from members whose owner has really died.
-const LONGEST_REST: u32 = 32;
+/// Maximum cooldown, in multiples of the grace period; delays the takeover from an owner that has crashed.
+const MAX_COOLDOWN_FACTOR: u32 = 32;
 
-/// How often held ownership rows are read, to find what was lost without noticing.
-const VERIFY_EVERY: Duration = Duration::from_secs(15);
+/// Interval of comparisons of the resources held with the table.
+const VERIFY_INTERVAL: Duration = Duration::from_secs(15);
 
 impl Ownership {
-    /// Replicas owned.
+    /// Returns the replicas that this member owns.
     pub fn replicas(&self) -> Vec<ReplicaId> {
         self.held
             .keys()
-            .filter_map(|asset| match asset {
-                Asset::Replica(replica) => Some(replica.clone()),
-                Asset::Shard(_) => None,
+            .filter_map(|resource| match resource {
+                Resource::Replica(replica) => Some(replica.clone()),
+                Resource::Shard(_) => None,
             })
             .collect()
     }
 }
 
-/// Compares what is owned with what should be, again and again.
+/// Reconciles the resources held with those wanted until the daemon drains.
 pub(crate) async fn run(shared: Arc<Shared>, mut lost_shards: mpsc::UnboundedReceiver<u32>) {
     let mut verified_at = Duration::ZERO;
     let mut wanted = Wanted::default();
     loop {
         while let Ok(shard) = lost_shards.try_recv() {
-            lose(&shared, &Asset::Shard(shard));
+            note_lost(&shared, &Resource::Shard(shard));
         }
         if shared.is_draining() {
             return;
         }
-        wanted.renew(&shared);
-        step(&shared, &wanted.assets).await;
+        wanted.refresh(&shared);
+        step(&shared, &wanted.resources).await;
         let now = shared.now();
         let has_lost = std::mem::take(&mut lock(&shared.ownership).must_verify);
-        if has_lost || now.saturating_sub(verified_at) >= VERIFY_EVERY {
+        if has_lost || now.saturating_sub(verified_at) >= VERIFY_INTERVAL {
             verified_at = now;
             verify(&shared).await;
         }
-        sleep(shared.settings.ownership_every).await;
+        sleep(shared.settings.ownership_interval).await;
     }
 }
 
-/// The assets that this member should own. Ranking all members for each asset is the dearest thing that a daemon
-/// does for control, so it is done only when members or replicas come or go.
+/// Resources that this member should own, cached because rendezvous ranking is expensive; recomputed when members
+/// or replicas change.
 #[derive(Default)]
 struct Wanted {
     fingerprint: Option<u64>,
-    assets: Vec<Asset>,
+    resources: Vec<Resource>,
 }
 
 impl Wanted {
-    fn renew(&mut self, shared: &Arc<Shared>) {
+    fn refresh(&mut self, shared: &Arc<Shared>) {
         let fingerprint = Some(fingerprint(shared));
         if self.fingerprint != fingerprint {
             self.fingerprint = fingerprint;
-            self.assets = wanted_assets(shared);
+            self.resources = compute_wanted(shared);
         }
     }
 }
 
-/// Changes when the members that may own, or the replicas to be owned, change.
+/// Returns a hash of the eligible members and of the replicas with their state.
 fn fingerprint(shared: &Arc<Shared>) -> u64 {
     let mut hasher = Xxh3::new();
     for member in shared.view.load().staying() {
@@ -142,55 +138,58 @@
     hasher.digest()
 }
 
-fn wanted_assets(shared: &Arc<Shared>) -> Vec<Asset> {
+fn compute_wanted(shared: &Arc<Shared>) -> Vec<Resource> {
     let member = &shared.identity.member;
-    let is_own = |asset: &Asset| shared.owner_of(&asset.key()).as_ref() == Some(member);
-    let shards = (0..shared.settings.shards).map(Asset::Shard);
+    let is_own = |resource: &Resource| shared.owner_of(&resource.key()).as_ref() == Some(member);
+    let shards = (0..shared.settings.shards).map(Resource::Shard);
     let directory = shared.directory.load();
     let replicas = directory
         .replicas
         .values()
         .filter(|replica| replica.machine.state == MachineState::Live)
-        .map(|replica| Asset::Replica(replica.machine.replica.clone()));
+        .map(|replica| Resource::Replica(replica.machine.replica.clone()));
     shards.chain(replicas).filter(is_own).collect()
 }
 
-async fn step(shared: &Arc<Shared>, wanted: &[Asset]) {
+async fn step(shared: &Arc<Shared>, wanted: &[Resource]) {
     let now = shared.now();
-    let (to_take, to_release) = {
+    let (to_take_over, to_release) = {
         let mut ownership = lock(&shared.ownership);
         ownership
             .wanted_since
-            .retain(|asset, _| wanted.contains(asset));
-        ownership.lost.retain(|asset| wanted.contains(asset));
-        let longest = shared.settings.ownership_patience * LONGEST_REST;
-        ownership.rests.expire(longest, now);
-        for asset in wanted {
-            ownership.wanted_since.entry(asset.clone()).or_insert(now);
+            .retain(|resource, _| wanted.contains(resource));
+        ownership.lost.retain(|resource| wanted.contains(resource));
+        let max_cooldown = shared.settings.takeover_grace_period * MAX_COOLDOWN_FACTOR;
+        ownership.cooldowns.expire(max_cooldown, now);
+        for resource in wanted {
+            ownership
+                .wanted_since
+                .entry(resource.clone())
+                .or_insert(now);
         }
-        let to_take: Vec<Asset> = wanted
+        let to_take_over: Vec<Resource> = wanted
             .iter()
-            .filter(|asset| !ownership.held.contains_key(asset))
+            .filter(|resource| !ownership.held.contains_key(resource))
             .cloned()
             .collect();
-        let to_release: Vec<Asset> = ownership
+        let to_release: Vec<Resource> = ownership
             .held
             .keys()
-            .filter(|asset| !wanted.contains(asset))
+            .filter(|resource| !wanted.contains(resource))
             .cloned()
             .collect();
-        (to_take, to_release)
+        (to_take_over, to_release)
     };
-    for asset in to_release {
-        release(shared, &asset).await;
+    for resource in to_release {
+        release(shared, &resource).await;
     }
-    for group in to_take.chunks(ROWS_A_CALL) {
-        take_group(shared, group, now).await;
+    for batch in to_take_over.chunks(ROWS_PER_CALL) {
+        take_over_batch(shared, batch, now).await;
     }
 }
 
-async fn take_group(shared: &Arc<Shared>, assets: &[Asset], now: Duration) {
-    let keys: Vec<String> = assets.iter().map(Asset::key).collect();
+async fn take_over_batch(shared: &Arc<Shared>, resources: &[Resource], now: Duration) {
+    let keys: Vec<String> = resources.iter().map(Resource::key).collect();
     let rows = match shared.table.get(RequestClass::Urgent, &keys).await {
         Ok(rows) => rows,
         Err(error) => {
@@ -198,40 +197,50 @@
             return;
         }
     };
-    let takes = assets
+    let takeovers = resources
         .iter()
         .zip(rows)
-        .filter(|(asset, row)| may_take(shared, asset, row.as_ref(), now))
-        .map(|(asset, row)| take(shared, asset, row));
-    futures::future::join_all(takes).await;
+        .filter(|(resource, row)| may_take_over(shared, resource, row.as_ref(), now))
+        .map(|(resource, row)| take_over(shared, resource, row));
+    futures::future::join_all(takeovers).await;
 }
 
-/// A live owner is given time to hand back; one out of view only if it has lately taken something from this member.
-fn may_take(shared: &Arc<Shared>, asset: &Asset, row: Option<&Row>, now: Duration) -> bool {
+/// True unless the present owner is in view and within its grace period, or in cooldown after a takeover.
+fn may_take_over(
+    shared: &Arc<Shared>,
+    resource: &Resource,
+    row: Option<&Row>,
+    now: Duration,
+) -> bool {
     let owner = row
         .and_then(|row| decode::<OwnershipRow>(&row.value))
         .unwrap_or_default()
         .owner;
-    let first = shared.settings.ownership_patience;
+    let grace_period = shared.settings.takeover_grace_period;
     let mut ownership = lock(&shared.ownership);
-    let was_lost = ownership.lost.remove(asset);
+    let was_lost = ownership.lost.remove(resource);
     if owner.is_empty() || owner == shared.identity.member {
         return true;
     }
-    let longest = first * LONGEST_REST;
+    let max_cooldown = grace_period * MAX_COOLDOWN_FACTOR;
     if was_lost {
-        let rests = &mut ownership.rests;
-        rests.start(&owner, first * FIRST_REST, longest, now);
+        let cooldowns = &mut ownership.cooldowns;
+        cooldowns.start(
+            &owner,
+            grace_period * FIRST_COOLDOWN_FACTOR,
+            max_cooldown,
+            now,
+        );
     }
-    if now < ownership.rests.until(&owner) {
+    if now < ownership.cooldowns.until(&owner) {
         return false;
     }
     let is_in_view = shared.view.load().member(&owner).is_some();
-    let since = ownership.wanted_since.get(asset).copied().unwrap_or(now);
-    !is_in_view || now.saturating_sub(since) >= first
+    let since = ownership.wanted_since.get(resource).copied().unwrap_or(now);
+    !is_in_view || now.saturating_sub(since) >= grace_period
 }
 
-async fn take(shared: &Arc<Shared>, asset: &Asset, row: Option<Row>) {
+async fn take_over(shared: &Arc<Shared>, resource: &Resource, row: Option<Row>) {
     let old = row
         .as_ref()
         .and_then(|row| decode::<OwnershipRow>(&row.value))
@@ -240,11 +249,11 @@
         owner: shared.identity.member.clone(),
         epoch: old.epoch + 1,
     };
-    let key = asset.key();
+    let key = resource.key();
     let transaction = Transaction::default()
         .require(Condition::unchanged(&key, row.as_ref()))
         .put(key, encode(&new));
-    // After a lost answer the next round finds the row with this member as its owner, and takes it once more.
+    // If the response is lost, the next round reads this member as the owner and takes the row over again.
     match shared
         .table
         .transact(RequestClass::Urgent, transaction)
@@ -255,19 +264,19 @@
                 epoch: new.epoch,
                 revision,
             };
-            adopt(shared, asset, held).await;
+            adopt(shared, resource, held).await;
         }
         Ok(TransactionOutcome::Conflict { .. }) => {}
-        Err(error) => log::debug!("{PREFIX} cannot take {asset:?}: {error}"),
+        Err(error) => log::debug!("{PREFIX} cannot take_over {resource:?}: {error}"),
     }
 }
 
-async fn adopt(shared: &Arc<Shared>, asset: &Asset, held: Held) {
-    log::debug!("{PREFIX} took {asset:?} at epoch {}", held.epoch);
-    lock(&shared.ownership).held.insert(asset.clone(), held);
-    match asset {
-        Asset::Shard(shard) => shared.owner.take_shard(*shard, held.epoch, held.revision),
-        Asset::Replica(id) => {
+async fn adopt(shared: &Arc<Shared>, resource: &Resource, held: Held) {
+    log::debug!("{PREFIX} took over {resource:?} at epoch {}", held.epoch);
+    lock(&shared.ownership).held.insert(resource.clone(), held);
+    match resource {
+        Resource::Shard(shard) => shared.owner.take_shard(*shard, held.epoch, held.revision),
+        Resource::Replica(id) => {
             let replica = shared.directory.load().replicas.get(id).cloned();
             if let Some(replica) = replica {
                 fence(shared, &replica, held.epoch).await;
@@ -276,7 +285,7 @@
     }
 }
 
-/// Shuts earlier owners out at the engine before this one sends it batch work.
+/// Fences earlier owners off at the engine before this one sends it batch work.
 async fn fence(shared: &Arc<Shared>, replica: &Arc<Replica>, epoch: u64) {
     let order = EngineOrder {
         epoch,
@@ -288,73 +297,73 @@
     lock(&shared.runner).add_replica(replica.clone(), epoch);
 }
 
-fn forget(shared: &Arc<Shared>, asset: &Asset) {
-    lock(&shared.ownership).held.remove(asset);
-    match asset {
-        Asset::Shard(shard) => shared.owner.drop_shard(*shard),
-        Asset::Replica(id) => lock(&shared.runner).remove_replica(&id.0),
+fn remove_held(shared: &Arc<Shared>, resource: &Resource) {
+    lock(&shared.ownership).held.remove(resource);
+    match resource {
+        Resource::Shard(shard) => shared.owner.drop_shard(*shard),
+        Resource::Replica(id) => lock(&shared.runner).remove_replica(&id.0),
     }
 }
 
-/// Another member has taken the asset over. One takeover is one loss, however many writes and orders it refuses.
-fn lose(shared: &Arc<Shared>, asset: &Asset) {
+/// Handles a takeover by another member; later rejected writes and orders of the same epoch change nothing.
+fn note_lost(shared: &Arc<Shared>, resource: &Resource) {
     let now = shared.now();
     {
         let mut ownership = lock(&shared.ownership);
-        if !ownership.held.contains_key(asset) {
+        if !ownership.held.contains_key(resource) {
             return;
         }
-        ownership.lost.insert(asset.clone());
-        ownership.wanted_since.insert(asset.clone(), now);
+        ownership.lost.insert(resource.clone());
+        ownership.wanted_since.insert(resource.clone(), now);
         ownership.must_verify = true;
     }
-    forget(shared, asset);
+    remove_held(shared, resource);
 }
 
-/// The engine refused this member's epoch: another owns the replica, unless this member has taken it again since.
+/// Handles an epoch rejected by the engine; ignored if this member has taken the replica over again since.
 pub(crate) fn replica_lost(shared: &Arc<Shared>, replica: &ReplicaId, epoch: u64) {
-    let asset = Asset::Replica(replica.clone());
-    let held = lock(&shared.ownership).held.get(&asset).copied();
+    let resource = Resource::Replica(replica.clone());
+    let held = lock(&shared.ownership).held.get(&resource).copied();
     if held.is_some_and(|held| held.epoch == epoch) {
-        lose(shared, &asset);
+        note_lost(shared, &resource);
     }
 }
 
-/// Compares what this member believes to hold with the table. An owner that has nothing to commit would
-/// otherwise never notice that it was taken over. After a loss it is done at once: who took one thing took others, and parts
-/// of a fleet that take all things in the same turns can work, which those that hold shards without replicas cannot.
+/// Compares the resources held with the table: an owner that commits nothing gets no rejected write after a takeover.
+/// Runs immediately after a loss, because a member usually takes over several resources at once.
 async fn verify(shared: &Arc<Shared>) {
-    let held: Vec<(Asset, Held)> = {
+    let held: Vec<(Resource, Held)> = {
         let ownership = lock(&shared.ownership);
         let held = ownership.held.iter();
-        held.map(|(asset, held)| (asset.clone(), *held)).collect()
+        held.map(|(resource, held)| (resource.clone(), *held))
+            .collect()
     };
-    for group in held.chunks(ROWS_A_CALL) {
-        let keys: Vec<String> = group.iter().map(|(asset, _)| asset.key()).collect();
+    for batch in held.chunks(ROWS_PER_CALL) {
+        let keys: Vec<String> = batch.iter().map(|(resource, _)| resource.key()).collect();
         let Ok(rows) = shared.table.get(RequestClass::Listing, &keys).await else {
             return;
         };
-        for ((asset, held), row) in group.iter().zip(rows) {
+        for ((resource, held), row) in batch.iter().zip(rows) {
             if row.is_none_or(|row| row.revision != held.revision) {
-                lose(shared, asset);
+                note_lost(shared, resource);
             }
         }
     }
 }
 
-/// Hands an asset back, so that the next owner need not wait.
-async fn release(shared: &Arc<Shared>, asset: &Asset) {
-    if let Asset::Shard(shard) = asset {
-        shared.owner.flush_shard(*shard, FLUSH_LIMIT).await;
+/// Releases a resource, so that the next owner need not wait for the grace period.
+async fn release(shared: &Arc<Shared>, resource: &Resource) {
+    if let Resource::Shard(shard) = resource {
+        shared.owner.flush_shard(*shard, FLUSH_TIMEOUT).await;
     }
-    let held = lock(&shared.ownership).held.get(asset).copied();
-    forget(shared, asset);
+    let held = lock(&shared.ownership).held.get(resource).copied();
+    remove_held(shared, resource);
     let Some(held) = held else { return };
     let row = OwnershipRow {
         owner: String::new(),
         epoch: held.epoch,
     };
-    let key = asset.key();
+    let key = resource.key();
     let transaction = Transaction::default()
         .require(Condition::AtRevision {
             key: key.clone(),
@@ -366,13 +375,13 @@
         .transact(RequestClass::Urgent, transaction)
         .await
     {
-        log::debug!("{PREFIX} cannot hand back {asset:?}: {error}");
+        log::debug!("{PREFIX} cannot release {resource:?}: {error}");
     }
 }
 
-/// Hands everything back.
+/// Releases all resources held.
 pub(crate) async fn release_all(shared: &Arc<Shared>) {
-    let assets: Vec<Asset> = lock(&shared.ownership).held.keys().cloned().collect();
-    let releases = assets.iter().map(|asset| release(shared, asset));
+    let resources: Vec<Resource> = lock(&shared.ownership).held.keys().cloned().collect();
+    let releases = resources.iter().map(|resource| release(shared, resource));
     futures::future::join_all(releases).await;
 }
--- a/crates/node/src/peer_service.rs
+++ b/crates/node/src/peer_service.rs
@@ -1,4 +1,4 @@
-//! Answers peers, and tells them of accepted jobs.
+//! Handles requests of peers and announces accepted jobs to shard owners.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 use crate::cancel_task;
 use crate::node::{Shared, lock};
 
-/// Wait for a peer to take note of a job.
+/// Timeout of a job notice.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(700);
 
 pub(crate) async fn serve(shared: &Arc<Shared>, request: PeerRequest) -> PeerReply {
     let kind = match request.kind {
         Some(peer_request::Kind::Pull(pull)) => {
-            // An owner that may have missed a cancel grants nothing.
-            let assured = lock(&shared.assurance).holds(shared.now());
-            let reply = if shared.is_draining() || !assured {
+            // An owner that may have missed a cancellation grants no items.
+            let is_fresh = lock(&shared.cancel_freshness).is_fresh(shared.now());
+            let reply = if shared.is_draining() || !is_fresh {
                 PullReply::default()
             } else {
                 shared.owner.pull(&pull)
@@ -46,7 +46,7 @@
     PeerReply { kind: Some(kind) }
 }
 
-/// Tells the shard's owner of a new job. If the notice is lost, the owner finds the job in the table later.
+/// Notifies the owner of the shard of a new job; if the notice is lost, the owner discovers the job in the table.
 pub(crate) async fn announce_job(shared: &Arc<Shared>, tenant: &str, job_id: &str, shard: u32) {
     let notice = JobNotice {
         tenant: tenant.to_owned(),
--- a/crates/node/src/roster_task.rs
+++ b/crates/node/src/roster_task.rs
@@ -1,8 +1,5 @@
-//! The roster: each daemon writes a row of itself at its start, so that daemons whose seeds have all gone, or that
-//! were cut off while others came, find each other again.
-//!
-//! Why so few reads: gossip spreads whom one member finds, so only the pollers of a zone, and whoever is alone,
-//! read the roster. Rows of members that died are removed by one of their finders.
+//! Member discovery through the table: each daemon writes a row at startup, so that members find each other without
+//! seeds or after a partition. Only pollers and isolated members read the rows; gossip spreads what they find.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,14 +15,14 @@
 const PREFIX: &str = "roster:";
 const ROW_PREFIX: &str = "member/";
 
-/// How often the roster is read, and how often by a member that is alone.
-const READ_EVERY: Duration = Duration::from_secs(30);
-const READ_ALONE_EVERY: Duration = Duration::from_secs(5);
+/// Interval at which pollers, and members is_isolated in their view, read the roster.
+const READ_INTERVAL: Duration = Duration::from_secs(30);
+const ISOLATED_READ_INTERVAL: Duration = Duration::from_secs(5);
 const TICK: Duration = Duration::from_secs(1);
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 
-/// Time for which a member must be dead before its row is removed.
-const REMOVE_AFTER: Duration = Duration::from_secs(120);
+/// How long a member must be dead before its row is removed.
+const DEAD_ROW_RETENTION: Duration = Duration::from_secs(120);
 
 fn row_key(member: &str) -> String {
     format!("{ROW_PREFIX}{member}")
@@ -33,17 +30,21 @@
 
 pub(crate) async fn run(shared: Arc<Shared>) {
     while let Err(error) = register(&shared).await {
-        log::debug!("{PREFIX} cannot write the own row yet: {error}");
+        log::debug!("{PREFIX} cannot write the row of this member, will retry: {error}");
         sleep(TICK).await;
     }
     let mut read_at = Duration::ZERO;
     while !shared.is_draining() {
         sleep(TICK).await;
-        let alone = shared.view.load().members.len() <= 1;
-        let every = if alone { READ_ALONE_EVERY } else { READ_EVERY };
+        let is_isolated = shared.view.load().members.len() <= 1;
+        let interval = if is_isolated {
+            ISOLATED_READ_INTERVAL
+        } else {
+            READ_INTERVAL
+        };
         let now = shared.now();
-        let chosen = alone || is_poller(&shared);
-        if chosen && now.saturating_sub(read_at) >= every {
+        let is_reader = is_isolated || is_poller(&shared);
+        if is_reader && now.saturating_sub(read_at) >= interval {
             read_at = now;
             if let Err(error) = read(&shared).await {
                 log::debug!("{PREFIX} cannot read the roster: {error}");
@@ -61,37 +62,37 @@
     Ok(())
 }
 
-/// Asks members that are not known yet for their view, which tells them of this member in turn.
+/// Joins members that are not in the view, and removes the rows of dead ones.
 async fn read(shared: &Arc<Shared>) -> Result<(), PlatformError> {
     let mut after = String::new();
-    let mut strangers = Vec::new();
+    let mut unknown_addresses = Vec::new();
     loop {
         let rows = shared
             .table
-            .scan(RequestClass::Listing, ROW_PREFIX, &after, PAGE)
+            .scan(RequestClass::Listing, ROW_PREFIX, &after, PAGE_SIZE)
             .await?;
         for row in &rows {
             let record: MemberRecord = decode(&row.value).unwrap_or_default();
             let state = lock(&shared.membership).state(&record.id);
             match state {
-                None => strangers.push(record.udp_address),
-                Some(MemberState::Dead) => remove_if_gone(shared, &record.id).await,
+                None => unknown_addresses.push(record.udp_address),
+                Some(MemberState::Dead) => remove_if_dead(shared, &record.id).await,
                 Some(_) => {}
             }
         }
         match rows.last() {
-            Some(last) if rows.len() == PAGE => after = last.key.clone(),
+            Some(last) if rows.len() == PAGE_SIZE => after = last.key.clone(),
             _ => break,
         }
     }
-    membership_task::join(shared, &strangers).await;
+    membership_task::join(shared, &unknown_addresses).await;
     Ok(())
 }
 
-async fn remove_if_gone(shared: &Arc<Shared>, member: &str) {
+async fn remove_if_dead(shared: &Arc<Shared>, member: &str) {
     let now = shared.now();
     let dead_for = lock(&shared.membership).state_age(member, now);
-    if dead_for.is_some_and(|age| age >= REMOVE_AFTER) {
+    if dead_for.is_some_and(|age| age >= DEAD_ROW_RETENTION) {
         let remove = Transaction::default().delete(row_key(member));
         let _ = shared.table.transact(RequestClass::Listing, remove).await;
     }
--- a/crates/node/src/runner/mod.rs
+++ b/crates/node/src/runner/mod.rs
@@ -1,6 +1,5 @@
-//! Runs batch items on owned replicas within their slot budgets: pulls, starts, yields, returns results.
-//!
-//! Nothing here waits for the store: pulls go to shard owners over the network, and a yield is local.
+//! Runs batch items on owned replicas within their slot budgets. No step waits for the store: items are pulled
+//! from shard owners, and preemption is local.
 
 mod pulls;
 mod returns;
@@ -20,16 +19,16 @@
 
 use crate::batch_item::ItemOutcome;
 
-pub(crate) use returns::{hand_back_all, run_results};
+pub(crate) use returns::{return_all, run_results};
 pub(crate) use slots::run_slots;
 
-/// Wait for a peer.
+/// Timeout of a call to a shard owner.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a cancelled job is remembered, so that a late grant of it is not started.
-const CANCEL_MEMORY: Duration = Duration::from_secs(120);
+/// How long cancelled jobs are remembered, so that a delayed grant of one is not started.
+const CANCEL_RETENTION: Duration = Duration::from_secs(120);
 
-/// Tokens generated so far by an item.
+/// Number of tokens generated so far for an item.
 #[derive(Debug, Default)]
 pub(crate) struct Progress {
     tokens: AtomicU32,
@@ -41,7 +40,7 @@
     }
 }
 
-/// An item being run.
+/// Everything needed to run one granted item on a replica.
 #[derive(Clone)]
 pub(crate) struct ItemTask {
     pub grant: Grant,
@@ -53,13 +52,13 @@
     pub stop: Arc<Notify>,
 }
 
-/// What becomes of an item that was told to stop.
+/// Why a running item was stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StopReason {
-    /// Online needs the slot: hand back.
-    Yield,
-    /// Its job is cancelled, or somebody else has it: forget.
-    Forget,
+    /// The slot is needed for online requests, or the replica is lost: the item is returned to its shard owner.
+    Preempt,
+    /// The job is cancelled or the item is granted to another member: its outcome is discarded.
+    Discard,
 }
 
 struct RunningTask {
@@ -67,9 +66,9 @@
     stopping: Option<StopReason>,
 }
 
-/// The last word of a replica.
+/// The last load report of a replica.
 #[derive(Debug, Clone, Copy)]
-struct ReplicaWord {
+struct LoadSnapshot {
     load: EngineLoad,
     unavailable: bool,
     as_of: Duration,
@@ -80,7 +79,7 @@
     epoch: u64,
     budget: SlotBudget,
     removed: bool,
-    report: Option<ReplicaWord>,
+    report: Option<LoadSnapshot>,
     running: BTreeMap<String, RunningTask>,
 }
 
@@ -95,14 +94,14 @@
     paused_until: Duration,
 }
 
-/// Batch work of one daemon's replicas.
+/// Batch work on the replicas that this daemon owns.
 pub(crate) struct Runner {
     slots: SlotSettings,
     replicas: BTreeMap<String, ReplicaWork>,
     queues: BTreeMap<String, VecDeque<QueuedGrant>>,
     pulls: BTreeMap<String, PullState>,
     results: Vec<ItemResult>,
-    hand_backs: Vec<HandBack>,
+    returned_items: Vec<HandBack>,
     cancelled: BTreeMap<String, Duration>,
     renewed_at: Duration,
 }
@@ -115,7 +114,7 @@
     }
 }
 
-fn hand_back(grant: &Grant, may_have_run: bool) -> HandBack {
+fn returned_item(grant: &Grant, may_have_run: bool) -> HandBack {
     HandBack {
         item: Some(running_item(grant)),
         shard: grant.shard,
@@ -131,7 +130,7 @@
             queues: BTreeMap::new(),
             pulls: BTreeMap::new(),
             results: Vec::new(),
-            hand_backs: Vec::new(),
+            returned_items: Vec::new(),
             cancelled: BTreeMap::new(),
             renewed_at: Duration::ZERO,
         }
@@ -151,13 +150,13 @@
         work.removed = false;
     }
 
-    /// Stops using a replica; its items are handed back.
+    /// Stops using a replica; its items are returned.
     pub fn remove_replica(&mut self, name: &str) {
         let Some(work) = self.replicas.get_mut(name) else {
             return;
         };
         for running in work.running.values_mut() {
-            running.stop(StopReason::Yield);
+            running.stop(StopReason::Preempt);
         }
         work.removed = true;
         if work.running.is_empty() {
@@ -165,10 +164,10 @@
         }
     }
 
-    /// Takes a replica's load, true at `as_of`.
+    /// Records the load of a replica, measured at `as_of`.
     pub fn set_report(&mut self, name: &str, load: EngineLoad, unavailable: bool, as_of: Duration) {
         if let Some(work) = self.replicas.get_mut(name) {
-            work.report = Some(ReplicaWord {
+            work.report = Some(LoadSnapshot {
                 load,
                 unavailable,
                 as_of,
@@ -176,12 +175,12 @@
         }
     }
 
-    /// Report of a replica for a gateway.
+    /// Returns the load report of a replica for a gateway; `None` before the first load.
     pub fn report(&self, name: &str, now: Duration) -> Option<ReplicaReport> {
         let work = self.replicas.get(name)?;
-        let word = work.report?;
-        let load = word.load;
-        let age = now.saturating_sub(word.as_of).as_millis();
+        let report = work.report?;
+        let load = report.load;
+        let age = now.saturating_sub(report.as_of).as_millis();
         Some(ReplicaReport {
             replica: name.to_owned(),
             running_online: load.running_online,
@@ -189,7 +188,7 @@
             waiting_online: load.waiting_online,
             waiting_prompt_tokens: load.waiting_prompt_tokens,
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
-            unavailable: word.unavailable,
+            unavailable: report.unavailable,
         })
     }
 
@@ -201,16 +200,16 @@
         self.replicas.values().map(|work| work.running.len()).sum()
     }
 
-    /// True if no result and no handed back item waits to be taken.
-    fn has_returned_all(&self) -> bool {
-        self.results.is_empty() && self.hand_backs.is_empty()
+    /// True if no results or returned items remain to be sent.
+    fn is_all_sent(&self) -> bool {
+        self.results.is_empty() && self.returned_items.is_empty()
     }
 
-    /// Stops everything of a cancelled job; how many items ran.
+    /// Stops all items of a cancelled job and returns how many were running.
     pub fn cancel_job(&mut self, job_id: &str, now: Duration) -> usize {
         self.cancelled.insert(job_id.to_owned(), now);
         self.cancelled
-            .retain(|_, at| now.saturating_sub(*at) < CANCEL_MEMORY);
+            .retain(|_, at| now.saturating_sub(*at) < CANCEL_RETENTION);
         for queue in self.queues.values_mut() {
             queue.retain(|queued| queued.grant.job_id != job_id);
         }
@@ -218,7 +217,7 @@
         let mut stopped = 0;
         for running in self.running_mut() {
             if running.task.grant.job_id == job_id {
-                running.stop(StopReason::Forget);
+                running.stop(StopReason::Discard);
                 stopped += 1;
             }
         }
@@ -231,19 +230,19 @@
             .flat_map(|work| work.running.values_mut())
     }
 
-    /// Stops items that their shard owner no longer wants run here.
+    /// Stops items whose grants the shard owner has revoked.
     fn stop_items(&mut self, items: &[RunningItem]) {
         for queue in self.queues.values_mut() {
             queue.retain(|queued| !items.contains(&running_item(&queued.grant)));
         }
         for running in self.running_mut() {
             if items.contains(&running_item(&running.task.grant)) {
-                running.stop(StopReason::Forget);
+                running.stop(StopReason::Discard);
             }
         }
     }
 
-    /// Tenants of the jobs of which items are held.
+    /// Maps each job with queued or running items to its tenant.
     pub fn job_tenants(&self) -> BTreeMap<String, String> {
         let queued = self.queues.values().flatten().map(|queued| &queued.grant);
         let works = self.replicas.values();
@@ -255,7 +254,7 @@
             .collect()
     }
 
-    /// Items held, by shard.
+    /// Returns the items to renew, by shard: queued, running, and finished with an unsent result.
     fn held(&self) -> BTreeMap<u32, Vec<RunningItem>> {
         let mut held: BTreeMap<u32, Vec<RunningItem>> = BTreeMap::new();
         let queued = self.queues.values().flatten().map(|queued| &queued.grant);
@@ -283,15 +282,15 @@
         held
     }
 
-    /// Takes an item's end.
-    fn ended(&mut self, task: &ItemTask, outcome: &ItemOutcome) {
+    /// Records the outcome of an item and frees its slot.
+    fn note_outcome(&mut self, task: &ItemTask, outcome: &ItemOutcome) {
         let name = &task.replica.machine.replica.0;
         let mut stopping = None;
         if let Some(work) = self.replicas.get_mut(name) {
             let running = work.running.remove(&task.request_id);
             stopping = running.and_then(|running| running.stopping);
         }
-        if stopping == Some(StopReason::Forget) {
+        if stopping == Some(StopReason::Discard) {
             return;
         }
         match outcome {
@@ -303,23 +302,24 @@
                 line: line.clone(),
                 failed: *failed,
             }),
-            ItemOutcome::HandBack { may_have_run } => {
-                self.hand_backs.push(hand_back(&task.grant, *may_have_run));
+            ItemOutcome::Returned { may_have_run } => {
+                self.returned_items
+                    .push(returned_item(&task.grant, *may_have_run));
             }
-            ItemOutcome::Fenced => self.hand_backs.push(hand_back(&task.grant, false)),
-            ItemOutcome::Stopped => self.hand_backs.push(hand_back(&task.grant, true)),
+            ItemOutcome::Fenced => self.returned_items.push(returned_item(&task.grant, false)),
+            ItemOutcome::Stopped => self.returned_items.push(returned_item(&task.grant, true)),
         }
     }
 }
 
-/// A replica whose availability was not confirmed for this long gets nothing new.
-const CONFIRMATION_LIFETIME: Duration = Duration::from_micros(CONFIRMATION_TTL_MICROS);
+/// A replica without a load report for this long gets no new items.
+const CONFIRMATION_TTL: Duration = Duration::from_micros(CONFIRMATION_TTL_MICROS);
 
 impl ReplicaWork {
     /// True if new items may be started on the replica.
     fn is_usable(&self, now: Duration) -> bool {
-        let confirmed = self.report.is_some_and(|word| {
-            !word.unavailable && now.saturating_sub(word.as_of) <= CONFIRMATION_LIFETIME
+        let confirmed = self.report.is_some_and(|report| {
+            !report.unavailable && now.saturating_sub(report.as_of) <= CONFIRMATION_TTL
         });
         confirmed && !self.removed
     }
@@ -327,13 +327,13 @@
 
 impl RunningTask {
     fn stop(&mut self, reason: StopReason) {
-        if self.stopping.is_none() || reason == StopReason::Forget {
+        if self.stopping.is_none() || reason == StopReason::Discard {
             self.stopping = Some(reason);
             self.task.stop.notify_one();
         }
     }
 
-    fn as_victim(&self) -> RunningBatchItem {
+    fn to_candidate(&self) -> RunningBatchItem {
         let generated = self.task.progress.tokens.load(Ordering::Relaxed);
         RunningBatchItem {
             request_id: self.task.request_id.clone(),
--- a/crates/node/src/runner/pulls.rs
+++ b/crates/node/src/runner/pulls.rs
@@ -1,4 +1,4 @@
-//! Pulls of items from shard owners, and the renewal of what is held.
+//! Pulls items from shard owners and renews the grants held.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -14,53 +14,51 @@
 use super::{PEER_TIMEOUT, QueuedGrant};
 use crate::node::{Shared, lock};
 
-/// Items pulled ahead of free slots, for each service.
+/// Items pulled beyond the free slots of a service.
 const PULL_AHEAD: usize = 8;
 
-/// Most items of one pull.
-const MOST_PULLED: usize = 64;
+const MAX_PULLED_ITEMS: usize = 64;
 
-/// How often grants are renewed at their shard owners.
-const RENEW_EVERY: Duration = Duration::from_secs(3);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Pause of pulls for a service after an empty one.
+/// Pause after a pull that returned no items.
 const EMPTY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Results waiting to be taken above which nothing more is pulled.
-const MOST_WAITING_RESULTS: usize = 20_000;
+/// Pulls stop while more results than this wait to be sent.
+const MAX_PENDING_RESULTS: usize = 20_000;
 
-/// Starts a pull for each service with room.
+/// Starts a pull for each service with free capacity.
 pub(super) fn start_pulls(shared: &Arc<Shared>) {
     let now = shared.now();
     let plan = shared.plan.load();
-    let mut wanted: Vec<(String, usize)> = Vec::new();
+    let mut pulls: Vec<(String, usize)> = Vec::new();
     {
         let mut runner = lock(&shared.runner);
-        if runner.results.len() > MOST_WAITING_RESULTS {
+        if runner.results.len() > MAX_PENDING_RESULTS {
             return;
         }
-        let mut room: BTreeMap<String, usize> = BTreeMap::new();
+        let mut free_slots: BTreeMap<String, usize> = BTreeMap::new();
         for work in runner.replicas.values_mut() {
             let service = work.replica.machine.service.clone();
             let limit = work.budget.limit(now) as usize;
             let free = limit.saturating_sub(work.running.len());
             if work.is_usable(now) {
-                *room.entry(service).or_default() += free;
+                *free_slots.entry(service).or_default() += free;
             }
         }
-        for (service, free) in room {
+        for (service, free) in free_slots {
             let queued = runner.queues.get(&service).map_or(0, VecDeque::len);
             let target = if free > 0 { free + PULL_AHEAD } else { 0 };
-            let slots = target.saturating_sub(queued).min(MOST_PULLED);
+            let slots = target.saturating_sub(queued).min(MAX_PULLED_ITEMS);
             let pull = runner.pulls.entry(service.clone()).or_default();
             if slots == 0 || pull.in_flight || now < pull.paused_until {
                 continue;
             }
             pull.in_flight = true;
-            wanted.push((service, slots));
+            pulls.push((service, slots));
         }
     }
-    for (service, slots) in wanted {
+    for (service, slots) in pulls {
         let tenants = plan
             .services
             .get(&service)
@@ -71,13 +69,13 @@
     }
 }
 
-/// The member to pull from: this one if it has work, else one that advertises some.
+/// Chooses the member to pull from: this one if it has a backlog, else a random one that advertises one.
 fn choose_source(shared: &Arc<Shared>, service: &str) -> Option<String> {
     if shared.owner.backlog().contains_key(service) {
         return Some(shared.identity.member.clone());
     }
     let view = shared.view.load();
-    let offering: Vec<&str> = view
+    let candidates: Vec<&str> = view
         .members
         .iter()
         .filter(|member| member.id != shared.identity.member)
@@ -89,16 +87,16 @@
         })
         .map(|member| member.id.as_str())
         .collect();
-    if offering.is_empty() {
+    if candidates.is_empty() {
         return None;
     }
-    let index = shared.with_random(|random| random.random_range(0..offering.len()));
-    Some(offering[index].to_owned())
+    let index = shared.with_random(|random| random.random_range(0..candidates.len()));
+    Some(candidates[index].to_owned())
 }
 
 async fn pull(shared: &Arc<Shared>, service: &str, slots: usize, tenants: Vec<String>) {
     let reply = match choose_source(shared, service) {
-        // Without a plan nobody's items may run.
+        // Without a capacity plan no tenant may run items.
         Some(source) if !tenants.is_empty() => {
             let request = PullRequest {
                 member: shared.identity.member.clone(),
@@ -143,12 +141,12 @@
     }
 }
 
-/// Renews held grants at the owners of their shards.
+/// Renews the grants held at the owners of their shards.
 pub(super) fn renew(shared: &Arc<Shared>) {
     let now = shared.now();
     let held = {
         let mut runner = lock(&shared.runner);
-        if now.saturating_sub(runner.renewed_at) < RENEW_EVERY {
+        if now.saturating_sub(runner.renewed_at) < RENEWAL_INTERVAL {
             return;
         }
         runner.renewed_at = now;
--- a/crates/node/src/runner/returns.rs
+++ b/crates/node/src/runner/returns.rs
@@ -1,4 +1,4 @@
-//! The way back: results and items handed back go to the owners of their shards.
+//! Sends results and returned items to the owners of their shards.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,60 +8,59 @@
 use harrierward_wire::{ItemResult, PeerRequest, ResultsRequest, peer_reply, peer_request};
 use tokio::time::{sleep, timeout};
 
-use super::{PEER_TIMEOUT, QueuedGrant, StopReason, hand_back};
+use super::{PEER_TIMEOUT, QueuedGrant, StopReason, returned_item};
 use crate::node::{Shared, lock};
 
-/// How often results are sent.
-const RESULT_TICK: Duration = Duration::from_millis(50);
+const SEND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Most results in one message.
-const RESULTS_A_MESSAGE: usize = 256;
+/// Target size of a message; a round sends up to eight times as many results to all owners.
+const RESULTS_PER_MESSAGE: usize = 256;
 
-/// Time for running items to finish when the daemon leaves.
-const LEAVE_WAIT: Duration = Duration::from_secs(10);
+/// Time for running items to finish when the daemon drains.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Returns results and hands items back, until their shards' owners have taken them.
+/// Sends results and returned items; results are resent until a shard owner accepts them.
 pub(crate) async fn run_results(shared: Arc<Shared>) {
     loop {
         send_results(&shared).await;
-        sleep(RESULT_TICK).await;
+        sleep(SEND_INTERVAL).await;
     }
 }
 
 async fn send_results(shared: &Arc<Shared>) {
-    let (results, hand_backs) = {
+    let (results, returned_items) = {
         let mut runner = lock(&shared.runner);
-        let count = runner.results.len().min(RESULTS_A_MESSAGE * 8);
+        let count = runner.results.len().min(RESULTS_PER_MESSAGE * 8);
         let results: Vec<ItemResult> = runner.results.drain(..count).collect();
-        (results, std::mem::take(&mut runner.hand_backs))
+        (results, std::mem::take(&mut runner.returned_items))
     };
     let mut by_owner: BTreeMap<String, ResultsRequest> = BTreeMap::new();
-    let mut homeless = Vec::new();
+    let mut unowned = Vec::new();
     for result in results {
         match shared.owner_of(&shard_key(result.shard)) {
             Some(owner) => by_owner.entry(owner).or_default().results.push(result),
-            None => homeless.push(result),
+            None => unowned.push(result),
         }
     }
-    for hand_back in hand_backs {
-        if let Some(owner) = shared.owner_of(&shard_key(hand_back.shard)) {
+    for returned_item in returned_items {
+        if let Some(owner) = shared.owner_of(&shard_key(returned_item.shard)) {
             by_owner
                 .entry(owner)
                 .or_default()
                 .handed_back
-                .push(hand_back);
+                .push(returned_item);
         }
     }
     let sends = by_owner
         .into_iter()
         .map(|(owner, request)| send_to_owner(shared, owner, request));
-    let back: Vec<ItemResult> = futures::future::join_all(sends).await.concat();
+    let rejected: Vec<ItemResult> = futures::future::join_all(sends).await.concat();
     lock(&shared.runner)
         .results
-        .extend(homeless.into_iter().chain(back));
+        .extend(unowned.into_iter().chain(rejected));
 }
 
-/// Sends results to a shard owner; those that it did not take.
+/// Sends results to a shard owner and returns those that it did not accept.
 async fn send_to_owner(
     shared: &Arc<Shared>,
     owner: String,
@@ -97,29 +96,31 @@
     }
 }
 
-/// Prepares to leave: what was not started is handed back at once, what runs may finish for a while.
-pub(crate) async fn hand_back_all(shared: &Arc<Shared>) {
+/// Returns queued items immediately, and running ones that don't finish within [`DRAIN_TIMEOUT`].
+pub(crate) async fn return_all(shared: &Arc<Shared>) {
     {
         let mut runner = lock(&shared.runner);
         let queues = std::mem::take(&mut runner.queues);
         let queued: Vec<QueuedGrant> = queues.into_values().flatten().collect();
-        let hand_backs = queued.iter().map(|queued| hand_back(&queued.grant, false));
-        runner.hand_backs.extend(hand_backs);
+        let returned_items = queued
+            .iter()
+            .map(|queued| returned_item(&queued.grant, false));
+        runner.returned_items.extend(returned_items);
     }
-    let deadline = shared.now() + LEAVE_WAIT;
+    let deadline = shared.now() + DRAIN_TIMEOUT;
     while shared.now() < deadline && lock(&shared.runner).running_count() > 0 {
-        sleep(RESULT_TICK).await;
+        sleep(SEND_INTERVAL).await;
     }
     for running in lock(&shared.runner).running_mut() {
-        running.stop(StopReason::Yield);
+        running.stop(StopReason::Preempt);
     }
-    sleep(RESULT_TICK).await;
+    sleep(SEND_INTERVAL).await;
     let limit = shared.now() + PEER_TIMEOUT;
     while shared.now() < limit {
         send_results(shared).await;
-        if lock(&shared.runner).has_returned_all() {
+        if lock(&shared.runner).is_all_sent() {
             return;
         }
-        sleep(RESULT_TICK).await;
+        sleep(SEND_INTERVAL).await;
     }
 }
--- a/crates/node/src/runner/slots.rs
+++ b/crates/node/src/runner/slots.rs
@@ -1,4 +1,4 @@
-//! Slots at each tick: yield first, then start what fits, then ask for more.
+//! Slot scheduling: each tick preempts items over the limit, starts queued ones and pulls more.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,26 +9,26 @@
 use tokio::time::timeout;
 
 use super::pulls::{renew, start_pulls};
-use super::{ItemTask, Progress, QueuedGrant, Runner, RunningTask, StopReason, hand_back};
+use super::{ItemTask, Progress, QueuedGrant, Runner, RunningTask, StopReason, returned_item};
 use crate::batch_item::{ItemOutcome, run_item};
 use crate::node::{Shared, lock};
 use crate::ownership;
 
 const PREFIX: &str = "batch:";
 
-/// A granted item that was not started within this time is handed back.
-const START_WITHIN: Duration = Duration::from_secs(8);
+/// A granted item that was not started within this time is returned.
+const START_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Characters that one token of a prompt covers, for estimates.
-const CHARACTERS_A_TOKEN: usize = 4;
+/// Bytes of an input line per estimated prompt token.
+const BYTES_PER_TOKEN: usize = 4;
 
-/// Decides slots at each tick, and at once when online load changes.
+/// Runs the scheduler at each tick, and immediately when the online load changes.
 pub(crate) async fn run_slots(shared: Arc<Shared>) {
     loop {
         let _ = timeout(shared.settings.batch_tick, shared.runner_wake.notified()).await;
-        yield_slots(&shared);
-        let assured = lock(&shared.assurance).holds(shared.now());
-        if shared.is_draining() || !assured {
+        preempt_items(&shared);
+        let is_fresh = lock(&shared.cancel_freshness).is_fresh(shared.now());
+        if shared.is_draining() || !is_fresh {
             continue;
         }
         for task in start_items(&shared) {
@@ -39,7 +39,7 @@
     }
 }
 
-fn yield_slots(shared: &Arc<Shared>) {
+fn preempt_items(shared: &Arc<Shared>) {
     let now = shared.now();
     let mut runner = lock(&shared.runner);
     for (name, work) in &mut runner.replicas {
@@ -51,7 +51,7 @@
             .running
             .values()
             .filter(|running| running.stopping.is_none())
-            .map(RunningTask::as_victim)
+            .map(RunningTask::to_candidate)
             .collect();
         let victims: Vec<String> = select_victims(&items, limit)
             .into_iter()
@@ -59,7 +59,7 @@
             .collect();
         for victim in victims {
             if let Some(running) = work.running.get_mut(&victim) {
-                running.stop(StopReason::Yield);
+                running.stop(StopReason::Preempt);
             }
         }
     }
@@ -68,7 +68,7 @@
         .retain(|_, work| !work.removed || !work.running.is_empty());
 }
 
-/// Running items of each tenant on a service's owned replicas.
+/// Counts the running items of each tenant on the owned replicas of a service.
 fn running_by_tenant(runner: &Runner, service: &str) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     let works = runner.replicas.values();
@@ -86,7 +86,7 @@
     let config = shared.config.load();
     let mut runner = lock(&shared.runner);
     let mut tasks = Vec::new();
-    hand_back_stale(&mut runner, now);
+    return_stale(&mut runner, now);
     let names: Vec<String> = runner.replicas.keys().cloned().collect();
     for name in names {
         let Some(service) = runner
@@ -104,16 +104,18 @@
             .replicas
             .get_mut(&name)
             .map_or(0, |work| work.budget.limit(now) as usize);
-        let limit_all = limit * runner.replicas.len().max(1);
+        let total_limit = limit * runner.replicas.len().max(1);
         let service_plan = plan.services.get(&service);
-        while let Some(queued) = next_start(&mut runner, &name, &service, limit, now) {
+        while let Some(queued) = next_startable(&mut runner, &name, &service, limit, now) {
             let share = service_plan.map_or(0.0, |plan| plan.share_of(&queued.grant.tenant));
             let used = by_tenant
                 .get(&queued.grant.tenant)
                 .copied()
                 .unwrap_or_default();
-            if used as f64 >= share * limit_all as f64 {
-                runner.hand_backs.push(hand_back(&queued.grant, false));
+            if used as f64 >= share * total_limit as f64 {
+                runner
+                    .returned_items
+                    .push(returned_item(&queued.grant, false));
                 continue;
             }
             let number = shared.next_number();
@@ -141,23 +143,25 @@
     tasks
 }
 
-/// A grant whose lease may soon run out must not be started.
-fn hand_back_stale(runner: &mut Runner, now: Duration) {
+/// Returns queued grants whose lease may expire soon.
+fn return_stale(runner: &mut Runner, now: Duration) {
     let mut stale = Vec::new();
     for queue in runner.queues.values_mut() {
         while let Some(first) = queue.front() {
-            if now.saturating_sub(first.pulled_at) < START_WITHIN {
+            if now.saturating_sub(first.pulled_at) < START_TIMEOUT {
                 break;
             }
             stale.extend(queue.pop_front());
         }
     }
-    let hand_backs = stale.iter().map(|queued| hand_back(&queued.grant, false));
-    runner.hand_backs.extend(hand_backs);
+    let returned_items = stale
+        .iter()
+        .map(|queued| returned_item(&queued.grant, false));
+    runner.returned_items.extend(returned_items);
 }
 
-/// The next queued item that may start on the replica now.
-fn next_start(
+/// Dequeues the next item that may start on the replica now.
+fn next_startable(
     runner: &mut Runner,
     name: &str,
     service: &str,
@@ -175,7 +179,7 @@
             queue.pop_front();
             continue;
         }
-        let tokens = first.grant.line.len() / CHARACTERS_A_TOKEN;
+        let tokens = first.grant.line.len() / BYTES_PER_TOKEN;
         let tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
         if !work.budget.may_start(now, tokens) {
             return None;
@@ -188,11 +192,11 @@
     let outcome = run_item(&task).await;
     if matches!(outcome, ItemOutcome::Fenced) {
         log::info!(
-            "{PREFIX} {} obeys another owner",
+            "{PREFIX} {} fenced off this owner; batch work on it stops",
             task.replica.machine.replica
         );
         ownership::replica_lost(&shared, &task.replica.machine.replica, task.epoch);
     }
-    lock(&shared.runner).ended(&task, &outcome);
+    lock(&shared.runner).note_outcome(&task, &outcome);
     shared.runner_wake.notify_one();
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Bounds of a daemon's roles.
+//! Settings of a daemon and of its components.
 
 use std::time::Duration;
 
@@ -10,43 +10,43 @@
 use harrierward_gateway::GatewaySettings;
 use harrierward_membership::MembershipSettings;
 
-/// Settings of one daemon, all with defaults that work.
+/// Settings of one daemon; the defaults suit production.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeSettings {
     /// Number of job shards; the same on all daemons of a fleet.
     pub shards: u32,
-    /// Replicas of a service that a gateway works with.
+    /// Maximum number of replicas of a service to which a gateway sends requests.
     pub subset: usize,
-    /// Store calls a second of this daemon, and the burst allowed.
+    /// Maximum store calls per second of this daemon; also the maximum burst.
     pub store_rate: f64,
-    /// Time bounds of store calls.
+    /// Timeouts of store calls.
     pub store_limits: StoreLimits,
-    /// Request path.
+    /// Settings of the gateway for online requests.
     pub gateway: GatewaySettings,
-    /// Claims.
+    /// Settings of claims on at-most-once requests.
     pub claims: ClaimSettings,
-    /// Shard owner.
+    /// Settings of the owner of job shards.
     pub owner: OwnerDriverSettings,
-    /// Membership.
+    /// Settings of the membership protocol.
     pub membership: MembershipSettings,
-    /// Configuration freshness.
+    /// Ages at which the proof of the configuration goes stale or is renewed.
     pub freshness: FreshnessBounds,
-    /// Batch slots.
+    /// Settings of the batch slot budget of each replica.
     pub slots: SlotSettings,
-    /// How often the machine list is read.
-    pub machines_every: Duration,
-    /// How often an owned replica's load is read.
-    pub load_every: Duration,
-    /// How often ownership is compared with the view.
-    pub ownership_every: Duration,
-    /// How long the view must name this member before it takes over from a live owner. Who took something from this member
-    /// is left alone for twice as long, in view or not, and longer each time.
-    pub ownership_patience: Duration,
-    /// How often batch slots are decided.
+    /// Poll interval of the machine list.
+    pub machine_list_interval: Duration,
+    /// Poll interval of the load of replicas.
+    pub load_interval: Duration,
+    /// Interval at which ownership is reconciled with the view.
+    pub ownership_interval: Duration,
+    /// How long the view must name this member before it takes over from an owner in view; also the base of the
+    /// exponential cooldown after such a takeover.
+    pub takeover_grace_period: Duration,
+    /// Maximum interval between runs of the batch slot scheduler.
     pub batch_tick: Duration,
-    /// How long a daemon that leaves waits for its streams.
+    /// How long a drain waits for running responses before it aborts them.
     pub drain_timeout: Duration,
-    /// Seed of all random choices.
+    /// Seed of the random generator; fixed only in simulations.
     pub seed: u64,
 }
 
@@ -63,10 +63,10 @@
             membership: MembershipSettings::default(),
             freshness: FreshnessBounds::default(),
             slots: SlotSettings::default(),
-            machines_every: Duration::from_secs(1),
-            load_every: Duration::from_millis(500),
-            ownership_every: Duration::from_millis(500),
-            ownership_patience: Duration::from_secs(2),
+            machine_list_interval: Duration::from_secs(1),
+            load_interval: Duration::from_millis(500),
+            ownership_interval: Duration::from_millis(500),
+            takeover_grace_period: Duration::from_secs(2),
             batch_tick: Duration::from_millis(20),
             drain_timeout: Duration::from_secs(60),
             seed: 0,
--- a/crates/node/src/transport.rs
+++ b/crates/node/src/transport.rs
@@ -1,4 +1,4 @@
-//! Sockets: peers over HTTP with prost bodies, datagrams over UDP.
+//! Socket transport between peers: HTTP with protobuf bodies, and UDP datagrams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,20 +20,19 @@
 const STEP: &str = "peer.call";
 const PEER_PATH: &str = "/internal/peer";
 
-/// Largest message between peers, bytes.
-const MESSAGE_LIMIT: usize = 64 << 20;
+/// Maximum body of a peer request, in bytes.
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
-/// Largest datagram received, bytes.
-const DATAGRAM_LIMIT: usize = 65_536;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// Network towards peers over real sockets.
+/// [`PeerNetwork`] over an HTTP client and a UDP socket.
 pub struct SocketNetwork {
     caller: HttpCaller,
     socket: Arc<UdpSocket>,
 }
 
 impl SocketNetwork {
-    /// A network that sends datagrams from `socket`.
+    /// Creates a network that sends datagrams from `socket`.
     pub fn new(caller: HttpCaller, socket: Arc<UdpSocket>) -> Self {
         Self { caller, socket }
     }
@@ -77,11 +76,11 @@
     }
 }
 
-/// Routes for peers.
+/// Returns the routes that peers call.
 pub fn peer_router(node: Node) -> Router {
     Router::new()
         .route(PEER_PATH, post(serve_peer))
-        .layer(DefaultBodyLimit::max(MESSAGE_LIMIT))
+        .layer(DefaultBodyLimit::max(MAX_MESSAGE_BYTES))
         .with_state(node)
 }
 
@@ -90,13 +89,13 @@
     Ok(encode(&node.serve_peer(request).await))
 }
 
-/// Feeds datagrams from the socket to the daemon, until the socket fails.
+/// Passes received datagrams to the daemon until the socket fails; returns the error.
 pub async fn serve_datagrams(node: Node, socket: Arc<UdpSocket>) -> std::io::Error {
-    let mut buffer = vec![0; DATAGRAM_LIMIT];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, _)) => node.receive_datagram(&buffer[..length]).await,
-            // A peer that has gone shows up as a refused connection on some systems.
+            // Some systems report an earlier datagram to a closed port this way.
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionRefused => {}
             Err(error) => return error,
         }
