--- a/crates/bench/src/faults/gated_platform.rs
+++ b/crates/bench/src/faults/gated_platform.rs
@@ -8,7 +8,7 @@
 use futures::StreamExt;
 use harrierward_emulator::{EngineHandle, MemoryPlatform};
 use harrierward_external::{
-    CacheEventPage, Engine, EngineError, EngineLoad, EngineOrder, EventStream, GenerateRequest,
+    CacheEventPage, Engine, EngineCommand, EngineError, EngineLoad, EventStream, GenerateRequest,
     Machine, MachineList, ObjectStore, PlatformError, RequestClass, Row, Table, Transaction,
     TransactionOutcome, WeightStore, WeightTransfer, Write,
 };
@@ -176,8 +176,8 @@
         self.gate.around(self.engine.cache_events(after)).await
     }
 
-    async fn order(&self, order: EngineOrder) -> Result<(), EngineError> {
-        self.gate.around(self.engine.order(order)).await
+    async fn execute(&self, order: EngineCommand) -> Result<(), EngineError> {
+        self.gate.around(self.engine.execute(order)).await
     }
 
     async fn export_prefix(&self, block: u64) -> Result<Option<Vec<u64>>, EngineError> {
--- a/crates/bench/src/speed/mod.rs
+++ b/crates/bench/src/speed/mod.rs
@@ -12,7 +12,7 @@
 use eyre::{Result, ensure};
 use harrierward_emulator::server::engine_router;
 use harrierward_emulator::{EngineHandle, EngineParameters};
-use harrierward_external::http::{HttpCaller, HttpEngine, without_delay};
+use harrierward_external::http::{HttpCaller, HttpEngine, with_nodelay};
 use harrierward_external::{Engine, GenerateRequest, Priority};
 use hdrhistogram::Histogram;
 use http::Method;
@@ -51,7 +51,7 @@
     let engine = EngineHandle::start(model, parameters, vec![model.to_owned()], time_scale, false);
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
-    tokio::spawn(async move { axum::serve(without_delay(listener), engine_router(engine)).await });
+    tokio::spawn(async move { axum::serve(with_nodelay(listener), engine_router(engine)).await });
     Ok(address)
 }
 
--- a/crates/bench/src/speed/setup.rs
+++ b/crates/bench/src/speed/setup.rs
@@ -5,7 +5,7 @@
 use eyre::{Result, eyre};
 use harrierward_config::{ApplyFile, ApplyRequest, ConfigStore, KeyDigest};
 use harrierward_emulator::{MemoryPlatform, PlatformParameters};
-use harrierward_external::http::{HttpCaller, HttpEngine, without_delay};
+use harrierward_external::http::{HttpCaller, HttpEngine, with_nodelay};
 use harrierward_external::{Engine, Machine, MachineState, ReplicaId};
 use harrierward_gateway::EngineConnector;
 use harrierward_node::{NoPeers, Node, NodeIdentity, NodeParts, NodeSettings};
@@ -108,7 +108,7 @@
     }
     sleep(Duration::from_secs(1)).await;
     let routes = harrierward_api::router(node);
-    tokio::spawn(async move { axum::serve(without_delay(listener), routes).await });
+    tokio::spawn(async move { axum::serve(with_nodelay(listener), routes).await });
     let engine = HttpEngine::new(HttpCaller::new(), &engine_address);
     let gateway = Target::Gateway {
         address,
--- a/crates/bench/tests/support/mod.rs
+++ b/crates/bench/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use harrierward_emulator::{EngineHandle, EngineParameters, MemoryPlatform, PlatformParameters};
 use harrierward_external::http::{
     HttpCaller, HttpEngine, HttpMachineList, HttpObjectStore, HttpTable, HttpWeightStore,
-    without_delay,
+    with_nodelay,
 };
 use harrierward_external::{Engine, Machine, MachineState, ReplicaId};
 use harrierward_gateway::EngineConnector;
@@ -43,7 +43,7 @@
 pub async fn serve(routes: axum::Router) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
-    tokio::spawn(async move { axum::serve(without_delay(listener), routes).await });
+    tokio::spawn(async move { axum::serve(with_nodelay(listener), routes).await });
     address
 }
 
@@ -114,7 +114,7 @@
     .expect("the daemon starts");
     tokio::spawn(serve_datagrams(node.clone(), udp));
     let routes = peer_router(node.clone());
-    tokio::spawn(async move { axum::serve(without_delay(peers), routes).await });
+    tokio::spawn(async move { axum::serve(with_nodelay(peers), routes).await });
     let api = serve(harrierward_api::router(node.clone())).await;
     (node, api, udp_address)
 }
--- a/crates/edge/src/relay/client.rs
+++ b/crates/edge/src/relay/client.rs
@@ -5,7 +5,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use futures::StreamExt;
-use harrierward_external::{ChangePage, CopyProof};
+use harrierward_external::{ChangePage, FreshnessProof};
 use harrierward_relay::{PeerCopies, RelayPeer, RelayReply, SourceFailure, SpaceRequest};
 use harrierward_wire::{SpaceQuestion, SpaceReply, decode, encode};
 use http::{Request, StatusCode};
@@ -105,10 +105,12 @@
     };
     let held = Duration::from_millis(u64::from(reply.held_ms));
     let age = Duration::from_millis(u64::from(reply.proof_age_ms));
-    let proof = (sent_at + held).checked_sub(age).map(|as_of| CopyProof {
-        as_of,
-        digest: reply.digest,
-    });
+    let proof = (sent_at + held)
+        .checked_sub(age)
+        .map(|as_of| FreshnessProof {
+            as_of,
+            digest: reply.digest,
+        });
     let Some(proof) = proof else {
         return unresponsive("the answer's proof is older than this machine's clock");
     };
--- a/crates/emulator/src/engine_handle.rs
+++ b/crates/emulator/src/engine_handle.rs
@@ -10,8 +10,8 @@
 use async_trait::async_trait;
 use futures::Stream;
 use harrierward_external::{
-    CacheEventPage, Engine, EngineError, EngineEvent, EngineLoad, EngineOrder, EventStream,
-    GenerateRequest, OrderKind, Priority,
+    CacheEventPage, CommandKind, Engine, EngineCommand, EngineError, EngineEvent, EngineLoad,
+    EventStream, GenerateRequest, Priority,
 };
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{Instant, sleep};
@@ -381,7 +381,7 @@
         Ok(CacheEventPage { events })
     }
 
-    async fn order(&self, order: EngineOrder) -> Result<(), EngineError> {
+    async fn execute(&self, order: EngineCommand) -> Result<(), EngineError> {
         const STEP: &str = "engine.order";
         self.check_up(STEP)?;
         let now = self.shared.now_micros();
@@ -391,10 +391,10 @@
             .check_epoch(Some(order.epoch))
             .map_err(|refusal| self.refusal(STEP, order.epoch, refusal))?;
         match order.kind {
-            OrderKind::Fence => {}
-            OrderKind::LoadModel { model } => inner.core.load_model(model, now),
-            OrderKind::UnloadModel { model } => inner.core.unload_model(&model),
-            OrderKind::Leave => inner.core.leave(),
+            CommandKind::Fence => {}
+            CommandKind::LoadModel { model } => inner.core.load_model(model, now),
+            CommandKind::UnloadModel { model } => inner.core.unload_model(&model),
+            CommandKind::Leave => inner.core.leave(),
         }
         Ok(())
     }
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -7,7 +7,7 @@
 use getopts::Options;
 use harrierward_emulator::server::{engine_router, platform_router};
 use harrierward_emulator::{EngineHandle, EngineParameters, MemoryPlatform, PlatformParameters};
-use harrierward_external::http::without_delay;
+use harrierward_external::http::with_nodelay;
 use harrierward_external::{Machine, MachineState, ReplicaId};
 use tokio::net::TcpListener;
 
@@ -132,7 +132,7 @@
         "platform on {first}, engines on ports {} to {port}",
         first.port() + 1
     );
-    axum::serve(without_delay(listener), platform_router(platform)).await?;
+    axum::serve(with_nodelay(listener), platform_router(platform)).await?;
     Ok(())
 }
 
@@ -142,6 +142,6 @@
     let listener = TcpListener::bind(address)
         .await
         .wrap_err_with(|| format!("cannot listen on {address}"))?;
-    tokio::spawn(async move { axum::serve(without_delay(listener), engine_router(engine)).await });
+    tokio::spawn(async move { axum::serve(with_nodelay(listener), engine_router(engine)).await });
     Ok(())
 }
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -15,7 +15,7 @@
     TransactionMessage,
 };
 use harrierward_external::{
-    Engine, EngineError, EngineOrder, GenerateRequest, MachineList, ObjectStore, PlatformError,
+    Engine, EngineCommand, EngineError, GenerateRequest, MachineList, ObjectStore, PlatformError,
     PlatformErrorKind, ReplicaId, RequestClass, Table, WeightStore,
 };
 use serde::{Deserialize, Serialize};
@@ -248,9 +248,9 @@
 
 async fn order(
     State(engine): State<EngineHandle>,
-    Json(order): Json<EngineOrder>,
+    Json(order): Json<EngineCommand>,
 ) -> Result<Response, EngineReply> {
-    engine.order(order).await?;
+    engine.execute(order).await?;
     Ok(Json(()).into_response())
 }
 
--- a/crates/external/src/engine.rs
+++ b/crates/external/src/engine.rs
@@ -114,17 +114,17 @@
 
 /// A fenced order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineOrder {
+pub struct EngineCommand {
     /// Epoch of the replica owner; an engine refuses one older than it has seen.
     pub epoch: u64,
     /// What to do.
-    pub kind: OrderKind,
+    pub kind: CommandKind,
 }
 
 /// The orders an engine takes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum OrderKind {
+pub enum CommandKind {
     /// Only raises the engine's epoch, so that an earlier owner is shut out.
     Fence,
     /// Load a model or adapter beside those loaded.
@@ -215,7 +215,7 @@
     async fn cache_events(&self, after: u64) -> Result<CacheEventPage, EngineError>;
 
     /// Carries out a fenced order.
-    async fn order(&self, order: EngineOrder) -> Result<(), EngineError>;
+    async fn execute(&self, command: EngineCommand) -> Result<(), EngineError>;
 
     /// Exports the cached state of a prefix for another engine; `None` if it is not cached.
     async fn export_prefix(&self, block: u64) -> Result<Option<Vec<u64>>, EngineError>;
--- a/crates/external/src/whole_read.rs
+++ b/crates/external/src/full_read.rs
@@ -14,12 +14,12 @@
     /// Least key within the partition.
     pub from: &'a str,
     /// Most rows wanted; the store may give fewer.
-    pub most_rows: usize,
+    pub max_rows: usize,
 }
 
 /// A whole read under way.
 #[derive(Debug, Clone, Default)]
-pub struct WholeRead {
+pub struct FullRead {
     partitions: Vec<String>,
     position: usize,
     from: String,
@@ -27,7 +27,7 @@
     pages: usize,
 }
 
-impl WholeRead {
+impl FullRead {
     /// A read of these partitions.
     pub fn new(partitions: &[String]) -> Self {
         Self {
@@ -42,7 +42,7 @@
         Some(PageStart {
             partition,
             from: &self.from,
-            most_rows: usize::MAX,
+            max_rows: usize::MAX,
         })
     }
 
--- a/crates/external/src/http/caller.rs
+++ b/crates/external/src/http/caller.rs
@@ -30,7 +30,7 @@
 
 /// A whole answer.
 #[derive(Debug)]
-pub struct HttpReply {
+pub struct HttpResponse {
     /// Status of the answer.
     pub status: StatusCode,
     /// Body of the answer.
@@ -106,7 +106,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: Bytes,
-    ) -> Result<HttpReply, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         let response = self.open(method, peer, path, headers, body).await?;
         let status = response.status();
         let retry_after = response
@@ -121,7 +121,7 @@
             .await
             .map_err(|error| CallError::Lost(error.to_string()))?
             .to_bytes();
-        Ok(HttpReply {
+        Ok(HttpResponse {
             status,
             body,
             retry_after,
--- a/crates/external/src/http/engine.rs
+++ b/crates/external/src/http/engine.rs
@@ -13,7 +13,7 @@
 use super::messages::{CancelMessage, EngineRefusal};
 use super::{CallError, HttpCaller};
 use crate::{
-    CacheEventPage, Engine, EngineError, EngineEvent, EngineLoad, EngineOrder, EventStream,
+    CacheEventPage, Engine, EngineCommand, EngineError, EngineEvent, EngineLoad, EventStream,
     GenerateRequest,
 };
 
@@ -194,8 +194,8 @@
             .await
     }
 
-    async fn order(&self, order: EngineOrder) -> Result<(), EngineError> {
-        self.ask("engine.order", "/engine/order", order.epoch, &order)
+    async fn execute(&self, command: EngineCommand) -> Result<(), EngineError> {
+        self.ask("engine.order", "/engine/order", command.epoch, &command)
             .await
     }
 
--- a/crates/external/src/http/mod.rs
+++ b/crates/external/src/http/mod.rs
@@ -9,9 +9,9 @@
 mod table;
 mod weights;
 
-pub use caller::{CallError, HttpCaller, HttpReply};
+pub use caller::{CallError, HttpCaller, HttpResponse};
 pub use engine::HttpEngine;
-pub use listen::without_delay;
+pub use listen::with_nodelay;
 pub use machines::HttpMachineList;
 pub use objects::HttpObjectStore;
 pub use table::HttpTable;
--- a/crates/external/src/lib.rs
+++ b/crates/external/src/lib.rs
@@ -8,6 +8,7 @@
 mod budget;
 mod engine;
 mod errors;
+mod full_read;
 mod guarded;
 pub mod http;
 mod machines;
@@ -15,21 +16,20 @@
 mod table;
 mod watch;
 mod weights;
-mod whole_read;
 
 pub use backoff::{Backoff, full_jitter};
 pub use budget::{RateBudget, RequestClass};
 pub use engine::{
-    CacheEvent, CacheEventPage, Engine, EngineError, EngineEvent, EngineLoad, EngineOrder,
-    EventStream, FinishReason, GenerateRequest, OrderKind, Priority, ReplicaId, prefix_blocks,
+    CacheEvent, CacheEventPage, CommandKind, Engine, EngineCommand, EngineError, EngineEvent,
+    EngineLoad, EventStream, FinishReason, GenerateRequest, Priority, ReplicaId, prefix_blocks,
 };
 pub use errors::{PlatformError, PlatformErrorKind};
+pub use full_read::{FullRead, PageStart};
 pub use guarded::{GuardedObjects, GuardedTable, StoreLimits};
 pub use machines::{Machine, MachineList, MachineState};
 pub use objects::ObjectStore;
 pub use table::{Condition, Row, Table, Transaction, TransactionOutcome, Write};
 pub use watch::{
-    ChangePage, CopyProof, RowChange, RowReading, SpacePage, SpaceSnapshot, WatchedTable,
+    ChangePage, FreshnessProof, RowChange, RowRead, SpacePage, SpaceSnapshot, WatchedTable,
 };
 pub use weights::{WeightStore, WeightTransfer};
-pub use whole_read::{PageStart, WholeRead};
--- a/crates/external/src/watch.rs
+++ b/crates/external/src/watch.rs
@@ -9,12 +9,12 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-use crate::whole_read::{PageStart, WholeRead};
+use crate::full_read::{FullRead, PageStart};
 use crate::{PlatformError, Row};
 
 /// What a peer's copy of a space, which answers in the store's place, says of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CopyProof {
+pub struct FreshnessProof {
     /// The copy holds all that the store had acknowledged by then.
     pub as_of: Instant,
     /// Digest of the keys and revisions of all its rows.
@@ -31,7 +31,7 @@
     /// The store's steady clock, milliseconds.
     pub store_time_ms: u64,
     /// The answer is a peer's; `None` for the store's own.
-    pub proof: Option<CopyProof>,
+    pub proof: Option<FreshnessProof>,
 }
 
 /// Some rows of a partition of a space, in the order of their keys.
@@ -46,12 +46,12 @@
     /// The store's steady clock, milliseconds.
     pub store_time_ms: u64,
     /// The answer is a peer's, and holds the whole space; `None` for the store's own.
-    pub proof: Option<CopyProof>,
+    pub proof: Option<FreshnessProof>,
 }
 
 /// What the store says of one row.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RowReading {
+pub struct RowRead {
     /// The row; `None` if it is not there.
     pub row: Option<Row>,
     /// Revision of the table that the reading reflects at least. One below a revision that is known is out of date.
@@ -79,7 +79,7 @@
     /// The store's steady clock, milliseconds.
     pub store_time_ms: u64,
     /// The answer is a peer's; `None` for the store's own.
-    pub proof: Option<CopyProof>,
+    pub proof: Option<FreshnessProof>,
 }
 
 /// Client of a table whose spaces can be watched.
@@ -93,7 +93,7 @@
     ) -> Result<SpacePage, PlatformError>;
 
     /// Reads one row.
-    async fn read_row(&self, key: &str) -> Result<RowReading, PlatformError>;
+    async fn read_row(&self, key: &str) -> Result<RowRead, PlatformError>;
 
     /// Reads the whole of a space's partitions. They are named by the caller, because a list of them may be older
     /// than the rows.
@@ -102,7 +102,7 @@
         space: &str,
         partitions: &[String],
     ) -> Result<SpaceSnapshot, PlatformError> {
-        let mut whole = WholeRead::new(partitions);
+        let mut whole = FullRead::new(partitions);
         while let Some(start) = whole.next_page() {
             let page = self.read_page(space, start).await?;
             whole.take(page);
--- a/crates/harrierward/src/serve.rs
+++ b/crates/harrierward/src/serve.rs
@@ -10,7 +10,7 @@
 use harrierward_config::{ApplyFile, ApplyRequest, ConfigStore};
 use harrierward_external::http::{
     HttpCaller, HttpEngine, HttpMachineList, HttpObjectStore, HttpTable, HttpWeightStore,
-    without_delay,
+    with_nodelay,
 };
 use harrierward_external::{Engine, Machine, Table};
 use harrierward_gateway::EngineConnector;
@@ -145,7 +145,7 @@
     })?;
     tokio::spawn(serve_datagrams(node.clone(), udp));
     let peer_routes = peer_router(node.clone());
-    tokio::spawn(async move { axum::serve(without_delay(peers), peer_routes).await });
+    tokio::spawn(async move { axum::serve(with_nodelay(peers), peer_routes).await });
     log::info!("{PREFIX} listening on {}", settings.api_listen);
     serve_until_stopped(node.clone(), api, harrierward_api::router(node)).await
 }
@@ -225,7 +225,7 @@
         let _ = stopped.wait_for(|stopped| *stopped).await;
     };
     let server = tokio::spawn(async move {
-        axum::serve(without_delay(api), routes)
+        axum::serve(with_nodelay(api), routes)
             .with_graceful_shutdown(shutdown)
             .await
     });
--- a/crates/inline-jobs/tests/rows_of_headers.rs
+++ b/crates/inline-jobs/tests/rows_of_headers.rs
@@ -7,7 +7,7 @@
 
 use async_trait::async_trait;
 use harrierward_external::{
-    ChangePage, PageStart, PlatformError, Row, RowReading, SpacePage, WatchedTable,
+    ChangePage, PageStart, PlatformError, Row, RowRead, SpacePage, WatchedTable,
 };
 use harrierward_inline_jobs::{JobStore, RowKind, crash_updates_key, partitions, row_kind};
 use harrierward_wire::{CrashNewsRow, JobHeadRow, QuotaFenceRow, encode};
@@ -76,7 +76,7 @@
         })
     }
 
-    async fn read_row(&self, _: &str) -> Result<RowReading, PlatformError> {
+    async fn read_row(&self, _: &str) -> Result<RowRead, PlatformError> {
         Err(unavailable("read row"))
     }
 
--- a/crates/inline-jobs/tests/stale_listing.rs
+++ b/crates/inline-jobs/tests/stale_listing.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_external::{
-    ChangePage, PageStart, PlatformError, RequestClass, Row, RowReading, SpacePage, Table,
+    ChangePage, PageStart, PlatformError, RequestClass, Row, RowRead, SpacePage, Table,
     Transaction, TransactionOutcome, WatchedTable,
 };
 use harrierward_inline_jobs::{
@@ -109,7 +109,7 @@
         Err(unavailable("read page"))
     }
 
-    async fn read_row(&self, key: &str) -> Result<RowReading, PlatformError> {
+    async fn read_row(&self, key: &str) -> Result<RowRead, PlatformError> {
         self.header_reads.fetch_add(1, Ordering::Relaxed);
         if self.is_unavailable {
             return Err(unavailable("read row"));
@@ -120,7 +120,7 @@
             value: Bytes::from(encode(&header(self.listed))),
             revision,
         };
-        Ok(RowReading {
+        Ok(RowRead {
             row: Some(row).filter(|_| !self.is_missing),
             revision,
         })
--- a/crates/inline-jobs/tests/support/mod.rs
+++ b/crates/inline-jobs/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use harrierward_external::{
     ChangePage, ObjectStore, PageStart, PlatformError, PlatformErrorKind, RequestClass, Row,
-    RowReading, SpacePage, Table, Transaction, TransactionOutcome, WatchedTable,
+    RowRead, SpacePage, Table, Transaction, TransactionOutcome, WatchedTable,
 };
 
 /// Returns the error of an unavailable store.
@@ -63,7 +63,7 @@
         Err(unavailable("read page"))
     }
 
-    async fn read_row(&self, _: &str) -> Result<RowReading, PlatformError> {
+    async fn read_row(&self, _: &str) -> Result<RowRead, PlatformError> {
         Err(unavailable("read row"))
     }
 
--- a/crates/node/src/ownership.rs
+++ b/crates/node/src/ownership.rs
@@ -9,7 +9,7 @@
 
 use harrierward_batch::{replica_key, shard_key};
 use harrierward_external::{
-    Condition, EngineOrder, MachineState, OrderKind, ReplicaId, RequestClass, Row, Transaction,
+    CommandKind, Condition, EngineCommand, MachineState, ReplicaId, RequestClass, Row, Transaction,
     TransactionOutcome,
 };
 use harrierward_gateway::Replica;
@@ -278,11 +278,11 @@
 
 /// Shuts earlier owners out at the engine before this one sends it batch work.
 async fn fence(shared: &Arc<Shared>, replica: &Arc<Replica>, epoch: u64) {
-    let order = EngineOrder {
+    let order = EngineCommand {
         epoch,
-        kind: OrderKind::Fence,
+        kind: CommandKind::Fence,
     };
-    if let Err(error) = replica.engine.order(order).await {
+    if let Err(error) = replica.engine.execute(order).await {
         log::debug!("{PREFIX} cannot fence {}: {error}", replica.machine.replica);
     }
     lock(&shared.runner).add_replica(replica.clone(), epoch);
--- a/crates/relay/src/relay/reading.rs
+++ b/crates/relay/src/relay/reading.rs
@@ -4,8 +4,7 @@
 
 use async_trait::async_trait;
 use harrierward_external::{
-    ChangePage, PageStart, PlatformError, PlatformErrorKind, Row, RowReading, SpacePage,
-    WatchedTable,
+    ChangePage, PageStart, PlatformError, PlatformErrorKind, Row, RowRead, SpacePage, WatchedTable,
 };
 use tokio::time::sleep;
 
@@ -51,7 +50,7 @@
         start: PageStart<'_>,
     ) -> Result<SpacePage, PlatformError> {
         let first = PageStart {
-            most_rows: FIRST_PAGE_ROWS,
+            max_rows: FIRST_PAGE_ROWS,
             ..start
         };
         let page = self.store.read_page(space, first).await?;
@@ -258,7 +257,7 @@
         }
     }
 
-    async fn read_row(&self, key: &str) -> Result<RowReading, PlatformError> {
+    async fn read_row(&self, key: &str) -> Result<RowRead, PlatformError> {
         self.store.read_row(key).await
     }
 
--- a/crates/relay/src/space_copy.rs
+++ b/crates/relay/src/space_copy.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 
 use bytes::Bytes;
-use harrierward_external::{ChangePage, CopyProof, Row, RowChange, SpaceSnapshot};
+use harrierward_external::{ChangePage, FreshnessProof, Row, RowChange, SpaceSnapshot};
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -199,7 +199,7 @@
     }
 
     /// True if a peer's copy of the same revision has another digest.
-    fn differs(&self, revision: u64, proof: CopyProof) -> bool {
+    fn differs(&self, revision: u64, proof: FreshnessProof) -> bool {
         revision == self.revision && proof.digest != self.digest
     }
 
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use harrierward_decisions::{DecisionLog, Record};
-use harrierward_external::{Backoff, PlatformErrorKind, WatchedTable, WholeRead};
+use harrierward_external::{Backoff, FullRead, PlatformErrorKind, WatchedTable};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::{Instant, sleep};
@@ -183,7 +183,7 @@
 
     fn start_read(&self) -> ReadInProgress {
         ReadInProgress {
-            pages_read: WholeRead::new(&self.partitions),
+            pages_read: FullRead::new(&self.partitions),
             started_at: harrierward_clock::now(),
         }
     }
@@ -313,7 +313,7 @@
 
 /// A full read in progress.
 struct ReadInProgress {
-    pages_read: WholeRead,
+    pages_read: FullRead,
     started_at: Instant,
 }
 
--- a/crates/relay/tests/copies.rs
+++ b/crates/relay/tests/copies.rs
@@ -1,7 +1,7 @@
 //! Guards against copies whose rows diverge from the store's, or from those of the followed peer.
 
 use bytes::Bytes;
-use harrierward_external::{ChangePage, CopyProof, Row, RowChange, SpaceSnapshot};
+use harrierward_external::{ChangePage, FreshnessProof, Row, RowChange, SpaceSnapshot};
 use harrierward_relay::{CopyReply, SpaceCopy};
 use proptest::prelude::*;
 use tokio::time::Instant;
@@ -14,8 +14,8 @@
     }
 }
 
-fn proof_of(reply: &CopyReply) -> Option<CopyProof> {
-    Some(CopyProof {
+fn proof_of(reply: &CopyReply) -> Option<FreshnessProof> {
+    Some(FreshnessProof {
         as_of: Instant::now(),
         digest: reply.digest,
     })
--- a/crates/relay/tests/suspended_watch.rs
+++ b/crates/relay/tests/suspended_watch.rs
@@ -6,7 +6,7 @@
 use async_trait::async_trait;
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_external::{
-    ChangePage, PageStart, PlatformError, RowReading, SpacePage, WatchedTable,
+    ChangePage, PageStart, PlatformError, RowRead, SpacePage, WatchedTable,
 };
 use harrierward_relay::{Watch, WatchSettings, unpaced, unpaced_reads};
 use tokio::sync::MutexGuard;
@@ -31,8 +31,8 @@
         Ok(SpacePage::default())
     }
 
-    async fn read_row(&self, _: &str) -> Result<RowReading, PlatformError> {
-        Ok(RowReading::default())
+    async fn read_row(&self, _: &str) -> Result<RowRead, PlatformError> {
+        Ok(RowRead::default())
     }
 
     async fn wait_changes(
--- a/crates/relay/tests/watch.rs
+++ b/crates/relay/tests/watch.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_external::{
-    ChangePage, PageStart, PlatformError, PlatformErrorKind, Row, RowChange, RowReading, SpacePage,
+    ChangePage, PageStart, PlatformError, PlatformErrorKind, Row, RowChange, RowRead, SpacePage,
     WatchedTable,
 };
 use harrierward_relay::{
@@ -57,8 +57,8 @@
         })
     }
 
-    async fn read_row(&self, _key: &str) -> Result<RowReading, PlatformError> {
-        Ok(RowReading::default())
+    async fn read_row(&self, _key: &str) -> Result<RowRead, PlatformError> {
+        Ok(RowRead::default())
     }
 
     async fn wait_changes(
@@ -253,8 +253,8 @@
         })
     }
 
-    async fn read_row(&self, _key: &str) -> Result<RowReading, PlatformError> {
-        Ok(RowReading::default())
+    async fn read_row(&self, _key: &str) -> Result<RowRead, PlatformError> {
+        Ok(RowRead::default())
     }
 
     async fn wait_changes(
--- a/crates/relay/tests/zone.rs
+++ b/crates/relay/tests/zone.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use harrierward_decisions::{DecisionLog, LogBounds};
 use harrierward_external::{
-    ChangePage, CopyProof, PageStart, PlatformError, PlatformErrorKind, Row, RowChange, RowReading,
-    SpacePage, WatchedTable,
+    ChangePage, FreshnessProof, PageStart, PlatformError, PlatformErrorKind, Row, RowChange,
+    RowRead, SpacePage, WatchedTable,
 };
 use harrierward_relay::{
     PeerCopies, Relay, RelayPeer, RelayReply, SharedSpace, SourceFailure, SpaceRequest, Watch,
@@ -93,7 +93,7 @@
         self.call().await?;
         let all = self.rows.lock().unwrap();
         let from = start.from.parse().unwrap_or(0);
-        let until = (from + start.most_rows.min(PAGE_ROWS)).min(all.len());
+        let until = (from + start.max_rows.min(PAGE_ROWS)).min(all.len());
         self.count(until - from);
         Ok(SpacePage {
             rows: all[from..until].to_vec(),
@@ -106,8 +106,8 @@
         })
     }
 
-    async fn read_row(&self, _: &str) -> Result<RowReading, PlatformError> {
-        Ok(RowReading::default())
+    async fn read_row(&self, _: &str) -> Result<RowRead, PlatformError> {
+        Ok(RowRead::default())
     }
 
     async fn wait_changes(
@@ -188,7 +188,7 @@
             changes: reply.changes,
             revision: reply.revision,
             store_time_ms: reply.store_time_ms,
-            proof: as_of.map(|as_of| CopyProof {
+            proof: as_of.map(|as_of| FreshnessProof {
                 as_of,
                 digest: reply.digest,
             }),
