--- a/crates/api/src/generate.rs
+++ b/crates/api/src/generate.rs
@@ -226,7 +226,11 @@
     }
 }
 
-async fn complete_response(header: ResponseHeader, answer: ResponseStream) -> Result<Response, ApiError> { let answer = answer.collect_response().await?; 
+async fn complete_response(
+    header: ResponseHeader,
+    answer: ResponseStream,
+) -> Result<Response, ApiError> {
+    let answer = answer.collect_response().await?;
     let finish_reason = Some(answer.reason.name());
     let (object, choice) = match header.kind {
         EndpointKind::Chat => (
@@ -316,7 +320,13 @@
     }
 }
 
-fn streamed_response(header: ResponseHeader, spec: GenerationSpec, response: ResponseStream) -> Response { let encoder = EventEncoder { header, 
+fn streamed_response(
+    header: ResponseHeader,
+    spec: GenerationSpec,
+    response: ResponseStream,
+) -> Response {
+    let encoder = EventEncoder {
+        header,
         include_usage: spec.include_usage,
         first: true,
     };
