--- a/crates/api/src/generate.rs
+++ b/crates/api/src/generate.rs
@@ -75,13 +75,13 @@
         marked,
         deadline: Instant::now() + deadline(&headers)?,
     };
-    let answer = node.gateway().call(call).await?;
-    let is_stored = answer.is_stored();
-    let header = ResponseHeader::new(answer.identity().clone(), &spec);
+    let response_stream = node.gateway().call(call).await?;
+    let is_stored = response_stream.is_stored();
+    let header = ResponseHeader::new(response_stream.identity().clone(), &spec);
     let mut response = if spec.stream {
-        streamed_response(header, spec, answer)
+        streamed_response(header, spec, response_stream)
     } else {
-        complete_response(header, answer).await?
+        complete_response(header, response_stream).await?
     };
     if is_stored {
         add_replay_headers(&mut response);
@@ -228,17 +228,17 @@
 
 async fn complete_response(
     header: ResponseHeader,
-    answer: AnswerStream,
+    response_stream: AnswerStream,
 ) -> Result<Response, ApiError> {
-    let answer = answer.collect_answer().await?;
-    let finish_reason = Some(answer.reason.name());
+    let collected = response_stream.collect_answer().await?;
+    let finish_reason = Some(collected.reason.name());
     let (object, choice) = match header.kind {
         EndpointKind::Chat => (
             "chat.completion",
             Choice {
                 message: Some(Message {
                     role: Some("assistant"),
-                    content: Some(&answer.text),
+                    content: Some(&collected.text),
                 }),
                 finish_reason,
                 ..Choice::default()
@@ -247,14 +247,14 @@
         EndpointKind::Completion => (
             "text_completion",
             Choice {
-                text: Some(&answer.text),
+                text: Some(&collected.text),
                 finish_reason,
                 ..Choice::default()
             },
         ),
     };
     let mut body = header.chunk(object, vec![choice]);
-    body.usage = Some(answer.usage.into());
+    body.usage = Some(collected.usage.into());
     let mut response = Json(body).into_response();
     let ran = HeaderValue::from_static(Execution::Ran.name());
     response.headers_mut().insert(EXECUTION_HEADER, ran);
@@ -323,7 +323,7 @@
 fn streamed_response(
     header: ResponseHeader,
     spec: GenerationSpec,
-    response: AnswerStream,
+    response_stream: AnswerStream,
 ) -> Response {
     let encoder = EventEncoder {
         header,
@@ -331,9 +331,9 @@
         first: true,
     };
     let frames = stream::unfold(
-        (response, encoder),
-        |(mut response, mut encoder)| async move {
-            let frame = match response.next().await? {
+        (response_stream, encoder),
+        |(mut response_stream, mut encoder)| async move {
+            let frame = match response_stream.next().await? {
                 Ok(AnswerEvent::Text(text)) => encoder.text(&text),
                 Ok(AnswerEvent::Finished { reason, usage }) => encoder.finish(reason, usage),
                 // Without [DONE] the caller detects that the response is incomplete.
@@ -341,14 +341,12 @@
             };
             Some((
                 Ok::<_, std::convert::Infallible>(frame),
-                (response, encoder),
+                (response_stream, encoder),
             ))
         },
     );
-    let mut http_response = Response::new(Body::from_stream(frames));
+    let mut response = Response::new(Body::from_stream(frames));
     let event_stream = HeaderValue::from_static("text/event-stream");
-    http_response
-        .headers_mut()
-        .insert(CONTENT_TYPE, event_stream);
-    http_response
+    response.headers_mut().insert(CONTENT_TYPE, event_stream);
+    response
 }
--- a/crates/node/src/cancel_task.rs
+++ b/crates/node/src/cancel_task.rs
@@ -139,7 +139,7 @@
         sleep(RETRY_DELAY).await;
     }
     log::info!(
-        "{PREFIX} {member} did not acknowledge the cancellation of {}; its proof has expired by now",
+        "{PREFIX} {member} did not acknowledge the cancellation of {} in time",
         job.job_id
     );
 }
--- a/crates/node/src/membership_task.rs
+++ b/crates/node/src/membership_task.rs
@@ -126,7 +126,7 @@
 
 async fn receive_membership(shared: &Arc<Shared>, datagram: &Datagram) {
     let now = shared.now();
-    // Refreshed, because this daemon may have been paused since the last tick.
+    // The status of the last tick may be outdated: this daemon may have been paused since.
     let config = config_status(shared, now);
     let (actions, report) = {
         let mut membership = lock(&shared.membership);
--- a/crates/node/src/network.rs
+++ b/crates/node/src/network.rs
@@ -17,7 +17,7 @@
         detail: String,
     },
     /// The peer may have acted on the request.
-    #[error("{step} at {peer}: answer lost: {detail}")]
+    #[error("{step} at {peer}: reply lost: {detail}")]
     Lost {
         /// Operation that failed.
         step: &'static str,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -69,9 +69,9 @@
 pub struct NodeParts {
     /// Member id and addresses, which it also advertises to the other members.
     pub identity: NodeIdentity,
-    /// Table service, not yet rate limited.
+    /// Table service; the daemon limits the rate of its calls.
     pub table: Arc<dyn Table>,
-    /// Object store, not yet rate limited.
+    /// Object store; shares the rate limit of the table.
     pub objects: Arc<dyn ObjectStore>,
     /// Source of the replicas that exist.
     pub machines: Arc<dyn MachineList>,
@@ -83,7 +83,7 @@
     pub network: Arc<dyn PeerNetwork>,
     /// Registry in which the daemon registers its metrics.
     pub registry: Registry,
-    /// Intervals and limits.
+    /// Intervals, limits and the random seed.
     pub settings: NodeSettings,
 }
 
@@ -502,7 +502,7 @@
             }
             sleep(Duration::from_millis(50)).await;
         }
-        log::warn!("{PREFIX} drain timed out; responses still in progress are aborted");
+        log::warn!("{PREFIX} drain timed out; responses are still in progress");
         false
     }
 }
--- a/crates/node/src/ownership.rs
+++ b/crates/node/src/ownership.rs
@@ -57,7 +57,7 @@
     lost: BTreeSet<Resource>,
     /// A resource was lost, and the others have not been compared with the table since.
     must_verify: bool,
-    /// Members that took a resource from this one: they are alive even if out of view, so nothing is taken from them.
+    /// Members that took a resource from this one: alive even if out of view; nothing is taken over from them.
     cooldowns: Cooldowns,
 }
 
@@ -206,6 +206,7 @@
 }
 
 /// True unless the present owner is in view and within its grace period, or in cooldown after a takeover.
+/// Starts that cooldown if the owner took the resource over from this member.
 fn may_take_over(
     shared: &Arc<Shared>,
     resource: &Resource,
@@ -267,7 +268,7 @@
             adopt(shared, resource, held).await;
         }
         Ok(TransactionOutcome::Conflict { .. }) => {}
-        Err(error) => log::debug!("{PREFIX} cannot take_over {resource:?}: {error}"),
+        Err(error) => log::debug!("{PREFIX} cannot take over {resource:?}: {error}"),
     }
 }
 
--- a/crates/node/src/roster_task.rs
+++ b/crates/node/src/roster_task.rs
@@ -15,7 +15,7 @@
 const PREFIX: &str = "roster:";
 const ROW_PREFIX: &str = "member/";
 
-/// Interval at which pollers, and members is_isolated in their view, read the roster.
+/// Poll interval of the roster for pollers, and for members with no other member in view.
 const READ_INTERVAL: Duration = Duration::from_secs(30);
 const ISOLATED_READ_INTERVAL: Duration = Duration::from_secs(5);
 const TICK: Duration = Duration::from_secs(1);
--- a/crates/node/src/runner/mod.rs
+++ b/crates/node/src/runner/mod.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Everything needed to run one granted item on a replica.
+/// A granted item and the replica on which it runs.
 #[derive(Clone)]
 pub(crate) struct ItemTask {
     pub grant: Grant,
--- a/crates/node/src/runner/slots.rs
+++ b/crates/node/src/runner/slots.rs
@@ -192,7 +192,7 @@
     let outcome = run_item(&task).await;
     if matches!(outcome, ItemOutcome::Fenced) {
         log::info!(
-            "{PREFIX} {} fenced off this owner; batch work on it stops",
+            "{PREFIX} {} rejected the epoch of this daemon; another member owns it",
             task.replica.machine.replica
         );
         ownership::replica_lost(&shared, &task.replica.machine.replica, task.epoch);
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -10,7 +10,7 @@
 use harrierward_gateway::GatewaySettings;
 use harrierward_membership::MembershipSettings;
 
-/// Settings of one daemon; the defaults suit production.
+/// Intervals and limits of one daemon, and the settings of its components.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeSettings {
     /// Number of job shards; the same on all daemons of a fleet.
@@ -46,7 +46,7 @@
     pub batch_tick: Duration,
     /// How long a drain waits for running responses before it aborts them.
     pub drain_timeout: Duration,
-    /// Seed of the random generator; fixed only in simulations.
+    /// Seed of the generator for ids and random choices.
     pub seed: u64,
 }
 
--- a/crates/node/src/transport.rs
+++ b/crates/node/src/transport.rs
@@ -64,7 +64,7 @@
             .ok_or_else(|| PeerError::Lost {
                 step: STEP,
                 peer,
-                detail: format!("unreadable answer, status {}", reply.status),
+                detail: format!("reply cannot be decoded, status {}", reply.status),
             })
     }
 
