--- a/crates/api/src/generate.rs
+++ b/crates/api/src/generate.rs
@@ -12,8 +12,8 @@
 use harrierward_claims::{ClaimKey, RequestDigest};
 use harrierward_external::FinishReason;
 use harrierward_gateway::{
-    AnswerEvent, AnswerIdentity, AnswerStream, Call, EndpointKind, Execution, GenerationSpec,
-    MarkedCall, Usage, content_bytes, parse_request,
+    Call, EndpointKind, Execution, GenerationSpec, IdempotentCall, ResponseEvent, ResponseIdentity,
+    ResponseStream, Usage, content_bytes, parse_request,
 };
 use harrierward_node::Node;
 use serde::Serialize;
@@ -72,7 +72,7 @@
         tenant: caller.tenant,
         spec: spec.clone(),
         identity: new_identity(&node, kind),
-        marked,
+        idempotency: marked,
         deadline: Instant::now() + deadline(&headers)?,
     };
     let response_stream = node.gateway().call(call).await?;
@@ -101,7 +101,7 @@
     caller: &Caller,
     headers: &HeaderMap,
     digest: impl FnOnce() -> RequestDigest,
-) -> Result<Option<MarkedCall>, ApiError> {
+) -> Result<Option<IdempotentCall>, ApiError> {
     let Some(mode) = headers.get(EXECUTION_MODE_HEADER) else {
         return Ok(None);
     };
@@ -112,7 +112,7 @@
     let key = idempotency_key(headers)?.ok_or_else(|| {
         ApiError::bad_field("Idempotency-Key", "is needed with an at-most-once request")
     })?;
-    Ok(Some(MarkedCall {
+    Ok(Some(IdempotentCall {
         key: ClaimKey {
             tenant: caller.tenant.clone(),
             key,
@@ -137,13 +137,13 @@
         })
 }
 
-fn new_identity(node: &Node, kind: EndpointKind) -> AnswerIdentity {
+fn new_identity(node: &Node, kind: EndpointKind) -> ResponseIdentity {
     let prefix = match kind {
         EndpointKind::Chat => "chatcmpl",
         EndpointKind::Completion => "cmpl",
     };
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    AnswerIdentity {
+    ResponseIdentity {
         id: format!("{prefix}-{:016x}", node.random_id()),
         created: now.unwrap_or_default().as_secs(),
     }
@@ -152,13 +152,13 @@
 /// Fields that all chunks of a response share.
 #[derive(Debug, Clone)]
 struct ResponseHeader {
-    identity: AnswerIdentity,
+    identity: ResponseIdentity,
     model: String,
     kind: EndpointKind,
 }
 
 impl ResponseHeader {
-    fn new(identity: AnswerIdentity, spec: &GenerationSpec) -> Self {
+    fn new(identity: ResponseIdentity, spec: &GenerationSpec) -> Self {
         Self {
             identity,
             model: spec.endpoint.clone(),
@@ -226,12 +226,7 @@
     }
 }
 
-async fn complete_response(
-    header: ResponseHeader,
-    response_stream: AnswerStream,
-) -> Result<Response, ApiError> {
-    let collected = response_stream.collect_answer().await?;
-    let finish_reason = Some(collected.reason.name());
+async fn complete_response(header: ResponseHeader, response_stream: ResponseStream) -> Result<Response, ApiError> { let collected = response_stream.collect_response().await?; let finish_reason = Some(collected.reason.name()); 
     let (object, choice) = match header.kind {
         EndpointKind::Chat => (
             "chat.completion",
@@ -320,13 +315,7 @@
     }
 }
 
-fn streamed_response(
-    header: ResponseHeader,
-    spec: GenerationSpec,
-    response_stream: AnswerStream,
-) -> Response {
-    let encoder = EventEncoder {
-        header,
+fn streamed_response(header: ResponseHeader, spec: GenerationSpec, response_stream: ResponseStream) -> Response { let encoder = EventEncoder { header, 
         include_usage: spec.include_usage,
         first: true,
     };
@@ -334,8 +323,8 @@
         (response_stream, encoder),
         |(mut response_stream, mut encoder)| async move {
             let frame = match response_stream.next().await? {
-                Ok(AnswerEvent::Text(text)) => encoder.text(&text),
-                Ok(AnswerEvent::Finished { reason, usage }) => encoder.finish(reason, usage),
+                Ok(ResponseEvent::Text(text)) => encoder.text(&text),
+                Ok(ResponseEvent::Finished { reason, usage }) => encoder.finish(reason, usage),
                 // Without [DONE] the caller detects that the response is incomplete.
                 Err(error) => encode_event(ApiError::from(error).body()),
             };
--- a/crates/relay/src/relay/reading.rs
+++ b/crates/relay/src/relay/reading.rs
@@ -4,8 +4,7 @@
 
 use async_trait::async_trait;
 use harrierward_external::{
-    ChangePage, PageStart, PlatformError, PlatformErrorKind, Row, RowReading, SpacePage,
-    WatchedTable,
+    ChangePage, PageStart, PlatformError, PlatformErrorKind, Row, RowRead, SpacePage, WatchedTable,
 };
 use tokio::time::sleep;
 
@@ -51,7 +50,7 @@
         start: PageStart<'_>,
     ) -> Result<SpacePage, PlatformError> {
         let first = PageStart {
-            most_rows: FIRST_PAGE_ROWS,
+            max_rows: FIRST_PAGE_ROWS,
             ..start
         };
         let page = self.store.read_page(space, first).await?;
@@ -104,7 +103,7 @@
         self.store.read_page(space, start).await
     }
 
-    /// True while a space without a copy may wait for starting peers.
+    /// True unless a space without a copy has waited for starting peers until its deadline.
     fn may_wait_for_peers(&self, space: &str) -> bool {
         if self.copy_state(space).1.is_some() {
             return true;
@@ -258,7 +257,7 @@
         }
     }
 
-    async fn read_row(&self, key: &str) -> Result<RowReading, PlatformError> {
+    async fn read_row(&self, key: &str) -> Result<RowRead, PlatformError> {
         self.store.read_row(key).await
     }
 
