--- a/crates/api/src/generate.rs
+++ b/crates/api/src/generate.rs
@@ -67,12 +67,12 @@
         .map_err(|error| ApiError::bad_field("body", format!("is not JSON: {error}")))?;
     let spec = parse_request(kind, &value)?;
     let digest = || RequestDigest::of(kind.path(), &body, &content_bytes(&value));
-    let marked = at_most_once_call(&caller, &headers, digest)?;
+    let idempotency = at_most_once_call(&caller, &headers, digest)?;
     let call = Call {
         tenant: caller.tenant,
         spec: spec.clone(),
         identity: new_identity(&node, kind),
-        idempotency: marked,
+        idempotency,
         deadline: Instant::now() + deadline(&headers)?,
     };
     let response_stream = node.gateway().call(call).await?;
@@ -226,7 +226,12 @@
     }
 }
 
-async fn complete_response(header: ResponseHeader, response_stream: ResponseStream) -> Result<Response, ApiError> { let collected = response_stream.collect_response().await?; let finish_reason = Some(collected.reason.name()); 
+async fn complete_response(
+    header: ResponseHeader,
+    response_stream: ResponseStream,
+) -> Result<Response, ApiError> {
+    let collected = response_stream.collect_response().await?;
+    let finish_reason = Some(collected.reason.name());
     let (object, choice) = match header.kind {
         EndpointKind::Chat => (
             "chat.completion",
@@ -315,7 +320,13 @@
     }
 }
 
-fn streamed_response(header: ResponseHeader, spec: GenerationSpec, response_stream: ResponseStream) -> Response { let encoder = EventEncoder { header, 
+fn streamed_response(
+    header: ResponseHeader,
+    spec: GenerationSpec,
+    response_stream: ResponseStream,
+) -> Response {
+    let encoder = EventEncoder {
+        header,
         include_usage: spec.include_usage,
         first: true,
     };
--- a/crates/node/src/cancel_task.rs
+++ b/crates/node/src/cancel_task.rs
@@ -65,7 +65,7 @@
 }
 
 /// Stops all items of the job on this daemon and returns how many were running.
-pub(crate) fn cancel_here(shared: &Arc<Shared>, job_id: &str) -> u32 {
+pub(crate) fn cancel_locally(shared: &Arc<Shared>, job_id: &str) -> u32 {
     let now = shared.now();
     lock(&shared.recent_cancels).add(job_id, now);
     shared.owner.cancel_job(job_id);
@@ -79,7 +79,7 @@
     for job_id in jobs {
         let is_new = lock(&shared.recent_cancels).add(job_id, now);
         if is_new {
-            cancel_here(shared, job_id);
+            cancel_locally(shared, job_id);
         }
     }
 }
@@ -90,7 +90,7 @@
         return CancelReply::default();
     };
     if notice.relay_to.is_empty() {
-        let stopped = cancel_here(shared, &job.job_id);
+        let stopped = cancel_locally(shared, &job.job_id);
         return CancelReply {
             stopped,
             noted: true,
@@ -160,7 +160,7 @@
 
 /// Announces a committed cancellation. Returns once no member can start another item of the job.
 pub(crate) async fn announce(shared: &Arc<Shared>, job: &JobNotice) {
-    cancel_here(shared, &job.job_id);
+    cancel_locally(shared, &job.job_id);
     let view = shared.view.load_full();
     let others = view
         .members
@@ -171,13 +171,13 @@
 }
 
 /// Reads the rows of the jobs held whenever probe replies don't prove that no cancellation was missed.
-pub(crate) async fn run_confirm(shared: Arc<Shared>) {
+pub(crate) async fn run_table_reads(shared: Arc<Shared>) {
     loop {
         let now = shared.now();
         let (unhealthy, known) = lock(&shared.membership).unhealthy_counts();
         let has_many_unhealthy = unhealthy * UNHEALTHY_ONE_IN > known;
-        let is_stale = lock(&shared.cancel_freshness).needs_table_read(now);
-        if (is_stale || has_many_unhealthy) && confirm(&shared).await {
+        let is_due = lock(&shared.cancel_freshness).needs_table_read(now);
+        if (is_due || has_many_unhealthy) && read_held_jobs(&shared).await {
             lock(&shared.cancel_freshness).note_table_read(now);
         }
         sleep(TABLE_READ_INTERVAL.min(FRESHNESS_TTL / 3)).await;
@@ -185,7 +185,7 @@
 }
 
 /// Reads the rows of all jobs held and stops those cancelled; false if a read failed.
-async fn confirm(shared: &Arc<Shared>) -> bool {
+async fn read_held_jobs(shared: &Arc<Shared>) -> bool {
     let mut held = shared.owner.job_tenants();
     held.extend(lock(&shared.runner).job_tenants());
     let jobs: Vec<(String, String)> = held.into_iter().collect();
@@ -200,7 +200,7 @@
         for row in rows.into_iter().flatten() {
             let job: JobRow = decode(&row.value).unwrap_or_default();
             if job.state != JobState::InProgress as i32 {
-                cancel_here(shared, &job.job_id);
+                cancel_locally(shared, &job.job_id);
             }
         }
     }
--- a/crates/node/src/membership_task.rs
+++ b/crates/node/src/membership_task.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// Sends several rounds of gossip without waiting for the protocol timers; used when leaving.
+/// Runs several protocol ticks, so that a departure spreads before the daemon stops.
 pub(crate) async fn gossip_departure(shared: &Arc<Shared>) {
     const ROUNDS: u32 = 3;
     for _ in 0..ROUNDS {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -311,7 +311,7 @@
         tokio::spawn(directory_task::run_notices(shared.clone()));
         tokio::spawn(ownership::run(shared.clone(), lost_shards));
         tokio::spawn(roster_task::run(shared.clone()));
-        tokio::spawn(cancel_task::run_confirm(shared.clone()));
+        tokio::spawn(cancel_task::run_table_reads(shared.clone()));
         tokio::spawn(capacity_task::run(shared.clone()));
         tokio::spawn(runner::run_slots(shared.clone()));
         tokio::spawn(runner::run_results(shared.clone()));
