--- a/crates/api/src/generate.rs
+++ b/crates/api/src/generate.rs
@@ -226,7 +226,12 @@
     }
 }
 
-async fn complete_response(header: ResponseHeader, response_stream: ResponseStream) -> Result<Response, ApiError> { let collected = response_stream.collect_response().await?; let finish_reason = Some(collected.reason.name()); 
+async fn complete_response(
+    header: ResponseHeader,
+    response_stream: ResponseStream,
+) -> Result<Response, ApiError> {
+    let collected = response_stream.collect_response().await?;
+    let finish_reason = Some(collected.reason.name());
     let (object, choice) = match header.kind {
         EndpointKind::Chat => (
             "chat.completion",
@@ -315,7 +320,13 @@
     }
 }
 
-fn streamed_response(header: ResponseHeader, spec: GenerationSpec, response_stream: ResponseStream) -> Response { let encoder = EventEncoder { header, 
+fn streamed_response(
+    header: ResponseHeader,
+    spec: GenerationSpec,
+    response_stream: ResponseStream,
+) -> Response {
+    let encoder = EventEncoder {
+        header,
         include_usage: spec.include_usage,
         first: true,
     };
