--- a/crates/node/src/membership_task.rs
+++ b/crates/node/src/membership_task.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// Sends several rounds of gossip without waiting for the protocol timers; used when leaving.
+/// Runs several protocol ticks, so that a departure spreads before the daemon stops.
 pub(crate) async fn gossip_departure(shared: &Arc<Shared>) {
     const ROUNDS: u32 = 3;
     for _ in 0..ROUNDS {
@@ -126,7 +126,7 @@
 
 async fn receive_membership(shared: &Arc<Shared>, datagram: &Datagram) {
     let now = shared.now();
-    // Refreshed, because this daemon may have been paused since the last tick.
+    // The status of the last tick may be outdated: this daemon may have been paused since.
     let config = config_status(shared, now);
     let (actions, report) = {
         let mut membership = lock(&shared.membership);
