--- a/crates/api/src/errors.rs
+++ b/crates/api/src/errors.rs
@@ -138,7 +138,7 @@
 impl From<GatewayError> for ApiError {
     fn from(error: GatewayError) -> Self {
         let message = format!("{} ({} at {})", error.message, error.step, error.peer);
-        Self::with(error.answer(), error.execution(), error.code, message)
+        Self::with(error.response(), error.execution(), error.code, message)
     }
 }
 
--- a/crates/api/src/generate.rs
+++ b/crates/api/src/generate.rs
@@ -12,8 +12,8 @@
 use harrierward_claims::{ClaimKey, RequestDigest};
 use harrierward_external::FinishReason;
 use harrierward_gateway::{
-    AnswerEvent, AnswerIdentity, AnswerStream, Call, EndpointKind, Execution, GenerationSpec,
-    MarkedCall, Usage, content_bytes, parse_request,
+    Call, EndpointKind, Execution, GenerationSpec, IdempotentCall, ResponseEvent, ResponseIdentity,
+    ResponseStream, Usage, content_bytes, parse_request,
 };
 use harrierward_node::Node;
 use serde::Serialize;
@@ -72,7 +72,7 @@
         tenant: caller.tenant,
         spec: spec.clone(),
         identity: new_identity(&node, kind),
-        marked,
+        idempotency: marked,
         deadline: Instant::now() + deadline(&headers)?,
     };
     let answer = node.gateway().call(call).await?;
@@ -101,7 +101,7 @@
     caller: &Caller,
     headers: &HeaderMap,
     digest: impl FnOnce() -> RequestDigest,
-) -> Result<Option<MarkedCall>, ApiError> {
+) -> Result<Option<IdempotentCall>, ApiError> {
     let Some(mark) = headers.get(MARK_HEADER) else {
         return Ok(None);
     };
@@ -112,7 +112,7 @@
     let key = idempotency_key(headers)?.ok_or_else(|| {
         ApiError::bad_field("Idempotency-Key", "is needed with an at-most-once request")
     })?;
-    Ok(Some(MarkedCall {
+    Ok(Some(IdempotentCall {
         key: ClaimKey {
             tenant: caller.tenant.clone(),
             key,
@@ -137,13 +137,13 @@
         })
 }
 
-fn new_identity(node: &Node, kind: EndpointKind) -> AnswerIdentity {
+fn new_identity(node: &Node, kind: EndpointKind) -> ResponseIdentity {
     let prefix = match kind {
         EndpointKind::Chat => "chatcmpl",
         EndpointKind::Completion => "cmpl",
     };
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    AnswerIdentity {
+    ResponseIdentity {
         id: format!("{prefix}-{:016x}", node.random_id()),
         created: now.unwrap_or_default().as_secs(),
     }
@@ -152,13 +152,13 @@
 /// What all parts of an answer have in common.
 #[derive(Debug, Clone)]
 struct AnswerHead {
-    identity: AnswerIdentity,
+    identity: ResponseIdentity,
     model: String,
     kind: EndpointKind,
 }
 
 impl AnswerHead {
-    fn new(identity: AnswerIdentity, spec: &GenerationSpec) -> Self {
+    fn new(identity: ResponseIdentity, spec: &GenerationSpec) -> Self {
         Self {
             identity,
             model: spec.endpoint.clone(),
@@ -226,8 +226,8 @@
     }
 }
 
-async fn whole(head: AnswerHead, answer: AnswerStream) -> Result<Response, ApiError> {
-    let answer = answer.collect_answer().await?;
+async fn whole(head: AnswerHead, answer: ResponseStream) -> Result<Response, ApiError> {
+    let answer = answer.collect_response().await?;
     let finish_reason = Some(answer.reason.name());
     let (object, choice) = match head.kind {
         EndpointKind::Chat => (
@@ -317,7 +317,7 @@
     }
 }
 
-fn streamed(head: AnswerHead, spec: GenerationSpec, answer: AnswerStream) -> Response {
+fn streamed(head: AnswerHead, spec: GenerationSpec, answer: ResponseStream) -> Response {
     let framer = Framer {
         head,
         include_usage: spec.include_usage,
@@ -325,8 +325,8 @@
     };
     let lines = stream::unfold((answer, framer), |(mut answer, mut framer)| async move {
         let line = match answer.next().await? {
-            Ok(AnswerEvent::Text(text)) => framer.text(&text),
-            Ok(AnswerEvent::Finished { reason, usage }) => framer.finish(reason, usage),
+            Ok(ResponseEvent::Text(text)) => framer.text(&text),
+            Ok(ResponseEvent::Finished { reason, usage }) => framer.finish(reason, usage),
             // An error event and no [DONE]: the caller must not take the answer for whole.
             Err(error) => frame(ApiError::from(error).body()),
         };
--- a/crates/bench/src/faults/clients.rs
+++ b/crates/bench/src/faults/clients.rs
@@ -10,8 +10,8 @@
     ApplyRequest, ConfigError, ConfigObject, LimitsSpec, RequestedChange, Spec,
 };
 use harrierward_gateway::{
-    AnswerEvent, AnswerIdentity, Call, EndpointKind, Execution, GatewayError, GenerationSpec,
-    MarkedCall,
+    Call, EndpointKind, Execution, GatewayError, GenerationSpec, IdempotentCall, ResponseEvent,
+    ResponseIdentity,
 };
 use harrierward_wire::ConfigDeltaReply;
 use rand::Rng;
@@ -46,8 +46,8 @@
     RequestDigest::of("/v1/completions", prompt.as_bytes(), prompt.as_bytes())
 }
 
-fn identity(prompt: &str) -> AnswerIdentity {
-    AnswerIdentity {
+fn identity(prompt: &str) -> ResponseIdentity {
+    ResponseIdentity {
         id: prompt.to_owned(),
         created: 0,
     }
@@ -76,8 +76,8 @@
         while let Some(event) = answer.next().await {
             daemon.gate.pass().await;
             match event {
-                Ok(AnswerEvent::Text(text)) => partial.push_str(&text),
-                Ok(AnswerEvent::Finished { .. }) => {
+                Ok(ResponseEvent::Text(text)) => partial.push_str(&text),
+                Ok(ResponseEvent::Finished { .. }) => {
                     return OnlineOutcome::Answered {
                         text: std::mem::take(&mut partial),
                     };
@@ -122,7 +122,7 @@
             tenant: tenant.to_owned(),
             spec: spec(model, &prompt, maximum_tokens),
             identity: identity(&prompt),
-            marked: None,
+            idempotency: None,
             deadline: Instant::now() + Duration::from_secs(20),
         };
         let outcome = call_once(&daemon, call).await;
@@ -183,7 +183,7 @@
         let Ok(daemon) = world.any_daemon() else {
             return;
         };
-        let marked = MarkedCall {
+        let marked = IdempotentCall {
             key: ClaimKey {
                 tenant: request.tenant.to_owned(),
                 key: request.prompt.clone(),
@@ -194,7 +194,7 @@
             tenant: request.tenant.to_owned(),
             spec: spec(request.model, &request.prompt, request.maximum_tokens),
             identity: identity(&request.prompt),
-            marked: (!world.broken.no_claims).then_some(marked),
+            idempotency: (!world.broken.no_claims).then_some(marked),
             deadline: Instant::now() + Duration::from_secs(20),
         };
         let outcome = call_once(&daemon, call).await;
@@ -515,7 +515,7 @@
         tenant: tenant.to_owned(),
         spec: spec(model, &prompt, MAXIMUM_TOKENS),
         identity: identity(&prompt),
-        marked: marked.then_some(MarkedCall { key, digest }),
+        idempotency: marked.then_some(IdempotentCall { key, digest }),
         deadline: Instant::now() + Duration::from_secs(20),
     };
     let daemon = world.any_daemon()?;
--- a/crates/bench/src/speed/setup.rs
+++ b/crates/bench/src/speed/setup.rs
@@ -81,7 +81,7 @@
         shards: 1,
         ..NodeSettings::default()
     };
-    settings.gateway.requests_a_replica = 100_000;
+    settings.gateway.requests_per_replica = 100_000;
     let node = Node::start(NodeParts {
         identity: NodeIdentity {
             member: "speed".to_owned(),
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -15,21 +15,21 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionSettings {
     /// Requests that wait at most.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Longest wait.
-    pub longest_wait: Duration,
+    pub max_wait: Duration,
 }
 
 impl Default for AdmissionSettings {
     fn default() -> Self {
         Self {
-            queue: 512,
-            longest_wait: Duration::from_secs(2),
+            max_queued: 512,
+            max_wait: Duration::from_secs(2),
         }
     }
 }
 
-/// Waiting entries by tenant, served in turn: a tenant with many entries does not delay the others.
+/// Waiter entries by tenant, served in turn: a tenant with many entries does not delay the others.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     tenants: BTreeMap<String, VecDeque<T>>,
@@ -48,7 +48,7 @@
 }
 
 impl<T> FairQueue<T> {
-    /// Entries waiting.
+    /// Entries waiter.
     pub fn len(&self) -> usize {
         self.length
     }
@@ -104,15 +104,15 @@
     }
 }
 
-type Waiting = oneshot::Sender<AdmissionPermit>;
+type Waiter = oneshot::Sender<AdmissionPermit>;
 
 #[derive(Debug)]
 struct Shared {
     capacity: AtomicU32,
     running: AtomicU32,
-    queue: Mutex<FairQueue<Waiting>>,
+    queue: Mutex<FairQueue<Waiter>>,
     /// Smoothed time that one request holds its place, microseconds; used to foretell waits.
-    held_micros: AtomicU32,
+    mean_run_micros: AtomicU32,
     settings: AdmissionSettings,
 }
 
@@ -120,7 +120,7 @@
 #[derive(Debug)]
 pub struct AdmissionPermit {
     shared: Arc<Shared>,
-    since: Instant,
+    admitted_at: Instant,
 }
 
 /// Admission to one service; cheap to clone.
@@ -129,11 +129,11 @@
     shared: Arc<Shared>,
 }
 
-/// Smoothing of the held time: the new value counts one in so many.
+/// Smoothing of the run_time time: the new value counts one in so many.
 const SMOOTHING: u32 = 16;
 
-/// First guess of the held time, microseconds.
-const FIRST_HELD_MICROS: u32 = 500_000;
+/// First guess of the run_time time, microseconds.
+const INITIAL_RUN_MICROS: u32 = 500_000;
 
 impl Admission {
     /// Admission for `capacity` running requests.
@@ -143,7 +143,7 @@
                 capacity: AtomicU32::new(capacity),
                 running: AtomicU32::new(0),
                 queue: Mutex::new(FairQueue::default()),
-                held_micros: AtomicU32::new(FIRST_HELD_MICROS),
+                mean_run_micros: AtomicU32::new(INITIAL_RUN_MICROS),
                 settings,
             }),
         }
@@ -155,30 +155,30 @@
         self.shared.admit_waiting();
     }
 
-    /// Requests running and waiting.
+    /// Requests running and waiter.
     pub fn load(&self) -> (u32, usize) {
         let running = self.shared.running.load(Ordering::Relaxed);
         (running, self.shared.lock().len())
     }
 
     /// A place for a request of `tenant`, or after how long to come back. Free places are taken without a lock.
-    pub async fn enter(
+    pub async fn admit(
         &self,
         tenant: &str,
         deadline: Instant,
     ) -> Result<AdmissionPermit, Duration> {
-        if let Some(permit) = self.shared.try_enter() {
+        if let Some(permit) = self.shared.try_admit() {
             return Ok(permit);
         }
-        let receiver = self.wait_in_queue(tenant, deadline)?;
-        let limit = deadline.min(Instant::now() + self.shared.settings.longest_wait);
+        let receiver = self.enqueue(tenant, deadline)?;
+        let limit = deadline.min(Instant::now() + self.shared.settings.max_wait);
         match timeout_at(limit, receiver).await {
             Ok(Ok(permit)) => Ok(permit),
-            _ => Err(self.shared.expected_wait(self.shared.settings.queue)),
+            _ => Err(self.shared.expected_wait(self.shared.settings.max_queued)),
         }
     }
 
-    fn wait_in_queue(
+    fn enqueue(
         &self,
         tenant: &str,
         deadline: Instant,
@@ -186,14 +186,14 @@
         let (sender, receiver) = oneshot::channel();
         {
             let mut queue = self.shared.lock();
-            if queue.len() >= self.shared.settings.queue {
-                queue.retain(|waiting: &Waiting| !waiting.is_closed());
+            if queue.len() >= self.shared.settings.max_queued {
+                queue.retain(|waiter: &Waiter| !waiter.is_closed());
             }
             let expected = self.shared.expected_wait(queue.ahead_of(tenant));
-            let full = queue.len() >= self.shared.settings.queue;
-            let late = Instant::now() + expected > deadline
-                || expected > self.shared.settings.longest_wait;
-            if full || late {
+            let full = queue.len() >= self.shared.settings.max_queued;
+            let too_late =
+                Instant::now() + expected > deadline || expected > self.shared.settings.max_wait;
+            if full || too_late {
                 return Err(expected);
             }
             queue.push(tenant, sender);
@@ -205,21 +205,21 @@
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, FairQueue<Waiting>> {
+    fn lock(&self) -> MutexGuard<'_, FairQueue<Waiter>> {
         self.queue
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn try_enter(self: &Arc<Self>) -> Option<AdmissionPermit> {
+    fn try_admit(self: &Arc<Self>) -> Option<AdmissionPermit> {
         let capacity = self.capacity.load(Ordering::Relaxed);
-        let entered = |running: u32| (running < capacity).then_some(running + 1);
+        let incremented = |running: u32| (running < capacity).then_some(running + 1);
         self.running
-            .fetch_update(Ordering::AcqRel, Ordering::Relaxed, entered)
+            .fetch_update(Ordering::AcqRel, Ordering::Relaxed, incremented)
             .ok()?;
         Some(AdmissionPermit {
             shared: self.clone(),
-            since: Instant::now(),
+            admitted_at: Instant::now(),
         })
     }
 
@@ -229,37 +229,37 @@
             if queue.is_empty() {
                 return;
             }
-            let Some(permit) = self.try_enter() else {
+            let Some(permit) = self.try_admit() else {
                 return;
             };
             let next = queue.pop();
             drop(queue);
             // A waiter that gave up drops its permit here, which admits the next.
-            if let Some(waiting) = next {
-                let _ = waiting.send(permit);
+            if let Some(waiter) = next {
+                let _ = waiter.send(permit);
             }
         }
     }
 
     fn expected_wait(&self, ahead: usize) -> Duration {
         let capacity = self.capacity.load(Ordering::Relaxed).max(1);
-        let held = f64::from(self.held_micros.load(Ordering::Relaxed));
-        let turns = (ahead as f64 + 1.0) / f64::from(capacity);
-        Duration::from_secs_f64(held * turns / 1e6)
+        let run_time = f64::from(self.mean_run_micros.load(Ordering::Relaxed));
+        let rounds = (ahead as f64 + 1.0) / f64::from(capacity);
+        Duration::from_secs_f64(run_time * rounds / 1e6)
     }
 
-    fn note_held(&self, held: Duration) {
-        let held = u32::try_from(held.as_micros()).unwrap_or(u32::MAX);
-        let smoothed = |old: u32| Some(old - old / SMOOTHING + held / SMOOTHING);
+    fn note_run_time(&self, run_time: Duration) {
+        let run_time = u32::try_from(run_time.as_micros()).unwrap_or(u32::MAX);
+        let smoothed = |old: u32| Some(old - old / SMOOTHING + run_time / SMOOTHING);
         let _ = self
-            .held_micros
+            .mean_run_micros
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, smoothed);
     }
 }
 
 impl Drop for AdmissionPermit {
     fn drop(&mut self) {
-        self.shared.note_held(self.since.elapsed());
+        self.shared.note_run_time(self.admitted_at.elapsed());
         self.shared.running.fetch_sub(1, Ordering::AcqRel);
         self.shared.admit_waiting();
     }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -8,7 +8,7 @@
 
 /// The mark of an at-most-once request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MarkedCall {
+pub struct IdempotentCall {
     /// Tenant and idempotency key.
     pub key: ClaimKey,
     /// Digests of the request.
@@ -17,7 +17,7 @@
 
 /// What an answer is known by to its caller. It stays with a stored answer, so that a resend is seen to be one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AnswerIdentity {
+pub struct ResponseIdentity {
     /// Id.
     pub id: String,
     /// When the request came, seconds since 1970.
@@ -32,9 +32,9 @@
     /// What to generate.
     pub spec: GenerationSpec,
     /// Identity of the answer, unless one is stored.
-    pub identity: AnswerIdentity,
+    pub identity: ResponseIdentity,
     /// Set if the request must run at most once.
-    pub marked: Option<MarkedCall>,
+    pub idempotency: Option<IdempotentCall>,
     /// Time after which the request is no longer started or retried.
     pub deadline: Instant,
 }
--- a/crates/gateway/src/errors.rs
+++ b/crates/gateway/src/errors.rs
@@ -19,7 +19,7 @@
     status: u16,
     execution: Execution,
     retry_after: Option<Duration>,
-    is_under_key: bool,
+    has_idempotency_key: bool,
 }
 
 impl GatewayError {
@@ -38,7 +38,7 @@
             message: message.into(),
             execution: Execution::NotRun,
             retry_after: None,
-            is_under_key: false,
+            has_idempotency_key: false,
         }
     }
 
@@ -49,31 +49,31 @@
         code: &'static str,
         message: impl Into<String>,
     ) -> Self {
-        Self::not_run(step, status, code, message).learn(Execution::Unknown)
+        Self::not_run(step, status, code, message).merge_execution(Execution::Unknown)
     }
 
     /// Names the other party.
-    pub fn at(mut self, peer: impl Into<String>) -> Self {
+    pub fn with_peer(mut self, peer: impl Into<String>) -> Self {
         self.peer = peer.into();
         self
     }
 
     /// Adds what is known of the execution.
-    pub fn learn(mut self, more: Execution) -> Self {
+    pub fn merge_execution(mut self, more: Execution) -> Self {
         self.execution.merge(more);
         self
     }
 
     /// Says when to come back, if it turns out that the request has not run.
-    pub fn after(mut self, retry_after: Duration) -> Self {
+    pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
         self
     }
 
     /// Says when to come back to a caller whose key lets the request run once only.
-    pub fn after_under_key(mut self, retry_after: Duration) -> Self {
-        self.is_under_key = true;
-        self.after(retry_after)
+    pub fn with_idempotent_retry_after(mut self, retry_after: Duration) -> Self {
+        self.has_idempotency_key = true;
+        self.with_retry_after(retry_after)
     }
 
     /// What is known of the execution.
@@ -82,12 +82,12 @@
     }
 
     /// Status and pause for the caller.
-    pub fn answer(&self) -> FinalResponse {
-        let answer = if self.is_under_key {
+    pub fn response(&self) -> FinalResponse {
+        let response = if self.has_idempotency_key {
             FinalResponse::for_idempotent_retry
         } else {
             FinalResponse::of
         };
-        answer(self.execution, self.status, self.retry_after)
+        response(self.execution, self.status, self.retry_after)
     }
 }
--- a/crates/gateway/src/gateway/claiming.rs
+++ b/crates/gateway/src/gateway/claiming.rs
@@ -10,25 +10,25 @@
 use tokio::time::Instant;
 
 use super::{Gateway, Inner, PREFIX};
-use crate::answer::StoredAnswer;
-use crate::call::{Call, MarkedCall};
+use crate::call::{Call, IdempotentCall};
 use crate::errors::GatewayError;
+use crate::response::StoredResponse;
 
 const STEP: &str = "gateway.claim";
 
 /// Longest time for which a resend waits for the run that is in progress. Most answers that a caller has given up on
 /// too early come in this time; a longer wait would hold many connections for runs whose holder is gone for good.
-const LONGEST_RESEND_WAIT: Duration = Duration::from_secs(1);
+const MAX_RESEND_WAIT: Duration = Duration::from_secs(1);
 
 /// When a resend that waited in vain is told to come back.
-const RESEND_RETRY: Duration = Duration::from_secs(1);
+const RESEND_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// How a marked call may go on.
 pub(super) enum Claimed {
     /// It may be dispatched, once.
     Granted(Claim),
     /// It ran; this is its answer.
-    Answered(StoredAnswer),
+    Answered(StoredResponse),
     /// Another attempt holds the claim.
     Held(Holder),
 }
@@ -45,7 +45,7 @@
     /// That of a call that comes now.
     pub fn new(call: &Call) -> Self {
         let began = Instant::now();
-        let longest = began + LONGEST_RESEND_WAIT;
+        let longest = began + MAX_RESEND_WAIT;
         Self {
             began,
             until: longest.min(call.deadline),
@@ -61,18 +61,18 @@
     /// The error of a call that goes no further: once another attempt was seen, the request may have run.
     pub fn qualify(&self, error: GatewayError) -> GatewayError {
         if self.has_waited() {
-            return error.learn(Execution::Unknown);
+            return error.merge_execution(Execution::Unknown);
         }
         error
     }
 }
 
 /// Counts a resend that waits, until dropped.
-struct WaitingResend {
+struct WaitingResendGuard {
     inner: Arc<Inner>,
 }
 
-impl WaitingResend {
+impl WaitingResendGuard {
     fn count(inner: &Arc<Inner>) -> Self {
         inner.waiting_resends.fetch_add(1, Ordering::Relaxed);
         Self {
@@ -81,7 +81,7 @@
     }
 }
 
-impl Drop for WaitingResend {
+impl Drop for WaitingResendGuard {
     fn drop(&mut self) {
         self.inner.waiting_resends.fetch_sub(1, Ordering::Relaxed);
     }
@@ -89,23 +89,31 @@
 
 impl Gateway {
     /// Claims a marked request for this attempt, unless another one has it.
-    pub(super) async fn claim(&self, marked: &MarkedCall) -> Result<Claimed, GatewayError> {
+    pub(super) async fn claim(
+        &self,
+        idempotency: &IdempotentCall,
+    ) -> Result<Claimed, GatewayError> {
         let parts = &self.inner.parts;
         let attempt = format!("{}-claim-{}", parts.member, self.next_id());
         let now_ms = (parts.now_ms)();
-        let verdict = parts
+        let outcome = parts
             .claims
-            .begin(marked.key.clone(), marked.digest.clone(), attempt, now_ms)
+            .begin(
+                idempotency.key.clone(),
+                idempotency.digest.clone(),
+                attempt,
+                now_ms,
+            )
             .await
             .map_err(|refused| {
                 let message = format!("the request cannot be claimed now: {refused}");
                 GatewayError::not_run(STEP, 503, "claim_refused", message)
-                    .at("table")
-                    .after(Duration::from_secs(1))
+                    .with_peer("table")
+                    .with_retry_after(Duration::from_secs(1))
             })?;
-        match verdict {
+        match outcome {
             ClaimOutcome::Granted(claim) => Ok(Claimed::Granted(claim)),
-            ClaimOutcome::Completed(bytes) => stored_answer(&bytes).map(Claimed::Answered),
+            ClaimOutcome::Completed(bytes) => stored_response(&bytes).map(Claimed::Answered),
             ClaimOutcome::Held(holder) => Ok(Claimed::Held(holder)),
             ClaimOutcome::Mismatch => {
                 let message = "Idempotency-Key: was used with another body";
@@ -120,26 +128,31 @@
     /// It did not in time, or too many wait.
     pub(super) async fn wait_for_holder(
         &self,
-        marked: &MarkedCall,
+        idempotency: &IdempotentCall,
         holder: Holder,
         wait: &mut ResendWait,
     ) -> Result<(), GatewayError> {
         wait.holder = Some(holder);
-        let _waiting = WaitingResend::count(&self.inner);
+        let _waiting = WaitingResendGuard::count(&self.inner);
         let claims = &self.inner.parts.claims;
-        let outcome = match claims.wait_while_open(&marked.key, wait.until).await {
+        let outcome = match claims.wait_while_open(&idempotency.key, wait.until).await {
             WaitOutcome::Settled => return Ok(()),
             WaitOutcome::StillOpen => "still_open",
             WaitOutcome::TooManyWaiters => "too_many_wait",
         };
-        self.note_resend(marked, wait, outcome);
+        self.note_resend(idempotency, wait, outcome);
         let message = "the request is running, or may have run; it is not run again";
         let error = GatewayError::unknown(STEP, 409, "in_progress_or_unknown", message);
-        Err(error.after_under_key(RESEND_RETRY))
+        Err(error.with_idempotent_retry_after(RESEND_RETRY_AFTER))
     }
 
     /// Counts and logs what became of a resend.
-    pub(super) fn note_resend(&self, marked: &MarkedCall, wait: &ResendWait, outcome: &str) {
+    pub(super) fn note_resend(
+        &self,
+        idempotency: &IdempotentCall,
+        wait: &ResendWait,
+        outcome: &str,
+    ) {
         let resends = &self.metrics().resends;
         resends.with_label_values(&[outcome]).inc();
         let parts = &self.inner.parts;
@@ -148,8 +161,8 @@
         let claimed_at = holder.map(|holder| holder.created_at_ms);
         let held_for = claimed_at.map_or(0, |at| (parts.now_ms)().saturating_sub(at));
         parts.log.record(&Record::Resent {
-            tenant: &marked.key.tenant,
-            claim: &marked.key.row_key(),
+            tenant: &idempotency.key.tenant,
+            claim: &idempotency.key.row_key(),
             holder: holder.map_or("", |holder| &holder.attempt),
             held_for_ms: held_for,
             outcome,
@@ -168,17 +181,17 @@
     }
 }
 
-fn stored_answer(bytes: &[u8]) -> Result<StoredAnswer, GatewayError> {
+fn stored_response(bytes: &[u8]) -> Result<StoredResponse, GatewayError> {
     if bytes.is_empty() {
-        return Err(answer_not_kept("its answer was too large to keep"));
+        return Err(response_not_kept("its answer was too large to keep"));
     }
     serde_json::from_slice(bytes).map_err(|error| {
         log::warn!("{PREFIX} a stored answer cannot be read: {error}");
-        answer_not_kept("its stored answer cannot be read")
+        response_not_kept("its stored answer cannot be read")
     })
 }
 
-fn answer_not_kept(cause: &str) -> GatewayError {
+fn response_not_kept(cause: &str) -> GatewayError {
     let message = format!("the request ran; {cause}");
-    GatewayError::unknown(STEP, 409, "answer_not_kept", message).learn(Execution::Ran)
+    GatewayError::unknown(STEP, 409, "answer_not_kept", message).merge_execution(Execution::Ran)
 }
--- a/crates/gateway/src/gateway/dispatch.rs
+++ b/crates/gateway/src/gateway/dispatch.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 use tokio::time::{Instant, timeout};
 
-use super::{Attempt, CHARACTERS_A_TOKEN, Gateway, PREFIX, PrefixNews, as_micros, no_replica};
+use super::{Attempt, CHARACTERS_PER_TOKEN, Gateway, PREFIX, PrefixUpdate, as_micros, no_replica};
 use crate::call::Call;
 use crate::directory::Replica;
 use crate::errors::GatewayError;
@@ -29,18 +29,18 @@
         let mut execution = Execution::default();
         loop {
             let Some((replica, uncached)) = self.route(&service, call, &blocks, &excluded) else {
-                return Err(no_replica().learn(execution));
+                return Err(no_replica().merge_execution(execution));
             };
             let error = match self
                 .send(call, &model, &replica, uncached, resume_from)
                 .await
             {
                 Ok(attempt) => {
-                    let news = PrefixNews {
+                    let update = PrefixUpdate {
                         replica: replica.number,
                         blocks: blocks.clone(),
                     };
-                    let _ = self.inner.news.send(news);
+                    let _ = self.inner.updates.send(update);
                     return Ok(attempt);
                 }
                 Err(error) => error,
@@ -54,14 +54,14 @@
             }
             self.penalize(&replica);
             log::debug!("{PREFIX} {error}");
-            let name = replica.machine.replica.0.clone();
+            let peer = replica.machine.replica.0.clone();
             let failed = |code: &'static str, message: String| {
                 GatewayError::not_run(STEP, 503, code, message)
-                    .learn(execution)
-                    .at(name.clone())
-                    .after(Duration::from_secs(1))
+                    .merge_execution(execution)
+                    .with_peer(peer.clone())
+                    .with_retry_after(Duration::from_secs(1))
             };
-            let may_retry = not_run || call.marked.is_none();
+            let may_retry = not_run || call.idempotency.is_none();
             if !may_retry {
                 return Err(failed("engine_failed", error.to_string()));
             }
@@ -91,7 +91,7 @@
                 entry.replicas.iter().position(same)
             })
             .collect();
-        let tokens = call.spec.prompt.len() / CHARACTERS_A_TOKEN + 1;
+        let tokens = call.spec.prompt.len() / CHARACTERS_PER_TOKEN + 1;
         let request = RouteRequest {
             blocks,
             prompt_tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -3,11 +3,11 @@
 mod attempt;
 mod claiming;
 mod dispatch;
-mod prefix_news;
+mod prefix_index;
 
 pub(crate) use attempt::Attempt;
 use claiming::{Claimed, ResendWait};
-use prefix_news::run_index;
+use prefix_index::run_index;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,12 +23,12 @@
 use tokio::time::Instant;
 
 use crate::admission::{Admission, AdmissionPermit, AdmissionSettings};
-use crate::answer::{AnswerState, AnswerStream, run_marked};
 use crate::call::Call;
 use crate::directory::ReplicaDirectory;
 use crate::errors::GatewayError;
 use crate::limits::{InProgress, LimitDecision, TenantLimits};
 use crate::metrics::GatewayMetrics;
+use crate::response::{ResponseState, ResponseStream, run_idempotent};
 use crate::retry::RetryBudget;
 
 const PREFIX: &str = "gateway:";
@@ -39,7 +39,7 @@
     /// Bounds of admission.
     pub admission: AdmissionSettings,
     /// Online requests that one gateway sends to a replica at most.
-    pub requests_a_replica: u32,
+    pub requests_per_replica: u32,
     /// Wait for an engine to take a request.
     pub connect_timeout: Duration,
     /// Wait for the next event of a stream before it counts as cut.
@@ -47,9 +47,9 @@
     /// How long a replica that refused or broke is left alone.
     pub penalty: Duration,
     /// How often the prefix index is renewed.
-    pub index_every: Duration,
+    pub index_interval: Duration,
     /// How long a prefix is believed cached without news.
-    pub prefix_lifetime: Duration,
+    pub prefix_ttl: Duration,
     /// Seed of the choices.
     pub seed: u64,
 }
@@ -58,12 +58,12 @@
     fn default() -> Self {
         Self {
             admission: AdmissionSettings::default(),
-            requests_a_replica: 96,
+            requests_per_replica: 96,
             connect_timeout: Duration::from_secs(2),
             stall_timeout: Duration::from_secs(10),
             penalty: Duration::from_secs(2),
-            index_every: Duration::from_millis(50),
-            prefix_lifetime: Duration::from_secs(120),
+            index_interval: Duration::from_millis(50),
+            prefix_ttl: Duration::from_secs(120),
             seed: 0,
         }
     }
@@ -90,7 +90,7 @@
 }
 
 /// A prompt was sent: its prefix will be cached there.
-struct PrefixNews {
+struct PrefixUpdate {
     replica: u32,
     blocks: Arc<Vec<u64>>,
 }
@@ -101,7 +101,7 @@
     limits: TenantLimits,
     admissions: ArcSwap<HashMap<String, Admission>>,
     index: ArcSwap<PrefixIndex>,
-    news: mpsc::UnboundedSender<PrefixNews>,
+    updates: mpsc::UnboundedSender<PrefixUpdate>,
     retries: RetryBudget,
     counter: AtomicU64,
     /// Resends that wait for another attempt: they hold no place, but a planned stop waits for them too.
@@ -117,15 +117,15 @@
 impl Gateway {
     /// Starts a gateway on the current tokio runtime.
     pub fn start(parts: GatewayParts, settings: GatewaySettings) -> Self {
-        let (news, receiver) = mpsc::unbounded_channel();
-        let lifetime = u64::try_from(settings.prefix_lifetime.as_micros()).unwrap_or(u64::MAX);
+        let (updates, receiver) = mpsc::unbounded_channel();
+        let lifetime = u64::try_from(settings.prefix_ttl.as_micros()).unwrap_or(u64::MAX);
         let inner = Arc::new(Inner {
             parts,
             settings,
             limits: TenantLimits::default(),
             admissions: ArcSwap::from_pointee(HashMap::new()),
             index: ArcSwap::from_pointee(PrefixIndex::new(lifetime)),
-            news,
+            updates,
             retries: RetryBudget::default(),
             counter: AtomicU64::new(0),
             waiting_resends: AtomicUsize::new(0),
@@ -146,7 +146,7 @@
         let mut admissions = HashMap::new();
         for (service, entry) in &directory.services {
             let replicas = u32::try_from(entry.replicas.len()).unwrap_or(u32::MAX);
-            let capacity = replicas.saturating_mul(self.inner.settings.requests_a_replica);
+            let capacity = replicas.saturating_mul(self.inner.settings.requests_per_replica);
             let admission = match old.get(service) {
                 Some(kept) => {
                     kept.set_capacity(capacity);
@@ -168,7 +168,7 @@
     }
 
     pub(crate) fn take_retry(&self) -> bool {
-        let taken = self.inner.retries.take();
+        let taken = self.inner.retries.withdraw();
         if taken {
             self.metrics().retries.inc();
         }
@@ -176,7 +176,7 @@
     }
 
     pub(crate) fn note_success(&self) {
-        self.inner.retries.earn();
+        self.inner.retries.deposit();
         self.count_outcome("ok");
     }
 
@@ -210,9 +210,9 @@
     }
 
     /// Starts a call. An error here means that no part of an answer was delivered.
-    pub async fn call(&self, call: Call) -> Result<AnswerStream, GatewayError> {
-        let result = if call.marked.is_some() {
-            self.call_to_the_end(call).await
+    pub async fn call(&self, call: Call) -> Result<ResponseStream, GatewayError> {
+        let result = if call.idempotency.is_some() {
+            self.call_detached(call).await
         } else {
             self.try_call(call).await
         };
@@ -223,7 +223,7 @@
     }
 
     /// A marked call goes on although its caller goes away, so that no claim is left behind undispatched.
-    async fn call_to_the_end(&self, call: Call) -> Result<AnswerStream, GatewayError> {
+    async fn call_detached(&self, call: Call) -> Result<ResponseStream, GatewayError> {
         let gateway = self.clone();
         let task = tokio::spawn(async move { gateway.try_call(call).await });
         task.await.unwrap_or_else(|error| {
@@ -237,65 +237,65 @@
         })
     }
 
-    async fn try_call(&self, call: Call) -> Result<AnswerStream, GatewayError> {
+    async fn try_call(&self, call: Call) -> Result<ResponseStream, GatewayError> {
         let service = self.service_of(&call)?;
-        let in_progress = match self.enter_limits(&call)? {
-            LimitDecision::Pass(in_progress) => in_progress,
+        let in_progress = match self.admit_tenant(&call)? {
+            LimitDecision::Admitted(in_progress) => in_progress,
             LimitDecision::Refused { retry_after, limit } => {
                 let message = format!("limit {limit} of this tenant is met");
                 let error = GatewayError::not_run("gateway.limits", 429, "rate_limited", message);
-                return Err(error.after(retry_after));
+                return Err(error.with_retry_after(retry_after));
             }
         };
         let mut wait = ResendWait::new(&call);
         loop {
-            let entered = self.enter_service(&service, &call).await;
-            let permit = entered.map_err(|error| wait.qualify(error))?;
+            let admitted = self.admit_to_service(&service, &call).await;
+            let permit = admitted.map_err(|error| wait.qualify(error))?;
             let started = Instant::now();
-            let claim = match &call.marked {
+            let claim = match &call.idempotency {
                 None => None,
-                Some(marked) => match self.claim(marked).await {
+                Some(idempotency) => match self.claim(idempotency).await {
                     Ok(Claimed::Granted(claim)) => {
                         if wait.has_waited() {
-                            self.note_resend(marked, &wait, "run_after_release");
+                            self.note_resend(idempotency, &wait, "run_after_release");
                         }
                         Some(claim)
                     }
                     Ok(Claimed::Answered(stored)) => {
-                        self.note_resend(marked, &wait, "stored");
-                        return Ok(AnswerStream::replay(stored, call.identity));
+                        self.note_resend(idempotency, &wait, "stored");
+                        return Ok(ResponseStream::replay(stored, call.identity));
                     }
                     Ok(Claimed::Held(holder)) => {
                         // Who only waits takes no place from those who run.
                         drop(permit);
-                        self.wait_for_holder(marked, holder, &mut wait).await?;
+                        self.wait_for_holder(idempotency, holder, &mut wait).await?;
                         continue;
                     }
                     Err(error) => return Err(wait.qualify(error)),
                 },
             };
-            let places = Places {
+            let permits = Permits {
                 permit,
                 in_progress,
                 started,
             };
-            return self.run(call, claim, places).await;
+            return self.run(call, claim, permits).await;
         }
     }
 
     /// A place among the running requests of a service.
-    async fn enter_service(
+    async fn admit_to_service(
         &self,
         service: &str,
         call: &Call,
     ) -> Result<AdmissionPermit, GatewayError> {
         let admission = self.inner.admissions.load().get(service).cloned();
         let admission = admission.ok_or_else(no_replica)?;
-        let entered = admission.enter(&call.tenant, call.deadline).await;
-        entered.map_err(|retry_after| {
+        let admitted = admission.admit(&call.tenant, call.deadline).await;
+        admitted.map_err(|retry_after| {
             let message = "the service is at its capacity";
             GatewayError::not_run("gateway.admission", 503, "overloaded", message)
-                .after(retry_after)
+                .with_retry_after(retry_after)
         })
     }
 
@@ -304,8 +304,8 @@
         &self,
         call: Call,
         claim: Option<Claim>,
-        places: Places,
-    ) -> Result<AnswerStream, GatewayError> {
+        permits: Permits,
+    ) -> Result<ResponseStream, GatewayError> {
         let attempt = match self.connect(&call, Vec::new(), 0).await {
             Ok(attempt) => attempt,
             Err(error) => {
@@ -316,20 +316,20 @@
             }
         };
         let identity = call.identity.clone();
-        let state = AnswerState {
+        let state = ResponseState {
             gateway: self.clone(),
             call,
             attempt,
             delivered: 0,
             resumes: 0,
-            started: places.started,
+            started: permits.started,
             ended: false,
-            _permit: places.permit,
-            _in_progress: places.in_progress,
+            _permit: permits.permit,
+            _in_progress: permits.in_progress,
         };
         Ok(match claim {
-            None => AnswerStream::new(identity, state.into_stream()),
-            Some(claim) => run_marked(state, self.inner.parts.claims.clone(), claim),
+            None => ResponseStream::new(identity, state.into_stream()),
+            Some(claim) => run_idempotent(state, self.inner.parts.claims.clone(), claim),
         })
     }
 
@@ -359,15 +359,15 @@
         Ok((service, model))
     }
 
-    fn enter_limits(&self, call: &Call) -> Result<LimitDecision, GatewayError> {
+    fn admit_tenant(&self, call: &Call) -> Result<LimitDecision, GatewayError> {
         let now = self.now_micros();
         let endpoint = &call.spec.endpoint;
-        let decision = self.inner.limits.enter(&call.tenant, endpoint, now);
+        let decision = self.inner.limits.admit(&call.tenant, endpoint, now);
         // The limits may lag the configuration by a moment.
         decision.ok_or_else(|| {
             let message = "the endpoint is being set up";
             GatewayError::not_run("gateway.limits", 503, "not_ready", message)
-                .after(Duration::from_millis(500))
+                .with_retry_after(Duration::from_millis(500))
         })
     }
 }
@@ -377,10 +377,10 @@
 }
 
 /// Characters that one token of a prompt covers, for estimates.
-const CHARACTERS_A_TOKEN: usize = 4;
+const CHARACTERS_PER_TOKEN: usize = 4;
 
 /// What a call holds while it runs.
-struct Places {
+struct Permits {
     permit: AdmissionPermit,
     in_progress: InProgress,
     started: Instant,
@@ -388,5 +388,6 @@
 
 fn no_replica() -> GatewayError {
     let message = "no replica can take the request now";
-    GatewayError::not_run("gateway.route", 503, "no_replica", message).after(Duration::from_secs(1))
+    GatewayError::not_run("gateway.route", 503, "no_replica", message)
+        .with_retry_after(Duration::from_secs(1))
 }
--- a/crates/gateway/src/gateway/prefix_news.rs
+++ b/crates/gateway/src/gateway/prefix_index.rs
@@ -6,12 +6,12 @@
 use harrierward_routing::PrefixIndex;
 use std::sync::Arc;
 
-use super::{Gateway, Inner, PrefixNews};
+use super::{Gateway, Inner, PrefixUpdate};
 
 /// Merges news of sent prompts into the index, off the request path.
 pub(super) async fn run_index(
     inner: std::sync::Weak<Inner>,
-    mut news: mpsc::UnboundedReceiver<PrefixNews>,
+    mut updates: mpsc::UnboundedReceiver<PrefixUpdate>,
 ) {
     const EXPIRE_ROUNDS: u64 = 100;
     let mut round: u64 = 0;
@@ -22,7 +22,7 @@
         let now = gateway.now_micros();
         let mut index = PrefixIndex::clone(&gateway.inner.index.load());
         let mut changed = false;
-        while let Ok(sent) = news.try_recv() {
+        while let Ok(sent) = updates.try_recv() {
             for block in sent.blocks.iter() {
                 index.insert(*block, sent.replica, now);
             }
@@ -36,7 +36,7 @@
         if changed {
             gateway.inner.index.store(Arc::new(index));
         }
-        let pause = gateway.inner.settings.index_every;
+        let pause = gateway.inner.settings.index_interval;
         drop(gateway);
         sleep(pause).await;
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,7 +4,6 @@
 //! one error type that carries it.
 
 mod admission;
-mod answer;
 mod call;
 mod directory;
 mod errors;
@@ -12,11 +11,11 @@
 mod limits;
 mod metrics;
 mod openai;
+mod response;
 mod retry;
 
 pub use admission::{Admission, AdmissionPermit, AdmissionSettings, FairQueue};
-pub use answer::{AnswerEvent, AnswerStream, StoredAnswer, Usage};
-pub use call::{AnswerIdentity, Call, MarkedCall};
+pub use call::{Call, IdempotentCall, ResponseIdentity};
 pub use directory::{
     Directory, DirectoryEntry, EngineConnector, OnlineCounts, Replica, ReplicaDirectory, ZoneRank,
 };
@@ -28,4 +27,5 @@
 pub use openai::{
     ChatMessage, EndpointKind, GenerationSpec, SpecError, content_bytes, parse_request,
 };
+pub use response::{ResponseEvent, ResponseStream, StoredResponse, Usage};
 pub use retry::RetryBudget;
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -14,10 +14,10 @@
 const DEFAULT_CONCURRENCY: u32 = 10_000;
 
 /// Parts that a token is counted in.
-const PARTS: f64 = 1000.0;
+const MILLITOKENS_PER_TOKEN: f64 = 1000.0;
 
 /// When to come back if too many requests are in progress.
-const CONCURRENCY_RETRY: Duration = Duration::from_secs(1);
+const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct LimitKey {
@@ -28,10 +28,10 @@
 #[derive(Debug)]
 struct Limiter {
     rate: f64,
-    burst_parts: i64,
+    burst_millitokens: i64,
     concurrency: u32,
-    parts: AtomicI64,
-    filled_micros: AtomicU64,
+    millitokens: AtomicI64,
+    refilled_at_micros: AtomicU64,
     in_progress: AtomicU32,
 }
 
@@ -39,51 +39,52 @@
     fn new(spec: Option<&LimitsSpec>) -> Self {
         let rate = spec.map_or(DEFAULT_RATE, |spec| spec.requests_per_second);
         let burst = spec.map_or(DEFAULT_BURST, |spec| spec.burst);
-        let burst_parts = (f64::from(burst) * PARTS) as i64;
+        let burst_millitokens = (f64::from(burst) * MILLITOKENS_PER_TOKEN) as i64;
         Self {
             rate,
-            burst_parts,
+            burst_millitokens,
             concurrency: spec.map_or(DEFAULT_CONCURRENCY, |spec| spec.concurrent_requests),
-            parts: AtomicI64::new(burst_parts),
-            filled_micros: AtomicU64::new(0),
+            millitokens: AtomicI64::new(burst_millitokens),
+            refilled_at_micros: AtomicU64::new(0),
             in_progress: AtomicU32::new(0),
         }
     }
 
-    fn same(&self, other: &Self) -> bool {
+    fn has_same_limits(&self, other: &Self) -> bool {
         self.rate == other.rate
-            && self.burst_parts == other.burst_parts
+            && self.burst_millitokens == other.burst_millitokens
             && self.concurrency == other.concurrency
     }
 
-    fn fill(&self, now_micros: u64) {
-        let last = self.filled_micros.load(Ordering::Relaxed);
+    fn refill(&self, now_micros: u64) {
+        let last = self.refilled_at_micros.load(Ordering::Relaxed);
         let elapsed = now_micros.saturating_sub(last);
-        let earned = (elapsed as f64 * self.rate * PARTS / 1e6) as i64;
+        let earned = (elapsed as f64 * self.rate * MILLITOKENS_PER_TOKEN / 1e6) as i64;
         if earned == 0 {
             return;
         }
-        let won = self
-            .filled_micros
+        let is_updated = self
+            .refilled_at_micros
             .compare_exchange(last, now_micros, Ordering::Relaxed, Ordering::Relaxed)
             .is_ok();
-        if won {
-            let filled = |parts: i64| Some((parts + earned).min(self.burst_parts));
+        if is_updated {
+            let refilled =
+                |millitokens: i64| Some((millitokens + earned).min(self.burst_millitokens));
             let _ = self
-                .parts
-                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, filled);
+                .millitokens
+                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, refilled);
         }
     }
 
     fn take_rate(&self, now_micros: u64) -> Result<(), Duration> {
-        self.fill(now_micros);
-        let cost = PARTS as i64;
-        let taken = |parts: i64| (parts >= cost).then(|| parts - cost);
-        self.parts
+        self.refill(now_micros);
+        let cost = MILLITOKENS_PER_TOKEN as i64;
+        let taken = |millitokens: i64| (millitokens >= cost).then(|| millitokens - cost);
+        self.millitokens
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, taken)
             .map(|_| ())
-            .map_err(|parts| {
-                let missing = (cost - parts) as f64 / PARTS;
+            .map_err(|millitokens| {
+                let missing = (cost - millitokens) as f64 / MILLITOKENS_PER_TOKEN;
                 Duration::from_secs_f64(missing / self.rate)
             })
     }
@@ -93,7 +94,7 @@
 #[derive(Debug)]
 pub enum LimitDecision {
     /// It may pass; the guard counts it as in progress.
-    Pass(InProgress),
+    Admitted(InProgress),
     /// It must not pass before this time has gone by.
     Refused {
         /// When to come back.
@@ -136,16 +137,19 @@
                     endpoint: endpoint.name.clone(),
                 };
                 let limits = config.limits(&tenant.name, &endpoint.name);
-                let fresh = Arc::new(Limiter::new(limits));
-                let kept = old.get(&key).filter(|kept| kept.same(&fresh)).cloned();
-                limiters.insert(key, kept.unwrap_or(fresh));
+                let new_limiter = Arc::new(Limiter::new(limits));
+                let kept = old
+                    .get(&key)
+                    .filter(|kept| kept.has_same_limits(&new_limiter))
+                    .cloned();
+                limiters.insert(key, kept.unwrap_or(new_limiter));
             }
         }
         self.limiters.store(Arc::new(limiters));
     }
 
     /// Asks leave for one request. `None` if the tenant has no such endpoint.
-    pub fn enter(&self, tenant: &str, endpoint: &str, now_micros: u64) -> Option<LimitDecision> {
+    pub fn admit(&self, tenant: &str, endpoint: &str, now_micros: u64) -> Option<LimitDecision> {
         let key = LimitKey {
             tenant: tenant.to_owned(),
             endpoint: endpoint.to_owned(),
@@ -154,7 +158,7 @@
         if limiter.in_progress.fetch_add(1, Ordering::Relaxed) >= limiter.concurrency {
             limiter.in_progress.fetch_sub(1, Ordering::Relaxed);
             return Some(LimitDecision::Refused {
-                retry_after: CONCURRENCY_RETRY,
+                retry_after: CONCURRENCY_RETRY_AFTER,
                 limit: "concurrent_requests",
             });
         }
@@ -162,7 +166,7 @@
             limiter: limiter.clone(),
         };
         Some(match limiter.take_rate(now_micros) {
-            Ok(()) => LimitDecision::Pass(in_progress),
+            Ok(()) => LimitDecision::Admitted(in_progress),
             Err(retry_after) => LimitDecision::Refused {
                 retry_after,
                 limit: "requests_per_second",
--- a/crates/gateway/src/openai.rs
+++ b/crates/gateway/src/openai.rs
@@ -7,10 +7,10 @@
 const DEFAULT_MAXIMUM_TOKENS: u32 = 256;
 
 /// Greatest token limit.
-const GREATEST_MAXIMUM_TOKENS: u32 = 8192;
+const MAX_TOKENS_LIMIT: u32 = 8192;
 
 /// Longest prompt, bytes.
-const LONGEST_PROMPT: usize = 512 * 1024;
+const MAX_PROMPT_BYTES: usize = 512 * 1024;
 
 /// Which of the generating URLs was called.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -97,8 +97,8 @@
         EndpointKind::Chat => render_messages(body.get("messages"))?,
         EndpointKind::Completion => read_prompt(body.get("prompt"))?,
     };
-    if prompt.len() > LONGEST_PROMPT {
-        return Err(wrong("prompt", format!("at most {LONGEST_PROMPT} bytes")));
+    if prompt.len() > MAX_PROMPT_BYTES {
+        return Err(wrong("prompt", format!("at most {MAX_PROMPT_BYTES} bytes")));
     }
     if body.get("n").is_some_and(|n| n.as_u64() != Some(1)) {
         return Err(wrong("n", "only 1 is supported"));
@@ -147,8 +147,8 @@
         };
         let limit = value.as_u64().and_then(|limit| u32::try_from(limit).ok());
         return limit
-            .filter(|limit| (1..=GREATEST_MAXIMUM_TOKENS).contains(limit))
-            .ok_or_else(|| wrong(field, format!("1 to {GREATEST_MAXIMUM_TOKENS}")));
+            .filter(|limit| (1..=MAX_TOKENS_LIMIT).contains(limit))
+            .ok_or_else(|| wrong(field, format!("1 to {MAX_TOKENS_LIMIT}")));
     }
     Ok(DEFAULT_MAXIMUM_TOKENS)
 }
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/response.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, timeout};
 
 use crate::admission::AdmissionPermit;
-use crate::call::{AnswerIdentity, Call};
+use crate::call::{Call, ResponseIdentity};
 use crate::errors::GatewayError;
 use crate::gateway::{Attempt, Gateway};
 use crate::limits::InProgress;
@@ -28,7 +28,7 @@
 
 /// A part of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AnswerEvent {
+pub enum ResponseEvent {
     /// The next token's text.
     Text(String),
     /// The answer is whole.
@@ -42,10 +42,10 @@
 
 /// A whole answer as kept for resends of a marked request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoredAnswer {
+pub struct StoredResponse {
     /// What it is known by; absent in answers stored by daemons that kept none.
     #[serde(default)]
-    pub identity: Option<AnswerIdentity>,
+    pub identity: Option<ResponseIdentity>,
     /// The text.
     pub text: String,
     /// Why it ended.
@@ -55,14 +55,14 @@
 }
 
 /// Parts of an answer. The last item is `Finished` or an error; dropping the stream cancels an unmarked request.
-pub struct AnswerStream {
-    identity: AnswerIdentity,
+pub struct ResponseStream {
+    identity: ResponseIdentity,
     is_stored: bool,
-    inner: BoxStream<'static, Result<AnswerEvent, GatewayError>>,
+    inner: BoxStream<'static, Result<ResponseEvent, GatewayError>>,
 }
 
-impl Stream for AnswerStream {
-    type Item = Result<AnswerEvent, GatewayError>;
+impl Stream for ResponseStream {
+    type Item = Result<ResponseEvent, GatewayError>;
 
     fn poll_next(
         mut self: Pin<&mut Self>,
@@ -72,10 +72,10 @@
     }
 }
 
-impl AnswerStream {
+impl ResponseStream {
     pub(crate) fn new(
-        identity: AnswerIdentity,
-        inner: impl Stream<Item = Result<AnswerEvent, GatewayError>> + Send + 'static,
+        identity: ResponseIdentity,
+        inner: impl Stream<Item = Result<ResponseEvent, GatewayError>> + Send + 'static,
     ) -> Self {
         Self {
             identity,
@@ -85,7 +85,7 @@
     }
 
     /// What the answer is known by.
-    pub fn identity(&self) -> &AnswerIdentity {
+    pub fn identity(&self) -> &ResponseIdentity {
         &self.identity
     }
 
@@ -95,12 +95,12 @@
     }
 
     /// A stored answer as a stream, under `fallback` if it was stored without an identity.
-    pub(crate) fn replay(stored: StoredAnswer, fallback: AnswerIdentity) -> Self {
-        let finished = AnswerEvent::Finished {
+    pub(crate) fn replay(stored: StoredResponse, fallback: ResponseIdentity) -> Self {
+        let finished = ResponseEvent::Finished {
             reason: stored.reason,
             usage: stored.usage,
         };
-        let events = [AnswerEvent::Text(stored.text), finished];
+        let events = [ResponseEvent::Text(stored.text), finished];
         let identity = stored.identity.unwrap_or(fallback);
         Self {
             is_stored: true,
@@ -109,13 +109,13 @@
     }
 
     /// Reads the whole answer.
-    pub async fn collect_answer(mut self) -> Result<StoredAnswer, GatewayError> {
+    pub async fn collect_response(mut self) -> Result<StoredResponse, GatewayError> {
         let mut text = String::new();
         while let Some(event) = self.inner.next().await {
             match event? {
-                AnswerEvent::Text(part) => text.push_str(&part),
-                AnswerEvent::Finished { reason, usage } => {
-                    return Ok(StoredAnswer {
+                ResponseEvent::Text(part) => text.push_str(&part),
+                ResponseEvent::Finished { reason, usage } => {
+                    return Ok(StoredResponse {
                         identity: Some(self.identity),
                         text,
                         reason,
@@ -130,17 +130,17 @@
 }
 
 /// Most times a stream is resumed.
-const MOST_RESUMES: u32 = 4;
+const MAX_RESUMES: u32 = 4;
 
 /// What an event means for the stream.
 enum Checked {
-    Deliver(AnswerEvent),
+    Deliver(ResponseEvent),
     Drop,
     Cut(&'static str),
 }
 
 /// State of one answer in progress.
-pub(crate) struct AnswerState {
+pub(crate) struct ResponseState {
     pub gateway: Gateway,
     pub call: Call,
     pub attempt: Attempt,
@@ -152,16 +152,16 @@
     pub _in_progress: InProgress,
 }
 
-impl AnswerState {
+impl ResponseState {
     /// The answer as a stream.
-    pub fn into_stream(self) -> impl Stream<Item = Result<AnswerEvent, GatewayError>> + Send {
+    pub fn into_stream(self) -> impl Stream<Item = Result<ResponseEvent, GatewayError>> + Send {
         stream::unfold(self, |mut state| async move {
             let event = state.next().await?;
             Some((event, state))
         })
     }
 
-    async fn next(&mut self) -> Option<Result<AnswerEvent, GatewayError>> {
+    async fn next(&mut self) -> Option<Result<ResponseEvent, GatewayError>> {
         if self.ended {
             return None;
         }
@@ -196,9 +196,9 @@
             return Checked::Cut("an event is missing");
         }
         match event.finish {
-            None => Checked::Deliver(AnswerEvent::Text(event.text)),
+            None => Checked::Deliver(ResponseEvent::Text(event.text)),
             Some(FinishReason::Cancelled) => Checked::Cut("the engine cancelled the request"),
-            Some(reason) => Checked::Deliver(AnswerEvent::Finished {
+            Some(reason) => Checked::Deliver(ResponseEvent::Finished {
                 reason,
                 usage: Usage {
                     prompt_tokens: event.prompt_tokens.unwrap_or_default(),
@@ -208,10 +208,10 @@
         }
     }
 
-    fn deliver(&mut self, event: AnswerEvent) -> AnswerEvent {
+    fn deliver(&mut self, event: ResponseEvent) -> ResponseEvent {
         self.attempt.note_prefilled();
         match &event {
-            AnswerEvent::Text(_) => {
+            ResponseEvent::Text(_) => {
                 if self.delivered == 0 {
                     let waited = self.started.elapsed().as_secs_f64();
                     self.gateway.metrics().first_token.observe(waited);
@@ -219,7 +219,7 @@
                 self.delivered += 1;
                 self.gateway.metrics().tokens.inc();
             }
-            AnswerEvent::Finished { .. } => {
+            ResponseEvent::Finished { .. } => {
                 self.ended = true;
                 self.attempt.note_ended();
                 self.gateway.note_success();
@@ -234,13 +234,13 @@
         let peer = self.attempt.replica_name();
         self.attempt.note_ended();
         let give_up = |code: &'static str, message: String| {
-            GatewayError::unknown(STEP, 502, code, message).at(peer.clone())
+            GatewayError::unknown(STEP, 502, code, message).with_peer(peer.clone())
         };
-        if self.call.marked.is_some() {
+        if self.call.idempotency.is_some() {
             let message = format!("{cause}; the request must not run again");
             return Err(give_up("cut", message));
         }
-        if self.resumes >= MOST_RESUMES || Instant::now() >= self.call.deadline {
+        if self.resumes >= MAX_RESUMES || Instant::now() >= self.call.deadline {
             return Err(give_up("cut", cause.to_owned()));
         }
         if !self.gateway.take_retry() {
@@ -253,13 +253,13 @@
             .gateway
             .connect(&self.call, excluded, self.delivered)
             .await;
-        self.attempt = attempt.map_err(|error| error.learn(Execution::Unknown))?;
+        self.attempt = attempt.map_err(|error| error.merge_execution(Execution::Unknown))?;
         Ok(())
     }
 }
 
 /// Runs a marked request to its end, whether or not the caller stays, and stores its answer for resends.
-pub(crate) fn run_marked(state: AnswerState, claims: Claims, claim: Claim) -> AnswerStream {
+pub(crate) fn run_idempotent(state: ResponseState, claims: Claims, claim: Claim) -> ResponseStream {
     let (sender, receiver) = mpsc::unbounded_channel();
     let identity = state.call.identity.clone();
     let stored_identity = identity.clone();
@@ -268,11 +268,11 @@
         let mut events = Box::pin(state.into_stream());
         while let Some(event) = events.next().await {
             let stored = match &event {
-                Ok(AnswerEvent::Text(part)) => {
+                Ok(ResponseEvent::Text(part)) => {
                     text.push_str(part);
                     None
                 }
-                Ok(AnswerEvent::Finished { reason, usage }) => Some(StoredAnswer {
+                Ok(ResponseEvent::Finished { reason, usage }) => Some(StoredResponse {
                     identity: Some(stored_identity.clone()),
                     text: std::mem::take(&mut text),
                     reason: *reason,
@@ -288,5 +288,5 @@
         }
     });
     let events = tokio_stream::wrappers::UnboundedReceiverStream::new(receiver);
-    AnswerStream::new(identity, events)
+    ResponseStream::new(identity, events)
 }
--- a/crates/gateway/src/retry.rs
+++ b/crates/gateway/src/retry.rs
@@ -2,40 +2,40 @@
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
-/// Parts of a retry that one success earns; a retry costs [`RETRY_COST`].
-const SUCCESS_EARNS: i64 = 1;
-const RETRY_COST: i64 = 10;
+/// Parts of a retry that one success earns; a retry costs [`WITHDRAWAL`].
+const DEPOSIT: i64 = 1;
+const WITHDRAWAL: i64 = 10;
 
 /// Retries that may come at once.
-const MOST_SAVED: i64 = 50 * RETRY_COST;
+const MAX_BALANCE: i64 = 50 * WITHDRAWAL;
 
 /// Shared by all requests of a gateway.
 #[derive(Debug)]
 pub struct RetryBudget {
-    saved: AtomicI64,
+    balance: AtomicI64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            saved: AtomicI64::new(MOST_SAVED),
+            balance: AtomicI64::new(MAX_BALANCE),
         }
     }
 }
 
 impl RetryBudget {
     /// A request succeeded.
-    pub fn earn(&self) {
-        let earned = |saved: i64| Some((saved + SUCCESS_EARNS).min(MOST_SAVED));
+    pub fn deposit(&self) {
+        let earned = |balance: i64| Some((balance + DEPOSIT).min(MAX_BALANCE));
         let _ = self
-            .saved
+            .balance
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, earned);
     }
 
     /// Takes one retry, if the budget allows it.
-    pub fn take(&self) -> bool {
-        let taken = |saved: i64| (saved >= RETRY_COST).then(|| saved - RETRY_COST);
-        self.saved
+    pub fn withdraw(&self) -> bool {
+        let taken = |balance: i64| (balance >= WITHDRAWAL).then(|| balance - WITHDRAWAL);
+        self.balance
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, taken)
             .is_ok()
     }
--- a/crates/harrierward/src/settings.rs
+++ b/crates/harrierward/src/settings.rs
@@ -344,16 +344,16 @@
     let buffer = reader.integer("batch.buffer_mib", 1..=1024, 16);
     node.owner.core.max_buffered_bytes = usize::try_from(buffer << 20).unwrap_or(usize::MAX);
     let gateway = &mut node.gateway;
-    let per_replica = u64::from(gateway.requests_a_replica);
-    gateway.requests_a_replica =
+    let per_replica = u64::from(gateway.requests_per_replica);
+    gateway.requests_per_replica =
         narrow(reader.integer("gateway.requests_a_replica", 1..=10_000, per_replica));
-    let queue = gateway.admission.queue as u64;
+    let queue = gateway.admission.max_queued as u64;
     let queue = reader.integer("gateway.queue", 0..=100_000, queue);
-    gateway.admission.queue = usize::try_from(queue).unwrap_or(usize::MAX);
-    gateway.admission.longest_wait = reader.millis(
+    gateway.admission.max_queued = usize::try_from(queue).unwrap_or(usize::MAX);
+    gateway.admission.max_wait = reader.millis(
         "gateway.longest_wait_millis",
         1..=600_000,
-        gateway.admission.longest_wait,
+        gateway.admission.max_wait,
     );
     gateway.stall_timeout = reader.millis(
         "gateway.stall_timeout_millis",
