--- a/crates/external/src/backoff.rs
+++ b/crates/external/src/backoff.rs
@@ -1,10 +1,10 @@
-//! Exponential back-off with full jitter, so that clients of a store that returns do not arrive together.
+//! Exponential backoff with full jitter, which spreads the retries of many clients after an outage.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// A growing bound on the wait before the next try.
+/// Exponential backoff state of one client.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     ceiling: Duration,
@@ -22,20 +22,20 @@
         }
     }
 
-    /// The wait before the next try: uniform between zero and the present bound, which then doubles.
+    /// Returns the wait before the next attempt, uniform between zero and the current bound, and doubles the bound.
     pub fn wait(&mut self, random: &mut impl Rng) -> Duration {
         let wait = full_jitter(self.next, random);
         self.next = (self.next * 2).min(self.ceiling);
         wait
     }
 
-    /// Forgets past failures.
+    /// Resets the bound to its first value, after a success.
     pub fn reset(&mut self) {
         self.next = self.first;
     }
 }
 
-/// A time chosen uniformly from zero to `bound`.
+/// Returns a duration drawn uniformly between zero and `bound`.
 pub fn full_jitter(bound: Duration, random: &mut impl Rng) -> Duration {
     bound.mul_f64(random.random::<f64>())
 }
--- a/crates/external/src/budget.rs
+++ b/crates/external/src/budget.rs
@@ -1,17 +1,16 @@
-//! A shared rate budget for a rate-limited store, by classes: when the budget runs short, claims and cancels
-//! still pass, completions next, listings last.
+//! Shared rate budget for a rate-limited store. Each request class leaves a reserve for the more important ones.
 
 use std::sync::Mutex;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Importance of a store call. Lower classes leave a part of the budget to higher ones.
+/// Priority of a store call, highest first. Lower classes leave part of the budget to higher ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RequestClass {
-    /// The last writes of a daemon that stops: what it knows is lost with it, so an answer is waited for as long as the stop lasts.
+    /// Last writes of a stopping daemon, whose state is lost otherwise; they may wait as long as the shutdown lasts.
     Handover,
-    /// Claims, cancels and lease changes: a caller waits, or safety does.
+    /// Claims, cancellations and lease changes: a caller is waiting, or safety depends on them.
     Urgent,
     /// Commits of results and accepted jobs.
     Commit,
@@ -19,7 +18,7 @@
     Listing,
 }
 
-/// Share of the bucket that a class must leave untouched.
+/// Share of the burst that a class leaves to higher classes.
 const COMMIT_RESERVE: f64 = 0.2;
 const LISTING_RESERVE: f64 = 0.5;
 
@@ -29,7 +28,7 @@
     filled_at: Instant,
 }
 
-/// A token bucket over virtual or real time.
+/// Token bucket that refills by tokio time, so that it follows a paused test clock.
 #[derive(Debug)]
 pub struct RateBudget {
     rate: f64,
@@ -38,7 +37,7 @@
 }
 
 impl RateBudget {
-    /// Allows `rate` calls a second and bursts of `burst`.
+    /// Builds a full bucket that allows `rate` calls per second and bursts of up to `burst` calls.
     pub fn new(rate: f64, burst: f64) -> Self {
         let bucket = Bucket {
             tokens: burst,
@@ -51,7 +50,7 @@
         }
     }
 
-    /// Takes one call's worth for `class`, or tells how long to wait before asking again.
+    /// Takes one token for a call of `class`, or returns the time until enough tokens have been refilled.
     pub fn try_take(&self, class: RequestClass) -> Result<(), Duration> {
         let now = Instant::now();
         let mut bucket = self
--- a/crates/external/src/engine.rs
+++ b/crates/external/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines: generation streams, cancels, load reports, cache events and fenced orders.
+//! Client interface of model engines: generation streams, cancellation, load reports, cache events, fenced commands.
 
 use std::pin::Pin;
 
@@ -7,13 +7,13 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Characters of prompt that one prefix block covers (about 16 tokens).
-const BLOCK_CHARACTERS: usize = 64;
+/// Bytes of prompt that one prefix block covers (about 16 tokens).
+const BLOCK_BYTES: usize = 64;
 
-/// Most blocks of a prompt that are hashed; longer prefixes add nothing to the choice.
-const MAXIMUM_BLOCKS: usize = 64;
+/// Upper bound on the hashed blocks of a prompt; longer prefixes do not affect routing.
+const MAX_BLOCKS: usize = 64;
 
-/// Names a replica within the fleet.
+/// Id of a replica, unique within the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ReplicaId(pub String);
@@ -28,28 +28,28 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// A caller waits.
+    /// A caller is waiting for the response.
     Online,
-    /// Nobody waits; yields to online.
+    /// Item of a batch job; preempted by online sequences.
     Batch,
 }
 
-/// One generation to run.
+/// Parameters of one generation attempt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GenerateRequest {
-    /// Unique per attempt; every event carries it.
+    /// Id of the attempt, repeated in each of its events.
     pub request_id: String,
-    /// Model or adapter to run.
+    /// Name of the model or adapter.
     pub model: String,
-    /// The rendered prompt.
+    /// Prompt text, with chat messages already rendered.
     pub prompt: String,
-    /// Most tokens to generate.
+    /// Upper bound on generated tokens.
     pub maximum_tokens: u32,
-    /// Scheduling class.
+    /// Scheduling class at the engine.
     pub priority: Priority,
-    /// First sequence number wanted; more than 0 resumes a cut stream.
+    /// First sequence number to send; above 0 for an interrupted stream that is resumed.
     pub resume_from: u32,
-    /// Epoch of the replica owner, sent with batch work; an engine refuses an older one.
+    /// Epoch of the replica's owner, set for batch work only; an engine rejects one older than the newest it has seen.
     pub epoch: Option<u64>,
 }
 
@@ -57,16 +57,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// The model finished.
+    /// The model ended its output.
     Stop,
-    /// The token limit was met.
+    /// `maximum_tokens` was reached.
     Length,
-    /// Somebody cancelled it.
+    /// The request was cancelled at the engine.
     Cancelled,
 }
 
 impl FinishReason {
-    /// Name in the callers' API.
+    /// Returns the name used in the callers' API.
     pub fn name(self) -> &'static str {
         match self {
             Self::Stop => "stop",
@@ -79,115 +79,115 @@
 /// One event of a generation stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineEvent {
-    /// Request the event belongs to.
+    /// Id of the attempt that the event belongs to.
     pub request_id: String,
-    /// Position in the stream, from 0, without gaps.
+    /// Position in the stream, consecutive from 0.
     pub sequence: u32,
-    /// Token text; empty in the last event.
+    /// Text of the token; empty in the last event.
     pub text: String,
-    /// Set in the last event only.
+    /// Why the generation ended; set in the last event only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub finish: Option<FinishReason>,
-    /// Prompt tokens, set in the last event only.
+    /// Number of prompt tokens; set in the last event only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub prompt_tokens: Option<u32>,
 }
 
-/// Load of one engine, as it reports it (with a lag).
+/// Load report of one engine; it lags the true load.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Online sequences running.
+    /// Number of online sequences running.
     pub running_online: u32,
-    /// Batch sequences running.
+    /// Number of batch sequences running.
     pub running_batch: u32,
-    /// Online sequences waiting.
+    /// Number of online sequences queued at the engine.
     pub waiting_online: u32,
-    /// Batch sequences waiting.
+    /// Number of batch sequences queued at the engine.
     pub waiting_batch: u32,
-    /// Prompt tokens not yet prefilled, of online sequences.
+    /// Prompt tokens of online sequences that are not yet prefilled.
     pub waiting_prompt_tokens: u32,
-    /// Length of the last step, microseconds.
+    /// Duration of the last engine step, in microseconds.
     pub step_micros: u32,
-    /// The engine is leaving and takes no new work.
+    /// True if the engine is shutting down and accepts no new work.
     pub leaving: bool,
 }
 
-/// A fenced order to an engine.
+/// Command to an engine, fenced by the epoch of its sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCommand {
-    /// Epoch of the replica owner; an engine refuses one older than it has seen.
+    /// Epoch of the replica's owner; an engine rejects a command older than the newest epoch it has seen.
     pub epoch: u64,
-    /// What to do.
+    /// The action and its arguments.
     pub kind: CommandKind,
 }
 
-/// The orders an engine takes.
+/// Actions that an engine supports.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommandKind {
-    /// Only raises the engine's epoch, so that an earlier owner is shut out.
+    /// Only raises the engine's epoch, which fences off earlier owners.
     Fence,
-    /// Load a model or adapter beside those loaded.
+    /// Loads a model or adapter in addition to those already loaded.
     LoadModel {
-        /// Model name.
+        /// Name of the model or adapter.
         model: String,
     },
-    /// Drop a loaded model.
+    /// Unloads a model or adapter.
     UnloadModel {
-        /// Model name.
+        /// Name of the model or adapter.
         model: String,
     },
-    /// Take no new work and finish what runs.
+    /// Drains the engine: no new work is accepted, running sequences complete.
     Leave,
 }
 
-/// A change of an engine's prefix cache.
+/// Insertion into, or eviction from, an engine's prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event at its engine; a jump means lost events.
+    /// Sequence number at the engine; a gap means lost events.
     pub number: u64,
-    /// Hash of the prefix up to and including the block.
+    /// Hash of the prefix up to and including the block, as in [`prefix_blocks`].
     pub block: u64,
-    /// True if stored, false if evicted.
+    /// True if the block was stored, false if it was evicted.
     pub stored: bool,
 }
 
-/// Some cache events of an engine.
+/// Page of cache events of one engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEventPage {
-    /// Events in order of number, perhaps with gaps.
+    /// Events in ascending order of their number, possibly with gaps.
     pub events: Vec<CacheEvent>,
 }
 
 /// Why an engine call failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EngineError {
-    /// Certainly not run: never reached the engine, or the engine said so.
+    /// The request did not run: it never reached the engine, or the engine rejected it.
     #[error("{step} at {peer}: not run: {detail}")]
     NotRun {
-        /// What was being done.
+        /// Operation that failed, e.g. `engine.generate`.
         step: &'static str,
-        /// Engine called.
+        /// Address of the engine.
         peer: String,
-        /// Cause in words.
+        /// Cause, for an operator.
         detail: String,
     },
-    /// May have run, wholly or in part.
+    /// The request may have run, fully or in part.
     #[error("{step} at {peer}: perhaps run: {detail}")]
     Unknown {
-        /// What was being done.
+        /// Operation that failed, e.g. `engine.generate`.
         step: &'static str,
-        /// Engine called.
+        /// Address of the engine.
         peer: String,
-        /// Cause in words.
+        /// Cause, for an operator.
         detail: String,
     },
-    /// The engine has seen a newer epoch: the sender no longer owns the replica. Not run.
+    /// The engine has seen a newer epoch: the sender no longer owns the replica. The request did not run.
     #[error("{step} at {peer}: epoch {sent} is older than {seen}")]
     Fenced {
-        /// What was being done.
+        /// Operation that failed, e.g. `engine.generate`.
         step: &'static str,
-        /// Engine called.
+        /// Address of the engine.
         peer: String,
         /// Epoch sent.
         sent: u64,
@@ -196,41 +196,41 @@
     },
 }
 
-/// Events of one generation. Ends after the event with `finish`, or by an error; an end without either is a cut.
+/// Events of one generation. The last item is an event with `finish` or an error; without either, the stream broke.
 pub type EventStream = Pin<Box<dyn Stream<Item = Result<EngineEvent, EngineError>> + Send>>;
 
 /// Client of one engine.
 #[async_trait]
 pub trait Engine: Send + Sync {
-    /// Starts a generation, or resumes one at `resume_from`. Dropping the stream cancels it.
+    /// Starts a generation, or resumes one at `resume_from`. Dropping the stream cancels the generation.
     async fn generate(&self, request: GenerateRequest) -> Result<EventStream, EngineError>;
 
-    /// Cancels a generation; cancelling an unknown one is no error.
+    /// Cancels a generation; succeeds for an unknown id.
     async fn cancel(&self, request_id: &str) -> Result<(), EngineError>;
 
-    /// The engine's last load report.
+    /// Fetches the engine's latest load report.
     async fn load(&self) -> Result<EngineLoad, EngineError>;
 
-    /// Cache events numbered above `after`.
+    /// Fetches cache events numbered above `after`.
     async fn cache_events(&self, after: u64) -> Result<CacheEventPage, EngineError>;
 
-    /// Carries out a fenced order.
+    /// Runs a command; fails with [`EngineError::Fenced`] if its epoch is out of date.
     async fn execute(&self, command: EngineCommand) -> Result<(), EngineError>;
 
-    /// Exports the cached state of a prefix for another engine; `None` if it is not cached.
+    /// Exports the cached blocks of a prefix for another engine; `None` if the prefix is not cached.
     async fn export_prefix(&self, block: u64) -> Result<Option<Vec<u64>>, EngineError>;
 
-    /// Imports a prefix exported elsewhere.
+    /// Imports the blocks of a prefix exported by another engine.
     async fn import_prefix(&self, blocks: Vec<u64>) -> Result<(), EngineError>;
 }
 
-/// Hashes of a prompt's growing prefixes, one for each full block, shared by engines and routers.
+/// Returns one hash per full block of the prompt, each over the whole prefix; engines and routers must agree on it.
 pub fn prefix_blocks(model: &str, prompt: &str) -> Vec<u64> {
     let mut seed = xxh3_64_with_seed(model.as_bytes(), 0);
     prompt
         .as_bytes()
-        .chunks_exact(BLOCK_CHARACTERS)
-        .take(MAXIMUM_BLOCKS)
+        .chunks_exact(BLOCK_BYTES)
+        .take(MAX_BLOCKS)
         .map(|block| {
             seed = xxh3_64_with_seed(block, seed);
             seed
--- a/crates/external/src/errors.rs
+++ b/crates/external/src/errors.rs
@@ -1,24 +1,24 @@
-//! Typed errors of platform calls: each names the step, the peer, and whether the change may have happened.
+//! Errors of platform calls: operation, peer, and whether the change may have taken effect.
 
 use std::time::Duration;
 
-/// What is known about the call that failed.
+/// What is known about the effect of a failed call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlatformErrorKind {
-    /// The platform certainly did not act on the call.
+    /// The call certainly had no effect.
     NotDone,
-    /// The answer was lost: the change may have taken effect.
+    /// The response was lost: the change may have taken effect.
     Unknown,
-    /// The platform or our own budget refused the call for its rate; it did not act.
+    /// The platform's rate limit or the daemon's own budget refused the call; it had no effect.
     RateLimited {
-        /// How long to wait before the next try.
+        /// Minimum wait before the next attempt.
         retry_after: Duration,
     },
-    /// The thing asked for does not exist.
+    /// The requested resource does not exist.
     NotFound,
-    /// The store no longer knows the changes that were asked for; the space must be read whole.
+    /// The store no longer keeps the requested changes; the space needs a full read.
     HistoryLost,
-    /// The platform answered something this client cannot read.
+    /// The response could not be decoded; the change may have taken effect.
     Malformed,
 }
 
@@ -26,18 +26,18 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{step} at {peer}: {detail} ({kind:?})")]
 pub struct PlatformError {
-    /// What was being done, e.g. `table.transact`.
+    /// Operation that failed, e.g. `table.transact`.
     pub step: &'static str,
-    /// Address or name of the party called.
+    /// Address or name of the called system.
     pub peer: String,
-    /// What is known about the call's effect.
+    /// Whether the call may have taken effect, and whether to retry.
     pub kind: PlatformErrorKind,
-    /// The cause, in words.
+    /// Cause, for an operator.
     pub detail: String,
 }
 
 impl PlatformError {
-    /// Builds an error of `kind` arisen at `step` with `peer`.
+    /// Builds an error of operation `step` at `peer`.
     pub fn new(
         step: &'static str,
         peer: impl Into<String>,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// True if the change may have taken effect and must be settled by reading back.
+    /// True if the change may have taken effect, so that the caller has to read back the result.
     pub fn may_have_happened(&self) -> bool {
         matches!(
             self.kind,
--- a/crates/external/src/full_read.rs
+++ b/crates/external/src/full_read.rs
@@ -1,23 +1,20 @@
-//! Reading a whole space page by page, so that a page which the store refuses costs that page and not all before it.
-//!
-//! Why: after a loss of all daemons each one reads everything. Where the store takes fewer calls than that a second,
-//! some page of every read is refused, and reads that begin anew each time hardly ever end (300 daemons before 3,000
-//! replicas: not within 30 s).
+//! Full read of a space page by page. A page that the store refuses is retried alone: when all daemons read at once,
+//! reads that restart from the first page would rarely complete.
 
 use crate::watch::{SpacePage, SpaceSnapshot};
 
-/// Next page to be read.
+/// Position and size of the next page to read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PageStart<'a> {
-    /// Partition.
+    /// Name of the partition.
     pub partition: &'a str,
-    /// Least key within the partition.
+    /// First key to return, inclusive; empty for the start of the partition.
     pub from: &'a str,
-    /// Most rows wanted; the store may give fewer.
+    /// Upper bound on the rows of the page; the store may return fewer.
     pub max_rows: usize,
 }
 
-/// A whole read under way.
+/// Progress of a full read.
 #[derive(Debug, Clone, Default)]
 pub struct FullRead {
     partitions: Vec<String>,
@@ -28,7 +25,7 @@
 }
 
 impl FullRead {
-    /// A read of these partitions.
+    /// Starts a read of the given partitions, in their order.
     pub fn new(partitions: &[String]) -> Self {
         Self {
             partitions: partitions.to_vec(),
@@ -36,7 +33,7 @@
         }
     }
 
-    /// The page to read next; `None` once all were read.
+    /// Returns the page to read next; `None` once all partitions are read.
     pub fn next_page(&self) -> Option<PageStart<'_>> {
         let partition = self.partitions.get(self.position)?;
         Some(PageStart {
@@ -46,14 +43,14 @@
         })
     }
 
-    /// Takes the page that was to be read next.
+    /// Adds the page requested by [`Self::next_page`].
     pub fn take(&mut self, page: SpacePage) {
         self.pages += 1;
         if page.proof.is_some() {
-            self.take_whole(page);
+            self.take_full_copy(page);
             return;
         }
-        // The snapshot is as old as its oldest page; changes after that follow from the feed.
+        // The snapshot is as old as its oldest page; the watch delivers later changes.
         self.snapshot.revision = if self.pages == 1 {
             page.revision
         } else {
@@ -70,8 +67,8 @@
         }
     }
 
-    /// Takes a peer's answer, which holds all partitions: pages that were read before are not needed.
-    fn take_whole(&mut self, page: SpacePage) {
+    /// Completes the read with a peer's copy, which holds all partitions and replaces earlier pages.
+    fn take_full_copy(&mut self, page: SpacePage) {
         self.position = self.partitions.len();
         self.snapshot = SpaceSnapshot {
             rows: page.rows,
@@ -81,12 +78,12 @@
         };
     }
 
-    /// Pages read so far.
+    /// Returns the number of pages read so far.
     pub fn pages(&self) -> usize {
         self.pages
     }
 
-    /// What was read.
+    /// Returns the rows read so far; complete once [`Self::next_page`] returns `None`.
     pub fn into_snapshot(self) -> SpaceSnapshot {
         self.snapshot
     }
--- a/crates/external/src/guarded.rs
+++ b/crates/external/src/guarded.rs
@@ -1,7 +1,5 @@
-//! Guards around the store clients: a time limit on each call and the shared rate budget.
-//!
-//! Why here and not in each caller: every part of the daemon shares one budget, so that after an outage
-//! the parts together stay under the store's rate.
+//! Store clients with a timeout on each call and one rate budget for the whole daemon, so that all callers together
+//! stay within the store's rate limit, also after an outage.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,12 +13,12 @@
     Transaction, TransactionOutcome,
 };
 
-/// Bounds on calls to a store.
+/// Time limits of calls to a store.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreLimits {
-    /// Longest wait for an answer; past it the call's effect is unknown.
+    /// Timeout of the response; after it the effect of the call is unknown.
     pub call_timeout: Duration,
-    /// Longest wait for the rate budget before the call is refused as not done.
+    /// Maximum wait for the rate budget; a call that would wait longer fails as rate-limited, without effect.
     pub budget_wait: Duration,
 }
 
@@ -53,7 +51,7 @@
     }
 }
 
-async fn bounded<T>(
+async fn with_timeout<T>(
     call: impl Future<Output = Result<T, PlatformError>>,
     limits: StoreLimits,
     step: &'static str,
@@ -66,7 +64,7 @@
         })
 }
 
-/// A table client under a time limit and a rate budget.
+/// Table client with a call timeout and a rate budget.
 pub struct GuardedTable {
     inner: Arc<dyn Table>,
     budget: Arc<RateBudget>,
@@ -74,7 +72,7 @@
 }
 
 impl GuardedTable {
-    /// Guards `inner`.
+    /// Wraps `inner`; clients that share a rate limit take the same `budget`.
     pub fn new(inner: Arc<dyn Table>, budget: Arc<RateBudget>, limits: StoreLimits) -> Self {
         Self {
             inner,
@@ -93,7 +91,7 @@
     ) -> Result<TransactionOutcome, PlatformError> {
         take_budget(&self.budget, class, self.limits, "table.transact").await?;
         let call = self.inner.transact(class, transaction);
-        bounded(call, self.limits, "table.transact").await
+        with_timeout(call, self.limits, "table.transact").await
     }
 
     async fn get(
@@ -102,7 +100,7 @@
         keys: &[String],
     ) -> Result<Vec<Option<Row>>, PlatformError> {
         take_budget(&self.budget, class, self.limits, "table.get").await?;
-        bounded(self.inner.get(class, keys), self.limits, "table.get").await
+        with_timeout(self.inner.get(class, keys), self.limits, "table.get").await
     }
 
     async fn scan(
@@ -114,11 +112,11 @@
     ) -> Result<Vec<Row>, PlatformError> {
         take_budget(&self.budget, class, self.limits, "table.scan").await?;
         let call = self.inner.scan(class, prefix, after, limit);
-        bounded(call, self.limits, "table.scan").await
+        with_timeout(call, self.limits, "table.scan").await
     }
 }
 
-/// An object store client under a time limit and a rate budget.
+/// Object store client with a call timeout and a rate budget.
 pub struct GuardedObjects {
     inner: Arc<dyn ObjectStore>,
     budget: Arc<RateBudget>,
@@ -126,7 +124,7 @@
 }
 
 impl GuardedObjects {
-    /// Guards `inner`.
+    /// Wraps `inner`; clients that share a rate limit take the same `budget`.
     pub fn new(inner: Arc<dyn ObjectStore>, budget: Arc<RateBudget>, limits: StoreLimits) -> Self {
         Self {
             inner,
@@ -140,7 +138,7 @@
 impl ObjectStore for GuardedObjects {
     async fn put(&self, class: RequestClass, name: &str, body: Bytes) -> Result<(), PlatformError> {
         take_budget(&self.budget, class, self.limits, "objects.put").await?;
-        bounded(
+        with_timeout(
             self.inner.put(class, name, body),
             self.limits,
             "objects.put",
@@ -150,12 +148,12 @@
 
     async fn get(&self, class: RequestClass, name: &str) -> Result<Bytes, PlatformError> {
         take_budget(&self.budget, class, self.limits, "objects.get").await?;
-        bounded(self.inner.get(class, name), self.limits, "objects.get").await
+        with_timeout(self.inner.get(class, name), self.limits, "objects.get").await
     }
 
     async fn delete(&self, class: RequestClass, name: &str) -> Result<(), PlatformError> {
         take_budget(&self.budget, class, self.limits, "objects.delete").await?;
-        bounded(
+        with_timeout(
             self.inner.delete(class, name),
             self.limits,
             "objects.delete",
--- a/crates/external/src/http/caller.rs
+++ b/crates/external/src/http/caller.rs
@@ -1,4 +1,4 @@
-//! A small HTTP caller over hyper-util's pooled client, which keeps apart "certainly not sent" and "unknown".
+//! HTTP client with a connection pool, whose errors distinguish "not sent" from "may have been received".
 
 use std::time::Duration;
 
@@ -11,16 +11,15 @@
 
 use crate::{PlatformError, PlatformErrorKind};
 
-/// Longest wait for a TCP connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long an idle connection is kept.
+/// Time after which an idle pooled connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A failed HTTP call.
+/// Failure of an HTTP call without a complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection was made: the request cannot have been received.
+    /// No connection was established: the request was not received.
     #[error("cannot connect: {0}")]
     NotSent(String),
     /// The request may have been received.
@@ -28,18 +27,18 @@
     Lost(String),
 }
 
-/// A whole answer.
+/// HTTP response with its full body.
 #[derive(Debug)]
 pub struct HttpResponse {
-    /// Status of the answer.
+    /// Status code.
     pub status: StatusCode,
-    /// Body of the answer.
+    /// Full body.
     pub body: Bytes,
-    /// Wait asked for by `retry-after`, if any.
+    /// Value of the `retry-after` header in seconds; `None` if it is absent or invalid.
     pub retry_after: Option<Duration>,
 }
 
-/// A pooled HTTP/1.1 client, cheap to clone.
+/// HTTP/1.1 client; clones share its connection pool.
 #[derive(Debug, Clone)]
 pub struct HttpCaller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -52,7 +51,7 @@
 }
 
 impl HttpCaller {
-    /// Builds a client with its own connection pool.
+    /// Builds a client with a new connection pool.
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -65,7 +64,7 @@
         Self { client }
     }
 
-    /// Sends a request and returns its answer with the body still streaming.
+    /// Sends a request and returns its response, with the body as a stream.
     pub async fn open(
         &self,
         method: Method,
@@ -77,10 +76,10 @@
         let mut request = Request::builder()
             .method(method)
             .uri(format!("http://{peer}{path}"));
-        let has_type = headers
+        let has_content_type = headers
             .iter()
             .any(|(name, _)| *name == CONTENT_TYPE.as_str());
-        if !has_type {
+        if !has_content_type {
             request = request.header(CONTENT_TYPE, "application/json");
         }
         for (name, value) in headers {
@@ -98,7 +97,7 @@
         })
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the full response.
     pub async fn call(
         &self,
         method: Method,
@@ -137,7 +136,7 @@
         path: &str,
         body: Bytes,
     ) -> Result<Bytes, PlatformError> {
-        let reply = self
+        let response = self
             .call(method, peer, path, &[], body)
             .await
             .map_err(|error| {
@@ -147,16 +146,16 @@
                 };
                 PlatformError::new(step, peer, kind, error.to_string())
             })?;
-        let kind = match reply.status {
-            status if status.is_success() => return Ok(reply.body),
+        let kind = match response.status {
+            status if status.is_success() => return Ok(response.body),
             StatusCode::TOO_MANY_REQUESTS => PlatformErrorKind::RateLimited {
-                retry_after: reply.retry_after.unwrap_or(Duration::from_millis(100)),
+                retry_after: response.retry_after.unwrap_or(Duration::from_millis(100)),
             },
             StatusCode::NOT_FOUND => PlatformErrorKind::NotFound,
             StatusCode::SERVICE_UNAVAILABLE => PlatformErrorKind::NotDone,
             _ => PlatformErrorKind::Unknown,
         };
-        let detail = String::from_utf8_lossy(&reply.body).into_owned();
+        let detail = String::from_utf8_lossy(&response.body).into_owned();
         Err(PlatformError::new(step, peer, kind, detail))
     }
 }
--- a/crates/external/src/http/engine.rs
+++ b/crates/external/src/http/engine.rs
@@ -1,4 +1,4 @@
-//! HTTP client of an engine: a generation is a `POST` answered by one JSON event a line.
+//! HTTP client of an engine. The response to a generation is a stream of JSON events, one per line.
 
 use async_trait::async_trait;
 use bytes::{Buf, Bytes, BytesMut};
@@ -17,23 +17,23 @@
     GenerateRequest,
 };
 
-/// Engine client that speaks JSON lines over HTTP.
+/// Engine client with JSON over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpEngine {
     caller: HttpCaller,
     address: String,
 }
 
-/// Where the reading of a stream stands.
+/// Decoder of a streamed response body.
 struct LineReader {
     body: Incoming,
     buffer: BytesMut,
     peer: String,
-    ended: bool,
+    has_failed: bool,
 }
 
 impl HttpEngine {
-    /// A client of the engine at `address` (`ip:port`).
+    /// Builds a client of the engine at `address` (`ip:port`).
     pub fn new(caller: HttpCaller, address: impl Into<String>) -> Self {
         Self {
             caller,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// An engine's refusal: it says itself that it did not run the request.
+    /// Decodes a refusal, by which the engine confirms that the request did not run.
     fn refusal(&self, step: &'static str, sent: u64, body: &[u8]) -> EngineError {
         let peer = self.address.clone();
         let Ok(refusal) = serde_json::from_slice::<EngineRefusal>(body) else {
@@ -79,7 +79,7 @@
         }
     }
 
-    async fn ask<M: Serialize, R: DeserializeOwned>(
+    async fn send_request<M: Serialize, R: DeserializeOwned>(
         &self,
         step: &'static str,
         path: &str,
@@ -87,18 +87,18 @@
         message: &M,
     ) -> Result<R, EngineError> {
         let body = serde_json::to_vec(message).map_err(|error| self.unknown(step, error))?;
-        let reply = self
+        let response = self
             .caller
             .call(Method::POST, &self.address, path, &[], Bytes::from(body))
             .await
             .map_err(|error| self.call_error(step, error))?;
-        if reply.status == StatusCode::CONFLICT {
-            return Err(self.refusal(step, epoch, &reply.body));
+        if response.status == StatusCode::CONFLICT {
+            return Err(self.refusal(step, epoch, &response.body));
         }
-        if !reply.status.is_success() {
-            return Err(self.unknown(step, reply.status));
+        if !response.status.is_success() {
+            return Err(self.unknown(step, response.status));
         }
-        serde_json::from_slice(&reply.body).map_err(|error| self.unknown(step, error))
+        serde_json::from_slice(&response.body).map_err(|error| self.unknown(step, error))
     }
 }
 
@@ -124,13 +124,13 @@
             if let Some(event) = self.take_line() {
                 return Some(event);
             }
-            if self.ended {
+            if self.has_failed {
                 return None;
             }
             match self.body.frame().await {
                 None => return None,
                 Some(Err(error)) => {
-                    self.ended = true;
+                    self.has_failed = true;
                     return Some(Err(self.error(error)));
                 }
                 Some(Ok(frame)) => {
@@ -168,7 +168,7 @@
             body: response.into_body(),
             buffer: BytesMut::new(),
             peer: self.address.clone(),
-            ended: false,
+            has_failed: false,
         };
         let events = stream::unfold(reader, |mut reader| async move {
             let event = reader.next_event().await?;
@@ -181,31 +181,32 @@
         let message = CancelMessage {
             request_id: request_id.to_owned(),
         };
-        self.ask("engine.cancel", "/engine/cancel", 0, &message)
+        self.send_request("engine.cancel", "/engine/cancel", 0, &message)
             .await
     }
 
     async fn load(&self) -> Result<EngineLoad, EngineError> {
-        self.ask("engine.load", "/engine/load", 0, &()).await
+        self.send_request("engine.load", "/engine/load", 0, &())
+            .await
     }
 
     async fn cache_events(&self, after: u64) -> Result<CacheEventPage, EngineError> {
-        self.ask("engine.cache_events", "/engine/cache-events", 0, &after)
+        self.send_request("engine.cache_events", "/engine/cache-events", 0, &after)
             .await
     }
 
     async fn execute(&self, command: EngineCommand) -> Result<(), EngineError> {
-        self.ask("engine.order", "/engine/order", command.epoch, &command)
+        self.send_request("engine.order", "/engine/order", command.epoch, &command)
             .await
     }
 
     async fn export_prefix(&self, block: u64) -> Result<Option<Vec<u64>>, EngineError> {
-        self.ask("engine.export_prefix", "/engine/export", 0, &block)
+        self.send_request("engine.export_prefix", "/engine/export", 0, &block)
             .await
     }
 
     async fn import_prefix(&self, blocks: Vec<u64>) -> Result<(), EngineError> {
-        self.ask("engine.import_prefix", "/engine/import", 0, &blocks)
+        self.send_request("engine.import_prefix", "/engine/import", 0, &blocks)
             .await
     }
 }
--- a/crates/external/src/http/listen.rs
+++ b/crates/external/src/http/listen.rs
@@ -1,14 +1,13 @@
-//! Listeners that send small parts at once.
+//! TCP listener options for streamed responses.
 
 use axum::serve::{Listener, ListenerExt};
 use tokio::net::TcpListener;
 
-/// Turns Nagle's algorithm off for accepted connections. Tokens are small writes: with it on, each waits for the
-/// peer's delayed acknowledgement, 40 ms.
+/// Sets `TCP_NODELAY` on accepted connections. Without it each streamed token waits for the peer's delayed ACK.
 pub fn with_nodelay(listener: TcpListener) -> impl Listener<Addr = std::net::SocketAddr> {
     listener.tap_io(|stream| {
         if let Err(error) = stream.set_nodelay(true) {
-            log::debug!("http: cannot turn off delayed sending: {error}");
+            log::debug!("http: cannot set TCP_NODELAY on an accepted connection: {error}");
         }
     })
 }
--- a/crates/external/src/http/machines.rs
+++ b/crates/external/src/http/machines.rs
@@ -15,7 +15,7 @@
 }
 
 impl HttpMachineList {
-    /// A client of the list at `address` (`ip:port`).
+    /// Builds a client of the list at `address` (`ip:port`).
     pub fn new(caller: HttpCaller, address: impl Into<String>) -> Self {
         Self {
             caller,
@@ -28,11 +28,11 @@
 impl MachineList for HttpMachineList {
     async fn list(&self) -> Result<Vec<Machine>, PlatformError> {
         const STEP: &str = "machines.list";
-        let reply = self
+        let response = self
             .caller
             .call_platform(STEP, Method::GET, &self.address, "/machines", Bytes::new())
             .await?;
-        serde_json::from_slice(&reply).map_err(|error| {
+        serde_json::from_slice(&response).map_err(|error| {
             let kind = PlatformErrorKind::Malformed;
             PlatformError::new(STEP, &self.address, kind, error.to_string())
         })
--- a/crates/external/src/http/messages.rs
+++ b/crates/external/src/http/messages.rs
@@ -1,4 +1,4 @@
-//! JSON messages between the HTTP clients and the platform (here: its stand-in).
+//! JSON messages between the HTTP clients and the external systems.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -7,14 +7,14 @@
 
 use crate::{Condition, Row, Transaction, TransactionOutcome, Write};
 
-/// Wire form of a row; the value is base64.
+/// Wire form of a [`Row`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RowMessage {
-    /// Row key.
+    /// Key of the row.
     pub key: String,
-    /// Row value in base64.
+    /// Content in base64.
     pub value: String,
-    /// Revision of the last write.
+    /// Revision set by the last write.
     pub revision: u64,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl RowMessage {
-    /// The row, or `None` if the value is not base64.
+    /// Decodes the row; `None` if the value is not valid base64.
     pub fn into_row(self) -> Option<Row> {
         let value = Bytes::from(STANDARD.decode(&self.value).ok()?);
         Some(Row {
@@ -40,30 +40,30 @@
     }
 }
 
-/// Wire form of a condition: no revision means "absent".
+/// Wire form of a [`Condition`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ConditionMessage {
-    /// Row key.
+    /// Key of the row.
     pub key: String,
-    /// Revision required, or absence.
+    /// Required revision; `None` requires that the row is absent.
     pub revision: Option<u64>,
 }
 
-/// Wire form of a write: no value means "delete".
+/// Wire form of a [`Write`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WriteMessage {
-    /// Row key.
+    /// Key of the row.
     pub key: String,
-    /// New value in base64, or removal.
+    /// New content in base64; `None` removes the row.
     pub value: Option<String>,
 }
 
-/// Wire form of a transaction.
+/// Wire form of a [`Transaction`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TransactionMessage {
-    /// All must hold.
+    /// Preconditions; all must hold.
     pub conditions: Vec<ConditionMessage>,
-    /// All are applied.
+    /// Writes, applied atomically.
     pub writes: Vec<WriteMessage>,
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl TransactionMessage {
-    /// The transaction, or `None` if a value is not base64.
+    /// Decodes the transaction; `None` if a value is not valid base64.
     pub fn into_transaction(self) -> Option<Transaction> {
         let conditions = self
             .conditions
@@ -130,20 +130,20 @@
     }
 }
 
-/// Wire form of a transaction's outcome.
+/// Wire form of a [`TransactionOutcome`].
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum OutcomeMessage {
-    /// Applied.
+    /// All writes were applied.
     Committed {
-        /// New revision of the rows.
+        /// New revision of each written row.
         revision: u64,
     },
-    /// Not applied.
+    /// A condition failed; nothing was applied.
     Conflict {
-        /// Key whose condition failed.
+        /// Key of the first condition that failed.
         key: String,
-        /// The row as it stands.
+        /// Current row of that key; `None` if it is absent.
         current: Option<RowMessage>,
     },
 }
@@ -163,7 +163,7 @@
 }
 
 impl OutcomeMessage {
-    /// The outcome, or `None` if a value is not base64.
+    /// Decodes the outcome; `None` if a value is not valid base64.
     pub fn into_outcome(self) -> Option<TransactionOutcome> {
         Some(match self {
             Self::Committed { revision } => TransactionOutcome::Committed { revision },
@@ -178,36 +178,36 @@
     }
 }
 
-/// Reads rows by key.
+/// Request body of a read by keys.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct GetMessage {
-    /// Keys wanted.
+    /// Keys to read, in the order of the response.
     pub keys: Vec<String>,
 }
 
-/// Reads rows by prefix.
+/// Request body of a scan by prefix.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ScanMessage {
-    /// Prefix of the keys wanted.
+    /// Common prefix of the keys.
     pub prefix: String,
-    /// Only keys greater than this.
+    /// Exclusive lower bound of the keys.
     pub after: String,
-    /// Most rows wanted.
+    /// Upper bound on the returned rows.
     pub limit: usize,
 }
 
-/// Cancels a generation.
+/// Request body of a cancellation.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CancelMessage {
-    /// Request to cancel.
+    /// Id of the attempt to cancel.
     pub request_id: String,
 }
 
-/// An engine's refusal.
+/// Response body of an engine that did not run a request.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct EngineRefusal {
-    /// Cause in words.
+    /// Cause, for an operator.
     pub detail: String,
-    /// Newest epoch seen, if the refusal is for an old epoch.
+    /// Newest epoch seen by the engine, if the request had an older one; else `None`.
     pub seen_epoch: Option<u64>,
 }
--- a/crates/external/src/http/mod.rs
+++ b/crates/external/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! One HTTP client behind each platform trait, and the messages that stand-ins share with them.
+//! HTTP clients of the external systems, and the messages that servers of the same protocols share.
 
 mod caller;
 mod engine;
--- a/crates/external/src/http/objects.rs
+++ b/crates/external/src/http/objects.rs
@@ -7,7 +7,7 @@
 use super::HttpCaller;
 use crate::{ObjectStore, PlatformError, RequestClass};
 
-/// Object store client: `PUT`, `GET` and `DELETE` on `/objects/{name}`.
+/// Object store client: `PUT`, `GET` and `DELETE` on `/objects/{name}`; ignores the request class.
 #[derive(Debug, Clone)]
 pub struct HttpObjectStore {
     caller: HttpCaller,
@@ -15,7 +15,7 @@
 }
 
 impl HttpObjectStore {
-    /// A client of the store at `address` (`ip:port`).
+    /// Builds a client of the store at `address` (`ip:port`).
     pub fn new(caller: HttpCaller, address: impl Into<String>) -> Self {
         Self {
             caller,
@@ -23,7 +23,7 @@
         }
     }
 
-    async fn ask(
+    async fn send_request(
         &self,
         step: &'static str,
         method: Method,
@@ -40,17 +40,18 @@
 #[async_trait]
 impl ObjectStore for HttpObjectStore {
     async fn put(&self, _: RequestClass, name: &str, body: Bytes) -> Result<(), PlatformError> {
-        self.ask("objects.put", Method::PUT, name, body).await?;
+        self.send_request("objects.put", Method::PUT, name, body)
+            .await?;
         Ok(())
     }
 
     async fn get(&self, _: RequestClass, name: &str) -> Result<Bytes, PlatformError> {
-        self.ask("objects.get", Method::GET, name, Bytes::new())
+        self.send_request("objects.get", Method::GET, name, Bytes::new())
             .await
     }
 
     async fn delete(&self, _: RequestClass, name: &str) -> Result<(), PlatformError> {
-        self.ask("objects.delete", Method::DELETE, name, Bytes::new())
+        self.send_request("objects.delete", Method::DELETE, name, Bytes::new())
             .await?;
         Ok(())
     }
--- a/crates/external/src/http/table.rs
+++ b/crates/external/src/http/table.rs
@@ -12,7 +12,7 @@
     PlatformError, PlatformErrorKind, RequestClass, Row, Table, Transaction, TransactionOutcome,
 };
 
-/// Table client that speaks JSON over HTTP.
+/// Table client with JSON over HTTP; ignores the request class.
 #[derive(Debug, Clone)]
 pub struct HttpTable {
     caller: HttpCaller,
@@ -20,7 +20,7 @@
 }
 
 impl HttpTable {
-    /// A client of the service at `address` (`ip:port`).
+    /// Builds a client of the service at `address` (`ip:port`).
     pub fn new(caller: HttpCaller, address: impl Into<String>) -> Self {
         Self {
             caller,
@@ -33,18 +33,18 @@
         PlatformError::new(step, &self.address, kind, "unreadable answer")
     }
 
-    async fn ask<M: Serialize, R: DeserializeOwned>(
+    async fn send_request<M: Serialize, R: DeserializeOwned>(
         &self,
         step: &'static str,
         path: &str,
         message: &M,
     ) -> Result<R, PlatformError> {
         let body = serde_json::to_vec(message).map_err(|_| self.malformed(step))?;
-        let reply = self
+        let response = self
             .caller
             .call_platform(step, Method::POST, &self.address, path, Bytes::from(body))
             .await?;
-        serde_json::from_slice(&reply).map_err(|_| self.malformed(step))
+        serde_json::from_slice(&response).map_err(|_| self.malformed(step))
     }
 }
 
@@ -57,8 +57,8 @@
     ) -> Result<TransactionOutcome, PlatformError> {
         const STEP: &str = "table.transact";
         let message = TransactionMessage::from(&transaction);
-        let reply: OutcomeMessage = self.ask(STEP, "/table/transact", &message).await?;
-        reply.into_outcome().ok_or_else(|| self.malformed(STEP))
+        let response: OutcomeMessage = self.send_request(STEP, "/table/transact", &message).await?;
+        response.into_outcome().ok_or_else(|| self.malformed(STEP))
     }
 
     async fn get(
@@ -70,7 +70,7 @@
         let message = GetMessage {
             keys: keys.to_vec(),
         };
-        let rows: Vec<Option<RowMessage>> = self.ask(STEP, "/table/get", &message).await?;
+        let rows: Vec<Option<RowMessage>> = self.send_request(STEP, "/table/get", &message).await?;
         rows.into_iter()
             .map(|row| match row {
                 None => Ok(None),
@@ -92,7 +92,7 @@
             after: after.to_owned(),
             limit,
         };
-        let rows: Vec<RowMessage> = self.ask(STEP, "/table/scan", &message).await?;
+        let rows: Vec<RowMessage> = self.send_request(STEP, "/table/scan", &message).await?;
         rows.into_iter()
             .map(|row| row.into_row().ok_or_else(|| self.malformed(STEP)))
             .collect()
--- a/crates/external/src/http/weights.rs
+++ b/crates/external/src/http/weights.rs
@@ -15,7 +15,7 @@
 }
 
 impl HttpWeightStore {
-    /// A client of the store at `address` (`ip:port`).
+    /// Builds a client of the store at `address` (`ip:port`).
     pub fn new(caller: HttpCaller, address: impl Into<String>) -> Self {
         Self {
             caller,
@@ -29,11 +29,11 @@
     async fn reserve(&self, model: &str) -> Result<WeightTransfer, PlatformError> {
         const STEP: &str = "weights.reserve";
         let path = format!("/weights/{model}");
-        let reply = self
+        let response = self
             .caller
             .call_platform(STEP, Method::POST, &self.address, &path, Bytes::new())
             .await?;
-        serde_json::from_slice(&reply).map_err(|error| {
+        serde_json::from_slice(&response).map_err(|error| {
             let kind = PlatformErrorKind::Malformed;
             PlatformError::new(STEP, &self.address, kind, error.to_string())
         })
--- a/crates/external/src/lib.rs
+++ b/crates/external/src/lib.rs
@@ -1,8 +1,5 @@
-//! The outside systems as Harrierward sees them: a transactional table, an object store, a machine list,
-//! a weight store and model engines.
-//!
-//! Why narrow traits: the platform's real protocols are not known yet. Each trait states only what
-//! the promises need, and one HTTP client stands behind each, so another client can replace one.
+//! Interfaces of the external systems: a transactional table, an object store, a machine list, a weight store and
+//! model engines. Each is a narrow trait with an HTTP client, which another implementation can replace.
 
 mod backoff;
 mod budget;
--- a/crates/external/src/machines.rs
+++ b/crates/external/src/machines.rs
@@ -1,38 +1,38 @@
-//! The platform's lagging list of live and leaving machines.
+//! The platform's list of machines, which lags their true state.
 
 use async_trait::async_trait;
 use serde::{Deserialize, Serialize};
 
 use crate::{PlatformError, ReplicaId};
 
-/// What the platform last knew of a machine.
+/// State of a machine in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
-    /// In service.
+    /// In service; may get new work.
     Live,
-    /// Announced to leave; gets no new work.
+    /// Announced for removal; gets no new work.
     Leaving,
 }
 
-/// One back end of the list.
+/// Machine that runs one replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// The replica that the machine carries.
+    /// Replica that runs on the machine.
     pub replica: ReplicaId,
-    /// Service the replica belongs to.
+    /// Name of the service that the replica serves.
     pub service: String,
-    /// Zone of the machine.
+    /// Name of the availability zone.
     pub zone: String,
     /// Engine address, `ip:port`.
     pub address: String,
-    /// Last known state.
+    /// State as of the last listing.
     pub state: MachineState,
 }
 
-/// Client of the machine list. The list lags: it is a hint and never decides safety.
+/// Client of the machine list. The list is a hint: safety must not depend on it.
 #[async_trait]
 pub trait MachineList: Send + Sync {
-    /// All machines the platform lists now.
+    /// Fetches the current list of machines.
     async fn list(&self) -> Result<Vec<Machine>, PlatformError>;
 }
--- a/crates/external/src/table.rs
+++ b/crates/external/src/table.rs
@@ -1,47 +1,47 @@
-//! The transactional table service: rows with revisions, changed by conditional multi-row transactions.
+//! Client interface of the table service: rows with revisions, changed by conditional multi-row transactions.
 
 use async_trait::async_trait;
 use bytes::Bytes;
 
 use crate::{PlatformError, RequestClass};
 
-/// One row. `revision` changes with each write of the row and never repeats.
+/// Row of the table. Each write sets a new `revision`, which never repeats.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// Row key; keys are ordered by bytes.
+    /// Key; keys are ordered bytewise.
     pub key: String,
-    /// Row content, opaque to the table.
+    /// Content, opaque to the table.
     pub value: Bytes,
-    /// Revision of the row's last write.
+    /// Revision set by the last write of the row.
     pub revision: u64,
 }
 
-/// What must hold for a transaction to commit.
+/// Precondition of a transaction on one row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Condition {
     /// The row does not exist.
     Absent {
-        /// Row key.
+        /// Key of the row.
         key: String,
     },
-    /// The row exists at exactly this revision.
+    /// The row exists and has this revision.
     AtRevision {
-        /// Row key.
+        /// Key of the row.
         key: String,
-        /// Revision the writer last read.
+        /// Revision that the writer last read.
         revision: u64,
     },
 }
 
 impl Condition {
-    /// The key this condition speaks of.
+    /// Returns the key of the row that is checked.
     pub fn key(&self) -> &str {
         match self {
             Self::Absent { key } | Self::AtRevision { key, .. } => key,
         }
     }
 
-    /// The condition that `key` is still as `row` shows it.
+    /// Requires that `key` is unchanged since `row` was read; `None` requires its absence.
     pub fn unchanged(key: &str, row: Option<&Row>) -> Self {
         match row {
             None => Self::Absent {
@@ -55,34 +55,34 @@
     }
 }
 
-/// One change of a transaction.
+/// Write of a transaction to one row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Write {
     /// Creates or replaces a row.
     Put {
-        /// Row key.
+        /// Key of the row.
         key: String,
         /// New content.
         value: Bytes,
     },
-    /// Removes a row; removing an absent row is no error.
+    /// Removes a row, if it exists.
     Delete {
-        /// Row key.
+        /// Key of the row.
         key: String,
     },
 }
 
-/// Writes that commit together, only if all conditions hold.
+/// Writes that are applied atomically if all conditions hold.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// Conditions, all of which must hold.
+    /// Preconditions, checked at commit.
     pub conditions: Vec<Condition>,
-    /// Writes, all or none applied.
+    /// Writes, applied all together or not at all.
     pub writes: Vec<Write>,
 }
 
 impl Transaction {
-    /// Adds a condition.
+    /// Adds a precondition.
     pub fn require(mut self, condition: Condition) -> Self {
         self.conditions.push(condition);
         self
@@ -104,41 +104,41 @@
     }
 }
 
-/// How a transaction ended.
+/// Result of a transaction that the table has decided.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransactionOutcome {
-    /// All writes were applied; written rows now have this revision.
+    /// All writes were applied.
     Committed {
-        /// Revision given to each written row.
+        /// New revision of each written row.
         revision: u64,
     },
     /// A condition failed; nothing was applied.
     Conflict {
         /// Key of the first condition that failed.
         key: String,
-        /// The row as it stands, if it exists.
+        /// Current row of that key; `None` if it is absent.
         current: Option<Row>,
     },
 }
 
-/// Client of the table service.
+/// Client of the table service; every call names its class for the rate budget.
 #[async_trait]
 pub trait Table: Send + Sync {
-    /// Applies a transaction. An `Unknown` error means that it may have been applied.
+    /// Commits a transaction. After an `Unknown` error it may or may not have been applied.
     async fn transact(
         &self,
         class: RequestClass,
         transaction: Transaction,
     ) -> Result<TransactionOutcome, PlatformError>;
 
-    /// Reads rows by key, in the order asked.
+    /// Reads rows by key, in the order of `keys`; `None` for an absent row.
     async fn get(
         &self,
         class: RequestClass,
         keys: &[String],
     ) -> Result<Vec<Option<Row>>, PlatformError>;
 
-    /// Reads up to `limit` rows whose keys start with `prefix` and are greater than `after`.
+    /// Reads up to `limit` rows in key order, whose keys start with `prefix` and are greater than `after`.
     async fn scan(
         &self,
         class: RequestClass,
--- a/crates/external/src/watch.rs
+++ b/crates/external/src/watch.rs
@@ -1,7 +1,5 @@
-//! Watching a space of the table: a whole read, then the changes after it.
-//!
-//! A space is the first segment of the row keys (`space/partition/key`). A watcher reads the space whole once,
-//! then asks for the changes after the revision it has seen.
+//! Client interface for watching a space of the table: one full read, then long polls for changes after its revision.
+//! A space is the first segment of the row keys (`space/partition/key`).
 
 use std::time::Duration;
 
@@ -12,106 +10,105 @@
 use crate::full_read::{FullRead, PageStart};
 use crate::{PlatformError, Row};
 
-/// What a peer's copy of a space, which answers in the store's place, says of itself.
+/// Freshness of a space that was read from a peer's copy instead of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FreshnessProof {
-    /// The copy holds all that the store had acknowledged by then.
+    /// The copy includes every change that the store had acknowledged by then.
     pub as_of: Instant,
-    /// Digest of the keys and revisions of all its rows.
+    /// Digest of the keys and revisions of all rows of the copy.
     pub digest: u64,
 }
 
-/// All rows of a space as of one revision.
+/// All rows of a space; changes after `revision` may be missing.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SpaceSnapshot {
-    /// The rows.
+    /// Rows of all partitions that were read.
     pub rows: Vec<Row>,
-    /// Revision of the table that the read reflects at least.
+    /// Revision of the table up to which all changes are included.
     pub revision: u64,
-    /// The store's steady clock, milliseconds.
+    /// Time of the store's monotonic clock, in milliseconds.
     pub store_time_ms: u64,
-    /// The answer is a peer's; `None` for the store's own.
+    /// Set if a peer sent the reply; `None` if the store did.
     pub proof: Option<FreshnessProof>,
 }
 
-/// Some rows of a partition of a space, in the order of their keys.
+/// Page of a partition of a space, in key order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SpacePage {
-    /// The rows.
+    /// Rows of the page.
     pub rows: Vec<Row>,
-    /// Where the next page begins; `None` if this is the partition's last.
+    /// Key at which the next page starts; `None` on the last page of the partition.
     pub next: Option<String>,
-    /// Revision of the table that the page reflects at least.
+    /// Revision of the table up to which all changes are included.
     pub revision: u64,
-    /// The store's steady clock, milliseconds.
+    /// Time of the store's monotonic clock, in milliseconds.
     pub store_time_ms: u64,
-    /// The answer is a peer's, and holds the whole space; `None` for the store's own.
+    /// Set if a peer sent the reply, which then holds the full space; `None` if the store did.
     pub proof: Option<FreshnessProof>,
 }
 
-/// What the store says of one row.
+/// Result of reading one row.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RowRead {
-    /// The row; `None` if it is not there.
+    /// The row; `None` if it is absent.
     pub row: Option<Row>,
-    /// Revision of the table that the reading reflects at least. One below a revision that is known is out of date.
+    /// Revision of the table up to which the read is current; a reader that knows a higher one discards the read.
     pub revision: u64,
 }
 
-/// One change of a row.
+/// Write or removal of a row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowChange {
-    /// Row key.
+    /// Key of the row.
     pub key: String,
-    /// Revision of the change.
+    /// Revision set by the change.
     pub revision: u64,
     /// New content; `None` if the row was removed.
     pub value: Option<Bytes>,
 }
 
-/// Changes of a space, in order.
+/// Changes of a space after a given revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ChangePage {
-    /// The changes.
+    /// Changes in ascending order of revision.
     pub changes: Vec<RowChange>,
-    /// Revision to go on from.
+    /// Revision from which the next long poll continues.
     pub revision: u64,
-    /// The store's steady clock, milliseconds.
+    /// Time of the store's monotonic clock, in milliseconds.
     pub store_time_ms: u64,
-    /// The answer is a peer's; `None` for the store's own.
+    /// Set if a peer sent the reply; `None` if the store did.
     pub proof: Option<FreshnessProof>,
 }
 
 /// Client of a table whose spaces can be watched.
 #[async_trait]
 pub trait WatchedTable: Send + Sync {
-    /// Reads rows of a space's partition.
+    /// Reads a page of a partition of `space`.
     async fn read_page(
         &self,
         space: &str,
         start: PageStart<'_>,
     ) -> Result<SpacePage, PlatformError>;
 
-    /// Reads one row.
+    /// Reads a row by key.
     async fn read_row(&self, key: &str) -> Result<RowRead, PlatformError>;
 
-    /// Reads the whole of a space's partitions. They are named by the caller, because a list of them may be older
-    /// than the rows.
+    /// Reads all rows of the given partitions. The caller lists them, because a stored list may be older than the rows.
     async fn read_space(
         &self,
         space: &str,
         partitions: &[String],
     ) -> Result<SpaceSnapshot, PlatformError> {
-        let mut whole = FullRead::new(partitions);
-        while let Some(start) = whole.next_page() {
+        let mut read = FullRead::new(partitions);
+        while let Some(start) = read.next_page() {
             let page = self.read_page(space, start).await?;
-            whole.take(page);
+            read.take(page);
         }
-        Ok(whole.into_snapshot())
+        Ok(read.into_snapshot())
     }
 
-    /// Waits up to `wait` for changes after `revision`; an empty page if there are none.
-    /// Fails with [`crate::PlatformErrorKind::HistoryLost`] if the store no longer knows the changes.
+    /// Long-polls up to `wait` for changes after revision `after`; the page is empty if there are none.
+    /// Fails with [`crate::PlatformErrorKind::HistoryLost`] if the store no longer keeps the changes.
     async fn wait_changes(
         &self,
         space: &str,
--- a/crates/external/src/weights.rs
+++ b/crates/external/src/weights.rs
@@ -1,4 +1,4 @@
-//! The rate-limited weight store, from which engines load models.
+//! Client interface of the rate-limited store from which engines load model weights.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 
 use crate::PlatformError;
 
-/// Leave to load weights, given by the store.
+/// Permission to load the weights of a model, granted by the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightTransfer {
-    /// Model granted.
+    /// Name of the model.
     pub model: String,
     /// Size of the weights in bytes.
     pub bytes: u64,
-    /// Time the load is expected to take at the store's present rate.
+    /// Expected duration of the load at the store's current rate.
     pub expected: Duration,
 }
 
 /// Client of the weight store.
 #[async_trait]
 pub trait WeightStore: Send + Sync {
-    /// Asks leave to load `model`; refused as rate-limited while too many loads run.
+    /// Requests permission to load `model`; fails as rate-limited while too many loads are in progress.
     async fn reserve(&self, model: &str) -> Result<WeightTransfer, PlatformError>;
 }
