--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,7 +1,5 @@
-//! Admission to a service: up to a number of requests run, a bounded number waits, fair between tenants.
-//!
-//! Why a bound: a queue that grows without end answers everybody late. A request that cannot start before its
-//! deadline is refused at once as not run, and told when to come back.
+//! Admission control of a service: a concurrency limit with a bounded queue that is fair between tenants.
+//! A request that cannot start before its deadline is refused at once, with the time after which to retry.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -11,12 +9,12 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout_at};
 
-/// Bounds of admission.
+/// Bounds of the admission queue.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionSettings {
-    /// Requests that wait at most.
+    /// Maximum number of queued requests per service.
     pub max_queued: usize,
-    /// Longest wait.
+    /// Maximum time in the queue.
     pub max_wait: Duration,
 }
 
@@ -29,11 +27,11 @@
     }
 }
 
-/// Waiter entries by tenant, served in turn: a tenant with many entries does not delay the others.
+/// Queue with round-robin between tenants, so that a tenant with many entries does not delay the others.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     tenants: BTreeMap<String, VecDeque<T>>,
-    turns: VecDeque<String>,
+    turn_order: VecDeque<String>,
     length: usize,
 }
 
@@ -41,24 +39,24 @@
     fn default() -> Self {
         Self {
             tenants: BTreeMap::new(),
-            turns: VecDeque::new(),
+            turn_order: VecDeque::new(),
             length: 0,
         }
     }
 }
 
 impl<T> FairQueue<T> {
-    /// Entries waiter.
+    /// Returns the number of entries of all tenants.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// True if nothing waits.
+    /// True if no tenant has an entry.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Entries that would be served before a new one of `tenant`.
+    /// Returns the number of entries that are served before a new one of `tenant`.
     pub fn ahead_of(&self, tenant: &str) -> usize {
         let own = self.tenants.get(tenant).map_or(0, VecDeque::len);
         self.tenants
@@ -68,26 +66,26 @@
             .saturating_sub(usize::from(own > 0))
     }
 
-    /// Adds an entry.
+    /// Appends an entry of `tenant`.
     pub fn push(&mut self, tenant: &str, entry: T) {
         let entries = self.tenants.entry(tenant.to_owned()).or_default();
         if entries.is_empty() {
-            self.turns.push_back(tenant.to_owned());
+            self.turn_order.push_back(tenant.to_owned());
         }
         entries.push_back(entry);
         self.length += 1;
     }
 
-    /// Takes the next entry.
+    /// Removes the next entry of the tenant whose turn it is; `None` if the queue is empty.
     pub fn pop(&mut self) -> Option<T> {
-        let tenant = self.turns.pop_front()?;
+        let tenant = self.turn_order.pop_front()?;
         let entries = self.tenants.get_mut(&tenant)?;
         let entry = entries.pop_front()?;
         self.length -= 1;
         if entries.is_empty() {
             self.tenants.remove(&tenant);
         } else {
-            self.turns.push_back(tenant);
+            self.turn_order.push_back(tenant);
         }
         Some(entry)
     }
@@ -99,7 +97,8 @@
         }
         self.tenants.retain(|_, entries| !entries.is_empty());
         let tenants = &self.tenants;
-        self.turns.retain(|tenant| tenants.contains_key(tenant));
+        self.turn_order
+            .retain(|tenant| tenants.contains_key(tenant));
         self.length = self.tenants.values().map(VecDeque::len).sum();
     }
 }
@@ -111,32 +110,32 @@
     capacity: AtomicU32,
     running: AtomicU32,
     queue: Mutex<FairQueue<Waiter>>,
-    /// Smoothed time that one request holds its place, microseconds; used to foretell waits.
+    /// Moving average of the time from admission to completion, in microseconds; predicts queue waits.
     mean_run_micros: AtomicU32,
     settings: AdmissionSettings,
 }
 
-/// A place among the running requests; dropping it admits the next.
+/// Permission to run one request; dropping it admits the next queued request.
 #[derive(Debug)]
 pub struct AdmissionPermit {
     shared: Arc<Shared>,
     admitted_at: Instant,
 }
 
-/// Admission to one service; cheap to clone.
+/// Admission control of one service; clones share their state.
 #[derive(Debug, Clone)]
 pub struct Admission {
     shared: Arc<Shared>,
 }
 
-/// Smoothing of the run_time time: the new value counts one in so many.
-const SMOOTHING: u32 = 16;
+/// A new value enters the moving average with weight 1 / `AVERAGE_DIVISOR`.
+const AVERAGE_DIVISOR: u32 = 16;
 
-/// First guess of the run_time time, microseconds.
+/// Initial value of the moving average, in microseconds.
 const INITIAL_RUN_MICROS: u32 = 500_000;
 
 impl Admission {
-    /// Admission for `capacity` running requests.
+    /// Builds an admission control that runs up to `capacity` requests at once.
     pub fn new(capacity: u32, settings: AdmissionSettings) -> Self {
         Self {
             shared: Arc::new(Shared {
@@ -149,19 +148,22 @@
         }
     }
 
-    /// Changes the number of requests that may run.
+    /// Changes the concurrency limit. Requests already running beyond it complete.
     pub fn set_capacity(&self, capacity: u32) {
         self.shared.capacity.store(capacity, Ordering::Relaxed);
         self.shared.admit_waiting();
     }
 
-    /// Requests running and waiter.
+    /// Returns the numbers of running and of queued requests.
     pub fn load(&self) -> (u32, usize) {
         let running = self.shared.running.load(Ordering::Relaxed);
         (running, self.shared.lock().len())
     }
 
-    /// A place for a request of `tenant`, or after how long to come back. Free places are taken without a lock.
+    /// Admits a request of `tenant`, after a wait in the queue if needed.
+    ///
+    /// # Errors
+    /// The queue is full or the wait too long: the time after which to retry.
     pub async fn admit(
         &self,
         tenant: &str,
@@ -198,7 +200,7 @@
             }
             queue.push(tenant, sender);
         }
-        // A place may have become free between the two looks.
+        // Capacity may have been released between the failed attempt and the enqueuing.
         self.shared.admit_waiting();
         Ok(receiver)
     }
@@ -234,7 +236,7 @@
             };
             let next = queue.pop();
             drop(queue);
-            // A waiter that gave up drops its permit here, which admits the next.
+            // If the waiter has timed out, the returned permit is dropped, which admits the next waiter.
             if let Some(waiter) = next {
                 let _ = waiter.send(permit);
             }
@@ -250,7 +252,7 @@
 
     fn note_run_time(&self, run_time: Duration) {
         let run_time = u32::try_from(run_time.as_micros()).unwrap_or(u32::MAX);
-        let smoothed = |old: u32| Some(old - old / SMOOTHING + run_time / SMOOTHING);
+        let smoothed = |old: u32| Some(old - old / AVERAGE_DIVISOR + run_time / AVERAGE_DIVISOR);
         let _ = self
             .mean_run_micros
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, smoothed);
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! One call as it enters the request path.
+//! Input of the request path.
 
 use harrierward_claims::{ClaimKey, RequestDigest};
 use serde::{Deserialize, Serialize};
@@ -6,34 +6,34 @@
 
 use crate::openai::GenerationSpec;
 
-/// The mark of an at-most-once request.
+/// Idempotency data of a request that runs at most once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IdempotentCall {
-    /// Tenant and idempotency key.
+    /// Tenant and value of the `Idempotency-Key` header.
     pub key: ClaimKey,
-    /// Digests of the request.
+    /// Digests of the request content, which detect reuse of the key for another request.
     pub digest: RequestDigest,
 }
 
-/// What an answer is known by to its caller. It stays with a stored answer, so that a resend is seen to be one.
+/// Id and creation time of a response, as sent to the caller. A stored response keeps them when it is replayed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseIdentity {
-    /// Id.
+    /// Unique id.
     pub id: String,
-    /// When the request came, seconds since 1970.
+    /// Time of arrival of the request, in seconds since the Unix epoch.
     pub created: u64,
 }
 
-/// A call to an endpoint.
+/// Request of a tenant to an endpoint.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Tenant of the caller.
+    /// Name of the authenticated tenant.
     pub tenant: String,
-    /// What to generate.
+    /// Parsed request body.
     pub spec: GenerationSpec,
-    /// Identity of the answer, unless one is stored.
+    /// Identity of a new response; a stored response keeps its own.
     pub identity: ResponseIdentity,
-    /// Set if the request must run at most once.
+    /// Set if the request must run at most once; `None` allows it to run again.
     pub idempotency: Option<IdempotentCall>,
     /// Time after which the request is no longer started or retried.
     pub deadline: Instant,
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! The replicas that a daemon knows, read by the request path as a snapshot.
+//! Directory of the replicas known to a daemon; the request path reads it as a snapshot.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,23 +10,23 @@
     CostModel, ReplicaEntry, ReplicaLoad, RoutingTable, SubsetMember, stable_subset,
 };
 
-/// Makes a client of an engine.
+/// Factory of engine clients.
 pub trait EngineConnector: Send + Sync {
-    /// A client of the machine's engine.
+    /// Builds a client of the machine's engine.
     fn connect(&self, machine: &Machine) -> Arc<dyn Engine>;
 }
 
-/// Ranks zones by distance from this daemon.
+/// Location of this daemon, by which zones are ranked.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneRank {
-    /// Own zone.
+    /// Name of the daemon's zone.
     pub zone: String,
-    /// Zones of the own region.
+    /// Names of the zones of the daemon's region.
     pub region_zones: Vec<String>,
 }
 
 impl ZoneRank {
-    /// 0 for the own zone, 1 for the own region, 2 elsewhere.
+    /// Returns 0 for the own zone, 1 for others of the region, 2 for zones elsewhere.
     pub fn distance(&self, zone: &str) -> u8 {
         if zone == self.zone {
             0
@@ -38,7 +38,7 @@
     }
 }
 
-/// Online requests of this gateway at one replica, for the replica's owner.
+/// Counts of this gateway's online requests at one replica, read by the replica's owner.
 #[derive(Debug, Default)]
 pub struct OnlineCounts {
     running: AtomicU32,
@@ -46,7 +46,7 @@
 }
 
 impl OnlineCounts {
-    /// Requests in flight and their prompt tokens not yet prefilled.
+    /// Returns the number of requests in flight, and of their prompt tokens that are not yet prefilled.
     pub fn get(&self) -> (u32, u32) {
         (
             self.running.load(Ordering::Relaxed),
@@ -54,52 +54,52 @@
         )
     }
 
-    pub(crate) fn sent(&self, tokens: u32) {
+    pub(crate) fn note_sent(&self, tokens: u32) {
         self.running.fetch_add(1, Ordering::Relaxed);
         self.prefill_tokens.fetch_add(tokens, Ordering::Relaxed);
     }
 
-    pub(crate) fn prefilled(&self, tokens: u32) {
+    pub(crate) fn note_prefilled(&self, tokens: u32) {
         self.prefill_tokens.fetch_sub(tokens, Ordering::Relaxed);
     }
 
-    pub(crate) fn ended(&self) {
+    pub(crate) fn note_completed(&self) {
         self.running.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// One replica.
+/// Replica with its engine client and its load as seen by this gateway.
 pub struct Replica {
-    /// Number used by the prefix index; the same as long as the replica is known.
+    /// Number in the prefix index; stable while the replica is listed at the same address.
     pub number: u32,
-    /// The machine as last listed.
+    /// Entry of the last machine list.
     pub machine: Machine,
-    /// Client of its engine.
+    /// Client of the engine.
     pub engine: Arc<dyn Engine>,
-    /// Load as the gateway sees it.
+    /// Load estimate used for routing.
     pub load: Arc<ReplicaLoad>,
-    /// Online requests of this gateway.
+    /// Counts of this gateway's online requests.
     pub online: Arc<OnlineCounts>,
 }
 
-/// The replicas of one service.
+/// Replicas of one service that this daemon routes to.
 pub struct DirectoryEntry {
-    /// Table for the choice; entries in the order of `replicas`.
+    /// Routing table, with entries in the order of `replicas`.
     pub table: RoutingTable,
-    /// The replicas, ordered by number.
+    /// Replicas in ascending order of their number.
     pub replicas: Vec<Arc<Replica>>,
 }
 
-/// A snapshot of all replicas.
+/// Snapshot of all replicas.
 #[derive(Default)]
 pub struct Directory {
-    /// Replicas that may get new work, by service.
+    /// Replicas that may get new work, by service name.
     pub services: BTreeMap<String, DirectoryEntry>,
     /// All listed replicas, leaving ones included.
     pub replicas: BTreeMap<ReplicaId, Arc<Replica>>,
 }
 
-/// Keeps the directory; readers never wait.
+/// Maintains the directory; reads are lock-free.
 pub struct ReplicaDirectory {
     connector: Arc<dyn EngineConnector>,
     rank: ZoneRank,
@@ -111,7 +111,8 @@
 }
 
 impl ReplicaDirectory {
-    /// An empty directory; each service is reached over a stable subset of at most `subset` replicas.
+    /// Builds an empty directory. Each service is routed over a stable subset of at most `subset` replicas, which
+    /// depends on the id `member` of this daemon.
     pub fn new(
         connector: Arc<dyn EngineConnector>,
         rank: ZoneRank,
@@ -130,13 +131,13 @@
         }
     }
 
-    /// The present snapshot.
+    /// Returns the current snapshot.
     pub fn load(&self) -> arc_swap::Guard<Arc<Directory>> {
         self.current.load()
     }
 
-    /// Takes over a new machine list. Known replicas keep their number, client and load. To be called by one
-    /// task only.
+    /// Applies a new machine list. Replicas at an unchanged address keep their number, client and load.
+    /// Concurrent calls would lose updates: only one task may call this.
     pub fn update(&self, machines: Vec<Machine>) {
         let old = self.current.load_full();
         let mut replicas = BTreeMap::new();
@@ -192,13 +193,13 @@
                 distance: self.rank.distance(&replica.machine.zone),
             })
             .collect();
-        let chosen = stable_subset(&self.member, &members, self.subset);
-        let mut chosen: Vec<Arc<Replica>> = chosen
+        let subset = stable_subset(&self.member, &members, self.subset);
+        let mut subset: Vec<Arc<Replica>> = subset
             .into_iter()
             .map(|index| replicas[index].clone())
             .collect();
-        chosen.sort_by_key(|replica| replica.number);
-        let entries = chosen
+        subset.sort_by_key(|replica| replica.number);
+        let entries = subset
             .iter()
             .map(|replica| ReplicaEntry {
                 number: replica.number,
@@ -208,7 +209,7 @@
             .collect();
         DirectoryEntry {
             table: RoutingTable::new(entries, self.cost),
-            replicas: chosen,
+            replicas: subset,
         }
     }
 }
--- a/crates/gateway/src/errors.rs
+++ b/crates/gateway/src/errors.rs
@@ -1,20 +1,20 @@
-//! The error of the request path, which always says what is known of the request's execution.
+//! Error of the request path, which states whether the request may have run.
 
 use std::time::Duration;
 
 use harrierward_execution::{Execution, FinalResponse};
 
-/// Why a request was refused or its answer broke off. Status and pause follow from what is known of the execution.
+/// Failure of a request before or during its response. HTTP status and `retry-after` depend on whether it may have run.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{step} at {peer}: {message} (execution: {})", execution.name())]
 pub struct GatewayError {
-    /// Step at which it arose.
+    /// Operation that failed, e.g. `gateway.claim`.
     pub step: &'static str,
-    /// Party at which it arose.
+    /// System at which the operation failed: `gateway`, or the name given to [`Self::with_peer`].
     pub peer: String,
-    /// Short code for programs.
+    /// Machine-readable code, part of the API.
     pub code: &'static str,
-    /// Words for people.
+    /// Message for the caller.
     pub message: String,
     status: u16,
     execution: Execution,
@@ -23,7 +23,7 @@
 }
 
 impl GatewayError {
-    /// A refusal: the request certainly did not run.
+    /// Builds an error of a request that certainly did not run.
     pub fn not_run(
         step: &'static str,
         status: u16,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The request may have run.
+    /// Builds an error of a request that may have run.
     pub fn unknown(
         step: &'static str,
         status: u16,
@@ -52,36 +52,36 @@
         Self::not_run(step, status, code, message).merge_execution(Execution::Unknown)
     }
 
-    /// Names the other party.
+    /// Sets the system at which the operation failed.
     pub fn with_peer(mut self, peer: impl Into<String>) -> Self {
         self.peer = peer.into();
         self
     }
 
-    /// Adds what is known of the execution.
+    /// Merges `more` into what is known of the execution.
     pub fn merge_execution(mut self, more: Execution) -> Self {
         self.execution.merge(more);
         self
     }
 
-    /// Says when to come back, if it turns out that the request has not run.
+    /// Sets the time after which to retry; it is sent only if the request did not run.
     pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
         self
     }
 
-    /// Says when to come back to a caller whose key lets the request run once only.
+    /// Sets the time after which to retry, for a request whose idempotency key makes a retry safe.
     pub fn with_idempotent_retry_after(mut self, retry_after: Duration) -> Self {
         self.has_idempotency_key = true;
         self.with_retry_after(retry_after)
     }
 
-    /// What is known of the execution.
+    /// Returns what is known of the execution.
     pub fn execution(&self) -> Execution {
         self.execution
     }
 
-    /// Status and pause for the caller.
+    /// Returns the HTTP status and `retry-after` to send.
     pub fn response(&self) -> FinalResponse {
         let response = if self.has_idempotency_key {
             FinalResponse::for_idempotent_retry
--- a/crates/gateway/src/gateway/attempt.rs
+++ b/crates/gateway/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One request at one engine.
+//! Attempt to run a request at one engine.
 
 use std::sync::Arc;
 
@@ -6,14 +6,14 @@
 
 use crate::directory::Replica;
 
-/// A request at an engine. Dropping it cancels the request there and takes it out of the load estimates.
+/// Request at an engine. Dropping it cancels the request and removes it from the load estimates.
 pub(crate) struct Attempt {
     pub request_id: String,
     pub events: EventStream,
     replica: Arc<Replica>,
     uncached_tokens: u32,
-    prefilled: bool,
-    ended: bool,
+    is_prefilled: bool,
+    is_completed: bool,
 }
 
 impl Attempt {
@@ -28,8 +28,8 @@
             events,
             replica,
             uncached_tokens,
-            prefilled: false,
-            ended: false,
+            is_prefilled: false,
+            is_completed: false,
         }
     }
 
@@ -42,25 +42,25 @@
     }
 
     pub fn note_prefilled(&mut self) {
-        if !self.prefilled {
-            self.prefilled = true;
+        if !self.is_prefilled {
+            self.is_prefilled = true;
             self.replica.load.note_prefilled(self.uncached_tokens);
-            self.replica.online.prefilled(self.uncached_tokens);
+            self.replica.online.note_prefilled(self.uncached_tokens);
         }
     }
 
-    pub fn note_ended(&mut self) {
+    pub fn note_completed(&mut self) {
         self.note_prefilled();
-        if !self.ended {
-            self.ended = true;
+        if !self.is_completed {
+            self.is_completed = true;
             self.replica.load.note_completed();
-            self.replica.online.ended();
+            self.replica.online.note_completed();
         }
     }
 }
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        self.note_ended();
+        self.note_completed();
     }
 }
--- a/crates/gateway/src/gateway/claiming.rs
+++ b/crates/gateway/src/gateway/claiming.rs
@@ -1,4 +1,4 @@
-//! The claim of a marked request, and what a resend is told.
+//! Claims of idempotent requests, and the handling of resends.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,50 +16,49 @@
 
 const STEP: &str = "gateway.claim";
 
-/// Longest time for which a resend waits for the run that is in progress. Most answers that a caller has given up on
-/// too early come in this time; a longer wait would hold many connections for runs whose holder is gone for good.
+/// Maximum wait of a resend for the run in progress. It bounds the connections that wait for a holder that has crashed.
 const MAX_RESEND_WAIT: Duration = Duration::from_secs(1);
 
-/// When a resend that waited in vain is told to come back.
+/// Sent as `retry-after` to a resend whose wait timed out.
 const RESEND_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How a marked call may go on.
+/// Result of claiming an idempotent call.
 pub(super) enum Claimed {
-    /// It may be dispatched, once.
+    /// The call may be dispatched once.
     Granted(Claim),
-    /// It ran; this is its answer.
-    Answered(StoredResponse),
+    /// The request has run; this is its stored response.
+    Completed(StoredResponse),
     /// Another attempt holds the claim.
     Held(Holder),
 }
 
-/// The wait of one call for another attempt's run.
+/// Wait of a resend for the attempt that holds the claim.
 pub(super) struct ResendWait {
-    began: Instant,
-    until: Instant,
-    /// Who was seen to hold the claim last.
+    started_at: Instant,
+    deadline: Instant,
+    /// Last observed holder of the claim; `None` while no other attempt has been observed.
     holder: Option<Holder>,
 }
 
 impl ResendWait {
-    /// That of a call that comes now.
+    /// Starts the wait now, bounded by the deadline of `call`.
     pub fn new(call: &Call) -> Self {
-        let began = Instant::now();
-        let longest = began + MAX_RESEND_WAIT;
+        let started_at = Instant::now();
+        let max_deadline = started_at + MAX_RESEND_WAIT;
         Self {
-            began,
-            until: longest.min(call.deadline),
+            started_at,
+            deadline: max_deadline.min(call.deadline),
             holder: None,
         }
     }
 
-    /// True once another attempt was seen to hold the claim.
+    /// True if another attempt has been observed to hold the claim.
     pub fn has_waited(&self) -> bool {
         self.holder.is_some()
     }
 
-    /// The error of a call that goes no further: once another attempt was seen, the request may have run.
-    pub fn qualify(&self, error: GatewayError) -> GatewayError {
+    /// Adds to `error` that the request may have run, if another attempt has been observed.
+    pub fn with_execution(&self, error: GatewayError) -> GatewayError {
         if self.has_waited() {
             return error.merge_execution(Execution::Unknown);
         }
@@ -67,7 +66,7 @@
     }
 }
 
-/// Counts a resend that waits, until dropped.
+/// Guard that counts a resend as waiting until it is dropped.
 struct WaitingResendGuard {
     inner: Arc<Inner>,
 }
@@ -88,7 +87,7 @@
 }
 
 impl Gateway {
-    /// Claims a marked request for this attempt, unless another one has it.
+    /// Claims an idempotent request for this attempt, unless another attempt holds the claim or has completed it.
     pub(super) async fn claim(
         &self,
         idempotency: &IdempotentCall,
@@ -113,7 +112,7 @@
             })?;
         match outcome {
             ClaimOutcome::Granted(claim) => Ok(Claimed::Granted(claim)),
-            ClaimOutcome::Completed(bytes) => stored_response(&bytes).map(Claimed::Answered),
+            ClaimOutcome::Completed(bytes) => stored_response(&bytes).map(Claimed::Completed),
             ClaimOutcome::Held(holder) => Ok(Claimed::Held(holder)),
             ClaimOutcome::Mismatch => {
                 let message = "Idempotency-Key: was used with another body";
@@ -125,7 +124,7 @@
     /// Waits until the attempt that holds the claim has settled it.
     ///
     /// # Errors
-    /// It did not in time, or too many wait.
+    /// The wait timed out, or too many resends are waiting.
     pub(super) async fn wait_for_holder(
         &self,
         idempotency: &IdempotentCall,
@@ -135,7 +134,10 @@
         wait.holder = Some(holder);
         let _waiting = WaitingResendGuard::count(&self.inner);
         let claims = &self.inner.parts.claims;
-        let outcome = match claims.wait_while_open(&idempotency.key, wait.until).await {
+        let outcome = match claims
+            .wait_while_open(&idempotency.key, wait.deadline)
+            .await
+        {
             WaitOutcome::Settled => return Ok(()),
             WaitOutcome::StillOpen => "still_open",
             WaitOutcome::TooManyWaiters => "too_many_wait",
@@ -146,7 +148,7 @@
         Err(error.with_idempotent_retry_after(RESEND_RETRY_AFTER))
     }
 
-    /// Counts and logs what became of a resend.
+    /// Counts the outcome of a resend and writes its decision record.
     pub(super) fn note_resend(
         &self,
         idempotency: &IdempotentCall,
@@ -157,7 +159,7 @@
         resends.with_label_values(&[outcome]).inc();
         let parts = &self.inner.parts;
         let holder = wait.holder.as_ref();
-        let waited = holder.map_or(Duration::ZERO, |_| wait.began.elapsed());
+        let waited = holder.map_or(Duration::ZERO, |_| wait.started_at.elapsed());
         let claimed_at = holder.map(|holder| holder.created_at_ms);
         let held_for = claimed_at.map_or(0, |at| (parts.now_ms)().saturating_sub(at));
         parts.log.record(&Record::Resent {
@@ -170,7 +172,7 @@
         });
     }
 
-    /// Lets a request that certainly did not run be run by a resend.
+    /// Releases the claim of a request that certainly did not run, so that a resend can run it.
     pub(super) fn release_if_not_run(&self, error: &GatewayError, claim: &Claim) {
         if !error.execution().is_not_run() {
             return;
@@ -186,7 +188,7 @@
         return Err(response_not_kept("its answer was too large to keep"));
     }
     serde_json::from_slice(bytes).map_err(|error| {
-        log::warn!("{PREFIX} a stored answer cannot be read: {error}");
+        log::warn!("{PREFIX} cannot decode a stored response: {error}");
         response_not_kept("its stored answer cannot be read")
     })
 }
--- a/crates/gateway/src/gateway/dispatch.rs
+++ b/crates/gateway/src/gateway/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending a request to a replica, and to others after it while that is allowed.
+//! Dispatch of a request to a replica, with retries at other replicas.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,13 +10,14 @@
 use rand::rngs::SmallRng;
 use tokio::time::{Instant, timeout};
 
-use super::{Attempt, CHARACTERS_PER_TOKEN, Gateway, PREFIX, PrefixUpdate, as_micros, no_replica};
+use super::{Attempt, BYTES_PER_TOKEN, Gateway, PREFIX, PrefixUpdate, as_micros, no_replica};
 use crate::call::Call;
 use crate::directory::Replica;
 use crate::errors::GatewayError;
 
 impl Gateway {
-    /// Sends the request to a replica, or to others after it while it certainly has not run, or may run again.
+    /// Sends the request to a replica. After a failure it retries at another one, if the request certainly did not run
+    /// or may run again.
     pub(crate) async fn connect(
         &self,
         call: &Call,
@@ -91,7 +92,7 @@
                 entry.replicas.iter().position(same)
             })
             .collect();
-        let tokens = call.spec.prompt.len() / CHARACTERS_PER_TOKEN + 1;
+        let tokens = call.spec.prompt.len() / BYTES_PER_TOKEN + 1;
         let request = RouteRequest {
             blocks,
             prompt_tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
@@ -125,9 +126,9 @@
             resume_from,
             epoch: None,
         };
-        // Counted before sending, so that others see it, and taken back by the attempt's drop.
+        // Counted before sending, so that concurrent routing includes it; dropping the attempt reverts the count.
         replica.load.note_sent(uncached);
-        replica.online.sent(uncached);
+        replica.online.note_sent(uncached);
         let pending = futures::stream::pending();
         let mut attempt = Attempt::new(request_id, Box::pin(pending), replica.clone(), uncached);
         let limit = self.inner.settings.connect_timeout;
@@ -142,7 +143,7 @@
         Ok(attempt)
     }
 
-    /// Leaves a replica alone for a while.
+    /// Makes routing avoid a replica for the penalty period.
     fn penalize(&self, replica: &Arc<Replica>) {
         let penalty = self.inner.settings.penalty;
         let until = self.now() + penalty;
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! The request path from call to answer stream.
+//! Request path from the parsed call to the response stream.
 
 mod attempt;
 mod claiming;
@@ -7,7 +7,7 @@
 
 pub(crate) use attempt::Attempt;
 use claiming::{Claimed, ResendWait};
-use prefix_index::run_index;
+use prefix_index::update_index;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -33,24 +33,24 @@
 
 const PREFIX: &str = "gateway:";
 
-/// Bounds of the request path.
+/// Settings of the request path.
 #[derive(Debug, Clone, Copy)]
 pub struct GatewaySettings {
-    /// Bounds of admission.
+    /// Bounds of the admission queues.
     pub admission: AdmissionSettings,
-    /// Online requests that one gateway sends to a replica at most.
+    /// Maximum number of online requests per replica from one gateway; sets the capacity of a service.
     pub requests_per_replica: u32,
-    /// Wait for an engine to take a request.
+    /// Timeout for an engine to accept a request.
     pub connect_timeout: Duration,
-    /// Wait for the next event of a stream before it counts as cut.
+    /// Timeout for the next event of a stream, after which the stream is considered stalled and is resumed elsewhere.
     pub stall_timeout: Duration,
-    /// How long a replica that refused or broke is left alone.
+    /// Duration for which routing avoids a replica after a failed request.
     pub penalty: Duration,
-    /// How often the prefix index is renewed.
+    /// Interval between updates of the prefix index.
     pub index_interval: Duration,
-    /// How long a prefix is believed cached without news.
+    /// Time after which a prefix is no longer considered cached, unless it was sent again.
     pub prefix_ttl: Duration,
-    /// Seed of the choices.
+    /// Seed of the random routing choices.
     pub seed: u64,
 }
 
@@ -69,27 +69,27 @@
     }
 }
 
-/// What a gateway works with.
+/// Dependencies of a gateway.
 pub struct GatewayParts {
-    /// Id of the member, which makes request ids unique.
+    /// Member id of the daemon, the prefix of its request ids.
     pub member: String,
-    /// The configuration in force.
+    /// Current configuration, replaced by its owner.
     pub config: Arc<ArcSwap<ConfigSnapshot>>,
-    /// The replicas.
+    /// Directory of replicas.
     pub directory: Arc<ReplicaDirectory>,
-    /// The claim service.
+    /// Client of the claim service.
     pub claims: Claims,
-    /// Metrics.
+    /// Metrics of the request path.
     pub metrics: GatewayMetrics,
-    /// Log of decisions.
+    /// Log that receives the decision records of resends.
     pub log: DecisionLog,
-    /// Milliseconds since 1970.
+    /// Wall clock, in milliseconds since the Unix epoch.
     pub now_ms: fn() -> u64,
-    /// Start of the daemon, from which replica loads are dated.
+    /// Start of the daemon, the origin of the timestamps of replica loads.
     pub started: Instant,
 }
 
-/// A prompt was sent: its prefix will be cached there.
+/// Prompt blocks that a replica will have in its prefix cache, because the prompt was sent to it.
 struct PrefixUpdate {
     replica: u32,
     blocks: Arc<Vec<u64>>,
@@ -104,42 +104,42 @@
     updates: mpsc::UnboundedSender<PrefixUpdate>,
     retries: RetryBudget,
     counter: AtomicU64,
-    /// Resends that wait for another attempt: they hold no place, but a planned stop waits for them too.
+    /// Resends that wait for another attempt. They hold no admission permit, but a graceful shutdown awaits them.
     waiting_resends: AtomicUsize,
 }
 
-/// The gateway of one daemon; cheap to clone.
+/// Gateway of one daemon; clones share their state.
 #[derive(Clone)]
 pub struct Gateway {
     inner: Arc<Inner>,
 }
 
 impl Gateway {
-    /// Starts a gateway on the current tokio runtime.
+    /// Builds a gateway and spawns its index task on the current tokio runtime.
     pub fn start(parts: GatewayParts, settings: GatewaySettings) -> Self {
         let (updates, receiver) = mpsc::unbounded_channel();
-        let lifetime = u64::try_from(settings.prefix_ttl.as_micros()).unwrap_or(u64::MAX);
+        let ttl_micros = u64::try_from(settings.prefix_ttl.as_micros()).unwrap_or(u64::MAX);
         let inner = Arc::new(Inner {
             parts,
             settings,
             limits: TenantLimits::default(),
             admissions: ArcSwap::from_pointee(HashMap::new()),
-            index: ArcSwap::from_pointee(PrefixIndex::new(lifetime)),
+            index: ArcSwap::from_pointee(PrefixIndex::new(ttl_micros)),
             updates,
             retries: RetryBudget::default(),
             counter: AtomicU64::new(0),
             waiting_resends: AtomicUsize::new(0),
         });
-        tokio::spawn(run_index(Arc::downgrade(&inner), receiver));
+        tokio::spawn(update_index(Arc::downgrade(&inner), receiver));
         Self { inner }
     }
 
-    /// Takes over a new configuration: limits change at once.
+    /// Applies the tenant limits of a new configuration.
     pub fn configure(&self, config: &ConfigSnapshot) {
         self.inner.limits.configure(config);
     }
 
-    /// Takes over a new directory: services' capacities follow their replicas.
+    /// Updates the capacity of each service after a change of the directory.
     pub fn replicas_changed(&self) {
         let directory = self.inner.parts.directory.load();
         let old = self.inner.admissions.load();
@@ -148,9 +148,9 @@
             let replicas = u32::try_from(entry.replicas.len()).unwrap_or(u32::MAX);
             let capacity = replicas.saturating_mul(self.inner.settings.requests_per_replica);
             let admission = match old.get(service) {
-                Some(kept) => {
-                    kept.set_capacity(capacity);
-                    kept.clone()
+                Some(admission) => {
+                    admission.set_capacity(capacity);
+                    admission.clone()
                 }
                 None => Admission::new(capacity, self.inner.settings.admission),
             };
@@ -184,7 +184,6 @@
         self.metrics().requests.with_label_values(&[outcome]).inc();
     }
 
-    /// Time since the daemon's start.
     fn now(&self) -> Duration {
         self.inner.parts.started.elapsed()
     }
@@ -197,7 +196,7 @@
         self.inner.counter.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Requests running and waiting at this gateway, over all services.
+    /// Returns the numbers of running and of waiting requests over all services; the latter include waiting resends.
     pub fn load(&self) -> (u32, usize) {
         let admissions = self.inner.admissions.load();
         let waiting_resends = self.inner.waiting_resends.load(Ordering::Relaxed);
@@ -209,7 +208,7 @@
             })
     }
 
-    /// Starts a call. An error here means that no part of an answer was delivered.
+    /// Starts a call. After an error no part of a response was delivered.
     pub async fn call(&self, call: Call) -> Result<ResponseStream, GatewayError> {
         let result = if call.idempotency.is_some() {
             self.call_detached(call).await
@@ -222,7 +221,7 @@
         result
     }
 
-    /// A marked call goes on although its caller goes away, so that no claim is left behind undispatched.
+    /// Runs an idempotent call in its own task, so that a disconnected caller leaves no undispatched claim.
     async fn call_detached(&self, call: Call) -> Result<ResponseStream, GatewayError> {
         let gateway = self.clone();
         let task = tokio::spawn(async move { gateway.try_call(call).await });
@@ -250,7 +249,7 @@
         let mut wait = ResendWait::new(&call);
         loop {
             let admitted = self.admit_to_service(&service, &call).await;
-            let permit = admitted.map_err(|error| wait.qualify(error))?;
+            let permit = admitted.map_err(|error| wait.with_execution(error))?;
             let started = Instant::now();
             let claim = match &call.idempotency {
                 None => None,
@@ -261,17 +260,17 @@
                         }
                         Some(claim)
                     }
-                    Ok(Claimed::Answered(stored)) => {
+                    Ok(Claimed::Completed(stored)) => {
                         self.note_resend(idempotency, &wait, "stored");
                         return Ok(ResponseStream::replay(stored, call.identity));
                     }
                     Ok(Claimed::Held(holder)) => {
-                        // Who only waits takes no place from those who run.
+                        // A waiting resend must not occupy capacity of the service.
                         drop(permit);
                         self.wait_for_holder(idempotency, holder, &mut wait).await?;
                         continue;
                     }
-                    Err(error) => return Err(wait.qualify(error)),
+                    Err(error) => return Err(wait.with_execution(error)),
                 },
             };
             let permits = Permits {
@@ -283,7 +282,7 @@
         }
     }
 
-    /// A place among the running requests of a service.
+    /// Waits for admission to a service.
     async fn admit_to_service(
         &self,
         service: &str,
@@ -299,7 +298,7 @@
         })
     }
 
-    /// Sends a call that may run to an engine; with its claim, if it is marked.
+    /// Dispatches an admitted call, with its claim if it is idempotent.
     async fn run(
         &self,
         call: Call,
@@ -323,7 +322,7 @@
             delivered: 0,
             resumes: 0,
             started: permits.started,
-            ended: false,
+            has_ended: false,
             _permit: permits.permit,
             _in_progress: permits.in_progress,
         };
@@ -363,7 +362,7 @@
         let now = self.now_micros();
         let endpoint = &call.spec.endpoint;
         let decision = self.inner.limits.admit(&call.tenant, endpoint, now);
-        // The limits may lag the configuration by a moment.
+        // The limits are updated shortly after the configuration.
         decision.ok_or_else(|| {
             let message = "the endpoint is being set up";
             GatewayError::not_run("gateway.limits", 503, "not_ready", message)
@@ -376,10 +375,10 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Characters that one token of a prompt covers, for estimates.
-const CHARACTERS_PER_TOKEN: usize = 4;
+/// Estimated bytes of prompt per token.
+const BYTES_PER_TOKEN: usize = 4;
 
-/// What a call holds while it runs.
+/// Guards that a call holds while it runs.
 struct Permits {
     permit: AdmissionPermit,
     in_progress: InProgress,
--- a/crates/gateway/src/gateway/prefix_index.rs
+++ b/crates/gateway/src/gateway/prefix_index.rs
@@ -1,4 +1,4 @@
-//! The prefix index, renewed off the request path.
+//! Background task that updates the prefix index.
 
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -8,12 +8,12 @@
 
 use super::{Gateway, Inner, PrefixUpdate};
 
-/// Merges news of sent prompts into the index, off the request path.
-pub(super) async fn run_index(
+/// Merges the blocks of sent prompts into the index and expires old ones, until the gateway is dropped.
+pub(super) async fn update_index(
     inner: std::sync::Weak<Inner>,
     mut updates: mpsc::UnboundedReceiver<PrefixUpdate>,
 ) {
-    const EXPIRE_ROUNDS: u64 = 100;
+    const ROUNDS_PER_EXPIRY: u64 = 100;
     let mut round: u64 = 0;
     loop {
         let Some(gateway) = inner.upgrade().map(|inner| Gateway { inner }) else {
@@ -22,22 +22,22 @@
         let now = gateway.now_micros();
         let mut index = PrefixIndex::clone(&gateway.inner.index.load());
         let mut changed = false;
-        while let Ok(sent) = updates.try_recv() {
-            for block in sent.blocks.iter() {
-                index.insert(*block, sent.replica, now);
+        while let Ok(update) = updates.try_recv() {
+            for block in update.blocks.iter() {
+                index.insert(*block, update.replica, now);
             }
             changed = true;
         }
         round += 1;
-        if round.is_multiple_of(EXPIRE_ROUNDS) {
+        if round.is_multiple_of(ROUNDS_PER_EXPIRY) {
             index.expire(now);
             changed = true;
         }
         if changed {
             gateway.inner.index.store(Arc::new(index));
         }
-        let pause = gateway.inner.settings.index_interval;
+        let interval = gateway.inner.settings.index_interval;
         drop(gateway);
-        sleep(pause).await;
+        sleep(interval).await;
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,5 @@
-//! The path of an online request: limits, admission, claim, routing, retries, and a checked answer stream.
-//!
-//! Why one crate: each step decides what may truthfully be said of the request's execution, so the steps share
-//! one error type that carries it.
+//! Path of an online request: tenant limits, admission, claim, routing, retries and the response stream.
+//! All steps share one error type, which states whether the request may have run.
 
 mod admission;
 mod call;
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,4 +1,4 @@
-//! Per-tenant limits at an endpoint: a token bucket for the rate and a count for concurrency, both of atomics.
+//! Limits per tenant and endpoint: a lock-free token bucket for the request rate and a concurrency counter.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,15 +8,14 @@
 use arc_swap::ArcSwap;
 use harrierward_config::{ConfigSnapshot, LimitsSpec};
 
-/// Limits where none are configured.
+/// Limits of tenants and endpoints without configured ones.
 const DEFAULT_RATE: f64 = 5_000.0;
 const DEFAULT_BURST: u32 = 5_000;
 const DEFAULT_CONCURRENCY: u32 = 10_000;
 
-/// Parts that a token is counted in.
 const MILLITOKENS_PER_TOKEN: f64 = 1000.0;
 
-/// When to come back if too many requests are in progress.
+/// Sent as `retry-after` when the concurrency limit is reached.
 const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -59,8 +58,8 @@
     fn refill(&self, now_micros: u64) {
         let last = self.refilled_at_micros.load(Ordering::Relaxed);
         let elapsed = now_micros.saturating_sub(last);
-        let earned = (elapsed as f64 * self.rate * MILLITOKENS_PER_TOKEN / 1e6) as i64;
-        if earned == 0 {
+        let refill = (elapsed as f64 * self.rate * MILLITOKENS_PER_TOKEN / 1e6) as i64;
+        if refill == 0 {
             return;
         }
         let is_updated = self
@@ -69,7 +68,7 @@
             .is_ok();
         if is_updated {
             let refilled =
-                |millitokens: i64| Some((millitokens + earned).min(self.burst_millitokens));
+                |millitokens: i64| Some((millitokens + refill).min(self.burst_millitokens));
             let _ = self
                 .millitokens
                 .fetch_update(Ordering::Relaxed, Ordering::Relaxed, refilled);
@@ -79,9 +78,9 @@
     fn take_rate(&self, now_micros: u64) -> Result<(), Duration> {
         self.refill(now_micros);
         let cost = MILLITOKENS_PER_TOKEN as i64;
-        let taken = |millitokens: i64| (millitokens >= cost).then(|| millitokens - cost);
+        let withdrawn = |millitokens: i64| (millitokens >= cost).then(|| millitokens - cost);
         self.millitokens
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, taken)
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, withdrawn)
             .map(|_| ())
             .map_err(|millitokens| {
                 let missing = (cost - millitokens) as f64 / MILLITOKENS_PER_TOKEN;
@@ -90,21 +89,21 @@
     }
 }
 
-/// What the limits say to a request.
+/// Result of the check of a request against its limits.
 #[derive(Debug)]
 pub enum LimitDecision {
-    /// It may pass; the guard counts it as in progress.
+    /// Within the limits; the guard counts the request as in progress.
     Admitted(InProgress),
-    /// It must not pass before this time has gone by.
+    /// Over a limit.
     Refused {
-        /// When to come back.
+        /// Time after which to retry.
         retry_after: Duration,
-        /// Which limit it met.
+        /// Name of the exceeded limit in the configuration.
         limit: &'static str,
     },
 }
 
-/// Counts a request as in progress until dropped.
+/// Guard that counts a request as in progress until it is dropped.
 #[derive(Debug)]
 pub struct InProgress {
     limiter: Arc<Limiter>,
@@ -116,14 +115,14 @@
     }
 }
 
-/// Limits of all tenants at this daemon. Each daemon applies the configured limits to what it sees itself.
+/// Limits of all tenants at this daemon. Each daemon applies the configured limits to its own requests only.
 #[derive(Debug, Default)]
 pub struct TenantLimits {
     limiters: ArcSwap<HashMap<LimitKey, Arc<Limiter>>>,
 }
 
 impl TenantLimits {
-    /// Takes over a new configuration; limiters that did not change keep their state.
+    /// Applies a new configuration. Limiters with unchanged limits keep their state.
     pub fn configure(&self, config: &ConfigSnapshot) {
         let old = self.limiters.load();
         let mut limiters = HashMap::new();
@@ -148,7 +147,7 @@
         self.limiters.store(Arc::new(limiters));
     }
 
-    /// Asks leave for one request. `None` if the tenant has no such endpoint.
+    /// Checks a request against its limits and counts it. `None` if the tenant has no such endpoint.
     pub fn admit(&self, tenant: &str, endpoint: &str, now_micros: u64) -> Option<LimitDecision> {
         let key = LimitKey {
             tenant: tenant.to_owned(),
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,28 +1,28 @@
-//! Counters and histograms of the request path.
+//! Prometheus metrics of the request path.
 
 use prometheus::{Histogram, HistogramOpts, IntCounter, IntCounterVec, Opts, Registry};
 
-/// Metrics of one gateway.
+/// Metrics of one gateway; clones share their values.
 #[derive(Clone)]
 pub struct GatewayMetrics {
-    /// Requests by outcome code ("ok" or the error's code).
+    /// Requests by outcome: `ok` or [`crate::GatewayError::code`].
     pub requests: IntCounterVec,
-    /// Time to the first token, seconds.
+    /// Time from admission to the first token, in seconds.
     pub first_token: Histogram,
-    /// Tokens passed on.
+    /// Tokens sent to callers.
     pub tokens: IntCounter,
-    /// Events dropped because they were of another request or out of sequence.
+    /// Engine events dropped because they belonged to another request or repeated a sequence number.
     pub dropped_events: IntCounter,
-    /// Attempts made again elsewhere.
+    /// Retries at another replica, resumed streams included.
     pub retries: IntCounter,
-    /// Streams resumed after a cut.
+    /// Interrupted streams that were resumed.
     pub resumed: IntCounter,
-    /// Resends of at-most-once requests by what they were told.
+    /// Resends of idempotent requests by outcome.
     pub resends: IntCounterVec,
 }
 
 impl GatewayMetrics {
-    /// Registers the metrics.
+    /// Builds the metrics and adds them to `registry`; fails if a name is already registered.
     pub fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let metrics = Self {
             requests: IntCounterVec::new(
--- a/crates/gateway/src/openai.rs
+++ b/crates/gateway/src/openai.rs
@@ -1,18 +1,18 @@
-//! The parts of the OpenAI-compatible request bodies that matter here, with errors that name the field.
+//! Parser of OpenAI-compatible request bodies. Errors name the invalid field; unknown fields are ignored.
 
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Tokens generated if the caller sets no limit.
+/// Limit on generated tokens if the request sets none.
 const DEFAULT_MAXIMUM_TOKENS: u32 = 256;
 
-/// Greatest token limit.
+/// Upper bound of the limit on generated tokens.
 const MAX_TOKENS_LIMIT: u32 = 8192;
 
-/// Longest prompt, bytes.
+/// Upper bound of the rendered prompt.
 const MAX_PROMPT_BYTES: usize = 512 * 1024;
 
-/// Which of the generating URLs was called.
+/// Kind of generation endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum EndpointKind {
     /// `/v1/chat/completions`.
@@ -22,7 +22,7 @@
 }
 
 impl EndpointKind {
-    /// Path of the URL.
+    /// Returns the URL path.
     pub fn path(self) -> &'static str {
         match self {
             Self::Chat => "/v1/chat/completions",
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The kind for a path.
+    /// Returns the kind for a URL path; `None` for other paths.
     pub fn from_path(path: &str) -> Option<Self> {
         [Self::Chat, Self::Completion]
             .into_iter()
@@ -38,72 +38,75 @@
     }
 }
 
-/// What a request asks to generate.
+/// Parsed generation request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GenerationSpec {
-    /// URL called.
+    /// Kind of the called endpoint.
     pub kind: EndpointKind,
-    /// Endpoint, called "model" by callers.
+    /// Name of the configured endpoint, from the field `model`.
     pub endpoint: String,
-    /// The rendered prompt.
+    /// Prompt text, with chat messages rendered.
     pub prompt: String,
-    /// Most tokens to generate.
+    /// Upper bound on generated tokens, from `max_completion_tokens` or `max_tokens`.
     pub maximum_tokens: u32,
-    /// Stream the answer.
+    /// True if the response is to be streamed.
     pub stream: bool,
-    /// Send usage in the last part of a stream.
+    /// True if the stream is to end with token counts.
     pub include_usage: bool,
 }
 
-/// A field of a request is wrong.
+/// Invalid field of a request body.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {detail}")]
 pub struct SpecError {
-    /// The field.
+    /// Path of the field, e.g. `messages[0].role`.
     pub field: String,
-    /// What is wrong.
+    /// What the field must be.
     pub detail: String,
 }
 
-fn wrong(field: impl Into<String>, detail: impl Into<String>) -> SpecError {
+fn invalid(field: impl Into<String>, detail: impl Into<String>) -> SpecError {
     SpecError {
         field: field.into(),
         detail: detail.into(),
     }
 }
 
-/// One message of a chat.
+/// Message of a chat.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct ChatMessage {
-    /// `system`, `developer`, `user`, `assistant` or `tool`.
+    /// Author: `system`, `developer`, `user`, `assistant` or `tool`.
     pub role: String,
-    /// Text.
+    /// Message text.
     pub content: String,
 }
 
 const ROLES: [&str; 5] = ["system", "developer", "user", "assistant", "tool"];
 
-/// Reads a request body.
+/// Parses and validates a request body.
 pub fn parse_request(kind: EndpointKind, body: &Value) -> Result<GenerationSpec, SpecError> {
     let body = body
         .as_object()
-        .ok_or_else(|| wrong("body", "must be a JSON object"))?;
+        .ok_or_else(|| invalid("body", "must be a JSON object"))?;
     let endpoint = body
         .get("model")
         .and_then(Value::as_str)
         .filter(|model| !model.is_empty())
-        .ok_or_else(|| wrong("model", "must be a string that names a model"))?;
+        .ok_or_else(|| invalid("model", "must be a string that names a model"))?;
     let prompt = match kind {
         EndpointKind::Chat => render_messages(body.get("messages"))?,
-        EndpointKind::Completion => read_prompt(body.get("prompt"))?,
+        EndpointKind::Completion => parse_prompt(body.get("prompt"))?,
     };
     if prompt.len() > MAX_PROMPT_BYTES {
-        return Err(wrong("prompt", format!("at most {MAX_PROMPT_BYTES} bytes")));
+        return Err(invalid(
+            "prompt",
+            format!("at most {MAX_PROMPT_BYTES} bytes"),
+        ));
     }
     if body.get("n").is_some_and(|n| n.as_u64() != Some(1)) {
-        return Err(wrong("n", "only 1 is supported"));
+        return Err(invalid("n", "only 1 is supported"));
     }
-    let stream = read_flag(body.get("stream"), "stream")?;
+    let stream = parse_flag(body.get("stream"), "stream")?;
     let include_usage = body
         .get("stream_options")
         .and_then(|options| options.get("include_usage"));
@@ -111,16 +114,16 @@
         kind,
         endpoint: endpoint.to_owned(),
         prompt,
-        maximum_tokens: read_limit(body)?,
+        maximum_tokens: parse_token_limit(body)?,
         stream,
-        include_usage: read_flag(include_usage, "stream_options.include_usage")?,
+        include_usage: parse_flag(include_usage, "stream_options.include_usage")?,
     })
 }
 
-/// Fields that say how an answer is sent and not what it is.
+/// Fields that affect how the response is sent, but not its content.
 const DELIVERY_FIELDS: [&str; 2] = ["stream", "stream_options"];
 
-/// What a request body asks for, whichever way its answer is to be sent: by this a resend is told from another request.
+/// Returns the request body without its delivery fields, for comparing a resend with the original request.
 pub fn content_bytes(body: &Value) -> Vec<u8> {
     let mut content = body.clone();
     if let Some(fields) = content.as_object_mut() {
@@ -131,15 +134,15 @@
     content.to_string().into_bytes()
 }
 
-fn read_flag(value: Option<&Value>, field: &str) -> Result<bool, SpecError> {
+fn parse_flag(value: Option<&Value>, field: &str) -> Result<bool, SpecError> {
     match value {
         None | Some(Value::Null) => Ok(false),
         Some(Value::Bool(flag)) => Ok(*flag),
-        Some(_) => Err(wrong(field, "must be true or false")),
+        Some(_) => Err(invalid(field, "must be true or false")),
     }
 }
 
-fn read_limit(body: &serde_json::Map<String, Value>) -> Result<u32, SpecError> {
+fn parse_token_limit(body: &serde_json::Map<String, Value>) -> Result<u32, SpecError> {
     for field in ["max_completion_tokens", "max_tokens"] {
         let value = match body.get(field) {
             None | Some(Value::Null) => continue,
@@ -148,23 +151,23 @@
         let limit = value.as_u64().and_then(|limit| u32::try_from(limit).ok());
         return limit
             .filter(|limit| (1..=MAX_TOKENS_LIMIT).contains(limit))
-            .ok_or_else(|| wrong(field, format!("1 to {MAX_TOKENS_LIMIT}")));
+            .ok_or_else(|| invalid(field, format!("1 to {MAX_TOKENS_LIMIT}")));
     }
     Ok(DEFAULT_MAXIMUM_TOKENS)
 }
 
-fn read_prompt(prompt: Option<&Value>) -> Result<String, SpecError> {
+fn parse_prompt(prompt: Option<&Value>) -> Result<String, SpecError> {
     prompt
         .and_then(Value::as_str)
         .map(ToOwned::to_owned)
-        .ok_or_else(|| wrong("prompt", "must be a string"))
+        .ok_or_else(|| invalid("prompt", "must be a string"))
 }
 
 fn render_messages(messages: Option<&Value>) -> Result<String, SpecError> {
     let messages = messages
         .and_then(Value::as_array)
         .filter(|messages| !messages.is_empty())
-        .ok_or_else(|| wrong("messages", "must be a non-empty array"))?;
+        .ok_or_else(|| invalid("messages", "must be a non-empty array"))?;
     let mut prompt = String::new();
     for (index, message) in messages.iter().enumerate() {
         let field = |name: &str| format!("messages[{index}].{name}");
@@ -172,9 +175,9 @@
             .get("role")
             .and_then(Value::as_str)
             .filter(|role| ROLES.contains(role))
-            .ok_or_else(|| wrong(field("role"), format!("one of {}", ROLES.join(", "))))?;
-        let content = read_content(message.get("content"))
-            .ok_or_else(|| wrong(field("content"), "must be a string or text parts"))?;
+            .ok_or_else(|| invalid(field("role"), format!("one of {}", ROLES.join(", "))))?;
+        let content = parse_content(message.get("content"))
+            .ok_or_else(|| invalid(field("content"), "must be a string or text parts"))?;
         prompt.push_str(role);
         prompt.push_str(": ");
         prompt.push_str(&content);
@@ -183,7 +186,7 @@
     Ok(prompt)
 }
 
-fn read_content(content: Option<&Value>) -> Option<String> {
+fn parse_content(content: Option<&Value>) -> Option<String> {
     match content? {
         Value::String(text) => Some(text.clone()),
         Value::Array(parts) => parts
--- a/crates/gateway/src/response.rs
+++ b/crates/gateway/src/response.rs
@@ -1,4 +1,4 @@
-//! The answer stream: events checked, cuts resumed, and never a clean end where the answer was not whole.
+//! Response stream: validates engine events, resumes interrupted streams, and reports incomplete responses as errors.
 
 use std::pin::Pin;
 
@@ -17,44 +17,45 @@
 use crate::gateway::{Attempt, Gateway};
 use crate::limits::InProgress;
 
-/// Tokens used by a request.
+/// Token counts of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens, as counted by the engine.
     pub prompt_tokens: u32,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub completion_tokens: u32,
 }
 
-/// A part of an answer.
+/// Part of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ResponseEvent {
-    /// The next token's text.
+    /// Text of the next token.
     Text(String),
-    /// The answer is whole.
+    /// The response is complete.
     Finished {
-        /// Why it ended.
+        /// Why the generation ended.
         reason: FinishReason,
-        /// Tokens used.
+        /// Token counts.
         usage: Usage,
     },
 }
 
-/// A whole answer as kept for resends of a marked request.
+/// Complete response, stored with the claim for resends of an idempotent request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResponse {
-    /// What it is known by; absent in answers stored by daemons that kept none.
+    /// Identity under which it was first sent; `None` in rows stored without one.
     #[serde(default)]
     pub identity: Option<ResponseIdentity>,
-    /// The text.
+    /// Generated text.
     pub text: String,
-    /// Why it ended.
+    /// Why the generation ended.
     pub reason: FinishReason,
-    /// Tokens used.
+    /// Token counts.
     pub usage: Usage,
 }
 
-/// Parts of an answer. The last item is `Finished` or an error; dropping the stream cancels an unmarked request.
+/// Parts of a response. The last item is `Finished` or an error. Dropping the stream cancels the request unless it is
+/// idempotent.
 pub struct ResponseStream {
     identity: ResponseIdentity,
     is_stored: bool,
@@ -84,17 +85,17 @@
         }
     }
 
-    /// What the answer is known by.
+    /// Returns the id and creation time to send to the caller.
     pub fn identity(&self) -> &ResponseIdentity {
         &self.identity
     }
 
-    /// True if it is the answer to an earlier send of the request: nothing ran for this one.
+    /// True if the response is a stored one, so that nothing ran for this request.
     pub fn is_stored(&self) -> bool {
         self.is_stored
     }
 
-    /// A stored answer as a stream, under `fallback` if it was stored without an identity.
+    /// Replays a stored response, with the identity `fallback` if none is stored.
     pub(crate) fn replay(stored: StoredResponse, fallback: ResponseIdentity) -> Self {
         let finished = ResponseEvent::Finished {
             reason: stored.reason,
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Reads the whole answer.
+    /// Reads the stream to its end and returns the complete response.
     pub async fn collect_response(mut self) -> Result<StoredResponse, GatewayError> {
         let mut text = String::new();
         while let Some(event) = self.inner.next().await {
@@ -129,17 +130,17 @@
     }
 }
 
-/// Most times a stream is resumed.
+/// Maximum number of resumptions of a stream.
 const MAX_RESUMES: u32 = 4;
 
-/// What an event means for the stream.
-enum Checked {
+/// Action that an engine event requires.
+enum EventAction {
     Deliver(ResponseEvent),
     Drop,
-    Cut(&'static str),
+    Interrupt(&'static str),
 }
 
-/// State of one answer in progress.
+/// State of a response in progress.
 pub(crate) struct ResponseState {
     pub gateway: Gateway,
     pub call: Call,
@@ -147,13 +148,13 @@
     pub delivered: u32,
     pub resumes: u32,
     pub started: Instant,
-    pub ended: bool,
+    pub has_ended: bool,
     pub _permit: AdmissionPermit,
     pub _in_progress: InProgress,
 }
 
 impl ResponseState {
-    /// The answer as a stream.
+    /// Returns the response as a stream.
     pub fn into_stream(self) -> impl Stream<Item = Result<ResponseEvent, GatewayError>> + Send {
         stream::unfold(self, |mut state| async move {
             let event = state.next().await?;
@@ -162,43 +163,45 @@
     }
 
     async fn next(&mut self) -> Option<Result<ResponseEvent, GatewayError>> {
-        if self.ended {
+        if self.has_ended {
             return None;
         }
         loop {
-            let stall = self.gateway.settings().stall_timeout;
-            let cause = match timeout(stall, self.attempt.events.next()).await {
-                Ok(Some(Ok(event))) => match self.check(event) {
-                    Checked::Deliver(event) => return Some(Ok(self.deliver(event))),
-                    Checked::Drop => {
+            let stall_timeout = self.gateway.settings().stall_timeout;
+            let cause = match timeout(stall_timeout, self.attempt.events.next()).await {
+                Ok(Some(Ok(event))) => match self.classify(event) {
+                    EventAction::Deliver(event) => return Some(Ok(self.deliver(event))),
+                    EventAction::Drop => {
                         self.gateway.metrics().dropped_events.inc();
                         continue;
                     }
-                    Checked::Cut(cause) => cause.to_owned(),
+                    EventAction::Interrupt(cause) => cause.to_owned(),
                 },
                 Ok(Some(Err(error))) => error.to_string(),
                 Ok(None) => "the stream ended early".to_owned(),
                 Err(_) => "no event in time".to_owned(),
             };
             if let Err(error) = self.resume(&cause).await {
-                self.ended = true;
+                self.has_ended = true;
                 self.gateway.count_outcome(error.code);
                 return Some(Err(error));
             }
         }
     }
 
-    fn check(&self, event: EngineEvent) -> Checked {
+    fn classify(&self, event: EngineEvent) -> EventAction {
         if event.request_id != self.attempt.request_id || event.sequence < self.delivered {
-            return Checked::Drop;
+            return EventAction::Drop;
         }
         if event.sequence > self.delivered {
-            return Checked::Cut("an event is missing");
+            return EventAction::Interrupt("an event is missing");
         }
         match event.finish {
-            None => Checked::Deliver(ResponseEvent::Text(event.text)),
-            Some(FinishReason::Cancelled) => Checked::Cut("the engine cancelled the request"),
-            Some(reason) => Checked::Deliver(ResponseEvent::Finished {
+            None => EventAction::Deliver(ResponseEvent::Text(event.text)),
+            Some(FinishReason::Cancelled) => {
+                EventAction::Interrupt("the engine cancelled the request")
+            }
+            Some(reason) => EventAction::Deliver(ResponseEvent::Finished {
                 reason,
                 usage: Usage {
                     prompt_tokens: event.prompt_tokens.unwrap_or_default(),
@@ -220,31 +223,31 @@
                 self.gateway.metrics().tokens.inc();
             }
             ResponseEvent::Finished { .. } => {
-                self.ended = true;
-                self.attempt.note_ended();
+                self.has_ended = true;
+                self.attempt.note_completed();
                 self.gateway.note_success();
             }
         }
         event
     }
 
-    /// Goes on at another replica from where the stream was cut, if that is allowed.
+    /// Resumes an interrupted stream at another replica, unless the request must not run again.
     async fn resume(&mut self, cause: &str) -> Result<(), GatewayError> {
         const STEP: &str = "answer.resume";
         let peer = self.attempt.replica_name();
-        self.attempt.note_ended();
-        let give_up = |code: &'static str, message: String| {
+        self.attempt.note_completed();
+        let failure = |code: &'static str, message: String| {
             GatewayError::unknown(STEP, 502, code, message).with_peer(peer.clone())
         };
         if self.call.idempotency.is_some() {
             let message = format!("{cause}; the request must not run again");
-            return Err(give_up("cut", message));
+            return Err(failure("cut", message));
         }
         if self.resumes >= MAX_RESUMES || Instant::now() >= self.call.deadline {
-            return Err(give_up("cut", cause.to_owned()));
+            return Err(failure("cut", cause.to_owned()));
         }
         if !self.gateway.take_retry() {
-            return Err(give_up("retry_budget", format!("{cause}; no retry left")));
+            return Err(failure("retry_budget", format!("{cause}; no retry left")));
         }
         self.resumes += 1;
         self.gateway.metrics().resumed.inc();
@@ -258,7 +261,7 @@
     }
 }
 
-/// Runs a marked request to its end, whether or not the caller stays, and stores its answer for resends.
+/// Runs an idempotent request to completion even if the caller disconnects, and stores the response for resends.
 pub(crate) fn run_idempotent(state: ResponseState, claims: Claims, claim: Claim) -> ResponseStream {
     let (sender, receiver) = mpsc::unbounded_channel();
     let identity = state.call.identity.clone();
--- a/crates/gateway/src/retry.rs
+++ b/crates/gateway/src/retry.rs
@@ -1,15 +1,15 @@
-//! A retry budget: retries may be only a share of successes, so that a failing fleet is not stormed.
+//! Retry budget, which limits retries to a share of the successful requests to prevent retry storms.
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
-/// Parts of a retry that one success earns; a retry costs [`WITHDRAWAL`].
+/// Added to the balance by each success; a retry costs [`WITHDRAWAL`].
 const DEPOSIT: i64 = 1;
 const WITHDRAWAL: i64 = 10;
 
-/// Retries that may come at once.
+/// Upper bound of the balance, and its initial value: a burst of 50 retries.
 const MAX_BALANCE: i64 = 50 * WITHDRAWAL;
 
-/// Shared by all requests of a gateway.
+/// Retry budget shared by all requests of a gateway.
 #[derive(Debug)]
 pub struct RetryBudget {
     balance: AtomicI64,
@@ -24,19 +24,19 @@
 }
 
 impl RetryBudget {
-    /// A request succeeded.
+    /// Records a successful request.
     pub fn deposit(&self) {
-        let earned = |balance: i64| Some((balance + DEPOSIT).min(MAX_BALANCE));
+        let deposited = |balance: i64| Some((balance + DEPOSIT).min(MAX_BALANCE));
         let _ = self
             .balance
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, earned);
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, deposited);
     }
 
-    /// Takes one retry, if the budget allows it.
+    /// Takes one retry from the budget; false if it is exhausted.
     pub fn withdraw(&self) -> bool {
-        let taken = |balance: i64| (balance >= WITHDRAWAL).then(|| balance - WITHDRAWAL);
+        let withdrawn = |balance: i64| (balance >= WITHDRAWAL).then(|| balance - WITHDRAWAL);
         self.balance
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, taken)
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, withdrawn)
             .is_ok()
     }
 }
