--- a/crates/api/src/generate.rs
+++ b/crates/api/src/generate.rs
@@ -12,8 +12,8 @@
 use harrierward_claims::{ClaimKey, RequestDigest};
 use harrierward_external::FinishReason;
 use harrierward_gateway::{
-    AnswerEvent, AnswerIdentity, AnswerStream, Call, EndpointKind, Execution, GenerationSpec,
-    MarkedCall, Usage, content_bytes, parse_request,
+    Call, EndpointKind, Execution, GenerationSpec, IdempotentCall, ResponseEvent, ResponseIdentity,
+    ResponseStream, Usage, content_bytes, parse_request,
 };
 use harrierward_node::Node;
 use serde::Serialize;
@@ -67,21 +67,21 @@
         .map_err(|error| ApiError::bad_field("body", format!("is not JSON: {error}")))?;
     let spec = parse_request(kind, &value)?;
     let digest = || RequestDigest::of(kind.path(), &body, &content_bytes(&value));
-    let marked = at_most_once_call(&caller, &headers, digest)?;
+    let idempotency = at_most_once_call(&caller, &headers, digest)?;
     let call = Call {
         tenant: caller.tenant,
         spec: spec.clone(),
         identity: new_identity(&node, kind),
-        marked,
+        idempotency,
         deadline: Instant::now() + deadline(&headers)?,
     };
-    let answer = node.gateway().call(call).await?;
-    let is_stored = answer.is_stored();
-    let header = ResponseHeader::new(answer.identity().clone(), &spec);
+    let response_stream = node.gateway().call(call).await?;
+    let is_stored = response_stream.is_stored();
+    let header = ResponseHeader::new(response_stream.identity().clone(), &spec);
     let mut response = if spec.stream {
-        streamed_response(header, spec, answer)
+        streamed_response(header, spec, response_stream)
     } else {
-        complete_response(header, answer).await?
+        complete_response(header, response_stream).await?
     };
     if is_stored {
         add_replay_headers(&mut response);
@@ -101,7 +101,7 @@
     caller: &Caller,
     headers: &HeaderMap,
     digest: impl FnOnce() -> RequestDigest,
-) -> Result<Option<MarkedCall>, ApiError> {
+) -> Result<Option<IdempotentCall>, ApiError> {
     let Some(mode) = headers.get(EXECUTION_MODE_HEADER) else {
         return Ok(None);
     };
@@ -112,7 +112,7 @@
     let key = idempotency_key(headers)?.ok_or_else(|| {
         ApiError::bad_field("Idempotency-Key", "is needed with an at-most-once request")
     })?;
-    Ok(Some(MarkedCall {
+    Ok(Some(IdempotentCall {
         key: ClaimKey {
             tenant: caller.tenant.clone(),
             key,
@@ -137,13 +137,13 @@
         })
 }
 
-fn new_identity(node: &Node, kind: EndpointKind) -> AnswerIdentity {
+fn new_identity(node: &Node, kind: EndpointKind) -> ResponseIdentity {
     let prefix = match kind {
         EndpointKind::Chat => "chatcmpl",
         EndpointKind::Completion => "cmpl",
     };
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    AnswerIdentity {
+    ResponseIdentity {
         id: format!("{prefix}-{:016x}", node.random_id()),
         created: now.unwrap_or_default().as_secs(),
     }
@@ -152,13 +152,13 @@
 /// Fields that all chunks of a response share.
 #[derive(Debug, Clone)]
 struct ResponseHeader {
-    identity: AnswerIdentity,
+    identity: ResponseIdentity,
     model: String,
     kind: EndpointKind,
 }
 
 impl ResponseHeader {
-    fn new(identity: AnswerIdentity, spec: &GenerationSpec) -> Self {
+    fn new(identity: ResponseIdentity, spec: &GenerationSpec) -> Self {
         Self {
             identity,
             model: spec.endpoint.clone(),
@@ -228,17 +228,17 @@
 
 async fn complete_response(
     header: ResponseHeader,
-    answer: AnswerStream,
+    response_stream: ResponseStream,
 ) -> Result<Response, ApiError> {
-    let answer = answer.collect_answer().await?;
-    let finish_reason = Some(answer.reason.name());
+    let collected = response_stream.collect_response().await?;
+    let finish_reason = Some(collected.reason.name());
     let (object, choice) = match header.kind {
         EndpointKind::Chat => (
             "chat.completion",
             Choice {
                 message: Some(Message {
                     role: Some("assistant"),
-                    content: Some(&answer.text),
+                    content: Some(&collected.text),
                 }),
                 finish_reason,
                 ..Choice::default()
@@ -247,14 +247,14 @@
         EndpointKind::Completion => (
             "text_completion",
             Choice {
-                text: Some(&answer.text),
+                text: Some(&collected.text),
                 finish_reason,
                 ..Choice::default()
             },
         ),
     };
     let mut body = header.chunk(object, vec![choice]);
-    body.usage = Some(answer.usage.into());
+    body.usage = Some(collected.usage.into());
     let mut response = Json(body).into_response();
     let ran = HeaderValue::from_static(Execution::Ran.name());
     response.headers_mut().insert(EXECUTION_HEADER, ran);
@@ -323,7 +323,7 @@
 fn streamed_response(
     header: ResponseHeader,
     spec: GenerationSpec,
-    response: AnswerStream,
+    response_stream: ResponseStream,
 ) -> Response {
     let encoder = EventEncoder {
         header,
@@ -331,24 +331,22 @@
         first: true,
     };
     let frames = stream::unfold(
-        (response, encoder),
-        |(mut response, mut encoder)| async move {
-            let frame = match response.next().await? {
-                Ok(AnswerEvent::Text(text)) => encoder.text(&text),
-                Ok(AnswerEvent::Finished { reason, usage }) => encoder.finish(reason, usage),
+        (response_stream, encoder),
+        |(mut response_stream, mut encoder)| async move {
+            let frame = match response_stream.next().await? {
+                Ok(ResponseEvent::Text(text)) => encoder.text(&text),
+                Ok(ResponseEvent::Finished { reason, usage }) => encoder.finish(reason, usage),
                 // Without [DONE] the caller detects that the response is incomplete.
                 Err(error) => encode_event(ApiError::from(error).body()),
             };
             Some((
                 Ok::<_, std::convert::Infallible>(frame),
-                (response, encoder),
+                (response_stream, encoder),
             ))
         },
     );
-    let mut http_response = Response::new(Body::from_stream(frames));
+    let mut response = Response::new(Body::from_stream(frames));
     let event_stream = HeaderValue::from_static("text/event-stream");
-    http_response
-        .headers_mut()
-        .insert(CONTENT_TYPE, event_stream);
-    http_response
+    response.headers_mut().insert(CONTENT_TYPE, event_stream);
+    response
 }
--- a/crates/external/src/http/mod.rs
+++ b/crates/external/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! One HTTP client behind each platform trait, and the messages that stand-ins share with them.
+//! HTTP clients of the external systems, and the messages that servers of the same protocols share.
 
 mod caller;
 mod engine;
@@ -9,9 +9,9 @@
 mod table;
 mod weights;
 
-pub use caller::{CallError, HttpCaller, HttpReply};
+pub use caller::{CallError, HttpCaller, HttpResponse};
 pub use engine::HttpEngine;
-pub use listen::without_delay;
+pub use listen::with_nodelay;
 pub use machines::HttpMachineList;
 pub use objects::HttpObjectStore;
 pub use table::HttpTable;
--- a/crates/gateway/src/errors.rs
+++ b/crates/gateway/src/errors.rs
@@ -1,29 +1,29 @@
-//! The error of the request path, which always says what is known of the request's execution.
+//! Error of the request path, which states whether the request may have run.
 
 use std::time::Duration;
 
 use harrierward_execution::{Execution, FinalResponse};
 
-/// Why a request was refused or its answer broke off. Status and pause follow from what is known of the execution.
+/// Failure of a request before or during its response. HTTP status and `retry-after` depend on whether it may have run.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{step} at {peer}: {message} (execution: {})", execution.name())]
 pub struct GatewayError {
-    /// Step at which it arose.
+    /// Operation that failed, e.g. `gateway.claim`.
     pub step: &'static str,
-    /// Party at which it arose.
+    /// System at which the operation failed: `gateway`, or the name given to [`Self::with_peer`].
     pub peer: String,
-    /// Short code for programs.
+    /// Machine-readable code, part of the API.
     pub code: &'static str,
-    /// Words for people.
+    /// Message for the caller.
     pub message: String,
     status: u16,
     execution: Execution,
     retry_after: Option<Duration>,
-    is_under_key: bool,
+    has_idempotency_key: bool,
 }
 
 impl GatewayError {
-    /// A refusal: the request certainly did not run.
+    /// Builds an error of a request that certainly did not run.
     pub fn not_run(
         step: &'static str,
         status: u16,
@@ -38,56 +38,56 @@
             message: message.into(),
             execution: Execution::NotRun,
             retry_after: None,
-            is_under_key: false,
+            has_idempotency_key: false,
         }
     }
 
-    /// The request may have run.
+    /// Builds an error of a request that may have run.
     pub fn unknown(
         step: &'static str,
         status: u16,
         code: &'static str,
         message: impl Into<String>,
     ) -> Self {
-        Self::not_run(step, status, code, message).learn(Execution::Unknown)
+        Self::not_run(step, status, code, message).merge_execution(Execution::Unknown)
     }
 
-    /// Names the other party.
-    pub fn at(mut self, peer: impl Into<String>) -> Self {
+    /// Sets the system at which the operation failed.
+    pub fn with_peer(mut self, peer: impl Into<String>) -> Self {
         self.peer = peer.into();
         self
     }
 
-    /// Adds what is known of the execution.
-    pub fn learn(mut self, more: Execution) -> Self {
+    /// Merges `more` into what is known of the execution.
+    pub fn merge_execution(mut self, more: Execution) -> Self {
         self.execution.merge(more);
         self
     }
 
-    /// Says when to come back, if it turns out that the request has not run.
-    pub fn after(mut self, retry_after: Duration) -> Self {
+    /// Sets the time after which to retry; it is sent only if the request did not run.
+    pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
         self
     }
 
-    /// Says when to come back to a caller whose key lets the request run once only.
-    pub fn after_under_key(mut self, retry_after: Duration) -> Self {
-        self.is_under_key = true;
-        self.after(retry_after)
+    /// Sets the time after which to retry, for a request whose idempotency key makes a retry safe.
+    pub fn with_idempotent_retry_after(mut self, retry_after: Duration) -> Self {
+        self.has_idempotency_key = true;
+        self.with_retry_after(retry_after)
     }
 
-    /// What is known of the execution.
+    /// Returns what is known of the execution.
     pub fn execution(&self) -> Execution {
         self.execution
     }
 
-    /// Status and pause for the caller.
-    pub fn answer(&self) -> FinalResponse {
-        let answer = if self.is_under_key {
+    /// Returns the HTTP status and `retry-after` to send.
+    pub fn response(&self) -> FinalResponse {
+        let response = if self.has_idempotency_key {
             FinalResponse::for_idempotent_retry
         } else {
             FinalResponse::of
         };
-        answer(self.execution, self.status, self.retry_after)
+        response(self.execution, self.status, self.retry_after)
     }
 }
--- a/crates/gateway/src/gateway/claiming.rs
+++ b/crates/gateway/src/gateway/claiming.rs
@@ -1,4 +1,4 @@
-//! The claim of a marked request, and what a resend is told.
+//! Claims of idempotent requests, and the handling of resends.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -10,69 +10,68 @@
 use tokio::time::Instant;
 
 use super::{Gateway, Inner, PREFIX};
-use crate::answer::StoredAnswer;
-use crate::call::{Call, MarkedCall};
+use crate::call::{Call, IdempotentCall};
 use crate::errors::GatewayError;
+use crate::response::StoredResponse;
 
 const STEP: &str = "gateway.claim";
 
-/// Longest time for which a resend waits for the run that is in progress. Most answers that a caller has given up on
-/// too early come in this time; a longer wait would hold many connections for runs whose holder is gone for good.
-const LONGEST_RESEND_WAIT: Duration = Duration::from_secs(1);
+/// Maximum wait of a resend for the run in progress. It bounds the connections that wait for a holder that has crashed.
+const MAX_RESEND_WAIT: Duration = Duration::from_secs(1);
 
-/// When a resend that waited in vain is told to come back.
-const RESEND_RETRY: Duration = Duration::from_secs(1);
+/// Sent as `retry-after` to a resend whose wait timed out.
+const RESEND_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How a marked call may go on.
+/// Result of claiming an idempotent call.
 pub(super) enum Claimed {
-    /// It may be dispatched, once.
+    /// The call may be dispatched once.
     Granted(Claim),
-    /// It ran; this is its answer.
-    Answered(StoredAnswer),
+    /// The request has run; this is its stored response.
+    Completed(StoredResponse),
     /// Another attempt holds the claim.
     Held(Holder),
 }
 
-/// The wait of one call for another attempt's run.
+/// Wait of a resend for the attempt that holds the claim.
 pub(super) struct ResendWait {
-    began: Instant,
-    until: Instant,
-    /// Who was seen to hold the claim last.
+    started_at: Instant,
+    deadline: Instant,
+    /// Last observed holder of the claim; `None` while no other attempt has been observed.
     holder: Option<Holder>,
 }
 
 impl ResendWait {
-    /// That of a call that comes now.
+    /// Starts the wait now, bounded by the deadline of `call`.
     pub fn new(call: &Call) -> Self {
-        let began = Instant::now();
-        let longest = began + LONGEST_RESEND_WAIT;
+        let started_at = Instant::now();
+        let max_deadline = started_at + MAX_RESEND_WAIT;
         Self {
-            began,
-            until: longest.min(call.deadline),
+            started_at,
+            deadline: max_deadline.min(call.deadline),
             holder: None,
         }
     }
 
-    /// True once another attempt was seen to hold the claim.
+    /// True if another attempt has been observed to hold the claim.
     pub fn has_waited(&self) -> bool {
         self.holder.is_some()
     }
 
-    /// The error of a call that goes no further: once another attempt was seen, the request may have run.
-    pub fn qualify(&self, error: GatewayError) -> GatewayError {
+    /// Adds to `error` that the request may have run, if another attempt has been observed.
+    pub fn with_execution(&self, error: GatewayError) -> GatewayError {
         if self.has_waited() {
-            return error.learn(Execution::Unknown);
+            return error.merge_execution(Execution::Unknown);
         }
         error
     }
 }
 
-/// Counts a resend that waits, until dropped.
-struct WaitingResend {
+/// Guard that counts a resend as waiting until it is dropped.
+struct WaitingResendGuard {
     inner: Arc<Inner>,
 }
 
-impl WaitingResend {
+impl WaitingResendGuard {
     fn count(inner: &Arc<Inner>) -> Self {
         inner.waiting_resends.fetch_add(1, Ordering::Relaxed);
         Self {
@@ -81,31 +80,39 @@
     }
 }
 
-impl Drop for WaitingResend {
+impl Drop for WaitingResendGuard {
     fn drop(&mut self) {
         self.inner.waiting_resends.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Gateway {
-    /// Claims a marked request for this attempt, unless another one has it.
-    pub(super) async fn claim(&self, marked: &MarkedCall) -> Result<Claimed, GatewayError> {
+    /// Claims an idempotent request for this attempt, unless another attempt holds the claim or has completed it.
+    pub(super) async fn claim(
+        &self,
+        idempotency: &IdempotentCall,
+    ) -> Result<Claimed, GatewayError> {
         let parts = &self.inner.parts;
         let attempt = format!("{}-claim-{}", parts.member, self.next_id());
         let now_ms = (parts.now_ms)();
-        let verdict = parts
+        let outcome = parts
             .claims
-            .begin(marked.key.clone(), marked.digest.clone(), attempt, now_ms)
+            .begin(
+                idempotency.key.clone(),
+                idempotency.digest.clone(),
+                attempt,
+                now_ms,
+            )
             .await
             .map_err(|refused| {
                 let message = format!("the request cannot be claimed now: {refused}");
                 GatewayError::not_run(STEP, 503, "claim_refused", message)
-                    .at("table")
-                    .after(Duration::from_secs(1))
+                    .with_peer("table")
+                    .with_retry_after(Duration::from_secs(1))
             })?;
-        match verdict {
+        match outcome {
             ClaimOutcome::Granted(claim) => Ok(Claimed::Granted(claim)),
-            ClaimOutcome::Completed(bytes) => stored_answer(&bytes).map(Claimed::Answered),
+            ClaimOutcome::Completed(bytes) => stored_response(&bytes).map(Claimed::Completed),
             ClaimOutcome::Held(holder) => Ok(Claimed::Held(holder)),
             ClaimOutcome::Mismatch => {
                 let message = "Idempotency-Key: was used with another body";
@@ -117,39 +124,47 @@
     /// Waits until the attempt that holds the claim has settled it.
     ///
     /// # Errors
-    /// It did not in time, or too many wait.
+    /// The wait timed out, or too many resends are waiting.
     pub(super) async fn wait_for_holder(
         &self,
-        marked: &MarkedCall,
+        idempotency: &IdempotentCall,
         holder: Holder,
         wait: &mut ResendWait,
     ) -> Result<(), GatewayError> {
         wait.holder = Some(holder);
-        let _waiting = WaitingResend::count(&self.inner);
+        let _waiting = WaitingResendGuard::count(&self.inner);
         let claims = &self.inner.parts.claims;
-        let outcome = match claims.wait_while_open(&marked.key, wait.until).await {
+        let outcome = match claims
+            .wait_while_open(&idempotency.key, wait.deadline)
+            .await
+        {
             WaitOutcome::Settled => return Ok(()),
             WaitOutcome::StillOpen => "still_open",
             WaitOutcome::TooManyWaiters => "too_many_wait",
         };
-        self.note_resend(marked, wait, outcome);
+        self.note_resend(idempotency, wait, outcome);
         let message = "the request is running, or may have run; it is not run again";
         let error = GatewayError::unknown(STEP, 409, "in_progress_or_unknown", message);
-        Err(error.after_under_key(RESEND_RETRY))
+        Err(error.with_idempotent_retry_after(RESEND_RETRY_AFTER))
     }
 
-    /// Counts and logs what became of a resend.
-    pub(super) fn note_resend(&self, marked: &MarkedCall, wait: &ResendWait, outcome: &str) {
+    /// Counts the outcome of a resend and writes its decision record.
+    pub(super) fn note_resend(
+        &self,
+        idempotency: &IdempotentCall,
+        wait: &ResendWait,
+        outcome: &str,
+    ) {
         let resends = &self.metrics().resends;
         resends.with_label_values(&[outcome]).inc();
         let parts = &self.inner.parts;
         let holder = wait.holder.as_ref();
-        let waited = holder.map_or(Duration::ZERO, |_| wait.began.elapsed());
+        let waited = holder.map_or(Duration::ZERO, |_| wait.started_at.elapsed());
         let claimed_at = holder.map(|holder| holder.created_at_ms);
         let held_for = claimed_at.map_or(0, |at| (parts.now_ms)().saturating_sub(at));
         parts.log.record(&Record::Resent {
-            tenant: &marked.key.tenant,
-            claim: &marked.key.row_key(),
+            tenant: &idempotency.key.tenant,
+            claim: &idempotency.key.row_key(),
             holder: holder.map_or("", |holder| &holder.attempt),
             held_for_ms: held_for,
             outcome,
@@ -157,7 +172,7 @@
         });
     }
 
-    /// Lets a request that certainly did not run be run by a resend.
+    /// Releases the claim of a request that certainly did not run, so that a resend can run it.
     pub(super) fn release_if_not_run(&self, error: &GatewayError, claim: &Claim) {
         if !error.execution().is_not_run() {
             return;
@@ -168,17 +183,17 @@
     }
 }
 
-fn stored_answer(bytes: &[u8]) -> Result<StoredAnswer, GatewayError> {
+fn stored_response(bytes: &[u8]) -> Result<StoredResponse, GatewayError> {
     if bytes.is_empty() {
-        return Err(answer_not_kept("its answer was too large to keep"));
+        return Err(response_not_kept("its answer was too large to keep"));
     }
     serde_json::from_slice(bytes).map_err(|error| {
-        log::warn!("{PREFIX} a stored answer cannot be read: {error}");
-        answer_not_kept("its stored answer cannot be read")
+        log::warn!("{PREFIX} cannot decode a stored response: {error}");
+        response_not_kept("its stored answer cannot be read")
     })
 }
 
-fn answer_not_kept(cause: &str) -> GatewayError {
+fn response_not_kept(cause: &str) -> GatewayError {
     let message = format!("the request ran; {cause}");
-    GatewayError::unknown(STEP, 409, "answer_not_kept", message).learn(Execution::Ran)
+    GatewayError::unknown(STEP, 409, "answer_not_kept", message).merge_execution(Execution::Ran)
 }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,13 +1,13 @@
-//! The request path from call to answer stream.
+//! Request path from the parsed call to the response stream.
 
 mod attempt;
 mod claiming;
 mod dispatch;
-mod prefix_news;
+mod prefix_index;
 
 pub(crate) use attempt::Attempt;
 use claiming::{Claimed, ResendWait};
-use prefix_news::run_index;
+use prefix_index::update_index;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,34 +23,34 @@
 use tokio::time::Instant;
 
 use crate::admission::{Admission, AdmissionPermit, AdmissionSettings};
-use crate::answer::{AnswerState, AnswerStream, run_marked};
 use crate::call::Call;
 use crate::directory::ReplicaDirectory;
 use crate::errors::GatewayError;
 use crate::limits::{InProgress, LimitDecision, TenantLimits};
 use crate::metrics::GatewayMetrics;
+use crate::response::{ResponseState, ResponseStream, run_idempotent};
 use crate::retry::RetryBudget;
 
 const PREFIX: &str = "gateway:";
 
-/// Bounds of the request path.
+/// Settings of the request path.
 #[derive(Debug, Clone, Copy)]
 pub struct GatewaySettings {
-    /// Bounds of admission.
+    /// Bounds of the admission queues.
     pub admission: AdmissionSettings,
-    /// Online requests that one gateway sends to a replica at most.
-    pub requests_a_replica: u32,
-    /// Wait for an engine to take a request.
+    /// Maximum number of online requests per replica from one gateway; sets the capacity of a service.
+    pub requests_per_replica: u32,
+    /// Timeout for an engine to accept a request.
     pub connect_timeout: Duration,
-    /// Wait for the next event of a stream before it counts as cut.
+    /// Timeout for the next event of a stream, after which the stream is considered stalled and is resumed elsewhere.
     pub stall_timeout: Duration,
-    /// How long a replica that refused or broke is left alone.
+    /// Duration for which routing avoids a replica after a failed request.
     pub penalty: Duration,
-    /// How often the prefix index is renewed.
-    pub index_every: Duration,
-    /// How long a prefix is believed cached without news.
-    pub prefix_lifetime: Duration,
-    /// Seed of the choices.
+    /// Interval between updates of the prefix index.
+    pub index_interval: Duration,
+    /// Time after which a prefix is no longer considered cached, unless it was sent again.
+    pub prefix_ttl: Duration,
+    /// Seed of the random routing choices.
     pub seed: u64,
 }
 
@@ -58,39 +58,39 @@
     fn default() -> Self {
         Self {
             admission: AdmissionSettings::default(),
-            requests_a_replica: 96,
+            requests_per_replica: 96,
             connect_timeout: Duration::from_secs(2),
             stall_timeout: Duration::from_secs(10),
             penalty: Duration::from_secs(2),
-            index_every: Duration::from_millis(50),
-            prefix_lifetime: Duration::from_secs(120),
+            index_interval: Duration::from_millis(50),
+            prefix_ttl: Duration::from_secs(120),
             seed: 0,
         }
     }
 }
 
-/// What a gateway works with.
+/// Dependencies of a gateway.
 pub struct GatewayParts {
-    /// Id of the member, which makes request ids unique.
+    /// Member id of the daemon, the prefix of its request ids.
     pub member: String,
-    /// The configuration in force.
+    /// Current configuration, replaced by its owner.
     pub config: Arc<ArcSwap<ConfigSnapshot>>,
-    /// The replicas.
+    /// Directory of replicas.
     pub directory: Arc<ReplicaDirectory>,
-    /// The claim service.
+    /// Client of the claim service.
     pub claims: Claims,
-    /// Metrics.
+    /// Metrics of the request path.
     pub metrics: GatewayMetrics,
-    /// Log of decisions.
+    /// Log that receives the decision records of resends.
     pub log: DecisionLog,
-    /// Milliseconds since 1970.
+    /// Wall clock, in milliseconds since the Unix epoch.
     pub now_ms: fn() -> u64,
-    /// Start of the daemon, from which replica loads are dated.
+    /// Start of the daemon, the origin of the timestamps of replica loads.
     pub started: Instant,
 }
 
-/// A prompt was sent: its prefix will be cached there.
-struct PrefixNews {
+/// Prompt blocks that a replica will have in its prefix cache, because the prompt was sent to it.
+struct PrefixUpdate {
     replica: u32,
     blocks: Arc<Vec<u64>>,
 }
@@ -101,56 +101,56 @@
     limits: TenantLimits,
     admissions: ArcSwap<HashMap<String, Admission>>,
     index: ArcSwap<PrefixIndex>,
-    news: mpsc::UnboundedSender<PrefixNews>,
+    updates: mpsc::UnboundedSender<PrefixUpdate>,
     retries: RetryBudget,
     counter: AtomicU64,
-    /// Resends that wait for another attempt: they hold no place, but a planned stop waits for them too.
+    /// Resends that wait for another attempt. They hold no admission permit, but a graceful shutdown awaits them.
     waiting_resends: AtomicUsize,
 }
 
-/// The gateway of one daemon; cheap to clone.
+/// Gateway of one daemon; clones share their state.
 #[derive(Clone)]
 pub struct Gateway {
     inner: Arc<Inner>,
 }
 
 impl Gateway {
-    /// Starts a gateway on the current tokio runtime.
+    /// Builds a gateway and spawns its index task on the current tokio runtime.
     pub fn start(parts: GatewayParts, settings: GatewaySettings) -> Self {
-        let (news, receiver) = mpsc::unbounded_channel();
-        let lifetime = u64::try_from(settings.prefix_lifetime.as_micros()).unwrap_or(u64::MAX);
+        let (updates, receiver) = mpsc::unbounded_channel();
+        let ttl_micros = u64::try_from(settings.prefix_ttl.as_micros()).unwrap_or(u64::MAX);
         let inner = Arc::new(Inner {
             parts,
             settings,
             limits: TenantLimits::default(),
             admissions: ArcSwap::from_pointee(HashMap::new()),
-            index: ArcSwap::from_pointee(PrefixIndex::new(lifetime)),
-            news,
+            index: ArcSwap::from_pointee(PrefixIndex::new(ttl_micros)),
+            updates,
             retries: RetryBudget::default(),
             counter: AtomicU64::new(0),
             waiting_resends: AtomicUsize::new(0),
         });
-        tokio::spawn(run_index(Arc::downgrade(&inner), receiver));
+        tokio::spawn(update_index(Arc::downgrade(&inner), receiver));
         Self { inner }
     }
 
-    /// Takes over a new configuration: limits change at once.
+    /// Applies the tenant limits of a new configuration.
     pub fn configure(&self, config: &ConfigSnapshot) {
         self.inner.limits.configure(config);
     }
 
-    /// Takes over a new directory: services' capacities follow their replicas.
+    /// Updates the capacity of each service after a change of the directory.
     pub fn replicas_changed(&self) {
         let directory = self.inner.parts.directory.load();
         let old = self.inner.admissions.load();
         let mut admissions = HashMap::new();
         for (service, entry) in &directory.services {
             let replicas = u32::try_from(entry.replicas.len()).unwrap_or(u32::MAX);
-            let capacity = replicas.saturating_mul(self.inner.settings.requests_a_replica);
+            let capacity = replicas.saturating_mul(self.inner.settings.requests_per_replica);
             let admission = match old.get(service) {
-                Some(kept) => {
-                    kept.set_capacity(capacity);
-                    kept.clone()
+                Some(admission) => {
+                    admission.set_capacity(capacity);
+                    admission.clone()
                 }
                 None => Admission::new(capacity, self.inner.settings.admission),
             };
@@ -168,7 +168,7 @@
     }
 
     pub(crate) fn take_retry(&self) -> bool {
-        let taken = self.inner.retries.take();
+        let taken = self.inner.retries.withdraw();
         if taken {
             self.metrics().retries.inc();
         }
@@ -176,7 +176,7 @@
     }
 
     pub(crate) fn note_success(&self) {
-        self.inner.retries.earn();
+        self.inner.retries.deposit();
         self.count_outcome("ok");
     }
 
@@ -184,7 +184,6 @@
         self.metrics().requests.with_label_values(&[outcome]).inc();
     }
 
-    /// Time since the daemon's start.
     fn now(&self) -> Duration {
         self.inner.parts.started.elapsed()
     }
@@ -197,7 +196,7 @@
         self.inner.counter.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Requests running and waiting at this gateway, over all services.
+    /// Returns the numbers of running and of waiting requests over all services; the latter include waiting resends.
     pub fn load(&self) -> (u32, usize) {
         let admissions = self.inner.admissions.load();
         let waiting_resends = self.inner.waiting_resends.load(Ordering::Relaxed);
@@ -209,10 +208,10 @@
             })
     }
 
-    /// Starts a call. An error here means that no part of an answer was delivered.
-    pub async fn call(&self, call: Call) -> Result<AnswerStream, GatewayError> {
-        let result = if call.marked.is_some() {
-            self.call_to_the_end(call).await
+    /// Starts a call. After an error no part of a response was delivered.
+    pub async fn call(&self, call: Call) -> Result<ResponseStream, GatewayError> {
+        let result = if call.idempotency.is_some() {
+            self.call_detached(call).await
         } else {
             self.try_call(call).await
         };
@@ -222,8 +221,8 @@
         result
     }
 
-    /// A marked call goes on although its caller goes away, so that no claim is left behind undispatched.
-    async fn call_to_the_end(&self, call: Call) -> Result<AnswerStream, GatewayError> {
+    /// Runs an idempotent call in its own task, so that a disconnected caller leaves no undispatched claim.
+    async fn call_detached(&self, call: Call) -> Result<ResponseStream, GatewayError> {
         let gateway = self.clone();
         let task = tokio::spawn(async move { gateway.try_call(call).await });
         task.await.unwrap_or_else(|error| {
@@ -237,75 +236,75 @@
         })
     }
 
-    async fn try_call(&self, call: Call) -> Result<AnswerStream, GatewayError> {
+    async fn try_call(&self, call: Call) -> Result<ResponseStream, GatewayError> {
         let service = self.service_of(&call)?;
-        let in_progress = match self.enter_limits(&call)? {
-            LimitDecision::Pass(in_progress) => in_progress,
+        let in_progress = match self.admit_tenant(&call)? {
+            LimitDecision::Admitted(in_progress) => in_progress,
             LimitDecision::Refused { retry_after, limit } => {
                 let message = format!("limit {limit} of this tenant is met");
                 let error = GatewayError::not_run("gateway.limits", 429, "rate_limited", message);
-                return Err(error.after(retry_after));
+                return Err(error.with_retry_after(retry_after));
             }
         };
         let mut wait = ResendWait::new(&call);
         loop {
-            let entered = self.enter_service(&service, &call).await;
-            let permit = entered.map_err(|error| wait.qualify(error))?;
+            let admitted = self.admit_to_service(&service, &call).await;
+            let permit = admitted.map_err(|error| wait.with_execution(error))?;
             let started = Instant::now();
-            let claim = match &call.marked {
+            let claim = match &call.idempotency {
                 None => None,
-                Some(marked) => match self.claim(marked).await {
+                Some(idempotency) => match self.claim(idempotency).await {
                     Ok(Claimed::Granted(claim)) => {
                         if wait.has_waited() {
-                            self.note_resend(marked, &wait, "run_after_release");
+                            self.note_resend(idempotency, &wait, "run_after_release");
                         }
                         Some(claim)
                     }
-                    Ok(Claimed::Answered(stored)) => {
-                        self.note_resend(marked, &wait, "stored");
-                        return Ok(AnswerStream::replay(stored, call.identity));
+                    Ok(Claimed::Completed(stored)) => {
+                        self.note_resend(idempotency, &wait, "stored");
+                        return Ok(ResponseStream::replay(stored, call.identity));
                     }
                     Ok(Claimed::Held(holder)) => {
-                        // Who only waits takes no place from those who run.
+                        // A waiting resend must not occupy capacity of the service.
                         drop(permit);
-                        self.wait_for_holder(marked, holder, &mut wait).await?;
+                        self.wait_for_holder(idempotency, holder, &mut wait).await?;
                         continue;
                     }
-                    Err(error) => return Err(wait.qualify(error)),
+                    Err(error) => return Err(wait.with_execution(error)),
                 },
             };
-            let places = Places {
+            let permits = Permits {
                 permit,
                 in_progress,
                 started,
             };
-            return self.run(call, claim, places).await;
+            return self.run(call, claim, permits).await;
         }
     }
 
-    /// A place among the running requests of a service.
-    async fn enter_service(
+    /// Waits for admission to a service.
+    async fn admit_to_service(
         &self,
         service: &str,
         call: &Call,
     ) -> Result<AdmissionPermit, GatewayError> {
         let admission = self.inner.admissions.load().get(service).cloned();
         let admission = admission.ok_or_else(no_replica)?;
-        let entered = admission.enter(&call.tenant, call.deadline).await;
-        entered.map_err(|retry_after| {
+        let admitted = admission.admit(&call.tenant, call.deadline).await;
+        admitted.map_err(|retry_after| {
             let message = "the service is at its capacity";
             GatewayError::not_run("gateway.admission", 503, "overloaded", message)
-                .after(retry_after)
+                .with_retry_after(retry_after)
         })
     }
 
-    /// Sends a call that may run to an engine; with its claim, if it is marked.
+    /// Dispatches an admitted call, with its claim if it is idempotent.
     async fn run(
         &self,
         call: Call,
         claim: Option<Claim>,
-        places: Places,
-    ) -> Result<AnswerStream, GatewayError> {
+        permits: Permits,
+    ) -> Result<ResponseStream, GatewayError> {
         let attempt = match self.connect(&call, Vec::new(), 0).await {
             Ok(attempt) => attempt,
             Err(error) => {
@@ -316,20 +315,20 @@
             }
         };
         let identity = call.identity.clone();
-        let state = AnswerState {
+        let state = ResponseState {
             gateway: self.clone(),
             call,
             attempt,
             delivered: 0,
             resumes: 0,
-            started: places.started,
-            ended: false,
-            _permit: places.permit,
-            _in_progress: places.in_progress,
+            started: permits.started,
+            has_ended: false,
+            _permit: permits.permit,
+            _in_progress: permits.in_progress,
         };
         Ok(match claim {
-            None => AnswerStream::new(identity, state.into_stream()),
-            Some(claim) => run_marked(state, self.inner.parts.claims.clone(), claim),
+            None => ResponseStream::new(identity, state.into_stream()),
+            Some(claim) => run_idempotent(state, self.inner.parts.claims.clone(), claim),
         })
     }
 
@@ -359,15 +358,15 @@
         Ok((service, model))
     }
 
-    fn enter_limits(&self, call: &Call) -> Result<LimitDecision, GatewayError> {
+    fn admit_tenant(&self, call: &Call) -> Result<LimitDecision, GatewayError> {
         let now = self.now_micros();
         let endpoint = &call.spec.endpoint;
-        let decision = self.inner.limits.enter(&call.tenant, endpoint, now);
-        // The limits may lag the configuration by a moment.
+        let decision = self.inner.limits.admit(&call.tenant, endpoint, now);
+        // The limits are updated shortly after the configuration.
         decision.ok_or_else(|| {
             let message = "the endpoint is being set up";
             GatewayError::not_run("gateway.limits", 503, "not_ready", message)
-                .after(Duration::from_millis(500))
+                .with_retry_after(Duration::from_millis(500))
         })
     }
 }
@@ -376,11 +375,11 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Characters that one token of a prompt covers, for estimates.
-const CHARACTERS_A_TOKEN: usize = 4;
+/// Estimated bytes of prompt per token.
+const BYTES_PER_TOKEN: usize = 4;
 
-/// What a call holds while it runs.
-struct Places {
+/// Guards that a call holds while it runs.
+struct Permits {
     permit: AdmissionPermit,
     in_progress: InProgress,
     started: Instant,
@@ -388,5 +387,6 @@
 
 fn no_replica() -> GatewayError {
     let message = "no replica can take the request now";
-    GatewayError::not_run("gateway.route", 503, "no_replica", message).after(Duration::from_secs(1))
+    GatewayError::not_run("gateway.route", 503, "no_replica", message)
+        .with_retry_after(Duration::from_secs(1))
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,10 +1,7 @@
-//! The path of an online request: limits, admission, claim, routing, retries, and a checked answer stream.
-//!
-//! Why one crate: each step decides what may truthfully be said of the request's execution, so the steps share
-//! one error type that carries it.
+//! Path of an online request: tenant limits, admission, claim, routing, retries and the response stream.
+//! All steps share one error type, which states whether the request may have run.
 
 mod admission;
-mod answer;
 mod call;
 mod directory;
 mod errors;
@@ -12,11 +9,11 @@
 mod limits;
 mod metrics;
 mod openai;
+mod response;
 mod retry;
 
 pub use admission::{Admission, AdmissionPermit, AdmissionSettings, FairQueue};
-pub use answer::{AnswerEvent, AnswerStream, StoredAnswer, Usage};
-pub use call::{AnswerIdentity, Call, MarkedCall};
+pub use call::{Call, IdempotentCall, ResponseIdentity};
 pub use directory::{
     Directory, DirectoryEntry, EngineConnector, OnlineCounts, Replica, ReplicaDirectory, ZoneRank,
 };
@@ -28,4 +25,5 @@
 pub use openai::{
     ChatMessage, EndpointKind, GenerationSpec, SpecError, content_bytes, parse_request,
 };
+pub use response::{ResponseEvent, ResponseStream, StoredResponse, Usage};
 pub use retry::RetryBudget;
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/response.rs
@@ -1,4 +1,4 @@
-//! The answer stream: events checked, cuts resumed, and never a clean end where the answer was not whole.
+//! Response stream: validates engine events, resumes interrupted streams, and reports incomplete responses as errors.
 
 use std::pin::Pin;
 
@@ -12,57 +12,58 @@
 use tokio::time::{Instant, timeout};
 
 use crate::admission::AdmissionPermit;
-use crate::call::{AnswerIdentity, Call};
+use crate::call::{Call, ResponseIdentity};
 use crate::errors::GatewayError;
 use crate::gateway::{Attempt, Gateway};
 use crate::limits::InProgress;
 
-/// Tokens used by a request.
+/// Token counts of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens, as counted by the engine.
     pub prompt_tokens: u32,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub completion_tokens: u32,
 }
 
-/// A part of an answer.
+/// Part of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AnswerEvent {
-    /// The next token's text.
+pub enum ResponseEvent {
+    /// Text of the next token.
     Text(String),
-    /// The answer is whole.
+    /// The response is complete.
     Finished {
-        /// Why it ended.
+        /// Why the generation ended.
         reason: FinishReason,
-        /// Tokens used.
+        /// Token counts.
         usage: Usage,
     },
 }
 
-/// A whole answer as kept for resends of a marked request.
+/// Complete response, stored with the claim for resends of an idempotent request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoredAnswer {
-    /// What it is known by; absent in answers stored by daemons that kept none.
+pub struct StoredResponse {
+    /// Identity under which it was first sent; `None` in rows stored without one.
     #[serde(default)]
-    pub identity: Option<AnswerIdentity>,
-    /// The text.
+    pub identity: Option<ResponseIdentity>,
+    /// Generated text.
     pub text: String,
-    /// Why it ended.
+    /// Why the generation ended.
     pub reason: FinishReason,
-    /// Tokens used.
+    /// Token counts.
     pub usage: Usage,
 }
 
-/// Parts of an answer. The last item is `Finished` or an error; dropping the stream cancels an unmarked request.
-pub struct AnswerStream {
-    identity: AnswerIdentity,
+/// Parts of a response. The last item is `Finished` or an error. Dropping the stream cancels the request unless it is
+/// idempotent.
+pub struct ResponseStream {
+    identity: ResponseIdentity,
     is_stored: bool,
-    inner: BoxStream<'static, Result<AnswerEvent, GatewayError>>,
+    inner: BoxStream<'static, Result<ResponseEvent, GatewayError>>,
 }
 
-impl Stream for AnswerStream {
-    type Item = Result<AnswerEvent, GatewayError>;
+impl Stream for ResponseStream {
+    type Item = Result<ResponseEvent, GatewayError>;
 
     fn poll_next(
         mut self: Pin<&mut Self>,
@@ -72,10 +73,10 @@
     }
 }
 
-impl AnswerStream {
+impl ResponseStream {
     pub(crate) fn new(
-        identity: AnswerIdentity,
-        inner: impl Stream<Item = Result<AnswerEvent, GatewayError>> + Send + 'static,
+        identity: ResponseIdentity,
+        inner: impl Stream<Item = Result<ResponseEvent, GatewayError>> + Send + 'static,
     ) -> Self {
         Self {
             identity,
@@ -84,23 +85,23 @@
         }
     }
 
-    /// What the answer is known by.
-    pub fn identity(&self) -> &AnswerIdentity {
+    /// Returns the id and creation time to send to the caller.
+    pub fn identity(&self) -> &ResponseIdentity {
         &self.identity
     }
 
-    /// True if it is the answer to an earlier send of the request: nothing ran for this one.
+    /// True if the response is a stored one, so that nothing ran for this request.
     pub fn is_stored(&self) -> bool {
         self.is_stored
     }
 
-    /// A stored answer as a stream, under `fallback` if it was stored without an identity.
-    pub(crate) fn replay(stored: StoredAnswer, fallback: AnswerIdentity) -> Self {
-        let finished = AnswerEvent::Finished {
+    /// Replays a stored response, with the identity `fallback` if none is stored.
+    pub(crate) fn replay(stored: StoredResponse, fallback: ResponseIdentity) -> Self {
+        let finished = ResponseEvent::Finished {
             reason: stored.reason,
             usage: stored.usage,
         };
-        let events = [AnswerEvent::Text(stored.text), finished];
+        let events = [ResponseEvent::Text(stored.text), finished];
         let identity = stored.identity.unwrap_or(fallback);
         Self {
             is_stored: true,
@@ -108,14 +109,14 @@
         }
     }
 
-    /// Reads the whole answer.
-    pub async fn collect_answer(mut self) -> Result<StoredAnswer, GatewayError> {
+    /// Reads the stream to its end and returns the complete response.
+    pub async fn collect_response(mut self) -> Result<StoredResponse, GatewayError> {
         let mut text = String::new();
         while let Some(event) = self.inner.next().await {
             match event? {
-                AnswerEvent::Text(part) => text.push_str(&part),
-                AnswerEvent::Finished { reason, usage } => {
-                    return Ok(StoredAnswer {
+                ResponseEvent::Text(part) => text.push_str(&part),
+                ResponseEvent::Finished { reason, usage } => {
+                    return Ok(StoredResponse {
                         identity: Some(self.identity),
                         text,
                         reason,
@@ -129,76 +130,78 @@
     }
 }
 
-/// Most times a stream is resumed.
-const MOST_RESUMES: u32 = 4;
+/// Maximum number of resumptions of a stream.
+const MAX_RESUMES: u32 = 4;
 
-/// What an event means for the stream.
-enum Checked {
-    Deliver(AnswerEvent),
+/// Action that an engine event requires.
+enum EventAction {
+    Deliver(ResponseEvent),
     Drop,
-    Cut(&'static str),
+    Interrupt(&'static str),
 }
 
-/// State of one answer in progress.
-pub(crate) struct AnswerState {
+/// State of a response in progress.
+pub(crate) struct ResponseState {
     pub gateway: Gateway,
     pub call: Call,
     pub attempt: Attempt,
     pub delivered: u32,
     pub resumes: u32,
     pub started: Instant,
-    pub ended: bool,
+    pub has_ended: bool,
     pub _permit: AdmissionPermit,
     pub _in_progress: InProgress,
 }
 
-impl AnswerState {
-    /// The answer as a stream.
-    pub fn into_stream(self) -> impl Stream<Item = Result<AnswerEvent, GatewayError>> + Send {
+impl ResponseState {
+    /// Returns the response as a stream.
+    pub fn into_stream(self) -> impl Stream<Item = Result<ResponseEvent, GatewayError>> + Send {
         stream::unfold(self, |mut state| async move {
             let event = state.next().await?;
             Some((event, state))
         })
     }
 
-    async fn next(&mut self) -> Option<Result<AnswerEvent, GatewayError>> {
-        if self.ended {
+    async fn next(&mut self) -> Option<Result<ResponseEvent, GatewayError>> {
+        if self.has_ended {
             return None;
         }
         loop {
-            let stall = self.gateway.settings().stall_timeout;
-            let cause = match timeout(stall, self.attempt.events.next()).await {
-                Ok(Some(Ok(event))) => match self.check(event) {
-                    Checked::Deliver(event) => return Some(Ok(self.deliver(event))),
-                    Checked::Drop => {
+            let stall_timeout = self.gateway.settings().stall_timeout;
+            let cause = match timeout(stall_timeout, self.attempt.events.next()).await {
+                Ok(Some(Ok(event))) => match self.classify(event) {
+                    EventAction::Deliver(event) => return Some(Ok(self.deliver(event))),
+                    EventAction::Drop => {
                         self.gateway.metrics().dropped_events.inc();
                         continue;
                     }
-                    Checked::Cut(cause) => cause.to_owned(),
+                    EventAction::Interrupt(cause) => cause.to_owned(),
                 },
                 Ok(Some(Err(error))) => error.to_string(),
                 Ok(None) => "the stream ended early".to_owned(),
                 Err(_) => "no event in time".to_owned(),
             };
             if let Err(error) = self.resume(&cause).await {
-                self.ended = true;
+                self.has_ended = true;
                 self.gateway.count_outcome(error.code);
                 return Some(Err(error));
             }
         }
     }
 
-    fn check(&self, event: EngineEvent) -> Checked {
+    fn classify(&self, event: EngineEvent) -> EventAction {
         if event.request_id != self.attempt.request_id || event.sequence < self.delivered {
-            return Checked::Drop;
+            return EventAction::Drop;
         }
         if event.sequence > self.delivered {
-            return Checked::Cut("an event is missing");
+            return EventAction::Interrupt("an event is missing");
         }
         match event.finish {
-            None => Checked::Deliver(AnswerEvent::Text(event.text)),
-            Some(FinishReason::Cancelled) => Checked::Cut("the engine cancelled the request"),
-            Some(reason) => Checked::Deliver(AnswerEvent::Finished {
+            None => EventAction::Deliver(ResponseEvent::Text(event.text)),
+            Some(FinishReason::Cancelled) => {
+                EventAction::Interrupt("the engine cancelled the request")
+            }
+            Some(reason) => EventAction::Deliver(ResponseEvent::Finished {
                 reason,
                 usage: Usage {
                     prompt_tokens: event.prompt_tokens.unwrap_or_default(),
@@ -208,10 +211,10 @@
         }
     }
 
-    fn deliver(&mut self, event: AnswerEvent) -> AnswerEvent {
+    fn deliver(&mut self, event: ResponseEvent) -> ResponseEvent {
         self.attempt.note_prefilled();
         match &event {
-            AnswerEvent::Text(_) => {
+            ResponseEvent::Text(_) => {
                 if self.delivered == 0 {
                     let waited = self.started.elapsed().as_secs_f64();
                     self.gateway.metrics().first_token.observe(waited);
@@ -219,32 +222,32 @@
                 self.delivered += 1;
                 self.gateway.metrics().tokens.inc();
             }
-            AnswerEvent::Finished { .. } => {
-                self.ended = true;
-                self.attempt.note_ended();
+            ResponseEvent::Finished { .. } => {
+                self.has_ended = true;
+                self.attempt.note_completed();
                 self.gateway.note_success();
             }
         }
         event
     }
 
-    /// Goes on at another replica from where the stream was cut, if that is allowed.
+    /// Resumes an interrupted stream at another replica, unless the request must not run again.
     async fn resume(&mut self, cause: &str) -> Result<(), GatewayError> {
         const STEP: &str = "answer.resume";
         let peer = self.attempt.replica_name();
-        self.attempt.note_ended();
-        let give_up = |code: &'static str, message: String| {
-            GatewayError::unknown(STEP, 502, code, message).at(peer.clone())
+        self.attempt.note_completed();
+        let failure = |code: &'static str, message: String| {
+            GatewayError::unknown(STEP, 502, code, message).with_peer(peer.clone())
         };
-        if self.call.marked.is_some() {
+        if self.call.idempotency.is_some() {
             let message = format!("{cause}; the request must not run again");
-            return Err(give_up("cut", message));
+            return Err(failure("cut", message));
         }
-        if self.resumes >= MOST_RESUMES || Instant::now() >= self.call.deadline {
-            return Err(give_up("cut", cause.to_owned()));
+        if self.resumes >= MAX_RESUMES || Instant::now() >= self.call.deadline {
+            return Err(failure("cut", cause.to_owned()));
         }
         if !self.gateway.take_retry() {
-            return Err(give_up("retry_budget", format!("{cause}; no retry left")));
+            return Err(failure("retry_budget", format!("{cause}; no retry left")));
         }
         self.resumes += 1;
         self.gateway.metrics().resumed.inc();
@@ -253,13 +256,13 @@
             .gateway
             .connect(&self.call, excluded, self.delivered)
             .await;
-        self.attempt = attempt.map_err(|error| error.learn(Execution::Unknown))?;
+        self.attempt = attempt.map_err(|error| error.merge_execution(Execution::Unknown))?;
         Ok(())
     }
 }
 
-/// Runs a marked request to its end, whether or not the caller stays, and stores its answer for resends.
-pub(crate) fn run_marked(state: AnswerState, claims: Claims, claim: Claim) -> AnswerStream {
+/// Runs an idempotent request to completion even if the caller disconnects, and stores the response for resends.
+pub(crate) fn run_idempotent(state: ResponseState, claims: Claims, claim: Claim) -> ResponseStream {
     let (sender, receiver) = mpsc::unbounded_channel();
     let identity = state.call.identity.clone();
     let stored_identity = identity.clone();
@@ -268,11 +271,11 @@
         let mut events = Box::pin(state.into_stream());
         while let Some(event) = events.next().await {
             let stored = match &event {
-                Ok(AnswerEvent::Text(part)) => {
+                Ok(ResponseEvent::Text(part)) => {
                     text.push_str(part);
                     None
                 }
-                Ok(AnswerEvent::Finished { reason, usage }) => Some(StoredAnswer {
+                Ok(ResponseEvent::Finished { reason, usage }) => Some(StoredResponse {
                     identity: Some(stored_identity.clone()),
                     text: std::mem::take(&mut text),
                     reason: *reason,
@@ -288,5 +291,5 @@
         }
     });
     let events = tokio_stream::wrappers::UnboundedReceiverStream::new(receiver);
-    AnswerStream::new(identity, events)
+    ResponseStream::new(identity, events)
 }
--- a/crates/gateway/src/retry.rs
+++ b/crates/gateway/src/retry.rs
@@ -1,42 +1,42 @@
-//! A retry budget: retries may be only a share of successes, so that a failing fleet is not stormed.
+//! Retry budget, which limits retries to a share of the successful requests to prevent retry storms.
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
-/// Parts of a retry that one success earns; a retry costs [`RETRY_COST`].
-const SUCCESS_EARNS: i64 = 1;
-const RETRY_COST: i64 = 10;
+/// Added to the balance by each success; a retry costs [`WITHDRAWAL`].
+const DEPOSIT: i64 = 1;
+const WITHDRAWAL: i64 = 10;
 
-/// Retries that may come at once.
-const MOST_SAVED: i64 = 50 * RETRY_COST;
+/// Upper bound of the balance, and its initial value: a burst of 50 retries.
+const MAX_BALANCE: i64 = 50 * WITHDRAWAL;
 
-/// Shared by all requests of a gateway.
+/// Retry budget shared by all requests of a gateway.
 #[derive(Debug)]
 pub struct RetryBudget {
-    saved: AtomicI64,
+    balance: AtomicI64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            saved: AtomicI64::new(MOST_SAVED),
+            balance: AtomicI64::new(MAX_BALANCE),
         }
     }
 }
 
 impl RetryBudget {
-    /// A request succeeded.
-    pub fn earn(&self) {
-        let earned = |saved: i64| Some((saved + SUCCESS_EARNS).min(MOST_SAVED));
+    /// Records a successful request.
+    pub fn deposit(&self) {
+        let deposited = |balance: i64| Some((balance + DEPOSIT).min(MAX_BALANCE));
         let _ = self
-            .saved
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, earned);
+            .balance
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, deposited);
     }
 
-    /// Takes one retry, if the budget allows it.
-    pub fn take(&self) -> bool {
-        let taken = |saved: i64| (saved >= RETRY_COST).then(|| saved - RETRY_COST);
-        self.saved
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, taken)
+    /// Takes one retry from the budget; false if it is exhausted.
+    pub fn withdraw(&self) -> bool {
+        let withdrawn = |balance: i64| (balance >= WITHDRAWAL).then(|| balance - WITHDRAWAL);
+        self.balance
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, withdrawn)
             .is_ok()
     }
 }
--- a/crates/harrierward/src/settings.rs
+++ b/crates/harrierward/src/settings.rs
@@ -34,9 +34,9 @@
 /// Addresses of the platform's services, `ip:port`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformAddresses {
-    /// Table that stores all shared state.
+    /// Table: rows with conditional transactions.
     pub table: String,
-    /// Store of batch files and results.
+    /// Object store.
     pub objects: String,
     /// Service that lists the machines with engines.
     pub machines: String,
@@ -165,8 +165,8 @@
         let Some(value) = self.take(key) else {
             return default;
         };
-        let whole = value.as_integer().map(|number| number as f64);
-        let number = value.as_float().or(whole);
+        let integer = value.as_integer().map(|number| number as f64);
+        let number = value.as_float().or(integer);
         match number.filter(|number| range.contains(number)) {
             Some(number) => number,
             None => {
@@ -343,16 +343,16 @@
     let buffer = reader.integer("batch.buffer_mib", 1..=1024, 16);
     node.owner.core.max_buffered_bytes = usize::try_from(buffer << 20).unwrap_or(usize::MAX);
     let gateway = &mut node.gateway;
-    let per_replica = u64::from(gateway.requests_a_replica);
-    gateway.requests_a_replica =
+    let per_replica = u64::from(gateway.requests_per_replica);
+    gateway.requests_per_replica =
         narrow(reader.integer("gateway.requests_a_replica", 1..=10_000, per_replica));
-    let queue = gateway.admission.queue as u64;
+    let queue = gateway.admission.max_queued as u64;
     let queue = reader.integer("gateway.queue", 0..=100_000, queue);
-    gateway.admission.queue = usize::try_from(queue).unwrap_or(usize::MAX);
-    gateway.admission.longest_wait = reader.millis(
+    gateway.admission.max_queued = usize::try_from(queue).unwrap_or(usize::MAX);
+    gateway.admission.max_wait = reader.millis(
         "gateway.longest_wait_millis",
         1..=600_000,
-        gateway.admission.longest_wait,
+        gateway.admission.max_wait,
     );
     gateway.stall_timeout = reader.millis(
         "gateway.stall_timeout_millis",
