--- a/crates/bench/src/faults/checker.rs
+++ b/crates/bench/src/faults/checker.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     /// Text of the guarantee.
-    pub promise: &'static str,
+    pub guarantee: &'static str,
     /// Request, job or daemon concerned, and what was found.
     pub detail: String,
 }
@@ -48,9 +48,9 @@
 }
 
 impl Checked {
-    fn report(&mut self, promise: &'static str, detail: impl Into<String>) {
+    fn report(&mut self, guarantee: &'static str, detail: impl Into<String>) {
         self.violations.push(Violation {
-            promise,
+            guarantee,
             detail: detail.into(),
         });
     }
@@ -89,7 +89,7 @@
 }
 
 fn check_responses(history: &History, checked: &mut Checked) {
-    const PROMISE: &str = "the whole answer to its own request, and only that";
+    const GUARANTEE: &str = "the whole answer to its own request, and only that";
     for call in &history.online {
         let expected = expected_response(&call.model, &call.prompt, call.maximum_tokens);
         let is_valid = match &call.outcome {
@@ -99,7 +99,7 @@
             }
         };
         if !is_valid {
-            checked.report(PROMISE, format!("{}: {:?}", call.prompt, call.outcome));
+            checked.report(GUARANTEE, format!("{}: {:?}", call.prompt, call.outcome));
         }
     }
 }
--- a/crates/bench/src/faults/clients.rs
+++ b/crates/bench/src/faults/clients.rs
@@ -26,7 +26,7 @@
     "You help people in a hurry. Answer briefly and say only what is asked for. ";
 
 /// Maximum number of sends of a marked request.
-const MAX_RESENDS: usize = 6;
+const MAX_SENDS: usize = 6;
 
 /// Exclusive upper bound of the number of items of a job.
 const MAX_ITEMS: usize = 260;
@@ -179,7 +179,7 @@
 }
 
 async fn send_marked(world: &World, request: &MarkedRequest) {
-    for _ in 0..MAX_RESENDS {
+    for _ in 0..MAX_SENDS {
         let Ok(daemon) = world.random_daemon() else {
             return;
         };
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -89,7 +89,7 @@
                 checked.violations.len()
             );
             for violation in checked.violations.iter().take(10) {
-                println!("  {}: {}", violation.promise, violation.detail);
+                println!("  {}: {}", violation.guarantee, violation.detail);
             }
             violations += checked.violations.len();
         }
--- a/crates/bench/tests/faults.rs
+++ b/crates/bench/tests/faults.rs
@@ -36,7 +36,7 @@
         broken.map(move |violation| {
             format!(
                 "seed {}: {}: {}",
-                report.seed, violation.promise, violation.detail
+                report.seed, violation.guarantee, violation.detail
             )
         })
     });
@@ -79,10 +79,10 @@
     }
 }
 
-fn assert_detected(broken: BrokenGuards, promise: &str) {
+fn assert_detected(broken: BrokenGuards, guarantee: &str) {
     let found = violations(&run_seeds(1, 48, broken));
     assert!(
-        found.iter().any(|violation| violation.contains(promise)),
+        found.iter().any(|violation| violation.contains(guarantee)),
         "{broken:?} was not seen; found {found:?}"
     );
 }
