--- a/crates/bench/src/faults/clients.rs
+++ b/crates/bench/src/faults/clients.rs
@@ -67,13 +67,13 @@
             let error = GatewayError::not_run("api", 503, "leaving", "leaving");
             return refused(error, String::new());
         }
-        let answer = daemon.node.gateway().call(call).await;
+        let response = daemon.node.gateway().call(call).await;
         daemon.gate.pass().await;
-        let mut answer = match answer {
-            Ok(answer) => answer,
+        let mut response = match response {
+            Ok(response) => response,
             Err(error) => return refused(error, String::new()),
         };
-        while let Some(event) = answer.next().await {
+        while let Some(event) = response.next().await {
             daemon.gate.pass().await;
             match event {
                 Ok(ResponseEvent::Text(text)) => partial.push_str(&text),
