--- a/crates/external/src/guarded.rs
+++ b/crates/external/src/guarded.rs
@@ -1,5 +1,5 @@
-//! Store clients with a timeout on each call and one rate budget for the whole daemon, so that all callers together
-//! stay within the store's rate limit, also after an outage.
+//! Store clients with a timeout on each call and one rate budget per daemon, so that its callers together
+//! stay within the rate limit of the store, also after an outage.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -16,7 +16,7 @@
     fn connect(&self, machine: &Machine) -> Arc<dyn Engine>;
 }
 
-/// Location of this daemon, by which zones are ranked.
+/// Location of this daemon, by which the distance of a zone is ranked.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneRank {
     /// Name of the daemon's zone.
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -137,11 +137,11 @@
                 };
                 let limits = config.limits(&tenant.name, &endpoint.name);
                 let new_limiter = Arc::new(Limiter::new(limits));
-                let kept = old
+                let existing = old
                     .get(&key)
-                    .filter(|kept| kept.has_same_limits(&new_limiter))
+                    .filter(|existing| existing.has_same_limits(&new_limiter))
                     .cloned();
-                limiters.insert(key, kept.unwrap_or(new_limiter));
+                limiters.insert(key, existing.unwrap_or(new_limiter));
             }
         }
         self.limiters.store(Arc::new(limiters));
