--- a/crates/external/src/engine.rs
+++ b/crates/external/src/engine.rs
@@ -224,8 +224,8 @@
     async fn import_prefix(&self, blocks: Vec<u64>) -> Result<(), EngineError>;
 }
 
-/// Returns one hash per full block of the prompt, each over the prefix that ends with the block. Engines and routers must
-/// use the same hashes.
+/// Returns one hash per full block of the prompt, each over the prefix that ends with the block.
+/// Engines and routers must use the same hashes.
 pub fn prefix_blocks(model: &str, prompt: &str) -> Vec<u64> {
     let mut seed = xxh3_64_with_seed(model.as_bytes(), 0);
     prompt
