--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -71,7 +71,8 @@
         self.members.fleet_size()
     }
 
-    /// True if the daemon accepts new connections: it is discovered, not stopping and not isolated from the store.
+    /// True if callers should be routed to the daemon: it has a configuration and replicas, isn't stopping, and isn't
+    /// isolated from the store.
     pub fn is_ready(&self) -> bool {
         let stopping = self.stopping.load(Ordering::Relaxed);
         !stopping && self.discovery.is_complete() && !self.members.is_isolated_from_store()
@@ -277,8 +278,8 @@
         if !self.settings.control_address.is_empty() {
             let listener = TcpListener::bind(&self.settings.control_address).await?;
             let peer_rows = Arc::new(PeerRows::new(self.service.discovery.clone()));
-            let held = QuarantinedContents::new(self.service.quarantine.clone(), peer_rows);
-            let spaces = SpaceReplies::new(self.relay.clone(), Arc::new(held));
+            let contents = QuarantinedContents::new(self.service.quarantine.clone(), peer_rows);
+            let spaces = SpaceReplies::new(self.relay.clone(), Arc::new(contents));
             tokio::spawn(serve(listener, inner_control, Arc::new(spaces)));
         }
         Ok(())
@@ -292,8 +293,8 @@
 }
 
 impl PreemptItems for BatchPreemption {
-    fn preempt_lease(&self, place: u32) {
-        self.jobs.preempt_lease(place);
+    fn preempt_lease(&self, lease: u32) {
+        self.jobs.preempt_lease(lease);
     }
 
     fn preempt_at(&self, replica: &str, count: u32) {
--- a/crates/edge/src/discovery/evacuations.rs
+++ b/crates/edge/src/discovery/evacuations.rs
@@ -47,12 +47,12 @@
 
     /// Logs evacuations that are ignored because the zone limit is reached; repeated at each full read.
     fn log_ignored_zones(&self, evacuations: &EvacuationUpdate, origin: &str) {
-        let active = evacuations.zones.iter().filter(|(_, mark)| !mark.is_over);
-        for (zone, mark) in active {
+        let active = evacuations.zones.iter().filter(|(_, state)| !state.is_over);
+        for (zone, state) in active {
             if self.zones().zones.is_tracked(zone) {
                 continue;
             }
-            self.log_zone(zone, mark.revision, "ignored", origin);
+            self.log_zone(zone, state.revision, "ignored", origin);
         }
     }
 
--- a/crates/edge/src/hedged.rs
+++ b/crates/edge/src/hedged.rs
@@ -1,7 +1,7 @@
-//! Hedged requests: the next peer is asked when one fails or does not respond within a delay.
+//! Hedged requests: the next peer is queried when one fails or does not respond within a delay.
 //!
-//! A crashed peer stays in the membership for a second or two; asking one after the other would cost its full
-//! timeout.
+//! A crashed peer stays in the membership for a second or two; querying one after the other would cost its
+//! full timeout.
 
 use std::future::Future;
 use std::time::Duration;
--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -306,9 +306,9 @@
                 self.handle_quota_ask(&ask, from);
                 Vec::new()
             }
-            Some(node_datagram::Kind::QuotaAnswer(answer)) => {
+            Some(node_datagram::Kind::QuotaAnswer(reply)) => {
                 // A late reply needs no handling: a job requests its tokens again.
-                let _ = self.quota_calls.complete(answer.number, answer);
+                let _ = self.quota_calls.complete(reply.number, reply);
                 Vec::new()
             }
             Some(node_datagram::Kind::LoadNotice(notice)) => {
@@ -329,8 +329,8 @@
         }
     }
 
-    /// Publishes the changed view. Done once a tick, since each change costs time in the number of members and many
-    /// may join within a second.
+    /// Publishes a changed view. Called once a tick, since the cost grows with the number of members and many may join
+    /// within a second.
     fn publish_view(&self, state: &mut State) {
         if !state.core.take_changed() {
             return;
--- a/crates/edge/src/members/peers.rs
+++ b/crates/edge/src/members/peers.rs
@@ -46,12 +46,12 @@
             return;
         }
         let (outcome, fence) = jobs.decide_quota(request);
-        let answer = QuotaAnswer {
+        let reply = QuotaAnswer {
             number: ask.number,
             outcome: outcome as i32,
             fence,
         };
-        self.send_to(node_datagram::Kind::QuotaAnswer(answer), from);
+        self.send_to(node_datagram::Kind::QuotaAnswer(reply), from);
     }
 
     /// Returns the datagram address of a live member.
@@ -143,11 +143,11 @@
         let location = PeerLocation::from(own, peer);
         let ask = self.quota_message(request);
         let send = || self.send_to(node_datagram::Kind::QuotaAsk(ask.clone()), address);
-        let answer = self
+        let reply = self
             .quota_calls
             .call(ask.number, location, QUOTA_TIMEOUTS, send)
             .await?;
-        Some((answer.outcome(), answer.fence))
+        Some((reply.outcome(), reply.fence))
     }
 
     fn release_quota(&self, coordinator: &str, request: QuotaRequest<'_>) {
--- a/crates/edge/src/peer_rows.rs
+++ b/crates/edge/src/peer_rows.rs
@@ -32,14 +32,14 @@
 /// Path of a request for the configuration alone, without the replicas' rows, which are many in a large fleet.
 const CONFIGURATION_PATH: &str = "/internal/known-rows?configuration";
 
-/// Time for the store to respond before peers are asked; callers are refused until then.
+/// Time for the store to respond before peers are queried; callers are refused until then.
 const STORE_WAIT: Duration = Duration::from_millis(150);
 
 /// Bounds of the backoff between rounds of requests. If all daemons start at once none has rows yet.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_millis(600);
 
-/// Delay after which the next peer is asked as well.
+/// Delay after which the next peer is queried as well.
 const HEDGE_DELAY: Duration = Duration::from_millis(100);
 
 const MAX_PEERS_PER_ROUND: usize = 4;
@@ -152,7 +152,7 @@
     read_rows(response).await
 }
 
-/// Fetches rows from one of several peers by hedged requests; only the first to respond sends its body.
+/// Fetches rows from one of several peers by hedged requests; only the first response's body is read.
 async fn fetch_rows(addresses: Vec<String>, pool: &ConnectionPool) -> Option<KnownRows> {
     let request = |address| request_rows(pool.clone(), address, PATH);
     let response = first_response(addresses, HEDGE_DELAY, request).await?;
--- a/crates/edge/src/peer_updates.rs
+++ b/crates/edge/src/peer_updates.rs
@@ -144,10 +144,10 @@
 
 /// Converts evacuations into their message.
 pub fn evacuations_to_message(evacuations: &EvacuationUpdate) -> Evacuations {
-    let zones = evacuations.zones.iter().map(|(zone, mark)| EvacuatedZone {
+    let zones = evacuations.zones.iter().map(|(zone, state)| EvacuatedZone {
         zone: zone.clone(),
-        revision: mark.revision,
-        is_over: mark.is_over,
+        revision: state.revision,
+        is_over: state.is_over,
     });
     Evacuations {
         complete_at: evacuations.complete_at,
@@ -158,11 +158,11 @@
 /// Converts a message into the evacuations that it carries.
 pub fn evacuations_from_message(message: Evacuations) -> EvacuationUpdate {
     let zones = message.zones.into_iter().map(|entry| {
-        let mark = EvacuationState {
+        let state = EvacuationState {
             revision: entry.revision,
             is_over: entry.is_over,
         };
-        (entry.zone, mark)
+        (entry.zone, state)
     });
     EvacuationUpdate {
         complete_at: message.complete_at,
--- a/crates/edge/src/quarantine/mod.rs
+++ b/crates/edge/src/quarantine/mod.rs
@@ -1,8 +1,8 @@
 //! Quarantine of request contents under which replicas crash.
 //!
-//! Crash reports spread by gossip, since clients retry within half a second at other daemons, faster than an
-//! unavailable store could propagate them; the store ([`store_row`]) carries them to daemons that gossip doesn't reach.
-//! Reports merge in any order and are repeated, so loss is tolerated.
+//! Crash reports spread by gossip: clients retry at other daemons within half a second, before a slow or unavailable
+//! store could propagate them. The store ([`store_row`]) carries them to daemons that gossip doesn't reach. Reports
+//! merge in any order and are repeated, so loss is tolerated.
 
 mod broken_connections;
 mod gossip;
--- a/crates/edge/src/rates/requests.rs
+++ b/crates/edge/src/rates/requests.rs
@@ -60,11 +60,11 @@
         let (fleet_members, fleet_seen_ms_ago) = self.fleet.describe(now);
         let state = self.lock();
         let pool = state.pools.get(&tenant.name);
-        let requested = pool.map_or(1, TokenPool::wanted);
+        let wanted = pool.map_or(1, TokenPool::wanted);
         RateAsk {
             number: self.next_call.fetch_add(1, Ordering::Relaxed),
             tenant: tenant.name.to_string(),
-            wanted: requested,
+            wanted,
             fleet_members,
             fleet_seen_ms_ago,
             silent: unresponsive.to_owned(),
--- a/crates/edge/src/relay/client.rs
+++ b/crates/edge/src/relay/client.rs
@@ -44,25 +44,25 @@
 
 #[async_trait]
 impl PeerCopies for HttpPeers {
-    async fn request(&self, peer: &RelayPeer, ask: SpaceRequest) -> RelayReply {
+    async fn request(&self, peer: &RelayPeer, request: SpaceRequest) -> RelayReply {
         let sent_at = harrierward_clock::now();
         let query = SpaceQuestion {
-            space: ask.space,
-            after: ask.after,
-            wait_ms: millis(ask.hold),
-            known_age_ms: ask.known_age.map_or(u32::MAX, millis),
+            space: request.space,
+            after: request.after,
+            wait_ms: millis(request.hold),
+            known_age_ms: request.known_age.map_or(u32::MAX, millis),
         };
-        let request = Request::builder()
+        let http_request = Request::builder()
             .method("POST")
             .uri(PATH)
             .header("host", &peer.address)
             .body(Bytes::from(encode(&query)));
-        let request = match request {
-            Ok(request) => request,
+        let http_request = match http_request {
+            Ok(http_request) => http_request,
             Err(error) => return unresponsive(error.to_string()),
         };
-        let exchange = self.pool.send(&peer.address, request, false);
-        let mut response = match timeout(ask.hold + HOLD_MARGIN, exchange).await {
+        let exchange = self.pool.send(&peer.address, http_request, false);
+        let mut response = match timeout(request.hold + HOLD_MARGIN, exchange).await {
             Err(_) => return unresponsive("no answer in time"),
             Ok(Err(error)) => return unresponsive(error.to_string()),
             Ok(Ok(response)) => response,
--- a/crates/edge/src/relay/server.rs
+++ b/crates/edge/src/relay/server.rs
@@ -73,7 +73,7 @@
     /// Returns the reply; `None` if there is no copy, or at the limit of concurrent requests.
     async fn reply(&self, query: &SpaceQuestion) -> Option<SpaceReply> {
         let _guard = self.admit()?;
-        let ask = SpaceRequest {
+        let request = SpaceRequest {
             space: query.space.clone(),
             after: query.after,
             hold: Duration::from_millis(u64::from(query.wait_ms)),
@@ -84,7 +84,7 @@
             reply,
             proof_age,
             held,
-        } = space.reply(&ask).await?;
+        } = space.reply(&request).await?;
         let is_history_lost = reply.is_full && query.after > 0;
         let content = if is_history_lost {
             Content::default()
--- a/crates/edge/src/rendezvous.rs
+++ b/crates/edge/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing of tenants to their rate coordinators: all daemons with the same member list choose the same ones.
+//! Rendezvous hashing of tenants to their rate coordinators: daemons with the same members choose the same ones.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/crates/edge/src/slots/granting.rs
+++ b/crates/edge/src/slots/granting.rs
@@ -235,7 +235,7 @@
             length: length_of(request),
             is_item: request.item.is_some(),
             is_overdue: request.overdue && !self.claim_retry(service, group),
-            // Requests from other regions aren't used as probes.
+            // Requests that spilled from a full region aren't used as probes.
             may_repeat: request.may_repeat && !request.spilled,
         };
         let all_cold = SlotGrant {
--- a/crates/edge/src/slots/group_selection.rs
+++ b/crates/edge/src/slots/group_selection.rs
@@ -78,7 +78,7 @@
         self.usable(group).next().is_some()
     }
 
-    /// True if this daemon has a usable replica of the group that it doesn't suspect.
+    /// True if the group has a usable replica that this daemon doesn't suspect.
     fn has_responsive(&self, group: GroupId) -> bool {
         self.usable(group).any(|replica| !replica.is_suspected())
     }
--- a/crates/edge/src/slots/mod.rs
+++ b/crates/edge/src/slots/mod.rs
@@ -84,7 +84,7 @@
     capacities: HashMap<(u32, GroupId), ReportedCapacity>,
     /// When a group last had no free slot for a batch item.
     full_for_items_at: HashMap<(u32, GroupId), Instant>,
-    /// Coordinators to which the last round of reports named leases.
+    /// Coordinators whose last full report listed leases.
     reported_to: HashSet<SocketAddr>,
     /// Digest of the group layouts at the last tick.
     layouts_digest: u64,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Sets what preempts batch items; without it none are.
+    /// Sets what preempts batch items; until then no item is preempted.
     pub fn set_preemption(&self, items: Box<dyn PreemptItems>) {
         // Set once, during startup.
         let _ = self.preemption.set(items);
--- a/crates/edge/src/slots/pacing.rs
+++ b/crates/edge/src/slots/pacing.rs
@@ -57,7 +57,7 @@
 }
 
 impl SlotService {
-    /// Sets the pacing of requests to cold replicas; without it they get none.
+    /// Sets the pacing of requests to cold replicas; until then they get no requests.
     pub fn set_pacing(&self, pacing: Pacing) {
         // Set once, during startup.
         let _ = self.pacing.set(pacing);
--- a/crates/edge/src/stall.rs
+++ b/crates/edge/src/stall.rs
@@ -27,8 +27,8 @@
     let _ = socket.set_tcp_user_timeout(Some(unacknowledged));
 }
 
-/// Detects a stall of one exchange. If the exchange is dropped while stalled, for whatever reason, the pool stops reusing
-/// connections to the address that were idle since before the stall.
+/// Detects a stall of one exchange. If the exchange is dropped while stalled, for whatever reason, the pool closes the
+/// connections to the address that have been idle since before the stall.
 pub(crate) struct StallWatch {
     pool: ConnectionPool,
     address: String,
--- a/crates/edge/src/watches.rs
+++ b/crates/edge/src/watches.rs
@@ -175,8 +175,8 @@
             match row_kind(&row.key) {
                 RowKind::Header => self.jobs.note_header_row(&row.value, row.revision),
                 RowKind::Fence => view.update_fence_row(&row.value, row.revision),
-                // Before the store's time is published to writers of such rows: a new instance must not overwrite the
-                // state of its predecessor before reading it.
+                // Applied before `note_proof` publishes the store's time, without which no such row is written: a new
+                // instance must read the row of its predecessor before it overwrites it.
                 RowKind::CrashUpdates => self.quarantine.apply_stored(row, update.store_time_ms),
             }
         }
@@ -185,8 +185,8 @@
                 self.jobs.header_removed(job_id);
             }
         }
-        if let Some(moment) = update.as_of {
-            view.note_proof(moment, update.store_time_ms);
+        if let Some(as_of) = update.as_of {
+            view.note_proof(as_of, update.store_time_ms);
         }
     }
 }
--- a/crates/edge/tests/cold.rs
+++ b/crates/edge/tests/cold.rs
@@ -199,7 +199,7 @@
         }
         sleep(Duration::from_millis(5)).await;
     }
-    assert_eq!(counts.len(), REPLICAS, "each gets some: {counts:?}");
+    assert_eq!(counts.len(), REPLICAS, "each replica gets some: {counts:?}");
     assert!(counts.values().all(|count| *count >= 2), "{counts:?}");
     assert!(
         counts.values().all(|count| *count <= MAX_PER_SECOND / 2),
@@ -254,7 +254,7 @@
     assert!(matches!(reply, SlotReply::AllCold), "{reply:?}");
     assert!(are_reported_cold());
     settle(&daemons).await;
-    assert!(!are_reported_cold(), "a word holds for a moment");
+    assert!(!are_reported_cold(), "the report has expired");
     while choose(own).await.is_some() {}
     acquire(requester, None).await;
     let view = own.replicas.view();
@@ -262,7 +262,7 @@
         replica.note_row_warmup(Duration::ZERO, Instant::now());
     }
     assert!(choose(requester).await.is_some());
-    assert!(!are_reported_cold(), "the coordinator takes it back");
+    assert!(!are_reported_cold(), "the coordinator granted again");
 }
 
 /// Guards against batch items that use up the rate online requests need.
@@ -290,7 +290,7 @@
     assert!(choose(own).await.is_some());
     pause();
     advance(Duration::from_secs(3)).await;
-    assert!(choose(own).await.is_none(), "it stood still");
+    assert!(choose(own).await.is_none(), "it was stalled");
     own.slots.tick();
     assert!(choose(own).await.is_none(), "it may have been replaced");
     resume();
@@ -315,7 +315,7 @@
     successor.slots.tick();
     assert!(
         choose(successor).await.is_none(),
-        "the old one may grant yet"
+        "its predecessor may still grant"
     );
     settle(std::slice::from_ref(successor)).await;
     // The others may be in another partition and still grant, so its share of a replica's rate is at most one request.
@@ -332,7 +332,10 @@
     while choose(successor).await.is_some() {
         granted += 1;
     }
-    assert!(granted >= REPLICAS, "they count as gone now: {granted}");
+    assert!(
+        granted >= REPLICAS,
+        "the others are considered departed: {granted}"
+    );
 }
 
 /// Guards against a coordinator that started in a partition and grants the full rate.
@@ -388,7 +391,7 @@
     let until = choice.cold_until.expect("counted");
     assert!(
         until <= requested_at + COLD_GRANT_LIFETIME + Duration::from_millis(20),
-        "from the question"
+        "counted from the request"
     );
 }
 
@@ -424,7 +427,7 @@
 
 async fn counted_as_cold(socket: &UdpSocket) -> bool {
     let mut buffer = vec![0; 2_000];
-    let (length, _) = socket.recv_from(&mut buffer).await.expect("an answer");
+    let (length, _) = socket.recv_from(&mut buffer).await.expect("a reply");
     match decode::<NodeDatagram>(&buffer[..length]).and_then(|datagram| datagram.kind) {
         Some(Kind::SlotGrant(grant)) => grant.counted_cold,
         other => panic!("{other:?}"),
--- a/crates/edge/tests/ejection.rs
+++ b/crates/edge/tests/ejection.rs
@@ -79,7 +79,7 @@
     while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
         let datagram = decode::<NodeDatagram>(&buffer[..length]);
         if let Some(kind) = datagram.and_then(|datagram| datagram.kind) {
-            assert!(slots.receive(kind, from).is_none(), "not about places");
+            assert!(slots.receive(kind, from).is_none(), "not about slots");
         }
     }
 }
@@ -159,7 +159,7 @@
             DAEMONS * REQUESTS
         );
         let sent = send_from_all(&daemons, bad, false).await;
-        assert_eq!(sent, 0, "it is out");
+        assert_eq!(sent, 0, "it is ejected");
     }
 }
 
@@ -208,7 +208,7 @@
         drop((probe, other, online));
         tokio::time::sleep(Duration::from_millis(30)).await;
     }
-    assert_eq!(probes, 3, "items try it");
+    assert_eq!(probes, 3, "items probe it");
     let sent = send_from_all(&daemons, AttemptOutcome::Served, false).await;
     assert!(sent > REQUESTS / 2, "{sent}: it is back");
 }
--- a/crates/edge/tests/hedged.rs
+++ b/crates/edge/tests/hedged.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use tokio::time::{Instant, sleep};
 
-/// Delay after which the next peer is asked.
+/// Delay after which the next peer is queried.
 const HEDGE_DELAY: Duration = Duration::from_millis(100);
 
 /// Timeout of a request to an unresponsive peer.
@@ -24,13 +24,13 @@
     Unresponsive,
 }
 
-/// Returns the peer that responded, the elapsed time, and the number of peers asked.
+/// Returns the peer that responded, the elapsed time, and the number of peers queried.
 async fn send_hedged(peers: &[Peer]) -> (Option<usize>, Duration, usize) {
     let began = Instant::now();
-    let asked = Mutex::new(0);
+    let queried = Mutex::new(0);
     let names = (0..peers.len()).map(|number| number.to_string()).collect();
     let response = first_response(names, HEDGE_DELAY, |name: String| {
-        *asked.lock().unwrap() += 1;
+        *queried.lock().unwrap() += 1;
         async move {
             let number: usize = name.parse().unwrap();
             match peers[number] {
@@ -50,15 +50,15 @@
         }
     });
     let response = response.await;
-    let count = *asked.lock().unwrap();
+    let count = *queried.lock().unwrap();
     (response, began.elapsed(), count)
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_responds_in_time_is_the_only_one_asked() {
-    let (response, elapsed, asked) =
+async fn a_peer_that_responds_in_time_is_the_only_one_queried() {
+    let (response, elapsed, queried) =
         send_hedged(&[Peer::Responds(30), Peer::Responds(1), Peer::Responds(1)]).await;
-    assert_eq!((response, asked), (Some(0), 1));
+    assert_eq!((response, queried), (Some(0), 1));
     assert!(elapsed < HEDGE_DELAY, "{elapsed:?}");
 }
 
@@ -89,8 +89,8 @@
 #[tokio::test(start_paused = true)]
 async fn the_call_fails_once_all_peers_have_failed() {
     assert_eq!(send_hedged(&[]).await.0, None);
-    let (response, elapsed, asked) = send_hedged(&[Peer::HasNoRows(5), Peer::Unresponsive]).await;
-    assert_eq!((response, asked), (None, 2));
+    let (response, elapsed, queried) = send_hedged(&[Peer::HasNoRows(5), Peer::Unresponsive]).await;
+    assert_eq!((response, queried), (None, 2));
     assert!(elapsed < REQUEST_TIMEOUT + HEDGE_DELAY, "{elapsed:?}");
 }
 
--- a/crates/edge/tests/pool.rs
+++ b/crates/edge/tests/pool.rs
@@ -98,7 +98,7 @@
     let request = request.body(Bytes::new()).expect("request");
     let exchange = async {
         let response = pool.send(&server.address, request, false).await;
-        let mut response = response.expect("answer");
+        let mut response = response.expect("a response");
         while let Some(part) = response.body.next().await {
             part.expect("part");
         }
@@ -121,7 +121,7 @@
     server.stall();
     assert!(
         !request(&pool, &server, COMPLETE).await,
-        "it is on a silent connection"
+        "it is on a stalled connection"
     );
     let began = Instant::now();
     assert!(
@@ -138,7 +138,7 @@
     let pool = pool();
     fill_pool(&pool, &server).await;
     let stopped = request(&pool, &server, HALF).await;
-    assert!(!stopped, "its answer stops midway");
+    assert!(!stopped, "its response stops midway");
     server.stall();
     assert!(
         request(&pool, &server, COMPLETE).await,
--- a/crates/edge/tests/rates.rs
+++ b/crates/edge/tests/rates.rs
@@ -179,8 +179,11 @@
         let status = daemons[0].rates.admit(&tenant, "r").await;
         unknown += usize::from(status == RateStatus::Unknown);
     }
-    assert!(unknown > 0, "some tenants are the silent one's");
-    assert!(began.elapsed() < Duration::from_millis(200), "asked again");
+    assert!(unknown > 0, "the unresponsive daemon coordinates no tenant");
+    assert!(
+        began.elapsed() < Duration::from_millis(200),
+        "more than one request waited"
+    );
 }
 
 /// Starts daemons with short bounds and waits until no token granted before their start can still be in use.
@@ -199,10 +202,10 @@
         .iter()
         .filter(|one| one.candidate.id != unresponsive)
     {
-        let statuses = |other: &&Daemon| {
+        let is_other = |other: &&Daemon| {
             ![unresponsive, &*daemon.candidate.id].contains(&&*other.candidate.id)
         };
-        let other = daemons.iter().find(statuses).expect("another one");
+        let other = daemons.iter().find(is_other).expect("another one");
         let of_other = |tenant: &&Arc<Tenant>| other.rates.coordinates(&tenant.name);
         let tenant = tenants.iter().find(of_other).expect("a tenant of it");
         assert_eq!(daemon.rates.admit(tenant, "r").await, RateStatus::Within);
@@ -282,7 +285,7 @@
         assert_eq!(status, RateStatus::Unknown);
         seen += 1;
     }
-    assert!(seen > 0, "some tenants went to the silent one");
+    assert!(seen > 0, "the unresponsive daemon coordinates no tenant");
 }
 
 /// Guards against a new coordinator that grants the share of members in another partition.
@@ -293,15 +296,21 @@
     let members = vec![daemons[0].candidate.clone(), new.candidate.clone()];
     daemons[0].rates.set_members(members.clone());
     new.rates.set_members(members);
-    assert!((new.rates.share() - 1.0).abs() < 1e-9, "it knows of two");
+    assert!(
+        (new.rates.share() - 1.0).abs() < 1e-9,
+        "two members are known"
+    );
     for tenant in tenants() {
         new.rates.admit(&tenant, "r").await;
         if (new.rates.share() - 2.0 / 3.0).abs() < 1e-9 {
             return;
         }
-        assert!(!new.rates.coordinates(&tenant.name), "it gave out untold");
+        assert!(
+            !new.rates.coordinates(&tenant.name),
+            "it granted before it received the fleet size"
+        );
     }
-    panic!("it was not told");
+    panic!("it received no fleet size");
 }
 
 /// Guards against a daemon that starts isolated in a partition and grants whole limits.
--- a/crates/edge/tests/regions.rs
+++ b/crates/edge/tests/regions.rs
@@ -61,7 +61,7 @@
 }
 
 impl Fleet {
-    /// Returns the daemons of a region in turn.
+    /// Returns one of the daemons of a region, chosen by `turn`.
     fn at(&self, region: usize, turn: usize) -> &Daemon {
         let there: Vec<&Daemon> = self
             .daemons
@@ -261,7 +261,7 @@
     let fleet = fleet([0, PER_REGION, 0]).await;
     for _ in 0..4 {
         for turn in 0..3 {
-            let held = enter(fleet.at(0, turn)).await.expect("an answer");
+            let held = enter(fleet.at(0, turn)).await.expect("a slot");
             assert_eq!(held.left, Some(CrossRegionReason::NoReplica));
         }
     }
@@ -272,10 +272,10 @@
     let fleet = fleet([PER_REGION; 3]).await;
     let slots = PER_REGION * SLOTS as usize;
     let mut held = enter_many(&fleet, 0, slots).await;
-    assert_eq!(outside(&held, 0), 0, "there was room");
+    assert_eq!(outside(&held, 0), 0, "there was free capacity");
     let more = enter_many(&fleet, 0, 2 * slots).await;
     let left = outside(&more, 0);
-    assert!(left > 0, "nobody left the full region");
+    assert!(left > 0, "nothing spilled from the full region");
     let why = more.iter().filter(|one| one.region != REGIONS[0]);
     for one in why {
         assert_eq!(one.left, Some(CrossRegionReason::Full));
@@ -295,11 +295,11 @@
     let own_region = AllowedRegions::only([REGIONS[0].to_owned()]);
     let mut held = Vec::new();
     for _ in 0..3 * PER_REGION * SLOTS as usize {
-        held.push(enter_in(busy, &own_region).await.expect("a place"));
+        held.push(enter_in(busy, &own_region).await.expect("a slot"));
     }
     // The first request to another region measures the round-trip time.
     for turn in [1, 2, 1, 2] {
-        held.push(enter(fleet.at(0, turn)).await.expect("a place"));
+        held.push(enter(fleet.at(0, turn)).await.expect("a slot"));
         settle().await;
         sleep(EXPIRED).await;
     }
@@ -315,11 +315,7 @@
     let own_region = AllowedRegions::only([REGIONS[0].to_owned()]);
     let mut held = Vec::new();
     for turn in 0..4 * PER_REGION * SLOTS as usize {
-        held.push(
-            enter_in(busy[turn % 2], &own_region)
-                .await
-                .expect("a place"),
-        );
+        held.push(enter_in(busy[turn % 2], &own_region).await.expect("a slot"));
     }
     // Coordinators observe hold times when leases are released.
     sleep(OBJECTIVE).await;
@@ -393,7 +389,11 @@
         assert_eq!(held.left, Some(CrossRegionReason::NoReplica));
     }
     let other = enter_many(&fleet, 1, 3).await;
-    assert_eq!(outside(&other, 1), 0, "only the dark region's leave");
+    assert_eq!(
+        outside(&other, 1),
+        0,
+        "only requests of the suspected region leave"
+    );
     sleep(EXPIRED).await;
     let back = enter_many(&fleet, 0, 9).await;
     assert_eq!(outside(&back, 0), 0);
@@ -415,7 +415,7 @@
     fleet.network.is_partitioned.store(false, Ordering::Relaxed);
     sleep(EXPIRED).await;
     let more = enter_many(&fleet, 0, 2 * slots).await;
-    assert!(outside(&more, 0) > 0, "nobody leaves after the cut");
+    assert!(outside(&more, 0) > 0, "nothing spills after the partition");
     drop(held);
 }
 
--- a/crates/edge/tests/server.rs
+++ b/crates/edge/tests/server.rs
@@ -132,8 +132,8 @@
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert_eq!(control.in_progress(), 1);
     control.set_stage(ServerStage::Closing);
-    let rest = read_to_end(stream).await;
-    assert!(rest.len() > LARGE_BYTES, "{} bytes", rest.len());
+    let remaining = read_to_end(stream).await;
+    assert!(remaining.len() > LARGE_BYTES, "{} bytes", remaining.len());
     while control.in_progress() > 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
@@ -182,7 +182,7 @@
     let mut reused = TcpStream::connect(address).await.expect("connect");
     reused.write_all(REQUEST).await.expect("write");
     let mut response = vec![0; 1];
-    reused.read_exact(&mut response).await.expect("an answer");
+    reused.read_exact(&mut response).await.expect("a response");
     tokio::time::sleep(Duration::from_millis(20)).await;
     let mut reused = BlockingCaller {
         stream: reused.into_std().expect("stream"),
--- a/crates/edge/tests/slots.rs
+++ b/crates/edge/tests/slots.rs
@@ -113,7 +113,7 @@
     while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
         let datagram = decode::<NodeDatagram>(&buffer[..length]);
         if let Some(kind) = datagram.and_then(|datagram| datagram.kind) {
-            assert!(slots.receive(kind, from).is_none(), "not about places");
+            assert!(slots.receive(kind, from).is_none(), "not about slots");
         }
     }
 }
@@ -153,7 +153,10 @@
     let replica = view.all().next().expect("a replica");
     assert!(daemon.slots.is_coordinated(replica));
     assert!(enter(&daemon, None).await.is_none());
-    assert!(!daemon.slots.is_coordinated(replica), "it is silent");
+    assert!(
+        !daemon.slots.is_coordinated(replica),
+        "its coordinator is unresponsive"
+    );
     daemon.slots.set_members(vec![member("a", 10)]);
     daemon.slots.set_members(unresponsive);
     assert!(daemon.slots.is_coordinated(replica));
@@ -220,7 +223,7 @@
             .map(|daemon| daemon.preempted.lock().expect("a lock").len())
             .sum()
     };
-    assert_eq!(preempted(), 0, "there was room");
+    assert_eq!(preempted(), 0, "there was free capacity");
     let urgent = enter(&daemons[1], None).await.expect("an item's slot");
     assert_eq!(urgent.class(), WorkClass::Online);
     tokio::time::sleep(Duration::from_millis(100)).await;
--- a/crates/edge/tests/stored_crash_reports.rs
+++ b/crates/edge/tests/stored_crash_reports.rs
@@ -51,7 +51,8 @@
                 .all(|(key, _)| *key == crash_updates_key(INSTANCE_ID))
         );
         let rows = written.iter().map(|(_, value)| decode(value));
-        rows.map(|row| row.expect("a row of news")).collect()
+        rows.map(|row| row.expect("a row of crash reports"))
+            .collect()
     }
 }
 
@@ -123,21 +124,21 @@
 
 /// Returns a report of three crashes under one content.
 fn three_crashes(content: ContentId) -> CrashNews {
-    let ends = (1..=3).map(|replica| ReplicaEnd { replica, age_ms: 0 });
+    let crashes = (1..=3).map(|replica| ReplicaEnd { replica, age_ms: 0 });
     CrashNews {
         contents: vec![CrashedContent {
             content: content.0,
-            ends: ends.collect(),
+            ends: crashes.collect(),
             ..CrashedContent::default()
         }],
     }
 }
 
-fn row_of(news: CrashNews, life: &str, written_ms: u64, revision: u64) -> Row {
+fn row_of(reports: CrashNews, life: &str, written_ms: u64, revision: u64) -> Row {
     let row = CrashNewsRow {
         life: life.to_owned(),
         written_ms,
-        news: Some(news),
+        news: Some(reports),
     };
     Row {
         key: crash_updates_key(life),
@@ -150,7 +151,7 @@
     row_of(three_crashes(CONTENT), "other@1", written_ms, 1)
 }
 
-fn left(quarantine: &QuarantineService) -> Option<Duration> {
+fn remaining(quarantine: &QuarantineService) -> Option<Duration> {
     match quarantine.status(CONTENT) {
         ContentStatus::Quarantined(quarantine) => Some(
             quarantine
@@ -166,10 +167,13 @@
     let quarantine = quarantine();
     let age_ms = 400_000;
     quarantine.apply_stored(&row(NOW_MS - age_ms), NOW_MS);
-    let left = left(&quarantine).expect("held back");
+    let remaining = remaining(&quarantine).expect("quarantined");
     let expected = Duration::from_millis(FIRST_QUARANTINE_MS - age_ms);
-    assert!(left <= expected, "{left:?}");
-    assert!(left + Duration::from_secs(1) > expected, "{left:?}");
+    assert!(remaining <= expected, "{remaining:?}");
+    assert!(
+        remaining + Duration::from_secs(1) > expected,
+        "{remaining:?}"
+    );
 }
 
 #[tokio::test]
@@ -177,7 +181,7 @@
     for age_ms in [FIRST_QUARANTINE_MS, CRASH_TTL_MS - 1] {
         let quarantine = quarantine();
         quarantine.apply_stored(&row(NOW_MS - age_ms), NOW_MS);
-        assert_eq!(left(&quarantine), None, "{age_ms} ms old");
+        assert_eq!(remaining(&quarantine), None, "{age_ms} ms old");
     }
     for age_ms in [CRASH_TTL_MS, NOW_MS] {
         let quarantine = quarantine();
@@ -227,12 +231,12 @@
     quarantine.receive(Kind::CrashNews(three_crashes(CONTENT)));
     assert!(quarantine.release(CONTENT));
     sleep(SETTLED).await;
-    let news = rows.written()[0].news.clone().expect("news");
-    let released = row_of(news, INSTANCE_ID, NOW_MS, 2);
+    let reports = rows.written()[0].news.clone().expect("crash reports");
+    let released = row_of(reports, INSTANCE_ID, NOW_MS, 2);
     // Older than the time for which releases are gossiped.
-    let ends = row(NOW_MS - 1);
+    let crashes = row(NOW_MS - 1);
     let read_at_ms = NOW_MS + 300_000;
-    for order in [[&ends, &released], [&released, &ends]] {
+    for order in [[&crashes, &released], [&released, &crashes]] {
         let later = self::quarantine();
         for one in order {
             later.apply_stored(one, read_at_ms);
@@ -252,7 +256,7 @@
     let written = rows.written();
     assert!(written.len() <= 2, "{} writes", written.len());
     let last = written.last().and_then(|row| row.news.as_ref());
-    assert_eq!(last.expect("news").contents.len(), 10);
+    assert_eq!(last.expect("crash reports").contents.len(), 10);
 }
 
 /// Guards against an indeterminate write that takes effect after the one that replaced it.
@@ -267,7 +271,7 @@
         |written_ms, revision| row_of(CrashNews::default(), INSTANCE_ID, written_ms, revision);
     quarantine.apply_stored(&own(NOW_MS, 1), NOW_MS);
     sleep(SETTLED).await;
-    assert_eq!(rows.written().len(), 1, "its own row as it wrote it");
+    assert_eq!(rows.written().len(), 1, "its own row is as it was written");
     quarantine.apply_stored(&own(NOW_MS - 300, 2), NOW_MS);
     sleep(SETTLED).await;
     assert_eq!(rows.written().len(), 2);
--- a/crates/edge/tests/suspended.rs
+++ b/crates/edge/tests/suspended.rs
@@ -136,7 +136,7 @@
     };
     let granting = async {
         let (Kind::SlotAsk(ask), from) = receive_one(&peer).await else {
-            panic!("not a question");
+            panic!("not a lease request");
         };
         harrierward_clock::simulate_suspension(SUSPENSION);
         let grant = SlotGrant {
@@ -150,16 +150,16 @@
         ask.lease
     };
     let prompt = Prompt::default();
-    let (answer, lease) = tokio::join!(holder.acquire(query(&prompt)), granting);
+    let (reply, lease) = tokio::join!(holder.acquire(query(&prompt)), granting);
     assert!(
-        matches!(answer, SlotReply::NoCoordinator),
-        "the lease is old"
+        matches!(reply, SlotReply::NoCoordinator),
+        "the lease has expired"
     );
     receiving.await.expect("no panic");
     loop {
         // The request may have been resent.
         if let (Kind::SlotReport(report), _) = receive_one(&peer).await {
-            assert_eq!(report.released, vec![lease], "it is given back");
+            assert_eq!(report.released, vec![lease], "the lease is released");
             break;
         }
     }
@@ -208,7 +208,7 @@
     assert_eq!(replica.online(), 0);
     let report = full_report(1, 2, &[2], replica.hash);
     coordinator.receive(report, from);
-    assert_eq!(replica.online(), 1, "what is told anew counts");
+    assert_eq!(replica.online(), 1, "a new report counts");
 }
 
 /// Starts a server that never closes connections; returns its address and the count of accepted connections.
@@ -229,8 +229,8 @@
 async fn serve(mut stream: TcpStream) {
     let mut buffer = [0; 4_096];
     while let Ok(count) = stream.read(&mut buffer).await {
-        let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhalf";
-        if count == 0 || stream.write_all(answer).await.is_err() {
+        let response = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhalf";
+        if count == 0 || stream.write_all(response).await.is_err() {
             return;
         }
     }
@@ -239,8 +239,11 @@
 async fn exchange(pool: &ConnectionPool, address: &str) {
     let request = Request::builder().uri("/").header("host", "example");
     let request = request.body(Bytes::new()).expect("request");
-    let mut answer = pool.send(address, request, false).await.expect("answer");
-    while let Some(part) = answer.body.next().await {
+    let mut response = pool
+        .send(address, request, false)
+        .await
+        .expect("a response");
+    while let Some(part) = response.body.next().await {
         part.expect("part");
     }
 }
@@ -254,9 +257,13 @@
     let pool = ConnectionPool::new(PoolSettings::default(), log);
     exchange(&pool, &address).await;
     exchange(&pool, &address).await;
-    assert_eq!(accepted.load(Ordering::Relaxed), 1, "it is kept");
+    assert_eq!(
+        accepted.load(Ordering::Relaxed),
+        1,
+        "the connection is reused"
+    );
     harrierward_clock::simulate_suspension(SUSPENSION);
-    assert!(!pool.has_idle(&address), "its time is over");
+    assert!(!pool.has_idle(&address), "the connection has expired");
     exchange(&pool, &address).await;
     assert_eq!(accepted.load(Ordering::Relaxed), 2);
 }
@@ -289,7 +296,7 @@
     };
     match coordinator.acquire(query).await {
         SlotReply::Granted { choice, .. } => choice.replica,
-        _ => panic!("no place"),
+        _ => panic!("no slot"),
     }
 }
 
@@ -310,10 +317,10 @@
         coordinator.receive(completed(lease, bad, OutcomeKind::Failed), from);
     }
     for _ in 0..8 {
-        assert_ne!(place_item(&coordinator).await.hash, bad, "it is out");
+        assert_ne!(place_item(&coordinator).await.hash, bad, "it is ejected");
     }
     harrierward_clock::simulate_suspension(SUSPENSION);
-    assert_eq!(place_item(&coordinator).await.hash, bad, "it is tried");
+    assert_eq!(place_item(&coordinator).await.hash, bad, "it is probed");
     assert_ne!(place_item(&coordinator).await.hash, bad, "one at a time");
 }
 
@@ -325,26 +332,26 @@
     let log = DecisionLog::new(LogBounds::default());
     let pool = ConnectionPool::new(PoolSettings::default(), log.clone());
     let quarantine = QuarantineService::new("own".to_owned(), replica_set(), pool, log);
-    let ends = (1..=3).map(|replica| ReplicaEnd { replica, age_ms: 0 });
-    let news = CrashNews {
+    let crashes = (1..=3).map(|replica| ReplicaEnd { replica, age_ms: 0 });
+    let reports = CrashNews {
         contents: vec![CrashedContent {
             content: 5,
-            ends: ends.collect(),
+            ends: crashes.collect(),
             ..CrashedContent::default()
         }],
     };
-    assert!(quarantine.receive(Kind::CrashNews(news)).is_none());
+    assert!(quarantine.receive(Kind::CrashNews(reports)).is_none());
     let ContentStatus::Quarantined(period) = quarantine.status(ContentId(5)) else {
-        panic!("not held");
+        panic!("not quarantined");
     };
     harrierward_clock::simulate_suspension(Duration::from_secs(6));
     assert!(period.allows_trial(harrierward_clock::now()));
-    let left = period
+    let remaining = period
         .until
         .saturating_duration_since(harrierward_clock::now());
     let expected = QUARANTINE_DURATION - Duration::from_secs(6);
-    let passed = expected.saturating_sub(left);
-    assert!(left <= expected && passed < TIMEOUT, "{left:?}");
+    let passed = expected.saturating_sub(remaining);
+    assert!(remaining <= expected && passed < TIMEOUT, "{remaining:?}");
     harrierward_clock::simulate_suspension(QUARANTINE_DURATION);
     let status = quarantine.status(ContentId(5));
     assert_eq!(status, ContentStatus::Suspect { crashes: 3 });
