--- a/crates/edge/src/peer_rows.rs
+++ b/crates/edge/src/peer_rows.rs
@@ -35,7 +35,7 @@
 /// Time for the store to respond before peers are queried; callers are refused until then.
 const STORE_WAIT: Duration = Duration::from_millis(150);
 
-/// Bounds of the backoff between rounds of requests. If all daemons start at once none has rows yet.
+/// Bounds of the backoff between rounds of requests. If all daemons start at once, none has rows yet.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_millis(600);
 
--- a/crates/edge/src/peer_updates.rs
+++ b/crates/edge/src/peer_updates.rs
@@ -18,8 +18,8 @@
 /// Interval at which a newer version announced by a peer is checked for.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long peers may be ahead before the store's feed counts as having skipped the change. Shorter would fetch from
-/// peers what the feed is about to deliver.
+/// How long peers may be ahead before the store's feed counts as having skipped the change. A shorter time would
+/// fetch from peers what the feed is about to deliver.
 const FEED_LAG_LIMIT: Duration = Duration::from_millis(1_000);
 
 /// Since when peers have announced versions that this daemon lacks.
--- a/crates/edge/src/relay/content.rs
+++ b/crates/edge/src/relay/content.rs
@@ -12,7 +12,7 @@
 /// Size in bytes from which content is compressed: rows of replicas are similar and links may be slow.
 const MIN_COMPRESSED_BYTES: usize = 8 * 1024;
 
-/// Maximum size of decompressed content in bytes; longer content is rejected.
+/// Maximum size of decompressed content in bytes; longer content is truncated, so that it fails to decode.
 const MAX_CONTENT_BYTES: u64 = 256 * 1024 * 1024;
 
 /// Rows encoded for a reply.
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -45,7 +45,7 @@
     pub grace: Duration,
     /// How long a job stays readable after its submission.
     pub job_retention: Duration,
-    /// Time after a job's cancellation from which none of its items may start.
+    /// Time after a job's cancellation by which no daemon starts its items any more.
     pub cancel_within: Duration,
     /// Share by which queued tokens may exceed their limit.
     pub quota_excess: f64,
--- a/crates/edge/src/slots/group_selection.rs
+++ b/crates/edge/src/slots/group_selection.rs
@@ -184,8 +184,8 @@
         Target::own_region(own_region_group)
     }
 
-    /// Chooses a group of the own region by prefix affinity, or a random one that has more free capacity. Short prompts
-    /// stay in the own zone's groups; long prompts use any of the region.
+    /// Chooses a group of the own region by prefix affinity, or a random one that has more free capacity. Long
+    /// prompts have affinity to a group anywhere in the region, others to one in the own zone if it has any.
     fn own_region_group(&self, groups: &Groups<'_>, in_own_region: &[GroupId]) -> Option<GroupId> {
         let query = groups.query;
         let location = self.location;
--- a/crates/edge/src/slots/pacing.rs
+++ b/crates/edge/src/slots/pacing.rs
@@ -74,7 +74,7 @@
         self.lock().pacing.pacer.share(share)
     }
 
-    /// Keeps the replicas that may get a request now: warm ones, and cold ones below their rate.
+    /// Returns the replicas that may get a request now: warm ones, and cold ones below their rate.
     pub(super) fn within_cold_rate(
         &self,
         group: GroupKey,
