--- a/crates/edge/src/slots/mod.rs
+++ b/crates/edge/src/slots/mod.rs
@@ -93,7 +93,7 @@
     admissions: HashMap<(u32, GroupId), GroupAdmission>,
     /// Outlier detection of the groups that this daemon coordinates.
     outliers: HashMap<(u32, GroupId), OutlierDetector>,
-    /// Cache of [`SlotService::find_coordinator`], cleared when the members change.
+    /// Cache of [`SlotService::find_coordinator`], cleared when the members or the group layouts change.
     coordinators: HashMap<(u32, GroupId), Coordinator>,
     /// Cache of the members nearest to each area.
     nearest: NearestMembers,
--- a/crates/edge/src/slots/requests.rs
+++ b/crates/edge/src/slots/requests.rs
@@ -116,7 +116,7 @@
         };
         let send = || self.send(Kind::SlotAsk(request.clone()), address);
         let mut location = PeerLocation::from(self.location, coordinator.location);
-        // A spilled request has a slot in its own region, so it doesn't wait longer for an unmeasured peer; a late
+        // A spilled request can fall back to its own region, so it doesn't wait longer for an unmeasured peer; a late
         // reply still yields the round-trip time.
         location.is_remote_region &= !request.spilled;
         let Some(grant) = self.calls.call(lease, location, timeouts, send).await else {
