--- a/crates/edge/src/slots/pacing.rs
+++ b/crates/edge/src/slots/pacing.rs
@@ -57,7 +57,7 @@
 }
 
 impl SlotService {
-    /// Sets the pacing of requests to cold replicas; without it they get none.
+    /// Sets the pacing of requests to cold replicas; until then they get no requests.
     pub fn set_pacing(&self, pacing: Pacing) {
         // Set once, during startup.
         let _ = self.pacing.set(pacing);
@@ -74,7 +74,7 @@
         self.lock().pacing.pacer.share(share)
     }
 
-    /// Keeps the replicas that may get a request now: warm ones, and cold ones below their rate.
+    /// Returns the replicas that may get a request now: warm ones, and cold ones below their rate.
     pub(super) fn within_cold_rate(
         &self,
         group: GroupKey,
