--- a/crates/api/src/generate.rs
+++ b/crates/api/src/generate.rs
@@ -77,11 +77,11 @@
     };
     let response_stream = node.gateway().call(call).await?;
     let is_stored = response_stream.is_stored();
-    let header = ResponseHeader::new(response_stream.identity().clone(), &spec);
+    let metadata = ResponseMetadata::new(response_stream.identity().clone(), &spec);
     let mut response = if spec.stream {
-        streamed_response(header, spec, response_stream)
+        streamed_response(metadata, spec, response_stream)
     } else {
-        complete_response(header, response_stream).await?
+        complete_response(metadata, response_stream).await?
     };
     if is_stored {
         add_replay_headers(&mut response);
@@ -151,13 +151,13 @@
 
 /// Fields that all chunks of a response share.
 #[derive(Debug, Clone)]
-struct ResponseHeader {
+struct ResponseMetadata {
     identity: ResponseIdentity,
     model: String,
     kind: EndpointKind,
 }
 
-impl ResponseHeader {
+impl ResponseMetadata {
     fn new(identity: ResponseIdentity, spec: &GenerationSpec) -> Self {
         Self {
             identity,
@@ -227,12 +227,12 @@
 }
 
 async fn complete_response(
-    header: ResponseHeader,
+    metadata: ResponseMetadata,
     response_stream: ResponseStream,
 ) -> Result<Response, ApiError> {
     let collected = response_stream.collect_response().await?;
     let finish_reason = Some(collected.reason.name());
-    let (object, choice) = match header.kind {
+    let (object, choice) = match metadata.kind {
         EndpointKind::Chat => (
             "chat.completion",
             Choice {
@@ -253,7 +253,7 @@
             },
         ),
     };
-    let mut body = header.chunk(object, vec![choice]);
+    let mut body = metadata.chunk(object, vec![choice]);
     body.usage = Some(collected.usage.into());
     let mut response = Json(body).into_response();
     let ran = HeaderValue::from_static(Execution::Ran.name());
@@ -268,21 +268,21 @@
 
 /// Encodes response events as server-sent events.
 struct EventEncoder {
-    header: ResponseHeader,
+    metadata: ResponseMetadata,
     include_usage: bool,
     first: bool,
 }
 
 impl EventEncoder {
     fn object(&self) -> &'static str {
-        match self.header.kind {
+        match self.metadata.kind {
             EndpointKind::Chat => "chat.completion.chunk",
             EndpointKind::Completion => "text_completion",
         }
     }
 
     fn text(&mut self, text: &str) -> String {
-        let choice = match self.header.kind {
+        let choice = match self.metadata.kind {
             EndpointKind::Chat => Choice {
                 delta: Some(Message {
                     role: std::mem::take(&mut self.first).then_some("assistant"),
@@ -295,7 +295,7 @@
                 ..Choice::default()
             },
         };
-        encode_event(&self.header.chunk(self.object(), vec![choice]))
+        encode_event(&self.metadata.chunk(self.object(), vec![choice]))
     }
 
     fn finish(&self, reason: FinishReason, usage: Usage) -> String {
@@ -304,14 +304,14 @@
             content: None,
         };
         let choice = Choice {
-            delta: (self.header.kind == EndpointKind::Chat).then_some(empty),
-            text: (self.header.kind == EndpointKind::Completion).then_some(""),
+            delta: (self.metadata.kind == EndpointKind::Chat).then_some(empty),
+            text: (self.metadata.kind == EndpointKind::Completion).then_some(""),
             finish_reason: Some(reason.name()),
             ..Choice::default()
         };
-        let mut frames = encode_event(&self.header.chunk(self.object(), vec![choice]));
+        let mut frames = encode_event(&self.metadata.chunk(self.object(), vec![choice]));
         if self.include_usage {
-            let mut chunk = self.header.chunk(self.object(), Vec::new());
+            let mut chunk = self.metadata.chunk(self.object(), Vec::new());
             chunk.usage = Some(usage.into());
             frames.push_str(&encode_event(&chunk));
         }
@@ -321,12 +321,12 @@
 }
 
 fn streamed_response(
-    header: ResponseHeader,
+    metadata: ResponseMetadata,
     spec: GenerationSpec,
     response_stream: ResponseStream,
 ) -> Response {
     let encoder = EventEncoder {
-        header,
+        metadata,
         include_usage: spec.include_usage,
         first: true,
     };
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -34,8 +34,8 @@
 /// two readings never counts as a suspension.
 fn min_lead() -> Duration {
     let boot = duration_of(clock_gettime(ClockId::Boottime));
-    let steady = duration_of(clock_gettime(ClockId::Monotonic));
-    boot.saturating_sub(steady)
+    let monotonic = duration_of(clock_gettime(ClockId::Monotonic));
+    boot.saturating_sub(monotonic)
 }
 
 /// Readings of the initial lead, of which the largest counts: a single one may be too small because of a preemption,
--- a/crates/decisions/src/record.rs
+++ b/crates/decisions/src/record.rs
@@ -300,7 +300,7 @@
         /// Why that is not the region of this daemon; absent if it is.
         #[serde(skip_serializing_if = "Option::is_none")]
         left_region: Option<&'a str>,
-        /// Requests at the replica, as counted by whoever chose it.
+        /// Requests at the replica, as counted by the daemon that chose it.
         load: u32,
         /// Requests that the replica runs concurrently.
         slots: u32,
@@ -442,9 +442,9 @@
         tenant: &'a str,
         /// Key of the claim's row.
         claim: &'a str,
-        /// Attempt that holds the claim; empty for a stored response.
+        /// Attempt that held the claim; empty if the resend met none.
         holder: &'a str,
-        /// Time since the holder claimed, by both daemons' clocks; 0 for a stored response.
+        /// Time since the holder claimed, by both daemons' clocks; 0 without a holder.
         held_for_ms: u64,
         /// Kind of response to the resend; `stored` for a stored response.
         outcome: &'a str,
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Counts of this gateway's online requests at one replica, read by the replica's owner.
+/// Counts of this gateway's online requests at one replica, sent to the replica's owner.
 #[derive(Debug, Default)]
 pub struct OnlineCounts {
     running: AtomicU32,
--- a/crates/gateway/src/gateway/claiming.rs
+++ b/crates/gateway/src/gateway/claiming.rs
@@ -16,7 +16,7 @@
 
 const STEP: &str = "gateway.claim";
 
-/// Maximum wait of a resend for the run in progress. It bounds the connections that wait for a holder that has crashed.
+/// Maximum wait of a resend for the run in progress; limits how long connections wait for a holder that has crashed.
 const MAX_RESEND_WAIT: Duration = Duration::from_secs(1);
 
 /// Sent as `retry-after` to a resend whose wait timed out.
--- a/crates/harrierward/src/command_line.rs
+++ b/crates/harrierward/src/command_line.rs
@@ -43,7 +43,7 @@
     Command {
         words: &["serve"],
         arguments: "",
-        about: "Runs the daemon until it is told to stop.",
+        about: "Runs the daemon until a signal stops it.",
         options: serve::options,
         run: serve::run,
     },
@@ -64,7 +64,7 @@
     Command {
         words: &["explain"],
         arguments: "ID [FILE...]",
-        about: "Tells the story of a request, job, item or replica from decision logs (or standard input).",
+        about: "Prints the history of a request, job, item or replica from decision logs (or standard input).",
         options: commands::no_options,
         run: explain::run,
     },
@@ -155,7 +155,7 @@
             text.push_str(&format!("  {name:<24} {}\n", command.about));
         }
     }
-    text.push_str("\n`harrierward COMMAND --help` tells the options of a command.\n");
+    text.push_str("\n`harrierward COMMAND --help` shows the options of a command.\n");
     text.push_str("Exit codes: 0 done, 1 failed, 2 wrong usage.\n");
     text
 }
--- a/crates/harrierward/src/settings.rs
+++ b/crates/harrierward/src/settings.rs
@@ -337,9 +337,9 @@
         0.0..=1e9,
         slots.burst_threshold_micros,
     );
-    let commit_after = node.owner.core.commit_delay;
+    let commit_delay = node.owner.core.commit_delay;
     node.owner.core.commit_delay =
-        reader.millis("batch.commit_after_millis", 10..=600_000, commit_after);
+        reader.millis("batch.commit_after_millis", 10..=600_000, commit_delay);
     let buffer = reader.integer("batch.buffer_mib", 1..=1024, 16);
     node.owner.core.max_buffered_bytes = usize::try_from(buffer << 20).unwrap_or(usize::MAX);
     let gateway = &mut node.gateway;
--- a/crates/node/src/membership_task.rs
+++ b/crates/node/src/membership_task.rs
@@ -16,16 +16,16 @@
 
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
-        let actions = step(&shared, shared.now());
-        send_all(&shared, actions).await;
+        let datagrams = step(&shared, shared.now());
+        send_all(&shared, datagrams).await;
         sleep(TICK).await;
     }
 }
 
 /// Requests the view of the members at the addresses.
 pub(crate) async fn join(shared: &Arc<Shared>, addresses: &[String]) {
-    let actions = lock(&shared.membership).join(addresses);
-    send_all(shared, actions).await;
+    let datagrams = lock(&shared.membership).join(addresses);
+    send_all(shared, datagrams).await;
 }
 
 fn step(shared: &Arc<Shared>, now: Duration) -> Vec<OutgoingDatagram> {
@@ -36,7 +36,7 @@
     membership.set_config(config);
     membership.set_cancelled_jobs(cancelled);
     membership.set_backlog(backlog);
-    let actions = shared.with_random(|random| membership.tick(now, random));
+    let datagrams = shared.with_random(|random| membership.tick(now, random));
     if membership.take_changed() {
         shared.view.store(Arc::new(membership.view()));
         log::debug!(
@@ -44,7 +44,7 @@
             shared.view.load().members.len()
         );
     }
-    actions
+    datagrams
 }
 
 fn config_status(shared: &Arc<Shared>, now: Duration) -> ConfigStatus {
@@ -70,28 +70,28 @@
 /// Gossips a newly adopted configuration revision to some members.
 pub(crate) fn gossip_config(shared: &Arc<Shared>) {
     let config = config_status(shared, shared.now());
-    let actions = {
+    let datagrams = {
         let mut membership = lock(&shared.membership);
         membership.set_config(config);
         shared.with_random(|random| membership.gossip_config(CONFIG_FAN_OUT, random))
     };
     let shared = shared.clone();
-    tokio::spawn(async move { send_all(&shared, actions).await });
+    tokio::spawn(async move { send_all(&shared, datagrams).await });
 }
 
 /// Probes a poller, whose reply carries its configuration revision and proof.
 pub(crate) async fn probe_poller(shared: &Arc<Shared>, poller: &str) {
-    let action = lock(&shared.membership).probe_member(poller, shared.now());
-    send_all(shared, action.into_iter().collect()).await;
+    let probe = lock(&shared.membership).probe_member(poller, shared.now());
+    send_all(shared, probe.into_iter().collect()).await;
 }
 
-async fn send_all(shared: &Arc<Shared>, actions: Vec<OutgoingDatagram>) {
-    for action in actions {
+async fn send_all(shared: &Arc<Shared>, datagrams: Vec<OutgoingDatagram>) {
+    for outgoing in datagrams {
         let datagram = NodeDatagram {
-            kind: Some(node_datagram::Kind::Membership(action.datagram)),
+            kind: Some(node_datagram::Kind::Membership(outgoing.datagram)),
         };
         let bytes = encode(&datagram);
-        shared.network.send(&action.address, bytes).await;
+        shared.network.send(&outgoing.address, bytes).await;
     }
 }
 
@@ -99,8 +99,8 @@
 pub(crate) async fn gossip_departure(shared: &Arc<Shared>) {
     const ROUNDS: u32 = 3;
     for _ in 0..ROUNDS {
-        let actions = step(shared, shared.now());
-        send_all(shared, actions).await;
+        let datagrams = step(shared, shared.now());
+        send_all(shared, datagrams).await;
         sleep(TICK).await;
     }
 }
@@ -128,7 +128,7 @@
     let now = shared.now();
     // The status of the last tick may be outdated: this daemon may have been paused since.
     let config = config_status(shared, now);
-    let (actions, report) = {
+    let (datagrams, report) = {
         let mut membership = lock(&shared.membership);
         membership.set_config(config);
         let received = membership.receive(datagram, now);
@@ -142,5 +142,5 @@
     }
     cancel_task::apply_piggybacked(shared, &report.cancelled_jobs);
     config_task::apply_report(shared, &report, now);
-    send_all(shared, actions).await;
+    send_all(shared, datagrams).await;
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -162,7 +162,7 @@
     pub(crate) shared: Arc<Shared>,
 }
 
-/// Forwards shards that the owner driver found taken over to the ownership task.
+/// Notifies the ownership task of shards that the owner driver has lost to another member.
 struct LostShardSender {
     lost: mpsc::UnboundedSender<u32>,
 }
@@ -484,7 +484,7 @@
     }
 
     /// Drains the daemon: rejects new work, returns batch items, releases ownership and waits for running
-    /// responses. True if none was aborted.
+    /// responses. False if some are still in progress after the drain timeout.
     pub async fn drain(&self) -> bool {
         let shared = &self.shared;
         shared.draining.store(true, Ordering::Release);
--- a/crates/node/src/ownership.rs
+++ b/crates/node/src/ownership.rs
@@ -1,5 +1,5 @@
 //! Ownership of shards and replicas: the member chosen by the view takes over the ownership row and raises its epoch.
-//! Ownership needs no renewal: writes and orders with an older epoch are rejected, so a superseded owner is harmless.
+//! Ownership needs no renewal: writes and commands with an older epoch are rejected, so a superseded owner is harmless.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -57,14 +57,15 @@
     lost: BTreeSet<Resource>,
     /// A resource was lost, and the others have not been compared with the table since.
     must_verify: bool,
-    /// Members that took a resource from this one: alive even if out of view; nothing is taken over from them.
+    /// Members that took over a resource from this one, so they are alive even if out of view; nothing is taken over
+    /// from them during their cooldown.
     cooldowns: Cooldowns,
 }
 
 /// First cooldown after a member took over a resource, in multiples of the grace period; doubles each time.
 const FIRST_COOLDOWN_FACTOR: u32 = 2;
 
-/// Maximum cooldown, in multiples of the grace period; delays the takeover from an owner that has crashed.
+/// Maximum cooldown, in multiples of the grace period; bounds the delay of a takeover from a crashed owner.
 const MAX_COOLDOWN_FACTOR: u32 = 32;
 
 /// Interval of comparisons of the resources held with the table.
@@ -286,13 +287,13 @@
     }
 }
 
-/// Fences earlier owners off at the engine before this one sends it batch work.
+/// Fences off earlier owners at the engine before this one sends it batch work.
 async fn fence(shared: &Arc<Shared>, replica: &Arc<Replica>, epoch: u64) {
-    let order = EngineCommand {
+    let command = EngineCommand {
         epoch,
         kind: CommandKind::Fence,
     };
-    if let Err(error) = replica.engine.execute(order).await {
+    if let Err(error) = replica.engine.execute(command).await {
         log::debug!("{PREFIX} cannot fence {}: {error}", replica.machine.replica);
     }
     lock(&shared.runner).add_replica(replica.clone(), epoch);
@@ -306,7 +307,7 @@
     }
 }
 
-/// Handles a takeover by another member; later rejected writes and orders of the same epoch change nothing.
+/// Handles a takeover by another member; later rejected writes and commands of the same epoch change nothing.
 fn note_lost(shared: &Arc<Shared>, resource: &Resource) {
     let now = shared.now();
     {
--- a/crates/node/src/runner/returns.rs
+++ b/crates/node/src/runner/returns.rs
@@ -13,7 +13,7 @@
 
 const SEND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Target size of a message; a round sends up to eight times as many results to all owners.
+/// Expected results per message; a round takes up to eight times as many and sends one message to each owner.
 const RESULTS_PER_MESSAGE: usize = 256;
 
 /// Time for running items to finish when the daemon drains.
@@ -96,7 +96,7 @@
     }
 }
 
-/// Returns queued items immediately, and running ones that don't finish within [`DRAIN_TIMEOUT`].
+/// Returns queued items to their shard owners at once, and running ones that don't finish within [`DRAIN_TIMEOUT`].
 pub(crate) async fn return_all(shared: &Arc<Shared>) {
     {
         let mut runner = lock(&shared.runner);
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -44,7 +44,7 @@
     pub takeover_grace_period: Duration,
     /// Maximum interval between runs of the batch slot scheduler.
     pub batch_tick: Duration,
-    /// How long a drain waits for running responses before it aborts them.
+    /// Maximum time for which a drain waits for running responses.
     pub drain_timeout: Duration,
     /// Seed of the generator for ids and random choices.
     pub seed: u64,
--- a/crates/wire/src/membership.rs
+++ b/crates/wire/src/membership.rs
@@ -40,7 +40,7 @@
     /// Service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Items ready to be granted, rounded to a power of two.
+    /// Items ready to be granted, rounded up to a power of two.
     #[prost(uint32, tag = "2")]
     pub items: u32,
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -166,7 +166,7 @@
     /// Running items that were stopped.
     #[prost(uint32, tag = "1")]
     pub stopped: u32,
-    /// True if the member to which the notice was relayed has acknowledged it.
+    /// True if the addressed member has noted the cancellation: the receiver, or the member to which it relayed.
     #[prost(bool, tag = "2")]
     pub noted: bool,
 }
--- a/crates/wire/src/space.rs
+++ b/crates/wire/src/space.rs
@@ -19,8 +19,8 @@
     pub known_age_ms: u32,
 }
 
-/// Reply to a [`SpaceQuestion`]. Its field numbers follow those of [`crate::KnownRows`], with which builds that don't
-/// know the request reply.
+/// Reply to a [`SpaceQuestion`]. Its field numbers are above those of [`crate::KnownRows`], which builds without this
+/// request send instead.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct SpaceReply {
     /// Revision of the sender's copy.
