--- a/crates/config/src/replica.rs
+++ b/crates/config/src/replica.rs
@@ -55,8 +55,8 @@
     Gap,
 }
 
-/// Proof that the replica's revision was the newest `age` before `received_at`. A proof may be older than the daemon,
-/// whose clock starts at zero, so that the difference can't be stored.
+/// Proof that the replica's revision was the newest `age` before `received_at`. Both are stored, because a proof may be
+/// older than the daemon, whose clock starts at zero.
 #[derive(Debug, Clone, Copy)]
 struct Proof {
     received_at: Duration,
--- a/crates/decisions/src/record.rs
+++ b/crates/decisions/src/record.rs
@@ -426,9 +426,9 @@
         request: &'a str,
         /// Tenant name.
         tenant: &'a str,
-        /// Member that this daemon considers the rate's coordinator.
+        /// Member that this daemon considers the rate's coordinator; empty if none was contacted.
         coordinator: &'a str,
-        /// `at the limit`, `refused before`, or why the coordinator did not grant.
+        /// `at the limit`, `refused before`, `not the coordinator` or `no answer`.
         outcome: &'a str,
         /// Part of the limit that this daemon would grant as coordinator, in thousandths; below 1,000 while members are
         /// missing.
@@ -550,7 +550,7 @@
     JobOwnership {
         /// Job id.
         job: &'a str,
-        /// Kind of change, such as `adopted`, `handed over`, `challenged` or `refuted`.
+        /// Kind of change, such as `adopted` or `handed over`, or the step of a challenge, such as `refuted`.
         outcome: &'a str,
         /// Epoch of the ownership after the change.
         epoch: u64,
--- a/crates/external/src/budget.rs
+++ b/crates/external/src/budget.rs
@@ -1,11 +1,11 @@
-//! Shared rate budget for a rate-limited store. Each request class leaves a reserve for the more important ones.
+//! Shared rate budget for a rate-limited store. Commits and listings leave a reserve for more important calls.
 
 use std::sync::Mutex;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Priority of a store call, highest first. Lower classes leave part of the budget to higher ones.
+/// Priority of a store call. Commits leave a part of the budget to the classes above, listings a larger part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RequestClass {
     /// Last writes of a stopping daemon, whose state is lost otherwise; they may wait as long as the shutdown lasts.
--- a/crates/harrierward/src/explain.rs
+++ b/crates/harrierward/src/explain.rs
@@ -107,9 +107,9 @@
         "refused" => "refused or given up",
         "rate_refused" => "the tenant's rate limit was exhausted, or its coordinator did not reply",
         "job_submitted" => "the job was submitted",
-        "job_ownership" => "the job's owner changed",
+        "job_ownership" => "the job's ownership changed or was challenged",
         "results_listed" => "results were listed",
-        "job_ended" => "the client cancelled the job",
+        "job_ended" => "the client requested the job's cancellation",
         "item_run" => "a run of an item ended",
         "cold_passed_over" => {
             "the selected replicas were cold and at their sustained rate: a warm one is chosen"
