--- a/crates/api/src/errors.rs
+++ b/crates/api/src/errors.rs
@@ -48,7 +48,7 @@
 }
 
 impl ApiError {
-    /// An error of a request that definitely did not run.
+    /// Builds an error of a request that certainly did not run.
     pub fn new(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         let execution = Execution::NotRun;
         let response = FinalResponse::of(execution, status.as_u16(), None);
@@ -74,7 +74,7 @@
         Self { response, body }
     }
 
-    /// A 400 response that names the invalid field in `param`.
+    /// Builds a 400 response that names the invalid field in `param`.
     pub fn bad_field(field: impl Into<String>, detail: impl std::fmt::Display) -> Self {
         let field = field.into();
         let message = format!("{field}: {detail}");
@@ -83,19 +83,19 @@
         error
     }
 
-    /// The body, sent as an event when a response stream fails.
+    /// Returns the body, which is sent as an event when a response stream fails.
     pub fn body(&self) -> &ErrorBody {
         &self.body
     }
 
-    /// A 504 response: the operation may have been done, or may still be done.
+    /// Builds a 504 response: the operation may have been done, or may still be done.
     pub fn indeterminate(code: &'static str, message: impl Into<String>) -> Self {
         let execution = Execution::Unknown;
         let response = FinalResponse::of(execution, StatusCode::GATEWAY_TIMEOUT.as_u16(), None);
         Self::with(response, execution, code, message)
     }
 
-    /// A failed store call; reported as "not run" only if it definitely had no effect.
+    /// Builds the error of a failed store call, which is reported as "not run" only if it certainly had no effect.
     fn from_store(error: &PlatformError) -> Self {
         let message = error.to_string();
         if error.may_have_happened() {
@@ -184,7 +184,7 @@
     }
 }
 
-/// Response for unknown paths.
+/// Returns the error for unknown paths.
 pub(crate) async fn unknown_path(uri: Uri) -> ApiError {
     let message = format!("no such path: {}", uri.path());
     ApiError::new(StatusCode::NOT_FOUND, "no_such_path", message)
--- a/crates/execution/src/lib.rs
+++ b/crates/execution/src/lib.rs
@@ -23,7 +23,7 @@
 }
 
 impl Execution {
-    /// Name as used in bodies and headers.
+    /// Returns the name used in bodies and headers.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -91,12 +91,12 @@
         }
     }
 
-    /// HTTP status.
+    /// Returns the HTTP status.
     pub fn status(self) -> u16 {
         self.status
     }
 
-    /// Time after which the caller may retry; `None` if it is not invited to.
+    /// Returns the time after which the caller may retry; `None` if it is not invited to.
     pub fn retry_after(self) -> Option<Duration> {
         self.retry_after
     }
--- a/crates/gateway/src/openai.rs
+++ b/crates/gateway/src/openai.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 
 /// Limit on generated tokens if the request sets none.
-const DEFAULT_MAXIMUM_TOKENS: u32 = 256;
+const DEFAULT_MAX_TOKENS: u32 = 256;
 
 /// Upper bound of the limit on generated tokens.
 const MAX_TOKENS_LIMIT: u32 = 8192;
@@ -153,7 +153,7 @@
             .filter(|limit| (1..=MAX_TOKENS_LIMIT).contains(limit))
             .ok_or_else(|| invalid(field, format!("1 to {MAX_TOKENS_LIMIT}")));
     }
-    Ok(DEFAULT_MAXIMUM_TOKENS)
+    Ok(DEFAULT_MAX_TOKENS)
 }
 
 fn parse_prompt(prompt: Option<&Value>) -> Result<String, SpecError> {
--- a/crates/node/src/cancel_task.rs
+++ b/crates/node/src/cancel_task.rs
@@ -32,7 +32,7 @@
 const PIGGYBACK_DURATION: Duration = Duration::from_secs(15);
 const MAX_PIGGYBACKED: usize = 8;
 
-/// Above one unhealthy member in this many, probe replies no longer suffice and the table is read.
+/// Above one unhealthy member in this many, the table is read although probe replies renew the proof.
 const UNHEALTHY_ONE_IN: usize = 20;
 
 const ROWS_PER_CALL: usize = 64;
@@ -170,7 +170,7 @@
     futures::future::join_all(notices).await;
 }
 
-/// Reads the rows of the jobs held whenever probe replies don't prove that no cancellation was missed.
+/// Reads the rows of the jobs held when the proof expires soon, or many members are unhealthy.
 pub(crate) async fn run_table_reads(shared: Arc<Shared>) {
     loop {
         let now = shared.now();
--- a/crates/node/src/ownership.rs
+++ b/crates/node/src/ownership.rs
@@ -206,7 +206,7 @@
     futures::future::join_all(takeovers).await;
 }
 
-/// True unless the present owner is in view and within its grace period, or in cooldown after a takeover.
+/// True unless another member owns the resource and is in cooldown, or is in view and the grace period lasts.
 /// Starts that cooldown if the owner took the resource over from this member.
 fn may_take_over(
     shared: &Arc<Shared>,
