--- a/crates/decisions/src/record.rs
+++ b/crates/decisions/src/record.rs
@@ -300,7 +300,7 @@
         /// Why that is not the region of this daemon; absent if it is.
         #[serde(skip_serializing_if = "Option::is_none")]
         left_region: Option<&'a str>,
-        /// Requests at the replica, as counted by whoever chose it.
+        /// Requests at the replica, as counted by the daemon that chose it.
         load: u32,
         /// Requests that the replica runs concurrently.
         slots: u32,
@@ -426,9 +426,9 @@
         request: &'a str,
         /// Tenant name.
         tenant: &'a str,
-        /// Member that this daemon considers the rate's coordinator.
+        /// Member that this daemon considers the rate's coordinator; empty if none was contacted.
         coordinator: &'a str,
-        /// `at the limit`, `refused before`, or why the coordinator did not grant.
+        /// `at the limit`, `refused before`, `not the coordinator` or `no answer`.
         outcome: &'a str,
         /// Part of the limit that this daemon would grant as coordinator, in thousandths; below 1,000 while members are
         /// missing.
@@ -442,9 +442,9 @@
         tenant: &'a str,
         /// Key of the claim's row.
         claim: &'a str,
-        /// Attempt that holds the claim; empty for a stored response.
+        /// Attempt that held the claim; empty if the resend met none.
         holder: &'a str,
-        /// Time since the holder claimed, by both daemons' clocks; 0 for a stored response.
+        /// Time since the holder claimed, by both daemons' clocks; 0 without a holder.
         held_for_ms: u64,
         /// Kind of response to the resend; `stored` for a stored response.
         outcome: &'a str,
@@ -550,7 +550,7 @@
     JobOwnership {
         /// Job id.
         job: &'a str,
-        /// Kind of change, such as `adopted`, `handed over`, `challenged` or `refuted`.
+        /// Kind of change, such as `adopted` or `handed over`, or the step of a challenge, such as `refuted`.
         outcome: &'a str,
         /// Epoch of the ownership after the change.
         epoch: u64,
