--- a/crates/batch/src/core/grants.rs
+++ b/crates/batch/src/core/grants.rs
@@ -217,7 +217,7 @@
             return;
         }
         chunk.grants.remove(&number);
-        // Until the input lines are loaded it is unknown whether the item is at most once; loading them decides.
+        // Until the input lines are loaded it is unknown whether the item is at-most-once; loading them decides.
         let Some(input) = chunk.item(number) else {
             return;
         };
--- a/crates/batch/src/core/job.rs
+++ b/crates/batch/src/core/job.rs
@@ -116,7 +116,8 @@
             })
     }
 
-    /// Returns the number of unfinished items without a grant; an upper bound for chunks whose input is not loaded.
+    /// Returns the number of items that may be granted now or after their intent is committed; an upper bound for
+    /// chunks whose input is not loaded.
     pub fn open_items(&self) -> u32 {
         if self.cancelled {
             return 0;
--- a/crates/batch/src/core/owner.rs
+++ b/crates/batch/src/core/owner.rs
@@ -218,7 +218,7 @@
         holders
     }
 
-    /// Returns the number of unfinished, ungranted items by service; services without any are left out.
+    /// Returns the number of items that wait to be granted, by service; services without any are left out.
     pub fn backlog(&self) -> BTreeMap<String, u32> {
         let mut backlog = BTreeMap::new();
         for job in self.jobs.values() {
@@ -230,7 +230,7 @@
         backlog
     }
 
-    /// Returns the number of unfinished, ungranted items by service and tenant.
+    /// Returns the number of items that wait to be granted, by service and tenant.
     pub fn backlog_by_tenant(&self) -> BTreeMap<String, BTreeMap<String, u32>> {
         let mut backlog: BTreeMap<String, BTreeMap<String, u32>> = BTreeMap::new();
         for job in self.jobs.values() {
--- a/crates/batch/src/owner.rs
+++ b/crates/batch/src/owner.rs
@@ -155,7 +155,7 @@
         holders
     }
 
-    /// Returns the number of unfinished, ungranted items by service; services without any are left out.
+    /// Returns the number of items that wait to be granted, by service; services without any are left out.
     pub fn backlog(&self) -> BTreeMap<String, u32> {
         self.shared.lock().backlog()
     }
@@ -165,7 +165,7 @@
         self.shared.lock().job_tenants()
     }
 
-    /// Returns the number of unfinished, ungranted items by service and tenant.
+    /// Returns the number of items that wait to be granted, by service and tenant.
     pub fn backlog_by_tenant(&self) -> BTreeMap<String, BTreeMap<String, u32>> {
         self.shared.lock().backlog_by_tenant()
     }
@@ -428,7 +428,7 @@
         .and_then(|line| {
             line.get(EXECUTION_FIELD)?
                 .as_str()
-                .map(|mark| mark == AT_MOST_ONCE)
+                .map(|execution| execution == AT_MOST_ONCE)
         })
         .unwrap_or(false);
     InputLine {
--- a/crates/batch/tests/lost_runs.rs
+++ b/crates/batch/tests/lost_runs.rs
@@ -60,7 +60,7 @@
     owner.results(&request, now);
 }
 
-/// Counts the grants of the first item within `seconds`; each is returned after 0.3 s, and the other items are kept.
+/// Counts the grants of the first item within `seconds`; each is returned after 0.3 s, and the others stay granted.
 fn grants_of_first(owner: &mut OwnerCore, seconds: u64, may_have_run: bool) -> usize {
     let mut count = 0;
     let tick = Duration::from_millis(300);
--- a/crates/batch/tests/owner.rs
+++ b/crates/batch/tests/owner.rs
@@ -18,7 +18,7 @@
 const CHUNK: u32 = 200;
 const OWNERS: usize = 2;
 
-/// Marks every fifth item as at most once.
+/// True for every fifth item, which is at-most-once.
 fn is_once(item: u32) -> bool {
     item % 5 == 2
 }
--- a/crates/capacity/src/slots.rs
+++ b/crates/capacity/src/slots.rs
@@ -1,4 +1,4 @@
-//! The batch slot budget of one replica, kept by its owner.
+//! The batch slot budget of one replica, maintained by the replica's owner.
 //!
 //! Priority in the engine isn't enough: each running batch item lengthens every engine step, and each batch prefill
 //! delays online prompts. So the budget limits batch items by step time, paces their prefills, and drops to zero
@@ -124,7 +124,8 @@
         self.limit as u32
     }
 
-    /// Returns whether a batch item with `uncached_tokens` may start at `now`; if so, deducts its prefill credit.
+    /// Returns whether a batch item with `uncached_tokens` may start at `now`; if so, deducts its prefill time from the
+    /// credit.
     pub fn may_start(&mut self, now: Duration, uncached_tokens: u32) -> bool {
         if now < self.zero_until {
             return false;
@@ -165,8 +166,8 @@
     pub at_most_once: bool,
 }
 
-/// Returns the items to preempt so that at most `limit` run: those with the most tokens to go first, then those with
-/// the fewest generated.
+/// Returns the items to preempt so that at most `limit` run: those with the most remaining tokens first, among equals
+/// those with the fewest generated.
 pub fn select_victims(running: &[RunningBatchItem], limit: usize) -> Vec<&RunningBatchItem> {
     let excess = running.len().saturating_sub(limit);
     let mut candidates: Vec<&RunningBatchItem> =
--- a/crates/claims/src/watch.rs
+++ b/crates/claims/src/watch.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// Notifies waiters, by the key of the row they wait for.
+/// Senders that notify the waiters, by the key of the row that they wait for.
 type Waiters = BTreeMap<String, Vec<oneshot::Sender<()>>>;
 
 async fn run_polls(table: Arc<dyn Table>, mut queue: mpsc::UnboundedReceiver<Waiter>) {
--- a/crates/inline-jobs/src/model.rs
+++ b/crates/inline-jobs/src/model.rs
@@ -71,12 +71,12 @@
     Accepted,
     /// The job exceeds the quota of queued tokens; none of it runs.
     QuotaExceeded {
-        /// Earliest retry.
+        /// Minimum time until a retry.
         retry_after: Duration,
     },
     /// The job is not stored; none of it runs.
     NotStored {
-        /// Earliest retry.
+        /// Minimum time until a retry.
         retry_after: Duration,
     },
     /// The job may have been stored.
--- a/crates/inline-jobs/src/service.rs
+++ b/crates/inline-jobs/src/service.rs
@@ -70,7 +70,7 @@
 
 /// Dependencies of [`InlineJobs`].
 pub struct JobParts {
-    /// Identifies this start of the daemon; unique in the fleet.
+    /// Id of this daemon instance; unique in the fleet.
     pub instance_id: String,
     /// Rows of the store.
     pub table: Arc<dyn Table>,
--- a/crates/inline-jobs/src/store/settling.rs
+++ b/crates/inline-jobs/src/store/settling.rs
@@ -21,8 +21,8 @@
 pub(super) const MAX_PAUSE: Duration = Duration::from_millis(250);
 
 impl JobStore {
-    /// Sends a transaction until its outcome is known or `until` has passed. Attempts are idempotent: the condition
-    /// on the header allows only one to commit.
+    /// Sends a transaction until its outcome is known or `until` has passed. Attempts are idempotent: its conditions
+    /// allow only one to commit.
     pub(super) async fn settle(
         &self,
         class: RequestClass,
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Does the same for a stopping daemon: an attempt without a response continues while others are sent. The first
-    /// one covers a slow store, the later ones a lost response.
+    /// Sends the transaction of a handover like [`Self::settle`], but an attempt without a response continues while
+    /// others are sent. The first one covers a slow store, the later ones a lost response.
     pub(super) async fn settle_concurrently(
         &self,
         transaction: Transaction,
--- a/crates/membership/src/core/mod.rs
+++ b/crates/membership/src/core/mod.rs
@@ -61,7 +61,7 @@
     version_hash: u64,
     state_since: Duration,
     transmissions_left: usize,
-    /// The member announced that it leaves, or a later instance runs at its address.
+    /// True if the member announced that it leaves, or a later instance runs at its address.
     left: bool,
 }
 
@@ -178,8 +178,8 @@
         core
     }
 
-    /// Sets the UDP addresses of seeds. All of them get joins while no other member is known; otherwise only those at
-    /// which no member is known do, one at a time.
+    /// Sets the UDP addresses of seeds. All of them get joins while no other member is known; later, a seed gets joins
+    /// only while no member is known at its address, one address at a time.
     #[must_use]
     pub fn with_seeds(mut self, mut seeds: Vec<String>) -> Self {
         seeds.retain(|seed| *seed != self.own.udp_address);
--- a/crates/membership/src/core/probes.rs
+++ b/crates/membership/src/core/probes.rs
@@ -15,9 +15,9 @@
         self.sync.note_tick();
         self.check_probes(now, random, &mut outgoing);
         self.check_suspicions(now);
-        let direct = self.settings.probe_timeout * 2;
+        let max_age = self.settings.probe_timeout * 2;
         self.relayed_probes
-            .retain(|_, relayed| now.saturating_sub(relayed.sent_at) < direct);
+            .retain(|_, relayed| now.saturating_sub(relayed.sent_at) < max_age);
         self.probe_dead(now, random, &mut outgoing);
         if now >= self.next_probe_at {
             self.next_probe_at = now + self.settings.probe_interval;
--- a/crates/membership/src/core/receive.rs
+++ b/crates/membership/src/core/receive.rs
@@ -100,9 +100,9 @@
         vec![OutgoingDatagram { address, datagram }]
     }
 
-    /// True for a join of an unknown member that knows others: with replies to it lost, its state would flap between
-    /// alive and dead, so it is added by its later pings. A member that knows nobody is added at once, for a fast
-    /// start.
+    /// True for a join of an unknown member that knows others: it is added by its later datagrams, such as pings. If
+    /// replies to it are lost, its state would otherwise flap between alive and dead. A member that knows no other is
+    /// added at once, for a fast start.
     fn must_confirm_reachable(&self, datagram: &Datagram, record: &MemberRecord) -> bool {
         let is_join = datagram.kind == DatagramKind::Join as i32;
         let is_unknown = record.id == datagram.from && !self.members.contains_key(&record.id);
--- a/crates/membership/src/core/rejoin.rs
+++ b/crates/membership/src/core/rejoin.rs
@@ -81,7 +81,8 @@
 }
 
 impl MembershipCore {
-    /// Sends joins to all seeds while no other member is known, and periodically to one address without a known member.
+    /// Returns joins to all seeds while no other member is known, and a periodic one to an address without a known
+    /// member.
     pub(super) fn rejoin(&mut self, now: Duration, random: &mut impl Rng) -> Vec<OutgoingDatagram> {
         let mut outgoing = self.join_seeds_if_alone(now);
         if self.is_join_due(now, random) {
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -16,7 +16,7 @@
     /// Time that a suspected member has to refute, in a fleet of ten or fewer; multiplied by the decimal logarithm
     /// of the fleet's size, as gossip takes that much longer.
     pub suspicion_timeout: Duration,
-    /// Number of members that are asked to probe an unresponsive one.
+    /// Number of members requested to probe an unresponsive one.
     pub indirect_probes: usize,
     /// Maximum number of gossiped records per probe, acknowledgement or join.
     pub records_per_datagram: usize,
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -16,9 +16,9 @@
     pub zone: String,
     /// Region, as configured at the member.
     pub region: String,
-    /// The member announced that it leaves.
+    /// True if the member announced that it leaves.
     pub leaving: bool,
-    /// The member announced that it can't reach the store while others can.
+    /// True if the member announced that it can't reach the store while others can.
     pub detached: bool,
     /// Batch work left at the member's shards, by service.
     pub backlog: Vec<ServiceBacklog>,
--- a/crates/relay/src/space_copy.rs
+++ b/crates/relay/src/space_copy.rs
@@ -28,7 +28,7 @@
     pub complete_at: Option<u64>,
     /// Revision of the store up to which the update is complete.
     pub revision: u64,
-    /// The replying peer holds other rows at the same revision, so one of the copies has missed a change.
+    /// True if the replying peer holds other rows at the same revision: one of the copies has missed a change.
     pub differs: bool,
 }
 
@@ -51,7 +51,7 @@
 pub struct CopyReply {
     /// The changes, or all rows.
     pub changes: Vec<RowChange>,
-    /// `changes` are all rows; the requester must remove any other rows.
+    /// True if `changes` are all rows; the requester must remove any other rows.
     pub is_full: bool,
     /// Revision of the sender's copy.
     pub revision: u64,
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -222,15 +222,15 @@
         Ok(())
     }
 
-    /// Returns how long the store may hold the next request: the delay `later` is deducted to bound the copy's age,
-    /// and a request without a recent proof isn't held.
-    fn hold_time(&self, proven_at: Option<Instant>, later: Duration) -> Duration {
+    /// Returns how long the store may hold the next request: the coalescing `interval` before it is deducted to
+    /// bound the copy's age, and a request without a recent proof isn't held.
+    fn hold_time(&self, proven_at: Option<Instant>, interval: Duration) -> Duration {
         let wait = self.settings.wait;
         let is_old = |moment| harrierward_clock::age(moment) > wait + PROOF_MARGIN;
         if proven_at.is_none_or(is_old) {
             return Duration::ZERO;
         }
-        wait.saturating_sub(later)
+        wait.saturating_sub(interval)
     }
 
     /// Requests changes; gives up if the machine was suspended meanwhile.
