--- a/crates/inline-jobs/src/listing.rs
+++ b/crates/inline-jobs/src/listing.rs
@@ -146,8 +146,8 @@
 
 /// Returns the outcome for a conflict; a header that already lists the results is an own write whose response was
 /// lost.
-fn conflict_name(current: &JobHeadRow, wanted: &JobHeadRow) -> &'static str {
-    if current.listed == wanted.listed && current.failures == wanted.failures {
+fn conflict_name(current: &JobHeadRow, attempted: &JobHeadRow) -> &'static str {
+    if current.listed == attempted.listed && current.failures == attempted.failures {
         "committed before"
     } else {
         "conflict"
--- a/crates/inline-jobs/src/store/reads.rs
+++ b/crates/inline-jobs/src/store/reads.rs
@@ -120,10 +120,10 @@
                 .await?;
             let last_page = page.len() < MAX_RESULT_ROWS;
             for row in page {
-                let wanted = position + u32::try_from(results.len()).unwrap_or_default();
+                let expected = position + u32::try_from(results.len()).unwrap_or_default();
                 let piece: Option<ResultPieceRow> = decode(&row.value);
                 let at = keys::position_of_result(&row.key);
-                let (Some(piece), true) = (piece, at == Some(wanted)) else {
+                let (Some(piece), true) = (piece, at == Some(expected)) else {
                     return Ok(results);
                 };
                 after = row.key;
--- a/crates/membership/src/core/mod.rs
+++ b/crates/membership/src/core/mod.rs
@@ -83,7 +83,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct IndirectProbe {
+struct RelayedProbe {
     requester: String,
     requester_probe: u64,
     sent_at: Duration,
@@ -96,7 +96,7 @@
     own: MemberRecord,
     members: BTreeMap<String, MemberEntry>,
     probes: Vec<Probe>,
-    relayed_probes: BTreeMap<u64, IndirectProbe>,
+    relayed_probes: BTreeMap<u64, RelayedProbe>,
     probe_order: Vec<String>,
     next_probe_number: u64,
     next_probe_at: Duration,
--- a/crates/membership/src/core/receive.rs
+++ b/crates/membership/src/core/receive.rs
@@ -4,7 +4,7 @@
 
 use harrierward_wire::{Datagram, DatagramKind, MemberRecord};
 
-use super::{ConfigStatus, IndirectProbe, MembershipCore, OutgoingDatagram, PeerReport, Source};
+use super::{ConfigStatus, MembershipCore, OutgoingDatagram, PeerReport, RelayedProbe, Source};
 
 impl MembershipCore {
     /// Handles a datagram; returns the replies to send and the sender's report.
@@ -90,7 +90,7 @@
         };
         let number = self.next_probe_number;
         self.next_probe_number += 1;
-        let relayed = IndirectProbe {
+        let relayed = RelayedProbe {
             requester: request.from.clone(),
             requester_probe: request.probe,
             sent_at: now,
--- a/crates/membership/tests/partitions.rs
+++ b/crates/membership/tests/partitions.rs
@@ -203,7 +203,7 @@
     let kind = prop_oneof![
         Just(PartitionKind::BothWays),
         Just(PartitionKind::OneWay),
-        (1_u64..20).prop_map(|turn| PartitionKind::Flapping(seconds(turn))),
+        (1_u64..20).prop_map(|interval| PartitionKind::Flapping(seconds(interval))),
     ];
     let parts = prop_oneof![
         (2_usize..5).prop_map(Parts::Even),
