--- a/crates/membership/src/core/receive.rs
+++ b/crates/membership/src/core/receive.rs
@@ -4,7 +4,7 @@
 
 use harrierward_wire::{Datagram, DatagramKind, MemberRecord};
 
-use super::{ConfigStatus, IndirectProbe, MembershipCore, OutgoingDatagram, PeerReport, Source};
+use super::{ConfigStatus, MembershipCore, OutgoingDatagram, PeerReport, RelayedProbe, Source};
 
 impl MembershipCore {
     /// Handles a datagram; returns the replies to send and the sender's report.
@@ -90,7 +90,7 @@
         };
         let number = self.next_probe_number;
         self.next_probe_number += 1;
-        let relayed = IndirectProbe {
+        let relayed = RelayedProbe {
             requester: request.from.clone(),
             requester_probe: request.probe,
             sent_at: now,
@@ -100,9 +100,9 @@
         vec![OutgoingDatagram { address, datagram }]
     }
 
-    /// True for a join of an unknown member that knows others: with replies to it lost, its state would flap between
-    /// alive and dead, so it is added by its later pings. A member that knows nobody is added at once, for a fast
-    /// start.
+    /// True for a join of an unknown member that knows others: it is added by its later datagrams, such as pings. If
+    /// replies to it are lost, its state would otherwise flap between alive and dead. A member that knows no other is
+    /// added at once, for a fast start.
     fn must_confirm_reachable(&self, datagram: &Datagram, record: &MemberRecord) -> bool {
         let is_join = datagram.kind == DatagramKind::Join as i32;
         let is_unknown = record.id == datagram.from && !self.members.contains_key(&record.id);
