--- a/crates/bench/src/faults/checker.rs
+++ b/crates/bench/src/faults/checker.rs
@@ -33,8 +33,8 @@
 pub struct Checked {
     /// Online calls, resends included.
     pub online: usize,
-    /// Distinct marked requests, each with its resends.
-    pub marked: usize,
+    /// Distinct idempotent requests, each with its resends.
+    pub idempotent: usize,
     /// Acknowledged jobs.
     pub jobs: usize,
     /// Items of the acknowledged jobs.
@@ -76,7 +76,7 @@
     };
     check_responses(&history, &mut checked);
     check_not_run(&history, &executions, &mut checked);
-    check_marked(&history, &executions, &mut checked);
+    check_idempotent(&history, &executions, &mut checked);
     for (key, job) in &history.jobs {
         check_job(world, key, job, &executions, &mut checked);
     }
@@ -128,16 +128,16 @@
     }
 }
 
-fn check_marked(
+fn check_idempotent(
     history: &History,
     executions: &BTreeMap<String, Vec<Execution>>,
     checked: &mut Checked,
 ) {
     for (prompt, calls) in calls_by_prompt(history) {
-        if !calls.iter().any(|call| call.marked) {
+        if !calls.iter().any(|call| call.idempotent) {
             continue;
         }
-        checked.marked += 1;
+        checked.idempotent += 1;
         let runs = executions.get(prompt).map_or(0, Vec::len);
         if runs > 1 {
             checked.report(
--- a/crates/bench/src/faults/clients.rs
+++ b/crates/bench/src/faults/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the simulated fleet: online requests, marked requests with resends, jobs, configuration changes.
+//! Clients of the simulated fleet: online requests, idempotent requests with resends, jobs, configuration changes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 const SHARED_PROMPT: &str =
     "You help people in a hurry. Answer briefly and say only what is asked for. ";
 
-/// Maximum number of sends of a marked request.
+/// Maximum number of sends of an idempotent request.
 const MAX_SENDS: usize = 6;
 
 /// Exclusive upper bound of the number of items of a job.
@@ -105,7 +105,7 @@
     }
 }
 
-/// Sends unmarked requests sequentially until `until`.
+/// Sends requests without an idempotency key sequentially until `until`.
 pub async fn run_online(world: World, client: usize, until: Duration) {
     let mut number = 0;
     while world.now() < until {
@@ -135,20 +135,20 @@
     prompt: &str,
     model: &str,
     maximum_tokens: u32,
-    marked: bool,
+    idempotent: bool,
     outcome: OnlineOutcome,
 ) {
     world.recorder.lock().online.push(OnlineCall {
         prompt: prompt.to_owned(),
         maximum_tokens,
         model: model.to_owned(),
-        marked,
+        idempotent,
         outcome,
     });
 }
 
-/// Sends marked requests with resends to random daemons, some of them twice concurrently.
-pub async fn run_marked(world: World, client: usize, until: Duration) {
+/// Sends idempotent requests with resends to random daemons, some of them twice concurrently.
+pub async fn run_idempotent(world: World, client: usize, until: Duration) {
     let mut number = 0;
     while world.now() < until {
         let pause = world.random(|random| random.random_range(50..800));
@@ -157,33 +157,36 @@
         let (tenant, model) = random_tenant(&world);
         let prompt = format!("{SHARED_PROMPT}booking {client}-{number}");
         let maximum_tokens = world.random(|random| random.random_range(1..40));
-        let request = MarkedRequest {
+        let request = IdempotentRequest {
             tenant,
             model,
             prompt,
             maximum_tokens,
         };
         if world.random(|random| random.random_bool(0.3)) {
-            tokio::join!(send_marked(&world, &request), send_marked(&world, &request));
+            tokio::join!(
+                send_idempotent(&world, &request),
+                send_idempotent(&world, &request)
+            );
         } else {
-            send_marked(&world, &request).await;
+            send_idempotent(&world, &request).await;
         }
     }
 }
 
-struct MarkedRequest {
+struct IdempotentRequest {
     tenant: &'static str,
     model: &'static str,
     prompt: String,
     maximum_tokens: u32,
 }
 
-async fn send_marked(world: &World, request: &MarkedRequest) {
+async fn send_idempotent(world: &World, request: &IdempotentRequest) {
     for _ in 0..MAX_SENDS {
         let Ok(daemon) = world.random_daemon() else {
             return;
         };
-        let marked = IdempotentCall {
+        let idempotency = IdempotentCall {
             key: ClaimKey {
                 tenant: request.tenant.to_owned(),
                 key: request.prompt.clone(),
@@ -194,7 +197,7 @@
             tenant: request.tenant.to_owned(),
             spec: spec(request.model, &request.prompt, request.maximum_tokens),
             identity: identity(&request.prompt),
-            idempotency: (!world.broken.no_claims).then_some(marked),
+            idempotency: (!world.broken.no_claims).then_some(idempotency),
             deadline: Instant::now() + Duration::from_secs(20),
         };
         let outcome = send_once(&daemon, call).await;
@@ -512,12 +515,12 @@
     )
 }
 
-/// Sends one request during a store outage. Returns true if a marked one was refused as not run, or an unmarked one
+/// Sends one request during a store outage. Returns true if an idempotent one was refused as not run, or a plain one
 /// received a complete response.
-pub async fn probe(world: &World, number: usize, marked: bool) -> eyre::Result<bool> {
+pub async fn probe(world: &World, number: usize, idempotent: bool) -> eyre::Result<bool> {
     const MAXIMUM_TOKENS: u32 = 12;
     let (tenant, model) = TENANTS[number % TENANTS.len()];
-    let prompt = format!("{SHARED_PROMPT}outage {number} {marked}");
+    let prompt = format!("{SHARED_PROMPT}outage {number} {idempotent}");
     let key = ClaimKey {
         tenant: tenant.to_owned(),
         key: prompt.clone(),
@@ -527,12 +530,12 @@
         tenant: tenant.to_owned(),
         spec: spec(model, &prompt, MAXIMUM_TOKENS),
         identity: identity(&prompt),
-        idempotency: marked.then_some(IdempotentCall { key, digest }),
+        idempotency: idempotent.then_some(IdempotentCall { key, digest }),
         deadline: Instant::now() + Duration::from_secs(20),
     };
     let daemon = world.random_daemon()?;
     let outcome = send_once(&daemon, call).await;
-    Ok(if marked {
+    Ok(if idempotent {
         never_dispatched(&outcome)
     } else {
         matches!(outcome, OnlineOutcome::Answered { .. })
--- a/crates/bench/src/faults/gate.rs
+++ b/crates/bench/src/faults/gate.rs
@@ -110,7 +110,7 @@
     pub fn guard(&self, stream: EventStream) -> EventStream {
         let shared = Arc::new(Mutex::new(Some(stream)));
         let mut streams = lock(&self.streams);
-        streams.retain(|kept| lock(kept).is_some());
+        streams.retain(|stream| lock(stream).is_some());
         streams.push(shared.clone());
         let gate = self.clone();
         let gated = GatedStream { shared }.then(move |event| {
--- a/crates/bench/src/faults/gated_platform.rs
+++ b/crates/bench/src/faults/gated_platform.rs
@@ -182,8 +182,8 @@
             .await
     }
 
-    async fn execute(&self, order: EngineCommand) -> Result<(), EngineError> {
-        self.gate.call_through(self.engine.execute(order)).await
+    async fn execute(&self, command: EngineCommand) -> Result<(), EngineError> {
+        self.gate.call_through(self.engine.execute(command)).await
     }
 
     async fn export_prefix(&self, block: u64) -> Result<Option<Vec<u64>>, EngineError> {
--- a/crates/bench/src/faults/history.rs
+++ b/crates/bench/src/faults/history.rs
@@ -33,14 +33,14 @@
 /// One invocation of an online request.
 #[derive(Debug, Clone)]
 pub struct OnlineCall {
-    /// Prompt: the same for all resends of a marked request, otherwise unique.
+    /// Prompt: the same for all resends of an idempotent request, otherwise unique.
     pub prompt: String,
     /// Requested maximum of tokens.
     pub maximum_tokens: u32,
     /// Model that was requested.
     pub model: String,
     /// Whether the request must run at most once.
-    pub marked: bool,
+    pub idempotent: bool,
     /// What the client received.
     pub outcome: OnlineOutcome,
 }
--- a/crates/bench/src/faults/mod.rs
+++ b/crates/bench/src/faults/mod.rs
@@ -71,7 +71,7 @@
         )));
     }
     for client in 0..MARKED_CLIENTS {
-        tasks.push(tokio::spawn(clients::run_marked(
+        tasks.push(tokio::spawn(clients::run_idempotent(
             world.clone(),
             client,
             until,
@@ -114,19 +114,19 @@
 /// Responses to clients while the store was down.
 #[derive(Debug, Clone)]
 pub struct OutageReport {
-    /// Maximum time until the response to a marked request.
-    pub max_marked_latency: Duration,
-    /// Marked requests that were refused as not run.
-    pub marked_refused: usize,
-    /// Marked requests sent.
-    pub marked: usize,
-    /// Unmarked requests that received a complete response.
-    pub unmarked_answered: usize,
-    /// Unmarked requests sent.
-    pub unmarked: usize,
+    /// Maximum time until the response to an idempotent request.
+    pub max_idempotent_latency: Duration,
+    /// Idempotent requests that were refused as not run.
+    pub idempotent_refused: usize,
+    /// Idempotent requests sent.
+    pub idempotent: usize,
+    /// Requests without an idempotency key that received a complete response.
+    pub plain_answered: usize,
+    /// Requests without an idempotency key sent.
+    pub plain: usize,
 }
 
-/// Sends marked and unmarked requests while the store is down for `length` of virtual time.
+/// Sends idempotent and plain requests while the store is down for `length` of virtual time.
 pub fn run_store_outage(seed: u64, length: Duration) -> Result<OutageReport> {
     virtual_time()?.block_on(async {
         let world = World::start(seed, BrokenGuards::default()).await?;
@@ -140,22 +140,23 @@
             });
         let until = world.now() + length;
         let mut report = OutageReport {
-            max_marked_latency: Duration::ZERO,
-            marked_refused: 0,
-            marked: 0,
-            unmarked_answered: 0,
-            unmarked: 0,
+            max_idempotent_latency: Duration::ZERO,
+            idempotent_refused: 0,
+            idempotent: 0,
+            plain_answered: 0,
+            plain: 0,
         };
         while world.now() < until {
             let started = world.now();
-            report.marked += 1;
-            if clients::probe(&world, report.marked, true).await? {
-                report.marked_refused += 1;
+            report.idempotent += 1;
+            if clients::probe(&world, report.idempotent, true).await? {
+                report.idempotent_refused += 1;
             }
-            report.max_marked_latency = report.max_marked_latency.max(world.now() - started);
-            report.unmarked += 1;
-            if clients::probe(&world, report.unmarked, false).await? {
-                report.unmarked_answered += 1;
+            report.max_idempotent_latency =
+                report.max_idempotent_latency.max(world.now() - started);
+            report.plain += 1;
+            if clients::probe(&world, report.plain, false).await? {
+                report.plain_answered += 1;
             }
             sleep(Duration::from_millis(300)).await;
         }
--- a/crates/bench/src/faults/world.rs
+++ b/crates/bench/src/faults/world.rs
@@ -53,7 +53,7 @@
 pub struct BrokenGuards {
     /// Writes aren't conditional on ownership and chunk rows, so a previous owner's writes succeed.
     pub no_fencing: bool,
-    /// Marked requests are sent without a claim.
+    /// Idempotent requests are sent without a claim.
     pub no_claims: bool,
     /// Events carry the reader's request id and consecutive sequence numbers, so its checks pass.
     pub no_event_check: bool,
--- a/crates/bench/tests/faults.rs
+++ b/crates/bench/tests/faults.rs
@@ -49,9 +49,12 @@
     let found = violations(&reports);
     assert!(found.is_empty(), "{}", found.join("\n"));
     let items: usize = reports.iter().map(|report| report.checked.items).sum();
-    let marked: usize = reports.iter().map(|report| report.checked.marked).sum();
+    let idempotent: usize = reports.iter().map(|report| report.checked.idempotent).sum();
     assert!(items > 100_000, "only {items} items were checked");
-    assert!(marked > 5_000, "only {marked} marked requests were checked");
+    assert!(
+        idempotent > 5_000,
+        "only {idempotent} idempotent requests were checked"
+    );
 }
 
 #[test]
@@ -133,14 +136,14 @@
 }
 
 #[test]
-fn store_outage_refuses_marked_requests_quickly_and_does_not_affect_others() {
+fn store_outage_refuses_idempotent_requests_quickly_and_does_not_affect_others() {
     let length = Duration::from_secs(180);
     let report = run_store_outage(1, length).expect("the simulation runs");
-    assert!(report.marked > 100, "{report:?}");
-    assert_eq!(report.marked_refused, report.marked, "{report:?}");
-    assert_eq!(report.unmarked_answered, report.unmarked, "{report:?}");
+    assert!(report.idempotent > 100, "{report:?}");
+    assert_eq!(report.idempotent_refused, report.idempotent, "{report:?}");
+    assert_eq!(report.plain_answered, report.plain, "{report:?}");
     assert!(
-        report.max_marked_latency <= Duration::from_secs(1),
+        report.max_idempotent_latency <= Duration::from_secs(1),
         "{report:?}"
     );
 }
--- a/crates/bench/tests/loopback.rs
+++ b/crates/bench/tests/loopback.rs
@@ -71,7 +71,7 @@
     }
 
     let body = json!({"model": MODEL, "prompt": "book desk 17", "max_tokens": 6});
-    let marked = [
+    let idempotent = [
         ("idempotency-key", "booking"),
         ("harrierward-execution", "at-most-once"),
     ];
@@ -80,7 +80,8 @@
     for address in [&first, &second, &third] {
         // A new daemon may not have discovered the replica yet and refuses the request as not run.
         let response = loop {
-            let (status, response) = send_json(address, Method::POST, path, &marked, &body).await;
+            let (status, response) =
+                send_json(address, Method::POST, path, &idempotent, &body).await;
             if status == 200 {
                 break response;
             }
@@ -92,10 +93,10 @@
     assert!(texts.iter().all(|text| *text == expected), "{texts:?}");
     let bookings = engine.executions();
     let bookings = bookings.iter().filter(|run| run.prompt == "book desk 17");
-    assert_eq!(bookings.count(), 1, "the marked request ran once");
+    assert_eq!(bookings.count(), 1, "the idempotent request ran once");
 
     let other = json!({"model": MODEL, "prompt": "book desk 18", "max_tokens": 6});
-    let (status, refusal) = send_json(&second, Method::POST, path, &marked, &other).await;
+    let (status, refusal) = send_json(&second, Method::POST, path, &idempotent, &other).await;
     assert_eq!((status, &refusal["execution"]), (422, &json!("not_run")));
 
     let lines: String = (0..30)
--- a/crates/bench/tests/not_run.rs
+++ b/crates/bench/tests/not_run.rs
@@ -139,7 +139,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn marked_request_interrupted_by_an_engine_crash_is_not_refused_as_not_run() {
+async fn idempotent_request_interrupted_by_an_engine_crash_is_not_refused_as_not_run() {
     let site = start_site().await;
     site.crash_during(&MARKED_HEADERS)
         .await
@@ -195,7 +195,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn marked_request_with_a_lost_engine_response_is_not_refused_as_not_run() {
+async fn idempotent_request_with_a_lost_engine_response_is_not_refused_as_not_run() {
     let site = start_site_with_lost_responses().await;
     complete(&site.address, &MARKED_HEADERS)
         .await
@@ -264,7 +264,7 @@
         }
     };
     let stored = tokio::time::timeout(Duration::from_secs(20), stored).await;
-    let stored = stored.expect("the stored answer");
+    let stored = stored.expect("the stored response");
     assert_eq!(stored.header("idempotent-replayed"), Some("true"));
     assert_eq!(site.runs(), 1);
 }
--- a/crates/bench/tests/resend.rs
+++ b/crates/bench/tests/resend.rs
@@ -101,7 +101,7 @@
     }
 }
 
-async fn send_marked(address: &str, key: &str, body: &Value) -> Received {
+async fn send_idempotent(address: &str, key: &str, body: &Value) -> Received {
     let headers = [
         ("idempotency-key", key),
         ("harrierward-execution", "at-most-once"),
@@ -159,12 +159,12 @@
         frozen.store(is_frozen, Ordering::Relaxed);
     }
 
-    /// Freezes the engine, sends a marked request to the first daemon, and waits until the engine accepted it.
+    /// Freezes the engine, sends an idempotent request to the first daemon, and waits until the engine accepted it.
     async fn start_frozen_request(&self, key: &'static str) -> tokio::task::JoinHandle<Received> {
         self.freeze(true);
         let address = self.first.clone();
         let request =
-            tokio::spawn(async move { send_marked(&address, key, &completion(false)).await });
+            tokio::spawn(async move { send_idempotent(&address, key, &completion(false)).await });
         while self.runs() == 0 {
             sleep(POLL_INTERVAL).await;
         }
@@ -203,13 +203,13 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn resend_receives_the_identical_stored_response_at_any_daemon() {
     let fleet = start_fleet().await;
-    let first = send_marked(&fleet.first, "booking", &completion(false)).await;
+    let first = send_idempotent(&fleet.first, "booking", &completion(false)).await;
     assert_eq!(first.status, 200, "{}", first.text);
     assert_eq!(first.header(STORED_HEADER), None, "the first one ran");
     // Ensures that a newly generated response would have another creation time.
     sleep(Duration::from_millis(1_100)).await;
     for address in [&fleet.first, &fleet.second] {
-        let again = send_marked(address, "booking", &completion(false)).await;
+        let again = send_idempotent(address, "booking", &completion(false)).await;
         assert_stored(&again);
         assert_eq!(again.json(), first.json());
     }
@@ -235,8 +235,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn response_stored_from_an_unstreamed_request_can_be_streamed() {
     let fleet = start_fleet().await;
-    let unstreamed = send_marked(&fleet.first, "whole-first", &completion(false)).await;
-    let streamed = send_marked(&fleet.second, "whole-first", &completion(true)).await;
+    let unstreamed = send_idempotent(&fleet.first, "whole-first", &completion(false)).await;
+    let streamed = send_idempotent(&fleet.second, "whole-first", &completion(true)).await;
     assert_stored(&streamed);
     let events = streamed.events();
     assert_eq!(
@@ -252,15 +252,15 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn response_stored_from_a_stream_can_be_replayed_streamed_or_unstreamed() {
     let fleet = start_fleet().await;
-    let first = send_marked(&fleet.first, "stream-first", &completion(true)).await;
+    let first = send_idempotent(&fleet.first, "stream-first", &completion(true)).await;
     assert_eq!(first.status, 200, "{}", first.text);
     assert_eq!(first.header(STORED_HEADER), None, "the first one ran");
     let first = first.events();
-    let streamed = send_marked(&fleet.second, "stream-first", &completion(true)).await;
+    let streamed = send_idempotent(&fleet.second, "stream-first", &completion(true)).await;
     assert_stored(&streamed);
     let events = streamed.events();
     assert_eq!(streamed_text(&events), streamed_text(&first));
-    let unstreamed = send_marked(&fleet.second, "stream-first", &completion(false)).await;
+    let unstreamed = send_idempotent(&fleet.second, "stream-first", &completion(false)).await;
     assert_stored(&unstreamed);
     assert_eq!(
         unstreamed.json()["choices"][0]["text"],
@@ -278,7 +278,7 @@
     let request = fleet.start_frozen_request("during").await;
     let resends = [&fleet.first, &fleet.second].map(|address| {
         let address = address.clone();
-        tokio::spawn(async move { send_marked(&address, "during", &completion(false)).await })
+        tokio::spawn(async move { send_idempotent(&address, "during", &completion(false)).await })
     });
     sleep(Duration::from_millis(300)).await;
     fleet.freeze(false);
@@ -298,7 +298,7 @@
     let request = fleet.start_frozen_request("long").await;
     for address in [&fleet.first, &fleet.second] {
         let sent_at = Instant::now();
-        let refused = send_marked(address, "long", &completion(false)).await;
+        let refused = send_idempotent(address, "long", &completion(false)).await;
         let waited = sent_at.elapsed();
         assert_eq!(refused.status, 409, "{}", refused.text);
         assert_eq!(refused.header("harrierward-execution"), Some("unknown"));
@@ -307,7 +307,7 @@
     }
     fleet.freeze(false);
     let first = request.await.expect("the booking ends");
-    let again = send_marked(&fleet.second, "long", &completion(false)).await;
+    let again = send_idempotent(&fleet.second, "long", &completion(false)).await;
     assert_stored(&again);
     assert_eq!(again.json(), first.json());
     assert_eq!(fleet.runs(), 1);
@@ -316,11 +316,11 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn reusing_a_key_for_another_request_is_refused() {
     let fleet = start_fleet().await;
-    let first = send_marked(&fleet.first, "mine", &completion(false)).await;
+    let first = send_idempotent(&fleet.first, "mine", &completion(false)).await;
     assert_eq!(first.status, 200, "{}", first.text);
     let mut longer = completion(true);
     longer["max_tokens"] = json!(TOKENS + 1);
-    let refused = send_marked(&fleet.second, "mine", &longer).await;
+    let refused = send_idempotent(&fleet.second, "mine", &longer).await;
     assert_eq!(refused.status, 422, "{}", refused.text);
     assert_eq!(fleet.runs(), 1);
 }
@@ -331,7 +331,9 @@
     fleet.write_claim("released", ClaimState::Open, b"").await;
     let address = fleet.second.clone();
     let resend =
-        tokio::spawn(async move { send_marked(&address, "released", &completion(false)).await });
+        tokio::spawn(
+            async move { send_idempotent(&address, "released", &completion(false)).await },
+        );
     sleep(Duration::from_millis(200)).await;
     assert_eq!(fleet.runs(), 0, "another attempt holds the claim");
     let release = Transaction::default().delete(row_key("released"));
@@ -353,7 +355,7 @@
     fleet
         .write_claim("old", ClaimState::Done, stored.as_bytes())
         .await;
-    let again = send_marked(&fleet.second, "old", &completion(false)).await;
+    let again = send_idempotent(&fleet.second, "old", &completion(false)).await;
     assert_stored(&again);
     assert_eq!(again.json()["choices"][0]["text"], "booked");
     assert_eq!(fleet.runs(), 0);
@@ -365,7 +367,7 @@
     let request = fleet.start_frozen_request("stop").await;
     let address = fleet.second.clone();
     let resend =
-        tokio::spawn(async move { send_marked(&address, "stop", &completion(false)).await });
+        tokio::spawn(async move { send_idempotent(&address, "stop", &completion(false)).await });
     let [_, second] = &fleet.nodes;
     // Draining waits until the load is zero.
     let is_counted = async {
--- a/crates/emulator/src/engine_handle.rs
+++ b/crates/emulator/src/engine_handle.rs
@@ -263,9 +263,9 @@
 }
 
 fn take_one(counter: &AtomicU32) -> bool {
-    let taken = |left: u32| left.checked_sub(1);
+    let decrement = |left: u32| left.checked_sub(1);
     counter
-        .fetch_update(Ordering::Relaxed, Ordering::Relaxed, taken)
+        .fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement)
         .is_ok()
 }
 
@@ -380,16 +380,16 @@
         Ok(CacheEventPage { events })
     }
 
-    async fn execute(&self, order: EngineCommand) -> Result<(), EngineError> {
+    async fn execute(&self, command: EngineCommand) -> Result<(), EngineError> {
         const STEP: &str = "engine.order";
         self.check_available(STEP)?;
         let now = self.shared.now_micros();
         let mut inner = self.shared.lock();
         inner
             .core
-            .check_epoch(Some(order.epoch))
-            .map_err(|refusal| self.refusal(STEP, order.epoch, refusal))?;
-        match order.kind {
+            .check_epoch(Some(command.epoch))
+            .map_err(|refusal| self.refusal(STEP, command.epoch, refusal))?;
+        match command.kind {
             CommandKind::Fence => {}
             CommandKind::LoadModel { model } => inner.core.load_model(model, now),
             CommandKind::UnloadModel { model } => inner.core.unload_model(&model),
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -179,7 +179,7 @@
         .route("/engine/cancel", post(cancel))
         .route("/engine/load", post(load))
         .route("/engine/cache-events", post(cache_events))
-        .route("/engine/order", post(order))
+        .route("/engine/order", post(execute_command))
         .route("/engine/export", post(export_prefix))
         .route("/engine/import", post(import_prefix))
         .route("/faults", put(set_engine_faults))
@@ -246,11 +246,11 @@
     Ok(Json(engine.cache_events(after).await?).into_response())
 }
 
-async fn order(
+async fn execute_command(
     State(engine): State<EngineHandle>,
-    Json(order): Json<EngineCommand>,
+    Json(command): Json<EngineCommand>,
 ) -> Result<Response, EngineErrorResponse> {
-    engine.execute(order).await?;
+    engine.execute(command).await?;
     Ok(Json(()).into_response())
 }
 
