--- a/crates/bench/src/faults/mod.rs
+++ b/crates/bench/src/faults/mod.rs
@@ -24,7 +24,7 @@
 use world::World;
 
 const ONLINE_CLIENTS: usize = 4;
-const MARKED_CLIENTS: usize = 3;
+const IDEMPOTENT_CLIENTS: usize = 3;
 const JOB_CLIENTS: usize = 2;
 const OPERATORS: usize = 2;
 
@@ -70,7 +70,7 @@
             until,
         )));
     }
-    for client in 0..MARKED_CLIENTS {
+    for client in 0..IDEMPOTENT_CLIENTS {
         tasks.push(tokio::spawn(clients::run_idempotent(
             world.clone(),
             client,
--- a/crates/bench/tests/faults.rs
+++ b/crates/bench/tests/faults.rs
@@ -32,8 +32,8 @@
 
 fn violations(reports: &[SeedReport]) -> Vec<String> {
     let found = reports.iter().flat_map(|report| {
-        let broken = report.checked.violations.iter();
-        broken.map(move |violation| {
+        let violated = report.checked.violations.iter();
+        violated.map(move |violation| {
             format!(
                 "seed {}: {}: {}",
                 report.seed, violation.guarantee, violation.detail
--- a/crates/bench/tests/not_run.rs
+++ b/crates/bench/tests/not_run.rs
@@ -70,7 +70,7 @@
     call(address, "/v1/completions", headers, completion(PROMPT)).await
 }
 
-const MARKED_HEADERS: [(&str, &str); 2] = [
+const IDEMPOTENT_HEADERS: [(&str, &str); 2] = [
     ("idempotency-key", "lot-17"),
     ("harrierward-execution", "at-most-once"),
 ];
@@ -141,7 +141,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn idempotent_request_interrupted_by_an_engine_crash_is_not_refused_as_not_run() {
     let site = start_site().await;
-    site.crash_during(&MARKED_HEADERS)
+    site.crash_during(&IDEMPOTENT_HEADERS)
         .await
         .assert_indeterminate();
     assert_eq!(site.runs(), 1);
@@ -197,7 +197,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn idempotent_request_with_a_lost_engine_response_is_not_refused_as_not_run() {
     let site = start_site_with_lost_responses().await;
-    complete(&site.address, &MARKED_HEADERS)
+    complete(&site.address, &IDEMPOTENT_HEADERS)
         .await
         .assert_indeterminate();
     assert_eq!(site.runs(), 1);
@@ -211,7 +211,7 @@
         lose_answers: 1.0,
         ..StoreFaults::default()
     });
-    let refused = complete(&site.address, &MARKED_HEADERS).await;
+    let refused = complete(&site.address, &IDEMPOTENT_HEADERS).await;
     if refused.status == 503 {
         assert_eq!(refused.header("harrierward-execution"), Some("not_run"));
         sleep(Duration::from_millis(500)).await;
@@ -220,7 +220,7 @@
     site.platform.faults().set(StoreFaults::default());
     let again = async {
         loop {
-            let again = complete(&site.address, &MARKED_HEADERS).await;
+            let again = complete(&site.address, &IDEMPOTENT_HEADERS).await;
             if again.status == 200 {
                 return;
             }
@@ -240,7 +240,7 @@
     let frozen = &site.engine.faults().frozen;
     frozen.store(true, Ordering::Relaxed);
     let address = site.address.clone();
-    let first = tokio::spawn(async move { complete(&address, &MARKED_HEADERS).await });
+    let first = tokio::spawn(async move { complete(&address, &IDEMPOTENT_HEADERS).await });
     while site.runs() == 0 {
         sleep(POLL_INTERVAL).await;
     }
@@ -248,7 +248,7 @@
         down: true,
         ..StoreFaults::default()
     });
-    let resend = complete(&site.address, &MARKED_HEADERS).await;
+    let resend = complete(&site.address, &IDEMPOTENT_HEADERS).await;
     assert_eq!(resend.status, 503, "{}", resend.text);
     assert!(resend.text.contains("claim_refused"), "{}", resend.text);
     site.platform.faults().set(StoreFaults::default());
@@ -256,7 +256,7 @@
     assert_eq!(first.await.expect("a response").status, 200);
     let stored = async {
         loop {
-            let again = complete(&site.address, &MARKED_HEADERS).await;
+            let again = complete(&site.address, &IDEMPOTENT_HEADERS).await;
             if again.status == 200 {
                 return again;
             }
