--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -77,7 +77,8 @@
             let report = simulation.join().map_err(|_| eyre!("a seed panicked"))??;
             let checked = &report.checked;
             println!(
-                "seed {}: online {}, idempotent {}, jobs {}, items {}, executions {}, changes {}, faults {:?}, violations {}",
+                "seed {}: online {}, idempotent {}, jobs {}, items {}, executions {}, \
+                 changes {}, faults {:?}, violations {}",
                 report.seed,
                 checked.online,
                 checked.idempotent,
