--- a/crates/ownership/src/cooldowns.rs
+++ b/crates/ownership/src/cooldowns.rs
@@ -49,7 +49,7 @@
         cooldown.map_or(Duration::ZERO, |cooldown| cooldown.until)
     }
 
-    /// Removes cooldowns that ended more than twice `max` ago; later ones start with the initial duration.
+    /// Removes cooldowns that ended at least twice `max` ago; later ones start with the initial duration.
     pub fn expire(&mut self, max: Duration, now: Duration) {
         self.owners
             .retain(|_, cooldown| now < cooldown.until + max * 2);
--- a/crates/ownership/src/takeovers.rs
+++ b/crates/ownership/src/takeovers.rs
@@ -98,7 +98,7 @@
     since: Duration,
     /// Revision of the current challenge, and when its duration has elapsed.
     challenge: Option<(u64, Duration)>,
-    /// Delay of this daemon in the order of all, and when it was computed.
+    /// Delay by this daemon's rank among all, and when it was computed.
     delay: Option<(Duration, Duration)>,
 }
 
@@ -195,7 +195,7 @@
         if now < cooldown_until {
             return Step::Wait;
         }
-        // After a cooldown the order applies again, or all daemons would write at its end.
+        // The delay also applies after a cooldown; otherwise all daemons would write at its end.
         let due = missing.since.max(cooldown_until) + missing.delay(delay, now);
         if now >= due {
             Step::Challenge
@@ -219,7 +219,7 @@
         self.bounds.challenge_duration * 2_u32.pow(doublings)
     }
 
-    /// The challenger takes over first; other daemons follow in order if it doesn't.
+    /// The challenger takes over first; other daemons follow by their delays if it doesn't.
     fn consider_challenged(
         &mut self,
         record: OwnershipRecord<'_>,
--- a/crates/quarantine/src/content.rs
+++ b/crates/quarantine/src/content.rs
@@ -4,8 +4,8 @@
 
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Digest of a request's path, caller and body. Request id, deadline and headers of a single attempt aren't part of
-/// it.
+/// Digest of a request's method, host, path, caller and body. Request id, deadline and headers of a single attempt
+/// aren't part of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ContentId(pub u64);
 
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -136,8 +136,8 @@
     }
 }
 
-/// Known crashes and clearings by content. Reports may be merged in any order and repeatedly: the ledgers of all daemons
-/// converge.
+/// Known crashes and clearings by content. Reports may be merged in any order and repeatedly: the ledgers of all
+/// daemons converge.
 #[derive(Debug, Clone, Default)]
 pub struct CrashLedger {
     entries: BTreeMap<ContentId, Entry>,
--- a/crates/serving/src/admission.rs
+++ b/crates/serving/src/admission.rs
@@ -22,7 +22,7 @@
     Within,
     /// The tenant has reached its limit.
     Over {
-        /// Time after which a request of this tenant will be within the limit.
+        /// Time after which a retry of this caller will be within the limit.
         retry_after: Duration,
     },
     /// No process that counts the tenant's requests can be reached.
--- a/crates/serving/src/attempt.rs
+++ b/crates/serving/src/attempt.rs
@@ -101,7 +101,7 @@
 /// Delay of a timer beyond which this process is considered stalled.
 const STALL_TOLERANCE: Duration = Duration::from_millis(20);
 
-/// Additional wait after a stall, so that bytes received meanwhile are read before the attempt is judged.
+/// Additional wait after a stall, so that bytes received meanwhile are read before the attempt is abandoned.
 const CATCH_UP_WAIT: Duration = Duration::from_millis(10);
 
 /// Maximum number of catch-up waits per attempt; a process under a CPU quota may stall repeatedly.
@@ -143,7 +143,7 @@
     }
 }
 
-/// Cause of an attempt whose content is quarantined.
+/// Cause of an attempt that isn't made because its content is quarantined.
 const CAUSE_QUARANTINED: &str = "held back";
 
 /// Lowest status that counts as a failure of the replica rather than of the request.
--- a/crates/serving/src/evacuation.rs
+++ b/crates/serving/src/evacuation.rs
@@ -108,7 +108,7 @@
             return None;
         }
         let was_evacuated = known.is_some_and(|known| !known.state.is_over);
-        // An end is reported only if the evacuation, or any full read, was known here before.
+        // The return time is set only if the evacuation, or any full read, was known here before.
         let ends_now = state.is_over && (was_evacuated || self.complete_at > 0);
         let entry = KnownZone {
             state,
--- a/crates/serving/src/outcome.rs
+++ b/crates/serving/src/outcome.rs
@@ -1,7 +1,7 @@
 //! Outcome of a request as evidence about its replica.
 //!
 //! A daemon sees only few of a replica's requests. Outcomes are reported with the released leases, so that the
-//! coordinator, which receives all of them, can tell a faulty replica from chance.
+//! coordinator, which receives all of them, can distinguish a faulty replica from chance failures.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -282,8 +282,8 @@
         Err(self.abort(last_cause.unwrap_or_default()))
     }
 
-    /// Excludes the last attempt from the count if its replica crashed: requests that ran there next to the cause
-    /// would otherwise be lost with its second crash.
+    /// Excludes the last attempt from the count if its replica crashed: a stream that shares replicas with the cause
+    /// of the crashes would otherwise be lost at the second one.
     async fn forgive_crash(&mut self, replica: &Arc<Replica>) {
         let is_last = self.state.sends >= self.state.route.attempts;
         if self.splits_events() && is_last && self.forwarder.has_crashed(replica).await {
--- a/crates/serving/src/replica.rs
+++ b/crates/serving/src/replica.rs
@@ -200,8 +200,8 @@
         }
     }
 
-    /// Sets whether its entry is unreadable. Unlike a replica whose entry vanished, which happens while the store is
-    /// down, it is excluded at once.
+    /// Sets whether its entry is unreadable, so that it isn't listed. Unlike a replica whose entry vanished, which
+    /// happens while the store is down, it is excluded at once.
     pub fn set_unlisted(&self, is_unlisted: bool) {
         self.is_unlisted.store(is_unlisted, Ordering::Relaxed);
     }
--- a/crates/serving/src/response.rs
+++ b/crates/serving/src/response.rs
@@ -42,7 +42,7 @@
     RateUnknown,
     /// No replica of the service accepts work.
     NoReplica,
-    /// All replicas tried were full.
+    /// None of the replicas tried accepted the request.
     Full,
     /// The request would miss its objective now, but not after a delay.
     Overloaded,
@@ -50,7 +50,7 @@
     NoTimeLeft,
     /// The time ran out while the request may have run.
     TimedOut,
-    /// A replica failed during the request, which must not run again.
+    /// A replica failed while the request may have run, and it isn't sent to another one.
     Broken,
     /// The content is quarantined, because replicas crashed whenever they ran it.
     Quarantined,
--- a/crates/serving/src/selection.rs
+++ b/crates/serving/src/selection.rs
@@ -9,7 +9,7 @@
 pub struct SelectionCosts {
     /// Prefill speed, prompt tokens per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// Cost of a replica with nearly all slots taken, milliseconds; proportional to the square of its load.
+    /// Cost of a replica with all slots taken, milliseconds; scaled by the square of the share that is taken.
     pub full_ms: f64,
     /// Cost of each request that waits for a slot, milliseconds, divided by the slots.
     pub waiting_ms: f64,
--- a/crates/serving/src/suspicion.rs
+++ b/crates/serving/src/suspicion.rs
@@ -11,14 +11,14 @@
 #[derive(Debug, Default)]
 pub struct Suspicion {
     until_ms: AtomicU64,
-    failures_in_a_row: AtomicU32,
+    consecutive_failures: AtomicU32,
     progress_at_ms: AtomicU64,
 }
 
 impl Suspicion {
     /// Records a failure and starts or extends the avoidance, longer after each failure without progress in between.
     pub fn note_failure(&self, now_ms: u64) {
-        let failures = self.failures_in_a_row.fetch_add(1, Ordering::Relaxed);
+        let failures = self.consecutive_failures.fetch_add(1, Ordering::Relaxed);
         let duration_ms = INITIAL_MS << failures.min(MAX_DOUBLINGS);
         self.until_ms
             .fetch_max(now_ms + duration_ms, Ordering::Relaxed);
@@ -26,7 +26,7 @@
 
     /// Records that bytes arrived from the replica.
     pub fn note_progress(&self, now_ms: u64) {
-        self.failures_in_a_row.store(0, Ordering::Relaxed);
+        self.consecutive_failures.store(0, Ordering::Relaxed);
         self.progress_at_ms.store(now_ms, Ordering::Relaxed);
     }
 
--- a/crates/serving/tests/suspicion.rs
+++ b/crates/serving/tests/suspicion.rs
@@ -3,7 +3,7 @@
 use harrierward_serving::Suspicion;
 
 #[test]
-fn failures_in_a_row_last_longer_and_progress_ends_the_row() {
+fn suspicion_lasts_longer_after_each_failure_until_progress_resets_it() {
     let replica = Suspicion::default();
     replica.note_failure(1_000);
     assert!(replica.is_active(1_499) && !replica.is_active(1_500));
--- a/crates/slots/src/groups.rs
+++ b/crates/slots/src/groups.rs
@@ -36,8 +36,8 @@
 /// Partition of a service's replicas into groups, a function of the replicas alone: all daemons that know the same
 /// replicas compute the same one.
 ///
-/// Groups by zone keep slot traffic within the zone and let an isolated zone go on. Otherwise groups lie in a region,
-/// as a coordinator in another region replies too late.
+/// Groups by zone keep slot traffic within the zone and let an isolated zone keep serving. Otherwise groups lie in a
+/// region, as a coordinator in another region replies too late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupLayout<'a> {
     kind: AreaKind,
--- a/crates/slots/src/held.rs
+++ b/crates/slots/src/held.rs
@@ -71,7 +71,7 @@
             .map(|held| describe(lease, held, now))
     }
 
-    /// Builds a full report of the leases at replicas for which `is_kept` holds. Its number increases with each
+    /// Builds a full report of the leases at replicas for which `is_kept` is true. Its number increases with each
     /// report.
     pub fn full_report(
         &mut self,
--- a/crates/slots/src/ledger.rs
+++ b/crates/slots/src/ledger.rs
@@ -10,7 +10,7 @@
 /// How long a holder's leases stay valid after its last report.
 pub const HOLDER_LIFETIME: Duration = Duration::from_millis(2_500);
 
-/// How long a preempted item may still be reported before its lease counts again: the order may have been lost.
+/// How long a preempted item may still be reported before its lease counts again: the command may have been lost.
 const PREEMPTION_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// What a lease is used for.
--- a/crates/slots/tests/outliers/mod.rs
+++ b/crates/slots/tests/outliers/mod.rs
@@ -1,6 +1,6 @@
-//! A group of replicas whose requests end as a test says.
+//! Group of replicas whose requests have outcomes that the test sets.
 
-// Each test program uses a part of it.
+// Each test program uses only part of this module.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -11,13 +11,13 @@
 
 pub const GROUP: u32 = 12;
 
-/// Requests served at each replica before a test: enough to say that hardly any fails.
+/// Requests served at each replica before a test; enough for a low baseline failure rate.
 pub const WARMUP_ROUNDS: u32 = 32;
 
-/// Longest ejection_time plus what a probe waits for work.
+/// Longer than the longest ejection and the delay after which any request may probe.
 pub const PAST_EJECTION: Duration = Duration::from_secs(40);
 
-/// A group, and a clock that goes on by a little with each request.
+/// Group with a clock that advances with each request.
 pub struct Group {
     pub detector: OutlierDetector,
     pub now: Instant,
@@ -44,7 +44,7 @@
             .map(|change| change.event)
     }
 
-    /// A request at the replica outcomes; the replica may be out.
+    /// Completes a request at the replica, which may be ejected.
     pub fn complete_after(
         &mut self,
         replica: u32,
@@ -76,7 +76,7 @@
         self.detector.ejected().contains(&replica)
     }
 
-    /// A probe by this work, if it may be one now.
+    /// Sends and completes a probe, if this kind of work may probe the replica now.
     pub fn probe(
         &mut self,
         replica: u32,
@@ -105,7 +105,7 @@
     }
 }
 
-/// A group in which replica 1 was ejected.
+/// Returns a group in which replica 1 is ejected.
 pub fn group_with_ejected() -> Group {
     let mut group = Group::new(GROUP);
     group.serve_all(WARMUP_ROUNDS);
--- a/crates/tenants/src/token_pool.rs
+++ b/crates/tenants/src/token_pool.rs
@@ -16,7 +16,7 @@
 /// Averaging window of the request rate.
 const AVERAGING_WINDOW: Duration = Duration::from_secs(1);
 
-/// How long a daemon refuses without asking the coordinator again; bounds the queries for a tenant far above its
+/// How long a daemon refuses without querying the coordinator again; bounds the queries for a tenant far above its
 /// limit.
 const MAX_REFUSAL: Duration = Duration::from_millis(50);
 
@@ -97,7 +97,7 @@
         });
     }
 
-    /// Returns the retry delay while callers are refused without asking the coordinator; otherwise `None`.
+    /// Returns the retry delay while callers are refused without a query to the coordinator; otherwise `None`.
     pub fn refusal(&self, now: Instant) -> Option<Duration> {
         let refusal = self.refusal.filter(|refusal| now < refusal.until)?;
         Some(refusal.retry_at.saturating_duration_since(now))
--- a/crates/tenants/tests/rates.rs
+++ b/crates/tenants/tests/rates.rs
@@ -310,7 +310,7 @@
         });
     }
 
-    fn answer_queries(&mut self) {
+    fn reply_to_queries(&mut self) {
         while self
             .queries
             .front()
@@ -373,7 +373,7 @@
             if self.detects_change() {
                 self.refresh_views();
             }
-            self.answer_queries();
+            self.reply_to_queries();
             due += per_second * STEP.as_secs_f64();
             while due >= 1.0 {
                 due -= 1.0;
