--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -54,7 +54,7 @@
 
 enum Step {
     Bytes(Bytes),
-    /// No data arrived, and no other replica could take over.
+    /// No data arrived, and no replica could take over.
     Wait,
     End,
     Broken(String),
@@ -213,8 +213,8 @@
         self.splits_events() && self.state.sends < self.state.route.attempts
     }
 
-    /// True if another replica could take over. A response in progress is not interrupted for a stall if all zones
-    /// are evacuated.
+    /// True if any replica of the service accepts the request. A response in progress is not interrupted for a stall
+    /// if none does, for example while all zones are evacuated.
     fn has_alternative(&self) -> bool {
         let view = self.forwarder.replicas().view();
         view.has_usable(&self.state.service, &self.state.request.regions)
@@ -356,7 +356,7 @@
 }
 
 impl Drop for Relay {
-    /// A caller that leaves drops the response before its end.
+    /// Logs a response that was dropped before its end, because the caller left.
     fn drop(&mut self) {
         if !self.finished {
             self.finish("caller left");
--- a/crates/serving/src/replica.rs
+++ b/crates/serving/src/replica.rs
@@ -206,7 +206,8 @@
         self.is_unlisted.store(is_unlisted, Ordering::Relaxed);
     }
 
-    /// Marks it as crashed until its entry is removed, another instance is listed, or a timeout expires.
+    /// Marks it as crashed until bytes arrive from it, its entry is removed, another instance is listed, or a timeout
+    /// expires.
     pub fn set_crashed(&self) {
         let until = self.now_ms() + millis(CRASHED_TTL);
         self.crashed_until_ms.store(until, Ordering::Relaxed);
--- a/crates/slots/src/groups.rs
+++ b/crates/slots/src/groups.rs
@@ -43,7 +43,7 @@
     kind: AreaKind,
     /// Areas with their own groups; empty if groups span all areas.
     areas: &'a [u32],
-    /// Groups per area: a power of two, so that it seldom changes.
+    /// Groups per area, or in total if groups span all areas: a power of two, so that it seldom changes.
     numbers: u32,
 }
 
--- a/crates/tenants/src/token_pool.rs
+++ b/crates/tenants/src/token_pool.rs
@@ -26,7 +26,7 @@
     expires_at: Instant,
 }
 
-/// Unexpired tokens of one tenant, its request rate, and the last refusal by the coordinator.
+/// Tokens of one tenant, its request rate, and the last refusal by the coordinator.
 #[derive(Debug, Default)]
 pub struct TokenPool {
     grants: VecDeque<Grant>,
