--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -226,12 +226,12 @@
 
 /// Checks that a state with `complete_at` includes all changes up to that revision.
 fn check_complete(store: &Store, update: &EvacuationUpdate) -> Result<(), String> {
-    let mut then = BTreeMap::new();
+    let mut rows = BTreeMap::new();
     let known = store.changes.iter();
     for change in known.filter(|change| change.revision <= update.complete_at) {
-        then.insert(change.zone, change);
+        rows.insert(change.zone, change);
     }
-    for change in then.values().filter(|change| change.is_written) {
+    for change in rows.values().filter(|change| change.is_written) {
         let state = update.zones.get(ZONES[change.zone]);
         if state.is_none_or(|state| state.revision < change.revision) {
             return Err(format!("{update:?} misses {change:?}"));
@@ -239,10 +239,10 @@
     }
     for (zone, state) in &update.zones {
         let older = !state.is_over && state.revision <= update.complete_at;
-        let stands = then.iter().any(|(number, change)| {
+        let is_in_force = rows.iter().any(|(number, change)| {
             ZONES[*number] == zone && change.is_written && change.revision == state.revision
         });
-        if older && !stands {
+        if older && !is_in_force {
             return Err(format!(
                 "{zone} is over at {}: {update:?}",
                 update.complete_at
--- a/crates/slots/tests/pacer.rs
+++ b/crates/slots/tests/pacer.rs
@@ -210,8 +210,8 @@
     }
 
     fn send(&mut self, queried_at: Instant) {
-        let lapsed = self.now >= queried_at + COLD_GRANT_LIFETIME;
-        if lapsed && self.fault != Fault::IgnoresLifetime {
+        let expired = self.now >= queried_at + COLD_GRANT_LIFETIME;
+        if expired && self.fault != Fault::IgnoresLifetime {
             return;
         }
         self.total += 1;
--- a/crates/tenants/tests/rates.rs
+++ b/crates/tenants/tests/rates.rs
@@ -230,7 +230,7 @@
                 continue;
             }
             let view = reachable.iter().enumerate();
-            let view = view.filter(|(_, (side, answers))| *side == daemon.side && *answers);
+            let view = view.filter(|(_, (side, replies))| *side == daemon.side && *replies);
             let view: Vec<usize> = view.map(|(number, _)| number).collect();
             let departed = daemon.view.iter().filter(|member| !view.contains(member));
             let departed: Vec<String> = departed.map(ToString::to_string).collect();
