--- a/crates/serving/src/replica.rs
+++ b/crates/serving/src/replica.rs
@@ -200,13 +200,14 @@
         }
     }
 
-    /// Sets whether its entry is unreadable. Unlike a replica whose entry vanished, which happens while the store is
-    /// down, it is excluded at once.
+    /// Sets whether its entry is unreadable, so that it isn't listed. Unlike a replica whose entry vanished, which
+    /// happens while the store is down, it is excluded at once.
     pub fn set_unlisted(&self, is_unlisted: bool) {
         self.is_unlisted.store(is_unlisted, Ordering::Relaxed);
     }
 
-    /// Marks it as crashed until its entry is removed, another instance is listed, or a timeout expires.
+    /// Marks it as crashed until bytes arrive from it, its entry is removed, another instance is listed, or a timeout
+    /// expires.
     pub fn set_crashed(&self) {
         let until = self.now_ms() + millis(CRASHED_TTL);
         self.crashed_until_ms.store(until, Ordering::Relaxed);
--- a/crates/slots/src/groups.rs
+++ b/crates/slots/src/groups.rs
@@ -36,14 +36,14 @@
 /// Partition of a service's replicas into groups, a function of the replicas alone: all daemons that know the same
 /// replicas compute the same one.
 ///
-/// Groups by zone keep slot traffic within the zone and let an isolated zone go on. Otherwise groups lie in a region,
-/// as a coordinator in another region replies too late.
+/// Groups by zone keep slot traffic within the zone and let an isolated zone keep serving. Otherwise groups lie in a
+/// region, as a coordinator in another region replies too late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupLayout<'a> {
     kind: AreaKind,
     /// Areas with their own groups; empty if groups span all areas.
     areas: &'a [u32],
-    /// Groups per area: a power of two, so that it seldom changes.
+    /// Groups per area, or in total if groups span all areas: a power of two, so that it seldom changes.
     numbers: u32,
 }
 
--- a/crates/tenants/tests/rates.rs
+++ b/crates/tenants/tests/rates.rs
@@ -230,7 +230,7 @@
                 continue;
             }
             let view = reachable.iter().enumerate();
-            let view = view.filter(|(_, (side, answers))| *side == daemon.side && *answers);
+            let view = view.filter(|(_, (side, replies))| *side == daemon.side && *replies);
             let view: Vec<usize> = view.map(|(number, _)| number).collect();
             let departed = daemon.view.iter().filter(|member| !view.contains(member));
             let departed: Vec<String> = departed.map(ToString::to_string).collect();
@@ -310,7 +310,7 @@
         });
     }
 
-    fn answer_queries(&mut self) {
+    fn reply_to_queries(&mut self) {
         while self
             .queries
             .front()
@@ -373,7 +373,7 @@
             if self.detects_change() {
                 self.refresh_views();
             }
-            self.answer_queries();
+            self.reply_to_queries();
             due += per_second * STEP.as_secs_f64();
             while due >= 1.0 {
                 due -= 1.0;
