--- a/crates/inline-jobs/src/adoption.rs
+++ b/crates/inline-jobs/src/adoption.rs
@@ -1,4 +1,4 @@
-//! Adoption of jobs whose owners crashed or stopped, handover of released jobs, and removal of expired ones.
+//! Adoption of jobs whose owners crashed or stopped, handover of own jobs, and removal of expired ones.
 
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Steps the takeover of each open job of another daemon. `owners` are the daemons that may own jobs.
+    /// Steps the takeover of each open job that this daemon does not own, and refutes challenges of its own jobs.
+    /// `owners` are the daemons that may own jobs.
     fn check_orphans(&self, owners: &[String]) {
         let open = self.inner.view.open_jobs();
         let mut statuses: HashMap<&str, OwnerStatus> = HashMap::new();
--- a/crates/inline-jobs/src/item_run.rs
+++ b/crates/inline-jobs/src/item_run.rs
@@ -113,7 +113,8 @@
     }
 }
 
-/// Appends an event to the item's output; events must be numbered without gaps.
+/// Appends an event to the item's output. Ignores an event without a number and one that was received before; fails if
+/// events between the last one and this one are missing.
 fn append_event(progress: &SharedProgress, event: &StreamEvent) -> Result<(), &'static str> {
     let Some(id) = event.id else {
         return Ok(());
--- a/crates/inline-jobs/src/listing.rs
+++ b/crates/inline-jobs/src/listing.rs
@@ -27,7 +27,7 @@
 struct Listing {
     known: KnownHeader,
     results: Vec<ListedResult>,
-    /// Failure counts of items that are to run again.
+    /// Failure counts of the items that stay unlisted, for the header.
     failures: Vec<ItemFailuresRow>,
     /// Progress of the items whose failures are new.
     failed_progress: Vec<(u32, ItemProgressRow)>,
--- a/crates/inline-jobs/src/lookup.rs
+++ b/crates/inline-jobs/src/lookup.rs
@@ -21,8 +21,8 @@
 /// row itself proves that nothing is listed.
 const READ_STORE: Duration = Duration::ZERO;
 
-/// Age of the last proof up to which a long poll waits for the watch. Above it, the store is read at once.
-const MAX_FEED_AGE: Duration = MAX_COPY_AGE;
+/// Age of the last proof of contact up to which a long poll waits for the watch. Above it, the store is read at once.
+const MAX_PROOF_AGE: Duration = MAX_COPY_AGE;
 
 /// Text per page of results, in bytes; a page may have 1 MB.
 const PAGE_BYTES: usize = 700_000;
@@ -30,18 +30,20 @@
 /// How long a cancellation is retried.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// True if a header of any age suffices for a response: it lists a result at `after`, or its list is complete.
+/// True if a header of any age suffices for a response: it lists a result at `after`, or no more results will be
+/// listed, because the list is complete or the job is cancelled.
 fn is_conclusive(known: &KnownHeader, after: u32) -> bool {
     known.lists_beyond(after) || !known.is_open()
 }
 
 impl InlineJobs {
-    /// True if the local copy was proven current less than `max_age` ago.
+    /// True if the last proof of contact is younger than `max_age`.
     fn is_proven_within(&self, max_age: Duration) -> bool {
         self.inner.view.proof_age().is_some_and(|age| age < max_age)
     }
 
-    /// Returns the header from the local copy if that was proven less than `max_age` ago, else from the store.
+    /// Returns the header from the local copy if the last proof of contact is younger than `max_age`, else from the
+    /// store.
     async fn find(&self, job_id: &str, max_age: Duration) -> Lookup<KnownHeader> {
         let is_fresh = self.is_proven_within(max_age);
         match self.inner.view.get(job_id).filter(|_| is_fresh) {
@@ -109,7 +111,7 @@
     /// Returns results from position `after` on; waits up to `wait` for one.
     ///
     /// Results are append-only, so a stale header may prove that a result exists. An empty page requires a read of
-    /// the store's row that began after the request, unless the list is complete.
+    /// the store's row that began after the request, unless the list is complete or the job is cancelled.
     pub async fn results(
         &self,
         caller: &JobCaller,
@@ -127,7 +129,7 @@
             let max_age = if left.is_zero() {
                 READ_STORE
             } else {
-                MAX_FEED_AGE
+                MAX_PROOF_AGE
             };
             let proof_age = self.inner.view.proof_age();
             let found = self.find_for(caller, id, max_age).await;
@@ -253,7 +255,8 @@
         })
     }
 
-    /// Cancels a job: none of its items starts any more.
+    /// Cancels a job. A daemon that has not received the change may still start items until
+    /// [`JobSettings::cancel_within`](crate::JobSettings::cancel_within) after the response.
     pub async fn cancel(&self, caller: &JobCaller, id: &str) -> CancelOutcome {
         let outcome = self.try_cancel(caller, id).await;
         let name = match outcome {
--- a/crates/inline-jobs/src/owned_job.rs
+++ b/crates/inline-jobs/src/owned_job.rs
@@ -178,8 +178,8 @@
         rows.collect()
     }
 
-    /// True if runs were tried within `timeout`, but none of them progressed and no result was listed. Items that
-    /// wait for slots are not stuck.
+    /// True if a run broke or was refused within `timeout`, and in that time no item progressed and no result was
+    /// listed. A newly registered job is not stuck, nor is one that only waits for slots.
     pub fn is_stuck(&self, timeout: Duration) -> bool {
         let is_recent = |at: Instant| at.elapsed() < timeout;
         let has_progressed = |item: &Item| {
@@ -223,7 +223,8 @@
         rows.collect()
     }
 
-    /// Returns results to be listed, within the limits of one transaction but at least one.
+    /// Returns complete results that are not listed yet: at most `max_results`, with `max_bytes` of text, but the first
+    /// one whatever its size.
     pub fn results_to_list(&self, max_results: usize, max_bytes: usize) -> Vec<ListedResult> {
         let mut results = Vec::new();
         let mut size = 0;
--- a/crates/inline-jobs/src/quota_ledger.rs
+++ b/crates/inline-jobs/src/quota_ledger.rs
@@ -78,7 +78,7 @@
 
 impl QuotaLedger {
     /// Starts coordinating a route: the fence was written at revision `fence`, and all headers up to it are known.
-    /// Drops grants under earlier fences, which can no longer be stored.
+    /// Drops the grants under earlier fences, as no job can be stored under them any more.
     pub fn begin(&mut self, route: &str, fence: u64) {
         let quota = RouteQuota {
             fence,
--- a/crates/inline-jobs/src/ready.rs
+++ b/crates/inline-jobs/src/ready.rs
@@ -16,7 +16,7 @@
     pub service: String,
     /// How long it may wait and still be in time.
     pub item_slack: ItemSlack,
-    /// True if similar items recently found no free slot, so that all others go first.
+    /// True if an item of the same service and regions recently found no free slot, so that all others go first.
     pub is_deferred: bool,
 }
 
--- a/crates/inline-jobs/src/registry.rs
+++ b/crates/inline-jobs/src/registry.rs
@@ -48,7 +48,7 @@
     pub run_length: RunLength,
     /// Routes of jobs that are missing from the configuration, with the time since when.
     pub missing_routes: BTreeMap<String, Instant>,
-    /// When runs were last preempted, by replica id.
+    /// When runs were last preempted at replicas whose slots have no coordinator, by replica id.
     pub preempted_at: BTreeMap<String, Instant>,
     /// The jobs by stored id.
     pub jobs: BTreeMap<String, OwnedJob>,
--- a/crates/inline-jobs/src/runner.rs
+++ b/crates/inline-jobs/src/runner.rs
@@ -260,7 +260,7 @@
         self.run_item(item, placement).await;
     }
 
-    /// Returns an item to the queue after no replica had capacity, and pauses placements of its kind.
+    /// Returns an item to the queue after no replica had capacity, and pauses placements for its service and regions.
     fn note_no_capacity(&self, item: &StartableItem, service: &str) {
         let now = Instant::now();
         let mut registry = self.registry();
@@ -304,7 +304,7 @@
         let Some(entry) = job.items.get_mut(item.number as usize) else {
             return;
         };
-        // An earlier owner's listing may have arrived since the run ended.
+        // A listing by this or an earlier owner may have arrived since the run ended.
         if matches!(entry.phase, ItemPhase::Listed) {
             return;
         }
@@ -405,7 +405,7 @@
         }
     }
 
-    /// True if the last preemption at the replica has taken effect; if so, records a new one.
+    /// True if the preemption interval has passed at the replica; if so, records a new preemption.
     fn may_preempt_at(&self, replica: &str) -> bool {
         let mut registry = self.registry();
         let last = registry.preempted_at.get(replica);
--- a/crates/inline-jobs/src/service.rs
+++ b/crates/inline-jobs/src/service.rs
@@ -160,8 +160,8 @@
         self.inner.stopping.load(Ordering::Relaxed)
     }
 
-    /// True if the local copy is recent enough that no cancellation acknowledged longer than the bound ago can be
-    /// missing.
+    /// True unless this daemon is stopping, or the last proof of contact is so old that the local copy may lack a
+    /// cancellation acknowledged longer than [`JobSettings::cancel_within`] ago.
     pub(crate) fn may_start_runs(&self) -> bool {
         let bound = self.inner.settings.cancel_within;
         let bound = bound.saturating_sub(CANCEL_MARGIN);
@@ -329,8 +329,7 @@
         let handovers = released_jobs
             .into_iter()
             .map(|(known, state)| self.hand_over(known, state, "stopping", until));
-        // A write without a response lasts beyond `until`; the other daemons then adopt the job once this one has
-        // departed.
+        // A write may have no response by `until`; the other daemons then adopt the job once this one has departed.
         let finished = timeout_at(until, futures::future::join_all(handovers)).await;
         if finished.is_err() {
             self.inner.log.record(&Record::DependencyLost {
--- a/crates/inline-jobs/src/store.rs
+++ b/crates/inline-jobs/src/store.rs
@@ -31,7 +31,7 @@
     },
     /// The header has changed; the last attempt wrote nothing.
     Conflict {
-        /// The present header; `None` if there is none.
+        /// The present header; `None` if there is none or it cannot be decoded.
         current: Option<Box<KnownHeader>>,
     },
     /// The quota's fence has changed; nothing was written, and nothing will be.
@@ -64,7 +64,7 @@
     },
     /// Another daemon has written the fence.
     Superseded(KnownFence),
-    /// It is unknown whether the fence was written.
+    /// The fence was not written, or it is unknown whether it was.
     Unconfirmed,
 }
 
@@ -145,7 +145,7 @@
     ) -> WriteOutcome {
         let content = Bytes::from(encode(items));
         let header_key = keys::header(&header.job_id);
-        // The header's condition comes first: where both fail, the job already exists.
+        // The header's condition comes first, so that a conflict of both conditions reports the existing job.
         let mut transaction = Transaction::default().require(Condition::Absent {
             key: header_key.clone(),
         });
--- a/crates/inline-jobs/src/takeover.rs
+++ b/crates/inline-jobs/src/takeover.rs
@@ -24,7 +24,7 @@
 /// store's queues, which also carry their refutations.
 const MAX_CONCURRENT_WRITES: usize = 8;
 
-/// Takeover state of this daemon. Its clock includes time during which the process was suspended.
+/// Takeover state of this daemon. The takeover clock counts time during which the machine was suspended.
 pub(crate) struct JobTakeovers {
     core: Takeovers,
     origin: Instant,
--- a/crates/inline-jobs/src/view.rs
+++ b/crates/inline-jobs/src/view.rs
@@ -64,7 +64,7 @@
     fences: HashMap<String, SeenFence>,
     /// Newest store revision seen by this daemon.
     newest_revision: u64,
-    /// Latest moment at which the copy was known to be current.
+    /// Latest proof of contact, see [`JobView::note_proof`].
     proven_at: Option<Instant>,
     store_time: Option<StoreTime>,
 }
@@ -82,7 +82,7 @@
     at: Instant,
 }
 
-/// Job headers and fences by id; an entry is only replaced by one of a higher revision.
+/// Job headers by job id and fences by route; an entry is only replaced by one of a higher revision.
 #[derive(Debug, Default)]
 pub struct JobView {
     state: Mutex<State>,
@@ -115,7 +115,8 @@
         self.lock().newest_revision
     }
 
-    /// Records that the copy was current at `moment`. `store_time_ms` is the store's clock, 0 if unknown.
+    /// Records a proof of contact: the copy holds what the store had acknowledged by `moment`, except for changes that
+    /// the watch omitted. `store_time_ms` is the store's clock, 0 if unknown.
     pub fn note_proof(&self, moment: Instant, store_time_ms: u64) {
         let mut state = self.lock();
         let is_newer = state.proven_at.is_none_or(|known| known < moment);
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Returns the time since the copy was known to be current; `None` if it never was.
+    /// Returns the age of the last proof of contact, see [`Self::note_proof`]; `None` before the first.
     pub fn proof_age(&self) -> Option<Duration> {
         self.lock().proven_at.map(harrierward_clock::age)
     }
