--- a/crates/batch/src/core/chunk.rs
+++ b/crates/batch/src/core/chunk.rs
@@ -58,7 +58,7 @@
     /// Items that were interrupted repeatedly, with the end of their cooldown.
     pub cooldowns: BTreeMap<u32, Duration>,
     /// Number of interrupted runs of each item.
-    pub lost_runs: BTreeMap<u32, u32>,
+    pub interrupted_runs: BTreeMap<u32, u32>,
     /// At-most-once items whose intent is neither committed nor in flight.
     pub awaiting_intent: VecDeque<u32>,
     /// At-most-once items whose intent is in the commit in flight.
@@ -88,7 +88,7 @@
             input: ChunkInput::NotRequested,
             ready: VecDeque::new(),
             cooldowns: BTreeMap::new(),
-            lost_runs: BTreeMap::new(),
+            interrupted_runs: BTreeMap::new(),
             awaiting_intent: VecDeque::new(),
             intents_in_flight: ItemSet::default(),
             intent_ready: VecDeque::new(),
@@ -161,7 +161,7 @@
         self.indeterminate.remove(&item.item);
         self.ready.retain(|number| *number != item.item);
         self.cooldowns.remove(&item.item);
-        self.lost_runs.remove(&item.item);
+        self.interrupted_runs.remove(&item.item);
         self.finished.push(item);
         self.finished_since.get_or_insert(now);
     }
@@ -216,7 +216,7 @@
 }
 
 /// Number of interrupted runs from which an item gets a cooldown. Fewer may have another cause than the item.
-const LOST_RUNS_BEFORE_COOLDOWN: u32 = 3;
+const INTERRUPTED_RUNS_BEFORE_COOLDOWN: u32 = 3;
 
 /// First cooldown; doubles after each further interrupted run, so that an item which crashes its engine is granted ever
 /// less often.
@@ -231,10 +231,10 @@
 
 impl ActiveChunk {
     /// Notes an interrupted run of an item that may run again: makes it ready, or starts its cooldown.
-    pub fn note_lost_run(&mut self, number: u32, now: Duration) {
-        let lost = self.lost_runs.entry(number).or_default();
-        *lost += 1;
-        let Some(doublings) = lost.checked_sub(LOST_RUNS_BEFORE_COOLDOWN) else {
+    pub fn note_interrupted_run(&mut self, number: u32, now: Duration) {
+        let interrupted = self.interrupted_runs.entry(number).or_default();
+        *interrupted += 1;
+        let Some(doublings) = interrupted.checked_sub(INTERRUPTED_RUNS_BEFORE_COOLDOWN) else {
             self.ready.push_front(number);
             return;
         };
@@ -267,7 +267,7 @@
             || self.intents_in_flight.contains(number)
     }
 
-    /// Adds the grant of an earlier owner whose holder still runs the item.
+    /// Adds a grant that an earlier owner made, or that expired here, and whose holder still runs the item.
     pub fn adopt_grant(
         &mut self,
         number: u32,
@@ -289,7 +289,8 @@
         self.grants.insert(number, grant);
     }
 
-    /// Expires grants: at-most-once items become indeterminate, the others ready.
+    /// Expires grants: at-most-once items become indeterminate, the others ready. Without the input lines, loading them
+    /// decides.
     pub fn expire_grants(&mut self, now: Duration, indeterminate_until: Duration) {
         let expired: Vec<u32> = self
             .grants
--- a/crates/batch/src/core/grants.rs
+++ b/crates/batch/src/core/grants.rs
@@ -51,7 +51,7 @@
                 Some(grant) if grant.attempt == held.attempt && !cancelled => {
                     grant.expires_at = expires_at;
                 }
-                // Granted by an earlier owner and still held: the grant is kept.
+                // Granted by an earlier owner, or expired here, and still held: the grant is kept.
                 None if !finished && !cancelled => {
                     chunk.adopt_grant(number, held, &request.member, expires_at);
                 }
@@ -64,8 +64,8 @@
     fn grant_one(&mut self, request: &PullRequest, now: Duration) -> Option<Grant> {
         let job_id = self.next_job(request)?;
         let expires_at = now + self.settings.grant_lease;
-        self.next_attempt += 1;
-        let attempt = format!("{}-{}", self.member, self.next_attempt);
+        self.last_number += 1;
+        let attempt = format!("{}-{}", self.member, self.last_number);
         let job = self.jobs.get_mut(&job_id)?;
         let (chunk_number, chunk) = job
             .active_chunks_mut()
@@ -223,7 +223,7 @@
         };
         match (input.at_most_once, may_have_run) {
             (false, false) => chunk.ready.push_front(number),
-            (false, true) => chunk.note_lost_run(number, now),
+            (false, true) => chunk.note_interrupted_run(number, now),
             (true, false) => chunk.intent_ready.push_front(number),
             (true, true) => {
                 chunk.indeterminate.insert(number, Duration::ZERO);
--- a/crates/batch/src/core/owner.rs
+++ b/crates/batch/src/core/owner.rs
@@ -72,7 +72,8 @@
     /// Number of commits without an outcome, by job. While there are any, the job is neither loaded, because the rows
     /// read may be older than the commits, nor finalized.
     pub(super) outstanding_commits: BTreeMap<String, u32>,
-    pub(super) next_attempt: u64,
+    /// Last number given to an attempt or a commit; both are numbered in one sequence.
+    pub(super) last_number: u64,
     pub(super) buffered: usize,
 }
 
@@ -89,7 +90,7 @@
             closing: BTreeSet::new(),
             recent_cancellations: VecDeque::new(),
             outstanding_commits: BTreeMap::new(),
-            next_attempt: 0,
+            last_number: 0,
             buffered: 0,
         }
     }
--- a/crates/batch/src/core/planning.rs
+++ b/crates/batch/src/core/planning.rs
@@ -44,18 +44,18 @@
                 continue;
             }
             let commit = if chunk.results_due(now, flush, &settings) {
-                self.next_attempt += 1;
-                chunk.in_flight = Some(self.next_attempt);
+                self.last_number += 1;
+                chunk.in_flight = Some(self.last_number);
                 let object = format!(
                     "result/{job_id}/{number:06}-{}-{}-{}",
-                    shard.epoch, self.member, self.next_attempt
+                    shard.epoch, self.member, self.last_number
                 );
                 let items = chunk.finished.clone();
                 let row = chunk.row_with(shard.epoch, &items, Some(&object), ItemSet::default());
                 counts.completed += row.completed - chunk.completed;
                 counts.failed += row.failed - chunk.failed;
                 ChunkCommit {
-                    id: self.next_attempt,
+                    id: self.last_number,
                     kind: CommitKind::Results,
                     shard: shard_number,
                     shard_revision: shard.revision,
@@ -68,11 +68,11 @@
                     items,
                 }
             } else if !cancelled && chunk.needs_intents(&settings) {
-                self.next_attempt += 1;
-                chunk.in_flight = Some(self.next_attempt);
+                self.last_number += 1;
+                chunk.in_flight = Some(self.last_number);
                 let intents = chunk.start_intents(settings.max_intents_ahead);
                 ChunkCommit {
-                    id: self.next_attempt,
+                    id: self.last_number,
                     kind: CommitKind::Intents,
                     shard: shard_number,
                     shard_revision: shard.revision,
--- a/crates/batch/src/files.rs
+++ b/crates/batch/src/files.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Starts an upload of batch input; nothing is stored until its first part is full.
+    /// Starts an upload of batch input; nothing is stored until its first part is full or the upload is finished.
     pub fn upload(&self, request: UploadRequest) -> FileUpload {
         let object_prefix = format!("input/{}/{}", request.tenant, request.file_id);
         FileUpload {
@@ -318,7 +318,7 @@
         }
     }
 
-    /// Deletes the stored parts of a failed upload; errors are ignored.
+    /// Deletes the stored parts of an upload that failed or repeated an earlier one; errors are ignored.
     pub async fn abandon(&self) {
         for part in 0..self.parts {
             let name = part_name(&self.object_prefix, part);
--- a/crates/batch/src/owner.rs
+++ b/crates/batch/src/owner.rs
@@ -395,7 +395,8 @@
     }
 
     /// Writes the final job row. After a lost response the next try conflicts and removes the job, which is correct,
-    /// because only this owner finalizes jobs of its shard.
+    /// because only this owner finalizes jobs of its shard. If the row was changed by a cancellation instead, discovery
+    /// loads the job again.
     async fn try_finalize(
         &self,
         finalization: &JobFinalization,
