--- a/crates/claims/src/group.rs
+++ b/crates/claims/src/group.rs
@@ -65,7 +65,8 @@
         transaction
     }
 
-    /// Applies the transaction's outcome. A conflict resolves at most one claim; the others go into the next transaction.
+    /// Applies the transaction's outcome. A conflict resolves at most one claim; the others go into the next
+    /// transaction.
     pub fn resolve(&mut self, outcome: TransactionOutcome) -> Vec<Resolution> {
         match outcome {
             TransactionOutcome::Committed { revision } => self
