--- a/crates/membership/src/core/mod.rs
+++ b/crates/membership/src/core/mod.rs
@@ -1,7 +1,8 @@
 //! The membership protocol as a pure state machine.
 //!
 //! Invariants: only a member itself raises its incarnation; a record never goes back to a lower one; a member is
-//! declared dead only after a suspicion that it had time to refute.
+//! declared dead only after a suspicion that it had time to refute, unless it announced that it leaves or a later
+//! instance runs at its address.
 
 mod digest;
 mod probes;
--- a/crates/membership/tests/pauses.rs
+++ b/crates/membership/tests/pauses.rs
@@ -13,7 +13,8 @@
 /// Maximum time from the end of a pause until all views are complete.
 const COMPLETE_WITHIN: Duration = Duration::from_secs(10);
 
-/// Seconds; shorter and longer than the death timeout and than the retention of dead members.
+/// Lengths of the pause in seconds: shorter and longer than the time until a member is declared dead, and than the
+/// retention of dead members.
 const LENGTHS: [u64; 5] = [1, 3, 20, 70, 600];
 
 /// Number of paused daemons: one, those of one machine, and half of the fleet.
