--- a/crates/relay/src/relay/reading.rs
+++ b/crates/relay/src/relay/reading.rs
@@ -14,7 +14,7 @@
 
 use super::{MAX_HOLD, Relay};
 
-/// Age above which a peer's proof counts as a failure of the peer, so that the next request goes to the store.
+/// Age above which a peer's proof counts as a failure of the peer, so that the next request goes to another source.
 const MAX_PROOF_AGE: Duration = Duration::from_millis(2_500);
 
 /// Maximum number of rows read before the members are known; reads of larger spaces wait for the relay mode.
--- a/crates/relay/src/space_copy.rs
+++ b/crates/relay/src/space_copy.rs
@@ -20,7 +20,8 @@
     pub written: Vec<Row>,
     /// Keys of removed rows.
     pub removed: Vec<String>,
-    /// The copy holds everything that the store had acknowledged by then; `None` if unknown.
+    /// Time of the proof: the copy holds everything that the store had acknowledged by then, except for changes that
+    /// its feed omitted. `None` if unknown.
     pub as_of: Option<Instant>,
     /// The store's monotonic clock at the read, in milliseconds.
     pub store_time_ms: u64,
@@ -95,8 +96,7 @@
         self.rows.len()
     }
 
-    /// Returns the time of the proof: the copy holds everything that the store had acknowledged by then. `None`
-    /// before the first full read.
+    /// Returns the time of the proof, as in [`SpaceUpdate::as_of`]. `None` before the first full read.
     pub fn as_of(&self) -> Option<Instant> {
         self.as_of
     }
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Returns when a space is read again after its first full read, or after the one that follows lost history.
+    /// Returns the time until the next full read after a space's first one, or after the one that follows lost history.
     ///
     /// After lost history a full read may be stale, so the next one comes as soon as reads are current again, with
     /// jitter. After a start the feed itself detects a stale read, so the next one comes at a random time around the
