--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -170,7 +170,7 @@
             return Err(PolicyError::Run("no such program".to_owned()));
         };
         let Some(ast) = &program.ast else {
-            return Err(PolicyError::Compile("does not compile".to_owned()));
+            return Err(PolicyError::Compile("invalid program source".to_owned()));
         };
         let run = self.engine.run(ast, program_input)?;
         program.last_good_run = Some(run.clone());
--- a/crates/capacity/src/policy.rs
+++ b/crates/capacity/src/policy.rs
@@ -69,6 +69,7 @@
     pub hour: f64,
 }
 
+/// Example input, for checking a program before it is accepted.
 impl Default for PolicyNumbers {
     fn default() -> Self {
         Self {
