--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -22,7 +22,7 @@
 /// clear it.
 const TIMESTAMP_TOLERANCE: Duration = Duration::from_secs(1);
 
-/// How long a content that isn't a cause is announced to others after its last change.
+/// How long a content that isn't a cause is announced to others after its latest crash or clearing.
 const ANNOUNCE_DURATION: Duration = Duration::from_secs(30);
 
 /// Identifies one instance of a replica process; a restarted replica is another instance.
@@ -92,7 +92,7 @@
         true
     }
 
-    fn last_change(&self) -> Option<Instant> {
+    fn latest_event(&self) -> Option<Instant> {
         let last_crash = self.crashes.iter().map(|crash| crash.at).max();
         last_crash.max(self.cleared.map(|cleared| cleared.at))
     }
@@ -162,7 +162,7 @@
     }
 
     /// Clears a content after a complete response or a release by an operator: its crashes so far don't count.
-    /// `number` identifies the clearing. True if there were crashes to clear.
+    /// `number` identifies the clearing. True if there were crashes and the clearing is newer than a known one.
     pub fn clear(&mut self, content: ContentId, number: u32, at: Instant) -> bool {
         let Some(entry) = self.entries.get_mut(&content) else {
             return false;
@@ -215,29 +215,29 @@
         is_new
     }
 
-    /// Returns what is to be announced to other daemons, at most `limit` contents: causes first, then the latest
-    /// changes.
+    /// Returns what is to be announced to other daemons, at most `limit` contents: causes first, then those with
+    /// the latest crash or clearing.
     pub fn to_announce(
         &self,
         statuses: &ContentStatuses,
         now: Instant,
         limit: usize,
     ) -> Vec<ReportedContent> {
-        self.changed_within(ANNOUNCE_DURATION, statuses, now, limit)
+        self.report_recent(ANNOUNCE_DURATION, statuses, now, limit)
     }
 
-    /// Returns what is to be stored for daemons that start later, in the same order: all that hasn't expired,
-    /// including clearings, since others may still store the crashes.
+    /// Returns what is to be stored for daemons that start later, at most `limit` contents in the order of
+    /// [`Self::to_announce`]: all that hasn't expired, including clearings, since others may still store the crashes.
     pub fn to_store(
         &self,
         statuses: &ContentStatuses,
         now: Instant,
         limit: usize,
     ) -> Vec<ReportedContent> {
-        self.changed_within(CRASH_TTL, statuses, now, limit)
+        self.report_recent(CRASH_TTL, statuses, now, limit)
     }
 
-    fn changed_within(
+    fn report_recent(
         &self,
         max_age: Duration,
         statuses: &ContentStatuses,
@@ -249,14 +249,17 @@
             .iter()
             .map(|(content, entry)| {
                 let is_cause = statuses.is_cause(*content);
-                (is_cause, entry.last_change(), content, entry)
+                (is_cause, entry.latest_event(), content, entry)
             })
-            .filter(|(is_cause, changed, _, _)| {
-                let is_new = changed.is_some_and(|at| now.saturating_duration_since(at) < max_age);
-                *is_cause || is_new
+            .filter(|(is_cause, latest_event, _, _)| {
+                let is_recent =
+                    latest_event.is_some_and(|at| now.saturating_duration_since(at) < max_age);
+                *is_cause || is_recent
             })
             .collect();
-        selected.sort_by_key(|(is_cause, changed, _, _)| std::cmp::Reverse((*is_cause, *changed)));
+        selected.sort_by_key(|(is_cause, latest_event, _, _)| {
+            std::cmp::Reverse((*is_cause, *latest_event))
+        });
         selected.truncate(limit);
         let age = |at: Instant| now.saturating_duration_since(at);
         let reports = selected
@@ -331,7 +334,7 @@
             let victim = self
                 .entries
                 .iter()
-                .min_by_key(|(_, entry)| (entry.crashes.len(), entry.last_change()))
+                .min_by_key(|(_, entry)| (entry.crashes.len(), entry.latest_event()))
                 .map(|(content, _)| *content);
             let Some(victim) = victim else {
                 return;
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,7 +1,8 @@
-//! Quarantine of contents under which replicas crash. Pure: callers do the I/O.
+//! Quarantine of request contents that crash replicas. Pure: callers do the I/O.
 //!
-//! Such a request recurs under other ids and at other daemons, so it is identified by its path, caller and body.
-//! Daemons exchange the crashes that they observe; their ledgers converge in any order of the reports.
+//! A request that crashes replicas recurs under other ids and at other daemons, so it is identified by a digest of its
+//! content ([`ContentId`]). Daemons exchange the crashes that they observe; their ledgers converge in any order of the
+//! reports.
 
 mod content;
 mod ledger;
--- a/crates/quarantine/src/status.rs
+++ b/crates/quarantine/src/status.rs
@@ -8,8 +8,8 @@
 use crate::content::ContentId;
 use crate::ledger::{Crash, ReplicaInstance};
 
-/// Crashes without another explanation from which a content is quarantined. Two aren't rare for a harmless request,
-/// which may be retried on the same replica as the cause.
+/// Number of crashes without another explanation from which on a content is quarantined. Two aren't rare for a
+/// harmless request, which may be retried on the same replica as the cause.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
 
 /// Duration of the quarantine after the last crash.
