--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A resource (a job) has a record in the store that is written under its revision and watched by all daemons. Views
 //! of the fleet differ during partitions and stalls, so an absent owner is first challenged in the record; a live
-//! owner that reaches the store refutes that by writing it. A challenge that isn't refuted in time is followed by a
-//! takeover under its revision. Without absent owners nothing is written.
+//! owner that reaches the store refutes the challenge by writing the record. A challenge that isn't refuted in time is
+//! followed by a takeover under its revision. Without absent owners nothing is written.
 //!
 //! Resources whose records aren't watched (shards, replicas) can't be challenged in time; there only [`Cooldowns`]
 //! bound the rate of takeovers.
--- a/crates/ownership/src/takeovers.rs
+++ b/crates/ownership/src/takeovers.rs
@@ -5,7 +5,8 @@
 
 use crate::cooldowns::Cooldowns;
 
-/// Duration of challenges and cooldowns.
+/// Durations of challenges and cooldowns. [`Takeovers`] multiplies the cooldowns by a factor from 1 to 1.5 that each
+/// daemon draws.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TakeoverBounds {
     /// Time from the reply to the challenge's write to the takeover; must exceed the lag of watches.
@@ -15,9 +16,9 @@
     pub write_time_factor: u32,
     /// Cooldown of an owner after its first refutation.
     pub initial_cooldown: Duration,
-    /// Maximum cooldown; each refutation doubles it.
+    /// Maximum cooldown; each refutation doubles the cooldown up to this.
     pub max_cooldown: Duration,
-    /// Maximum number of doublings of a challenge's duration; each takeover under a challenge doubles it.
+    /// Maximum number of doublings of a challenge's duration, one for each takeover under a challenge.
     pub max_doublings: u32,
 }
 
@@ -131,7 +132,7 @@
     bounds: TakeoverBounds,
     missing: HashMap<String, MissingOwner>,
     cooldowns: Cooldowns,
-    /// Factor on this daemon's cooldowns, so that daemons don't challenge at the same time.
+    /// Factor on this daemon's cooldowns, 1 to 1.5, so that daemons don't challenge at the same time.
     jitter_factor: f64,
 }
 
--- a/crates/ownership/tests/takeovers.rs
+++ b/crates/ownership/tests/takeovers.rs
@@ -54,7 +54,7 @@
 
 struct Simulation {
     scenario: Scenario,
-    cores: Vec<Takeovers>,
+    state_machines: Vec<Takeovers>,
     history: Vec<(Duration, Record)>,
     seen: Vec<Record>,
     writes: Vec<Write>,
@@ -78,7 +78,7 @@
             ..Record::default()
         };
         Self {
-            cores: (0..scenario.daemons)
+            state_machines: (0..scenario.daemons)
                 .map(|daemon| Takeovers::new(TakeoverBounds::default(), draw(daemon)))
                 .collect(),
             history: vec![(Duration::ZERO, first.clone())],
@@ -137,7 +137,7 @@
                     ..write.record.clone()
                 };
                 let names = Names::of(&record);
-                self.cores[write.by].note_challenge(names.ownership(&record), took, now);
+                self.state_machines[write.by].note_challenge(names.ownership(&record), took, now);
             }
             let record = Record {
                 revision,
@@ -171,7 +171,7 @@
             || self.status(before.owner, daemon, now) == OwnerStatus::Present;
         let names = Names::of(&before);
         let after = Names::of(&newest);
-        self.cores[daemon].note_change(
+        self.state_machines[daemon].note_change(
             names.ownership(&before),
             after.ownership(&newest),
             is_present,
@@ -206,7 +206,7 @@
         let status = self.status(record.owner, daemon, now);
         let names = Names::of(&record);
         let delay = || RANK_DELAY * rank;
-        let step = self.cores[daemon].step(names.ownership(&record), status, delay, now);
+        let step = self.state_machines[daemon].step(names.ownership(&record), status, delay, now);
         match step {
             Step::Wait => {}
             Step::Challenge => self.send(
@@ -241,7 +241,7 @@
         });
     }
 
-    fn until(mut self, end: Duration) -> Outcome {
+    fn run_until(mut self, end: Duration) -> Outcome {
         let mut now = Duration::ZERO;
         while now < end {
             now += STEP;
@@ -300,7 +300,7 @@
 
 #[test]
 fn a_healthy_fleet_writes_nothing() {
-    let outcome = Simulation::new(healthy(8)).until(SIMULATED_TIME);
+    let outcome = Simulation::new(healthy(8)).run_until(SIMULATED_TIME);
     assert_eq!(outcome.writes, 0);
 }
 
@@ -311,9 +311,9 @@
         watch_lags: vec![MAX_WATCH_LAG; 6],
         ..healthy(6)
     };
-    let outcome = Simulation::new(scenario).until(SIMULATED_TIME);
+    let outcome = Simulation::new(scenario).run_until(SIMULATED_TIME);
     assert_eq!(outcome.takeovers, Vec::new());
-    // One challenge and one refutation per cooldown of 16 s, after four shorter ones.
+    // One challenge and one refutation per cooldown, which lasts at least 16 s from the fourth on.
     assert!(outcome.writes <= 60, "{} writes", outcome.writes);
 }
 
@@ -325,12 +325,12 @@
         crash: Some((0, crashed_at, detection_delay)),
         ..healthy(6)
     };
-    let outcome = Simulation::new(scenario).until(Duration::from_secs(40));
+    let outcome = Simulation::new(scenario).run_until(Duration::from_secs(40));
     let [(at, by)] = outcome.takeovers[..] else {
         panic!("{outcome:?}");
     };
     assert_eq!(by, 1);
-    // Takeover by view alone: 0.3 s after the detection, plus the delay of the second daemon.
+    // A takeover without a challenge would come 0.3 s after the detection, plus the delay of the second daemon.
     let by_view = crashed_at + detection_delay + Duration::from_millis(300) + RANK_DELAY;
     assert!(at <= by_view + Duration::from_secs(1), "at {at:?}");
 }
@@ -343,7 +343,7 @@
         paused: Some((1, Duration::from_secs(13), Duration::from_secs(60))),
         ..healthy(6)
     };
-    let outcome = Simulation::new(scenario).until(Duration::from_secs(20));
+    let outcome = Simulation::new(scenario).run_until(Duration::from_secs(20));
     let [(at, by)] = outcome.takeovers[..] else {
         panic!("{outcome:?}");
     };
@@ -371,7 +371,7 @@
             paused: Some((paused, from, from + Duration::from_millis(pause_ms))),
             ..healthy(6)
         };
-        let outcome = Simulation::new(scenario).until(SIMULATED_TIME);
+        let outcome = Simulation::new(scenario).run_until(SIMULATED_TIME);
         prop_assert!(outcome.takeovers.len() <= 1, "{outcome:?}");
     }
 
@@ -394,7 +394,7 @@
             crash: Some((0, crashed_at, detection_delay)),
             ..healthy(6)
         };
-        let outcome = Simulation::new(scenario).until(crashed_at + Duration::from_secs(30));
+        let outcome = Simulation::new(scenario).run_until(crashed_at + Duration::from_secs(30));
         prop_assert!(!outcome.takeovers.is_empty());
         let (at, _) = outcome.takeovers[0];
         prop_assert!(at >= crashed_at, "{outcome:?}");
@@ -414,7 +414,7 @@
             write_latency: Duration::from_millis(write_ms),
             ..healthy(6)
         };
-        let outcome = Simulation::new(scenario).until(SIMULATED_TIME);
+        let outcome = Simulation::new(scenario).run_until(SIMULATED_TIME);
         prop_assert!(outcome.takeovers.len() <= 3, "{outcome:?}");
     }
 }
@@ -428,16 +428,16 @@
         watch_lags: vec![MAX_WATCH_LAG; DAEMONS],
         ..healthy(DAEMONS)
     };
-    let outcome = Simulation::new(scenario).until(SIMULATED_TIME);
+    let outcome = Simulation::new(scenario).run_until(SIMULATED_TIME);
     assert_eq!(outcome.takeovers, Vec::new());
-    // Each of 70 daemons writes at most once per cooldown, and cooldowns are at least 16 s after the first four.
+    // Each of 70 daemons writes at most once per cooldown, which lasts at least 16 s from the fourth on.
     assert!(outcome.writes <= 70 * 22, "{} writes", outcome.writes);
 }
 
 /// An owner whose machine runs a later instance must be replaced at once, even after it refuted a challenge.
 #[test]
 fn a_superseded_owner_is_replaced_during_its_cooldown() {
-    let mut core = Takeovers::new(TakeoverBounds::default(), 1.0);
+    let mut state_machine = Takeovers::new(TakeoverBounds::default(), 1.0);
     let record_of = |challenger: &'static str, revision| OwnershipRecord {
         resource: "thing",
         owner: "daemon-0",
@@ -447,15 +447,22 @@
         revision,
     };
     let now = Duration::from_secs(10);
-    core.note_change(record_of("daemon-1", 1), record_of("", 2), false, now);
-    let step =
-        |core: &mut Takeovers, status, at| core.step(record_of("", 2), status, || RANK_DELAY, at);
+    state_machine.note_change(record_of("daemon-1", 1), record_of("", 2), false, now);
+    let step = |state_machine: &mut Takeovers, status, at| {
+        state_machine.step(record_of("", 2), status, || RANK_DELAY, at)
+    };
     let later = now + Duration::from_secs(1);
-    assert_eq!(step(&mut core, OwnerStatus::Absent, later), Step::Wait);
+    assert_eq!(
+        step(&mut state_machine, OwnerStatus::Absent, later),
+        Step::Wait
+    );
     let later = later + RANK_DELAY;
-    assert_eq!(step(&mut core, OwnerStatus::Absent, later), Step::Wait);
     assert_eq!(
-        step(&mut core, OwnerStatus::Superseded, later),
+        step(&mut state_machine, OwnerStatus::Absent, later),
+        Step::Wait
+    );
+    assert_eq!(
+        step(&mut state_machine, OwnerStatus::Superseded, later),
         Step::TakeOver
     );
 }
