--- a/crates/tenants/src/fleet.rs
+++ b/crates/tenants/src/fleet.rs
@@ -68,8 +68,8 @@
         self.sizes.iter().max_by_key(|size| size.members).copied()
     }
 
-    /// Returns the share of each limit that a side with `members` members may grant; 0 while it is considered
-    /// partitioned.
+    /// Returns the share of each limit that a side with `members` members may grant; 0 while this member, which knows
+    /// no others yet, is considered partitioned.
     pub fn share(&mut self, members: usize, now: Instant) -> f64 {
         if now < self.expects_others_until {
             return 0.0;
--- a/crates/tenants/src/ledger.rs
+++ b/crates/tenants/src/ledger.rs
@@ -9,7 +9,7 @@
 use crate::initial_allowance::InitialAllowance;
 use crate::rate::{RateBounds, RateLimit};
 
-/// Maximum number of tenants with a partly used allowance; no grants as the fallback for further ones.
+/// Number of partly used allowances from which on nothing is granted as the fallback for further tenants.
 const MAX_ALLOWANCES: usize = 1_024;
 
 /// Time between two calls after which this daemon is considered stalled. Longer than ticks on a busy machine, shorter
