--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -5,13 +5,13 @@
 /// Engine timings that convert load into an expected wait.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CostModel {
-    /// Fixed time of a step, microseconds.
+    /// Fixed time of an engine step, microseconds.
     pub step_base_micros: f64,
     /// Additional time of a step per running sequence, microseconds.
     pub step_sequence_micros: f64,
     /// Time to prefill one token, microseconds.
     pub prefill_token_micros: f64,
-    /// Network cost per step of zone distance (see [`crate::ReplicaEntry::distance`]), microseconds.
+    /// Network cost per unit of zone distance (see [`crate::ReplicaEntry::distance`]), microseconds.
     pub zone_rank_micros: f64,
 }
 
@@ -29,9 +29,9 @@
 /// Load of a replica as its node reports it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LoadReport {
-    /// Online sequences in the running batch.
+    /// Sequences of online requests that the engine runs.
     pub running_online: u32,
-    /// Batch sequences in the running batch.
+    /// Sequences of batch items that the engine runs.
     pub running_batch: u32,
     /// Prompt tokens of online sequences not yet prefilled.
     pub waiting_prompt_tokens: u32,
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -7,7 +7,7 @@
 pub struct SubsetMember<'a> {
     /// Id from which the weight is hashed.
     pub id: &'a str,
-    /// Zone distance, nearest first: 0 same zone, 1 same region, 2 elsewhere.
+    /// Zone distance: 0 same zone, 1 same region, 2 elsewhere.
     pub distance: u8,
 }
 
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -59,14 +59,14 @@
     loads[0].set_availability(true, NOW + 1);
     loads[1].penalize(NOW + 1);
     let fresh = ReplicaLoad::default();
-    assert!(!fresh.is_usable(NOW), "nothing was ever heard of it");
+    assert!(!fresh.is_usable(NOW), "no report was received");
     for seed in 0..50 {
         let chosen = choose(&table, &index, &[], seed);
         assert!(matches!(chosen, Some(2 | 3)), "{chosen:?}");
     }
     assert!(!loads[2].is_usable(NOW + CONFIRMATION_TTL_MICROS + 1));
     loads[0].set_availability(false, NOW);
-    assert!(!loads[0].is_usable(NOW), "older word does not count");
+    assert!(!loads[0].is_usable(NOW), "an older report does not count");
 }
 
 #[test]
