--- a/crates/slots/src/ejection.rs
+++ b/crates/slots/src/ejection.rs
@@ -15,7 +15,7 @@
 /// Maximum share of a group's replicas that may be ejected at a time, in percent; the others must sustain the load.
 const MAX_EJECTED_PERCENT: usize = 50;
 
-/// Time of the first ejection, and how often it may double for repeated ones.
+/// Duration of the first ejection, and how often it may double for repeated ones.
 const BASE_EJECTION_TIME: Duration = Duration::from_millis(1_000);
 const MAX_DOUBLINGS: u32 = 5;
 
@@ -29,7 +29,7 @@
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time after an ejection's end from which repeatable requests may probe besides batch items, and from which any
-/// request may if there is no repeatable work.
+/// request may if there was no repeatable work for as long.
 const REPEATABLE_PROBE_DELAY: Duration = Duration::from_millis(150);
 const ONCE_ONLY_PROBE_DELAY: Duration = Duration::from_millis(2_000);
 
@@ -139,7 +139,7 @@
     }
 }
 
-/// Health of the replicas of one group.
+/// Recent outcomes and status of the replicas of one group.
 #[derive(Debug, Default)]
 pub struct OutlierDetector {
     replicas: HashMap<u32, ReplicaState>,
@@ -215,7 +215,8 @@
         }
     }
 
-    /// Records a request's outcome. `group` is the number of the group's replicas that can take work.
+    /// Records a request's outcome; returns the resulting change of the replica's status, if any. `group` is the number
+    /// of the group's replicas that can take work.
     pub fn observe(
         &mut self,
         outcome: RequestOutcome,
--- a/crates/slots/src/groups.rs
+++ b/crates/slots/src/groups.rs
@@ -5,8 +5,7 @@
 /// Maximum mean number of replicas in a group; bounds the work of one coordinator.
 const MAX_MEAN_GROUP_SIZE: usize = 32;
 
-/// Minimum mean number of replicas per zone for groups by zone. In smaller pools requests would often need a second
-/// group.
+/// Minimum mean number of replicas per zone for groups by zone. With fewer, requests would often need a second group.
 const MIN_ZONE_REPLICAS: usize = 12;
 
 /// Minimum mean number of replicas per region for groups by region. With fewer, most requests of a busy region would
@@ -143,7 +142,7 @@
 }
 
 /// Returns the member that coordinates a group, by rendezvous hashing: all daemons with the same members choose the
-/// same one.
+/// same one. `None` without members.
 pub fn coordinator_of<'a>(
     service: u32,
     group: GroupId,
--- a/crates/slots/src/ledger.rs
+++ b/crates/slots/src/ledger.rs
@@ -20,7 +20,7 @@
     Online,
     /// A batch item, which can be preempted.
     Batch {
-        /// When it must run again if it is preempted.
+        /// Latest time at which it must run again if it is preempted.
         due: Instant,
     },
 }
@@ -147,7 +147,8 @@
         self.set(holder, number, replica, usage, now);
     }
 
-    /// Applies a holder's report. A full report also removes leases that it doesn't list; an outdated one is ignored.
+    /// Applies a holder's report. A full report also removes the leases that were numbered before it and that it lists
+    /// neither as held nor as awaited; it is ignored if a later one was applied.
     pub fn apply_report(&mut self, report: &SlotReport, address: SocketAddr, now: Instant) {
         let holder = report.holder;
         let known = self.refresh_holder(holder, address, now);
--- a/crates/slots/src/nearest.rs
+++ b/crates/slots/src/nearest.rs
@@ -12,8 +12,9 @@
 pub type MemberLocation = (u32, u32);
 
 impl NearestMembers {
-    /// Returns the positions of the members in an area (a zone or a region); if there are none, of those in its
-    /// region, else of all members.
+    /// Returns the positions of the members in an area (a zone or a region); if there are none, of those in the area's
+    /// `region`, else of all members. `region` is `None` if it is unknown. Results are cached by area and region until
+    /// [`Self::clear`], whatever `members` are.
     pub fn of(
         &mut self,
         area: u32,
@@ -37,11 +38,11 @@
     region: Option<u32>,
     members: impl Iterator<Item = MemberLocation> + Clone,
 ) -> Vec<usize> {
-    let distance = |(zone, of): MemberLocation| {
-        if zone == area || of == area {
+    let distance = |(member_zone, member_region): MemberLocation| {
+        if member_zone == area || member_region == area {
             0
         } else {
-            1 + u8::from(Some(of) != region)
+            1 + u8::from(Some(member_region) != region)
         }
     };
     let min_distance = members.clone().map(distance).min();
--- a/crates/slots/src/spill.rs
+++ b/crates/slots/src/spill.rs
@@ -24,8 +24,8 @@
 
 /// True if a request of a region with `own` capacity should run at the `other` region.
 ///
-/// Only a full region spills, and only to one with free slots. The conditions exclude each other, so that two regions
-/// never exchange load, however wrong the waits are.
+/// Only a full region spills, and only to one with free slots. A region can't be both, so that two regions never
+/// exchange load, however wrong the waits are.
 pub fn should_spill(own: &FreeCapacity, other: &FreeCapacity, cost: &SpillCost) -> bool {
     own.free_permille == 0
         && other.free_permille >= cost.min_free_permille.max(1)
--- a/crates/slots/tests/ejection.rs
+++ b/crates/slots/tests/ejection.rs
@@ -77,7 +77,7 @@
             .probe(1, ProbeWork::Item, OutcomeKind::Served)
             .is_none()
     );
-    assert!(group.is_ejected(1), "before its time");
+    assert!(group.is_ejected(1), "before its ejection ends");
     group.advance(Duration::from_millis(1_001));
     for _ in 0..2 {
         assert!(
--- a/crates/slots/tests/ledger.rs
+++ b/crates/slots/tests/ledger.rs
@@ -171,7 +171,11 @@
     );
     let late = held.full_report(8, now, |_| true);
     ledger.apply_report(&late, address(2), now + millis(600));
-    assert_eq!(ledger.counts(REPLICA), counts(0, 2), "the order was lost");
+    assert_eq!(
+        ledger.counts(REPLICA),
+        counts(0, 2),
+        "the preemption command was lost"
+    );
 }
 
 #[test]
--- a/crates/slots/tests/pacer.rs
+++ b/crates/slots/tests/pacer.rs
@@ -446,6 +446,7 @@
     assert!(!is_granted(&mut pacer, 5_950), "not its group");
     for tick in 60..90 {
         pacer.tick(own(), 1.0, &BOUNDS, at(tick * 100));
+        // The check 50 ms after tick 72 comes exactly at the end of the delay.
         let waited = tick * 100 - 6_000 >= 1_250;
         assert_eq!(
             is_granted(&mut pacer, tick * 100 + 50),
