--- a/crates/serving/src/admission.rs
+++ b/crates/serving/src/admission.rs
@@ -32,7 +32,7 @@
 /// Fleet-wide rate limits of tenants.
 #[async_trait]
 pub trait RateLimits: Send + Sync {
-    /// Counts one request against the tenant's rate unless it exceeds the limit.
+    /// Counts one request against the tenant's rate unless it exceeds the limit. `request` is its id, for the log.
     async fn admit(&self, tenant: &Tenant, request: &str) -> RateStatus;
 }
 
--- a/crates/serving/src/attempt.rs
+++ b/crates/serving/src/attempt.rs
@@ -344,8 +344,8 @@
         let is_own_failure =
             !response.not_run && response.status >= MIN_FAILURE_STATUS && !failed_before;
         if is_own_failure {
-            // No progress is noted, since that would clear the suspicion; a replica that fails fast has the lowest
-            // load of all.
+            // No progress is noted, since that would reset the backoff of the suspicion; a replica that fails fast has
+            // the lowest load of all.
             self.suspect(replica);
             in_progress.conclude(AttemptOutcome::Failed);
         } else {
--- a/crates/serving/src/choice.rs
+++ b/crates/serving/src/choice.rs
@@ -140,7 +140,7 @@
     pub max_candidates: usize,
 }
 
-/// Chooses one of `replicas`, all of which must accept work.
+/// Chooses one of `replicas`, all of which must accept work; `None` if the query admits none of them.
 pub fn choose_replica(
     view: &ReplicaView,
     replicas: Vec<Arc<Replica>>,
--- a/crates/serving/src/configuration.rs
+++ b/crates/serving/src/configuration.rs
@@ -36,7 +36,7 @@
 pub struct WeightedService {
     /// Name of the service.
     pub service: String,
-    /// Share relative to the sum of the route's weights.
+    /// Share relative to the sum of the route's weights. If all are 0, the first service receives every request.
     pub weight: u32,
 }
 
@@ -49,11 +49,12 @@
     pub host: String,
     /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// Whether requests may be repeated.
+    /// Kind of its requests, which determines whether they may be repeated.
     pub kind: RouteKind,
     /// Target services.
     pub services: Vec<WeightedService>,
-    /// Maximum number of replicas that one caller attempt may be sent to.
+    /// Maximum number of replicas that may run one caller attempt. Replicas that certainly didn't run it aren't
+    /// counted, nor are a few that crashed.
     pub attempts: u32,
     /// Maximum time that a request is held.
     pub timeout: Duration,
--- a/crates/serving/src/evacuation.rs
+++ b/crates/serving/src/evacuation.rs
@@ -170,7 +170,7 @@
         evacuated.map(|(zone, _)| zone.clone()).collect()
     }
 
-    /// Returns when this daemon learned the zone's current state.
+    /// Returns when this daemon learned the zone's current state; `None` if none is tracked.
     pub fn learned_at(&self, zone: &str) -> Option<Instant> {
         self.zones.get(zone).map(|known| known.learned_at)
     }
--- a/crates/serving/src/forwarder.rs
+++ b/crates/serving/src/forwarder.rs
@@ -126,7 +126,7 @@
 
     fn quarantine_of(&self, content: ContentId) -> Option<QuarantinePeriod> {
         match self.parts.quarantine.status(content) {
-            ContentStatus::Quarantined(active) => Some(active),
+            ContentStatus::Quarantined(period) => Some(period),
             ContentStatus::Clear | ContentStatus::Suspect { .. } => None,
         }
     }
@@ -142,8 +142,8 @@
         if !self.parts.quarantine.has_quarantined() {
             return false;
         }
-        let active = self.quarantine_of(request.content());
-        active.is_some_and(|active| !active.allows_trial(harrierward_clock::now()))
+        let period = self.quarantine_of(request.content());
+        period.is_some_and(|period| !period.allows_trial(harrierward_clock::now()))
     }
 
     /// Returns the mechanisms in use.
@@ -264,14 +264,14 @@
         };
         let mut refusals = 0;
         loop {
-            if let Some(active) = self.quarantine_of(state.content) {
-                return Err(refuse_quarantined(&active, &state));
+            if let Some(period) = self.quarantine_of(state.content) {
+                return Err(refuse_quarantined(&period, &state));
             }
             if state.clock.remaining_hold().is_zero() {
                 return Err(abandon(RefusalCause::NoTimeLeft, &state));
             }
             state.sends += 1;
-            let (replica, result) = self.first_attempt(&state).await;
+            let (replica, result) = self.next_attempt(&state).await;
             state.tried.extend(replica);
             let failure = match result {
                 Ok(attempt) if self.should_retry(&attempt, &state) => {
@@ -308,7 +308,7 @@
         }
     }
 
-    /// Excludes the last attempt from the count if its replica crashed and the request may be repeated.
+    /// Doesn't count the last allowed attempt if its replica crashed and the request may be repeated.
     async fn forgive_crash(&self, state: &mut RequestState) {
         let is_last = state.sends >= state.route.attempts;
         let Some(replica) = self.last_tried(state) else {
@@ -325,7 +325,8 @@
         self.replicas().view().get(last).cloned()
     }
 
-    async fn first_attempt(
+    /// Makes the attempt number `state.sends`, before any part of a response is relayed.
+    async fn next_attempt(
         &self,
         state: &RequestState,
     ) -> (Option<String>, Result<Attempt, AttemptFailure>) {
@@ -364,9 +365,10 @@
     Refusal::new(cause, state.execution, Some(RETRY_AFTER))
 }
 
-/// Refusal of a request with quarantined content; an earlier retry would be refused as well.
-fn refuse_quarantined(active: &QuarantinePeriod, state: &RequestState) -> Refusal {
-    let remaining = active
+/// Refusal of a request with quarantined content. Its retry interval is the rest of the quarantine, as an earlier retry
+/// would be refused as well.
+fn refuse_quarantined(period: &QuarantinePeriod, state: &RequestState) -> Refusal {
+    let remaining = period
         .until
         .saturating_duration_since(harrierward_clock::now());
     Refusal::new(RefusalCause::Quarantined, state.execution, Some(remaining))
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,8 +1,8 @@
 //! Serving of opaque generation requests: routes, replica selection, and the path of a request from caller to replica
 //! and back.
 //!
-//! Unlike `gateway`, which renders prompts and processes tokens, this crate treats bodies as opaque and decides by
-//! typed metadata only. It opens no sockets.
+//! Unlike the crate `harrierward-gateway`, which renders prompts and processes tokens, this crate treats bodies as
+//! opaque and decides by typed metadata only. It opens no sockets.
 
 mod admission;
 mod attempt;
--- a/crates/serving/src/outcome.rs
+++ b/crates/serving/src/outcome.rs
@@ -66,8 +66,8 @@
 }
 
 impl Evidence {
-    /// Records that the request is sent. A replica without free capacity may be slow, unresponsive or refuse;
-    /// `prefill` is the expected time for the prompt, which doesn't count as latency.
+    /// Records that the request is sent. If the replica has no free capacity, its latency, a missing response and a
+    /// refusal aren't evidence. `prefill` is the expected time for the prompt, which doesn't count as latency.
     pub fn note_sent(&self, has_capacity: bool, prefill: Duration) {
         let mut observations = self.lock();
         observations.sent_at = Some(Instant::now());
@@ -86,7 +86,7 @@
         observations.report.first_event = elapsed.map(|elapsed| elapsed.saturating_sub(prefill));
     }
 
-    /// True if the first event was recorded.
+    /// True if the first event was recorded; never at a replica without free capacity.
     pub fn has_begun(&self) -> bool {
         self.lock().report.first_event.is_some()
     }
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -38,7 +38,7 @@
 }
 
 impl Forwarder {
-    /// Places a request; `item` is set for batch items.
+    /// Places a request; `item` is set for batch items. `None` if no replica may take it now.
     pub async fn place(
         &self,
         request: &ServingRequest,
--- a/crates/serving/src/prompt.rs
+++ b/crates/serving/src/prompt.rs
@@ -48,7 +48,7 @@
     /// Creates an empty estimate of at most `capacity_tokens`.
     pub fn new(capacity_tokens: u64) -> Self {
         Self {
-            // `new` would allocate the full capacity for each of thousands of replicas.
+            // `LruCache::new` would allocate the full capacity for each of thousands of replicas.
             parts: lru::LruCache::unbounded(),
             capacity_tokens,
             tokens: 0,
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Quarantine of contents under which replicas crash, as the request path uses it.
+//! Quarantine of request contents that crash replicas, as the request path uses it.
 
 use std::sync::Arc;
 
--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -47,6 +47,7 @@
     in_progress: Option<InProgress>,
     splitter: EventSplitter,
     ready: VecDeque<Bytes>,
+    /// Id of the last event relayed; at first the one after which the caller resumes the stream.
     delivered: Option<u64>,
     first_event_ms: Option<u64>,
     finished: bool,
@@ -282,8 +283,8 @@
         Err(self.abort(last_cause.unwrap_or_default()))
     }
 
-    /// Excludes the last attempt from the count if its replica crashed: a stream that shares replicas with the cause
-    /// of the crashes would otherwise be lost at the second one.
+    /// Doesn't count the last allowed attempt if its replica crashed: a stream that shares replicas with the cause of
+    /// the crashes would otherwise be lost at the second crash.
     async fn forgive_crash(&mut self, replica: &Arc<Replica>) {
         let is_last = self.state.sends >= self.state.route.attempts;
         if self.splits_events() && is_last && self.forwarder.has_crashed(replica).await {
@@ -371,7 +372,7 @@
 /// it through another daemon earlier.
 const MAX_CAPACITY_WAITS: u32 = 15;
 
-/// Maximum number of replicas tried, including refusals, before the first wait for capacity.
+/// Number of replicas tried, including refusals, beyond which a refusal is followed by a wait for capacity.
 const MAX_TRIED_REPLICAS: usize = 5;
 
 impl RequestClock {
--- a/crates/serving/src/replica.rs
+++ b/crates/serving/src/replica.rs
@@ -22,11 +22,11 @@
 /// Share of a replica's KV cache that shared prompt parts are assumed to occupy, in percent.
 const CACHE_SHARE_PERCENT: u64 = 70;
 
-/// Time for which a replica with a closed port counts as crashed. Its entry is removed after three missed heartbeats;
+/// Time for which a replica with a closed port counts as crashed. Its record is removed after three missed heartbeats;
 /// one that restarts earlier under the same id is detected by the next request.
 const CRASHED_TTL: Duration = Duration::from_millis(4_000);
 
-/// Record that a replica publishes in discovery.
+/// Record that a replica publishes in discovery, as a row of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaRecord {
     /// Id under which it is listed; stays the same over restarts.
@@ -178,7 +178,7 @@
         self.record.slots.max(1)
     }
 
-    /// True if it gets no new work.
+    /// True if it is leaving, as its record or a response showed, and gets no new work.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
@@ -200,13 +200,13 @@
         }
     }
 
-    /// Sets whether its entry is unreadable, so that it isn't listed. Unlike a replica whose entry vanished, which
+    /// Sets whether its record is unreadable, so that it isn't listed. Unlike a replica whose record vanished, which
     /// happens while the store is down, it is excluded at once.
     pub fn set_unlisted(&self, is_unlisted: bool) {
         self.is_unlisted.store(is_unlisted, Ordering::Relaxed);
     }
 
-    /// Marks it as crashed until bytes arrive from it, its entry is removed, another instance is listed, or a timeout
+    /// Marks it as crashed until bytes arrive from it, its record is removed, another instance is listed, or a timeout
     /// expires.
     pub fn set_crashed(&self) {
         let until = self.now_ms() + millis(CRASHED_TTL);
@@ -316,8 +316,8 @@
             return counted;
         }
         let reported = report.load.running + report.load.waiting;
-        let now = (reported + self.own_total()).saturating_sub(report.own_at_report);
-        counted.max(now)
+        let estimated = (reported + self.own_total()).saturating_sub(report.own_at_report);
+        counted.max(estimated)
     }
 
     /// True if some requests have no slot while batch items hold some.
@@ -325,12 +325,12 @@
         self.batch() > 0 && self.load() > self.slots()
     }
 
-    /// Returns the age of the last load report, milliseconds.
+    /// Returns the age of the last load report, milliseconds; `None` before the first.
     pub fn report_age_ms(&self) -> Option<u64> {
         lock(&self.report).map(|report| millis(harrierward_clock::age(report.received_at)))
     }
 
-    /// Returns the age of the peers' counts, milliseconds.
+    /// Returns the age of the peers' counts, milliseconds; `None` before the first.
     pub fn peers_age_ms(&self) -> Option<u64> {
         let received_at = self.peers_reported_at_ms.load(Ordering::Relaxed);
         (received_at > 0).then(|| self.now_ms().saturating_sub(received_at))
--- a/crates/serving/src/warmth.rs
+++ b/crates/serving/src/warmth.rs
@@ -1,4 +1,4 @@
-//! Warmup state of a replica, derived from its rows and from the end of its zone's evacuation.
+//! Warmup state of a replica, derived from its rows in the store and from the end of its zone's evacuation.
 
 use std::time::Duration;
 
@@ -62,7 +62,7 @@
         self.cold_until = Some(self.cold_until.map_or(until, |known| known.max(until)));
     }
 
-    /// Returns the end of the warmup; `None` if the replica is considered warm.
+    /// Returns the end of the warmup, which may have passed; `None` if the replica is considered warm.
     pub fn cold_until(&self) -> Option<Instant> {
         self.cold_until
     }
--- a/crates/serving/tests/choice.rs
+++ b/crates/serving/tests/choice.rs
@@ -179,7 +179,11 @@
     let placed = usize::from(placement.is_some());
     assert_eq!(leases.held.load(Ordering::Relaxed), placed);
     drop(placement);
-    assert_eq!(leases.held.load(Ordering::Relaxed), 0, "a place is kept");
+    assert_eq!(
+        leases.held.load(Ordering::Relaxed),
+        0,
+        "a lease is still held"
+    );
     leases.preemptions.load(Ordering::Relaxed)
 }
 
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -81,16 +81,17 @@
 }
 
 #[derive(Default)]
-struct Daemon<B> {
-    state: B,
+struct Daemon<S> {
+    state: S,
     rows: EvacuationRows,
     listed: BTreeMap<usize, u64>,
-    fed_to: u64,
+    /// Revision up to which the rows were read or the change feed was followed.
+    followed_to: u64,
     /// Delayed updates from peers.
     delayed: Vec<EvacuationUpdate>,
 }
 
-impl<B: MergedState> Daemon<B> {
+impl<S: MergedState> Daemon<S> {
     fn read_all(&mut self, store: &Store) {
         let rows = store.rows();
         let removed: Vec<String> = self
@@ -106,13 +107,13 @@
             .collect();
         let update = self.rows.apply(written, &removed, Some(store.revision));
         self.listed = rows;
-        self.fed_to = store.revision;
+        self.followed_to = store.revision;
         self.state.merge(&update);
     }
 
     /// Follows the change feed; a leaky one skips every other change.
     fn follow(&mut self, store: &Store, is_leaky: bool) {
-        let after = self.fed_to;
+        let after = self.followed_to;
         let new = store
             .changes
             .iter()
@@ -128,7 +129,7 @@
             };
             self.state.merge(&update);
         }
-        self.fed_to = store.revision;
+        self.followed_to = store.revision;
     }
 }
 
@@ -164,10 +165,10 @@
 }
 
 /// Runs the steps; returns the first violation as an error.
-fn run<B: MergedState>(steps: &[Step]) -> Result<(), String> {
+fn run<S: MergedState>(steps: &[Step]) -> Result<(), String> {
     let mut store = Store::default();
     store.toggle(0);
-    let mut daemons: Vec<Daemon<B>> = (0..DAEMONS).map(|_| Daemon::default()).collect();
+    let mut daemons: Vec<Daemon<S>> = (0..DAEMONS).map(|_| Daemon::default()).collect();
     for step in steps {
         let before: Vec<EvacuationUpdate> =
             daemons.iter().map(|one| one.state.to_update()).collect();
--- a/crates/serving/tests/failing.rs
+++ b/crates/serving/tests/failing.rs
@@ -151,13 +151,13 @@
     fn preempt_item(&self, _replica: &Arc<Replica>) {}
 }
 
-struct Site {
+struct Fixture {
     forwarder: Forwarder,
     client: Arc<Replicas>,
     leases: Arc<Leases>,
 }
 
-fn site(first: Behavior, replicas: usize, attempts: u32) -> Site {
+fn fixture(first: Behavior, replicas: usize, attempts: u32) -> Fixture {
     let set = ReplicaSet::default();
     let records = (0..replicas).map(|number| ReplicaRecord {
         born_ms: None,
@@ -217,7 +217,7 @@
             key_trust: KeyTrust::Unbounded,
         },
     });
-    Site {
+    Fixture {
         forwarder,
         client,
         leases,
@@ -242,8 +242,8 @@
 }
 
 /// Sends one request and reads its response to the end.
-async fn call(site: &Site) {
-    let reply = site.forwarder.forward(request(), Instant::now()).await;
+async fn call(fixture: &Fixture) {
+    let reply = fixture.forwarder.forward(request(), Instant::now()).await;
     if let Reply::Response(response) = reply {
         let _ = response.body.collect::<Vec<_>>().await;
     }
@@ -251,21 +251,21 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_replica_that_responds_with_failures_is_avoided() {
-    let site = site(Behavior::Fails, 3, 1);
+    let fixture = fixture(Behavior::Fails, 3, 1);
     for _ in 0..60 {
-        call(&site).await;
+        call(&fixture).await;
         sleep(Duration::from_millis(5)).await;
     }
-    let sent = site.client.sent_to_first.load(Ordering::Relaxed);
+    let sent = fixture.client.sent_to_first.load(Ordering::Relaxed);
     assert!(sent <= 2, "{sent} requests were sent to it");
 }
 
 /// Report of the lease of one request at a replica with this behaviour.
 async fn report_at(behavior: Behavior) -> ReleaseReport {
-    let site = site(behavior, 1, 1);
-    call(&site).await;
-    let released = site.leases.released.lock().expect("a lock");
-    assert!(!released.is_empty(), "a lease was given back");
+    let fixture = fixture(behavior, 1, 1);
+    call(&fixture).await;
+    let released = fixture.leases.released.lock().expect("a lock");
+    assert!(!released.is_empty(), "no lease was released");
     released[0].1
 }
 
@@ -293,10 +293,10 @@
 /// A caller that leaves must not be counted against the replica.
 #[tokio::test(start_paused = true)]
 async fn a_caller_that_leaves_is_no_evidence() {
-    let site = site(Behavior::NeverResponds, 1, 1);
-    let called = tokio::time::timeout(OBJECTIVE, call(&site)).await;
-    assert!(called.is_err(), "the replica is silent");
-    let released = site.leases.released.lock().expect("a lock");
+    let fixture = fixture(Behavior::NeverResponds, 1, 1);
+    let called = tokio::time::timeout(OBJECTIVE, call(&fixture)).await;
+    assert!(called.is_err(), "the replica responded");
+    let released = fixture.leases.released.lock().expect("a lock");
     assert_eq!(released[0].1, ReleaseReport::default());
 }
 
@@ -304,20 +304,20 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_with_hardly_any_time_is_no_evidence() {
     for behavior in [Behavior::NeverResponds, Behavior::StallsBody] {
-        let site = site(behavior, 2, 1);
+        let fixture = fixture(behavior, 2, 1);
         for _ in 0..40 {
             let hurried = ServingRequest {
                 timeout: Some(Duration::from_millis(20)),
                 ..request()
             };
-            let reply = site.forwarder.forward(hurried, Instant::now()).await;
+            let reply = fixture.forwarder.forward(hurried, Instant::now()).await;
             if let Reply::Response(response) = reply {
                 let _ = response.body.collect::<Vec<_>>().await;
             }
         }
-        let sent = site.client.sent_to_first.load(Ordering::Relaxed);
+        let sent = fixture.client.sent_to_first.load(Ordering::Relaxed);
         assert!(sent > 5, "{behavior:?} {sent}: it is not avoided");
-        let released = site.leases.released.lock().expect("a lock");
+        let released = fixture.leases.released.lock().expect("a lock");
         let at_first = released
             .iter()
             .filter(|(replica, _)| replica == "replica-0");
--- a/crates/serving/tests/gate.rs
+++ b/crates/serving/tests/gate.rs
@@ -215,7 +215,7 @@
             stall_timeout: long,
             max_wait: long,
         };
-        let sending = AttemptOptions {
+        let options = AttemptOptions {
             failed_before: false,
             resume_after: None,
             fresh_connection: false,
@@ -224,7 +224,7 @@
         let request = request();
         let sent = self
             .forwarder
-            .attempt_at(&request, placement, times, sending);
+            .attempt_at(&request, placement, times, options);
         sent.await.map(|_| ())
     }
 }
--- a/crates/serving/tests/set_changes.rs
+++ b/crates/serving/tests/set_changes.rs
@@ -32,7 +32,8 @@
     (written, removed).prop_map(|(written, removed)| Change { written, removed })
 }
 
-/// Visible state of a set: ids, start times and draining flags in order, zones, regions and lookups by hash.
+/// Visible state of a set: ids, start times and draining flags in order, zones, regions, lookups by hash and the
+/// number of replicas for long prompts.
 fn seen(set: &ReplicaSet) -> Vec<String> {
     let view = set.view();
     let mut seen = Vec::new();
@@ -57,7 +58,7 @@
         let for_long_prompts = view.listed(service).iter();
         let for_long_prompts =
             for_long_prompts.filter(|one| view.has_long_prompt_affinity(&one.record.id));
-        seen.push(format!("{} homes", for_long_prompts.count()));
+        seen.push(format!("{} for long prompts", for_long_prompts.count()));
     }
     seen.push(format!("{} listed", view.len()));
     seen
--- a/crates/serving/tests/stalls.rs
+++ b/crates/serving/tests/stalls.rs
@@ -126,7 +126,7 @@
     RouteTable::build(configuration, None)
 }
 
-/// Forwarder with such a coordinator.
+/// Creates a forwarder whose coordinator is a [`Group`] with these values.
 fn forwarder(
     free_permille: u32,
     retry_after: Option<Duration>,
@@ -207,7 +207,7 @@
     let started = Instant::now();
     let reply = forwarder.forward(request(CALLER_TIMEOUT), started).await;
     let Reply::Refusal(refusal) = reply else {
-        panic!("a refusal");
+        panic!("a response instead of a refusal");
     };
     assert_eq!(refusal.cause(), RefusalCause::Overloaded);
     assert_eq!(
@@ -243,7 +243,7 @@
     let started = Instant::now();
     let reply = forwarder.forward(request(OBJECTIVE), started).await;
     let Reply::Refusal(refusal) = reply else {
-        panic!("an answer");
+        panic!("a response instead of a refusal");
     };
     assert_eq!(refusal.cause(), RefusalCause::Full);
     assert!(refusal.retry_after().is_some());
--- a/crates/serving/tests/suspended.rs
+++ b/crates/serving/tests/suspended.rs
@@ -17,7 +17,7 @@
     TURN.lock().await
 }
 
-fn listed(set: &ReplicaSet, ids: &[&str]) {
+fn list_replicas(set: &ReplicaSet, ids: &[&str]) {
     let records = ids.iter().map(|id| ReplicaRecord {
         born_ms: None,
         id: (*id).to_owned(),
@@ -34,7 +34,7 @@
 
 fn one_replica() -> (ReplicaSet, Arc<Replica>) {
     let set = ReplicaSet::default();
-    listed(&set, &["one"]);
+    list_replicas(&set, &["one"]);
     let replica = set.view().get("one").expect("a replica").clone();
     (set, replica)
 }
@@ -58,9 +58,9 @@
     replica.set_crashed();
     assert!(replica.is_suspected() && replica.has_crashed());
     harrierward_clock::simulate_suspension(SUSPENSION);
-    assert!(!replica.is_suspected(), "its time is over");
+    assert!(!replica.is_suspected(), "the suspicion has expired");
     assert!(!replica.has_crashed(), "it may have started again");
-    assert_eq!(replica.load(), 1, "its word on its load is old");
+    assert_eq!(replica.load(), 1, "the load report has expired");
     assert!(replica.report_age_ms() >= Some(10_000));
     assert!(replica.peers_age_ms() >= Some(10_000));
     assert!(!replica.is_cold(harrierward_clock::now()), "it is warm");
@@ -83,7 +83,7 @@
 async fn a_replica_that_vanished_before_a_suspension_is_not_used_after_it() {
     let _turn = one_at_a_time().await;
     let (set, _replica) = one_replica();
-    listed(&set, &[]);
+    list_replicas(&set, &[]);
     assert_eq!(set.view().usable(SERVICE).len(), 1);
     harrierward_clock::simulate_suspension(SUSPENSION);
     assert_eq!(set.view().usable(SERVICE).len(), 0);
