--- a/crates/edge/src/calls.rs
+++ b/crates/edge/src/calls.rs
@@ -10,9 +10,11 @@
 
 use crate::round_trips::RoundTrips;
 
-/// How long a timed-out request is remembered, so that a late reply still gives an RTT sample.
+/// Time from a request's first sending within which its reply gives an RTT sample, even after the call has timed out.
 const LATE_REPLY_WINDOW: Duration = Duration::from_secs(1);
 
+/// Number of calls above which timed-out ones are forgotten after [`LATE_REPLY_WINDOW`]; above twice as many, all
+/// timed-out ones are.
 const MAX_TIMED_OUT: usize = 256;
 
 /// Timeouts of one call to a peer with negligible RTT; the measured RTT is added.
@@ -22,7 +24,7 @@
     pub resend_after: Duration,
     /// Time after which the call fails.
     pub timeout: Duration,
-    /// Upper bound of the wait, whatever the RTT.
+    /// Upper bound of the wait, whatever the RTT; `timeout` if that is longer.
     pub max_timeout: Duration,
 }
 
@@ -82,7 +84,7 @@
     caller: Option<oneshot::Sender<A>>,
 }
 
-/// Calls that wait for their replies, by number. `A` is the reply.
+/// Calls that wait for their replies and recently timed-out ones, by number. `A` is the reply.
 #[derive(Debug)]
 pub struct DatagramCalls<A> {
     pending: Mutex<HashMap<u32, PendingCall<A>>>,
@@ -132,7 +134,8 @@
         &self.round_trips
     }
 
-    /// Sends a request by `send`, resends it once, and waits for the reply; `None` on timeout.
+    /// Sends a request by `send`, resends it once if no reply arrives in time, and waits for the reply; `None` on
+    /// timeout.
     pub async fn call(
         &self,
         number: u32,
--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -209,8 +209,8 @@
         let relay = Relay::new(instance_id, watched, peers, &spaces, log.clone());
         let relay = Arc::new(relay);
         members.set_relay(relay.clone());
-        let fleet = members.clone();
-        let intervals = WatchIntervals::new(&settings, relay.clone(), move || fleet.fleet_size());
+        let view = members.clone();
+        let intervals = WatchIntervals::new(&settings, relay.clone(), move || view.fleet_size());
         let headers = JobRowHandler {
             jobs: jobs.clone(),
             quarantine: quarantine.clone(),
--- a/crates/edge/src/discovery.rs
+++ b/crates/edge/src/discovery.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// True if a replica's change is worth a log line. A changed warmup time alone is not: each row of a cold replica has
-/// another, and all daemons receive all rows.
+/// True if a replica's change is worth a log line. A changed warmup time alone is not: it differs in each row of a cold
+/// replica, and all daemons receive all rows.
 fn is_notable(known: &ReplicaRecord, received: &ReplicaRecord) -> bool {
     let known = ReplicaRecord {
         warmup: received.warmup,
@@ -71,12 +71,12 @@
     control: Arc<ServerControl>,
     proof: Arc<ConfigurationProof>,
     log: DecisionLog,
-    rows: Mutex<KnownRows>,
+    rows: Mutex<DiscoveredRows>,
     zones: Mutex<KnownZones>,
 }
 
 #[derive(Default)]
-struct KnownRows {
+struct DiscoveredRows {
     configuration: Option<Row>,
     replicas: HashMap<String, (Row, ReplicaRecord)>,
     replicas_read: bool,
@@ -125,7 +125,7 @@
         }
     }
 
-    fn rows(&self) -> std::sync::MutexGuard<'_, KnownRows> {
+    fn rows(&self) -> std::sync::MutexGuard<'_, DiscoveredRows> {
         self.rows.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -242,7 +242,7 @@
     /// fleet would log a line for each pair of a daemon and a replica.
     fn note_replica(
         &self,
-        rows: &mut KnownRows,
+        rows: &mut DiscoveredRows,
         row: &Row,
         is_first_read: bool,
         changes: &mut ReplicaChanges,
@@ -274,7 +274,7 @@
     /// Handles an invalid row: the replica that the row held before is removed.
     fn reject_replica(
         &self,
-        rows: &mut KnownRows,
+        rows: &mut DiscoveredRows,
         row: &Row,
         cause: &str,
         changes: &mut ReplicaChanges,
@@ -335,7 +335,7 @@
         }
     }
 
-    fn log_first_replicas(&self, rows: &KnownRows, source: &str) {
+    fn log_first_replicas(&self, rows: &DiscoveredRows, source: &str) {
         let records = rows.replicas.values().map(|(_, record)| record);
         let draining = records.filter(|record| record.draining).count();
         self.log.record(&Record::ReplicasRead {
--- a/crates/edge/src/hedged.rs
+++ b/crates/edge/src/hedged.rs
@@ -12,14 +12,10 @@
 
 /// Returns the first response; `None` once all peers have failed. `request` must have a timeout of its own.
 /// Outstanding requests are dropped.
-pub async fn first_response<R, F, Response>(
-    peers: Vec<String>,
-    delay: Duration,
-    request: F,
-) -> Option<R>
+pub async fn first_response<R, F, Fut>(peers: Vec<String>, delay: Duration, request: F) -> Option<R>
 where
-    F: Fn(String) -> Response,
-    Response: Future<Output = Option<R>>,
+    F: Fn(String) -> Fut,
+    Fut: Future<Output = Option<R>>,
 {
     let mut remaining = peers.into_iter();
     let mut pending = FuturesUnordered::new();
--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -41,8 +41,8 @@
 
 const TICKS_PER_NOTICE: u64 = 2;
 
-/// Age of the proof of contact from which a daemon that alone is cut off from the store declares itself detached, so
-/// that other daemons take over its jobs.
+/// Age of the proof of contact from which a daemon that is cut off from the store, while most others are not, declares
+/// itself detached, so that other daemons take over its jobs.
 const DETACH_PROOF_AGE: Duration = Duration::from_millis(3_200);
 
 /// Size of the receive buffer in bytes.
@@ -390,7 +390,7 @@
     fn send_to(&self, kind: node_datagram::Kind, address: SocketAddr) {
         let datagram = NodeDatagram { kind: Some(kind) };
         if let Some(socket) = self.socket.get() {
-            // A lost datagram is resent, or its sender times out.
+            // Loss is tolerated: calls are resent or time out; preemptions and returned tokens are sent only once.
             let _ = socket.try_send_to(&encode(&datagram), address);
         }
     }
--- a/crates/edge/src/peer_loads.rs
+++ b/crates/edge/src/peer_loads.rs
@@ -67,7 +67,8 @@
         self.loads.len() != before
     }
 
-    /// Returns the ages of the proofs of freshness in unexpired notices; ones from before a suspension are left out.
+    /// Returns the ages of the proofs of contact in unexpired notices, in milliseconds plus one, 0 without a proof;
+    /// notices from before a suspension are left out.
     pub fn proof_ages_ms(&self, now: Instant) -> impl Iterator<Item = u32> {
         let loads = self.loads.values();
         let current = loads.filter(move |load| load.is_current(now));
--- a/crates/edge/src/peer_rows.rs
+++ b/crates/edge/src/peer_rows.rs
@@ -29,10 +29,10 @@
 /// Path of a request for all known rows.
 const PATH: &str = "/internal/known-rows";
 
-/// Path of a request for the configuration alone, without the replicas' rows, which are many in a large fleet.
+/// Path of a request for all known rows but those of the replicas, which are many in a large fleet.
 const CONFIGURATION_PATH: &str = "/internal/known-rows?configuration";
 
-/// Time for the store to respond before peers are queried; callers are refused until then.
+/// Time for the store to respond before peers are queried; callers are refused meanwhile.
 const STORE_WAIT: Duration = Duration::from_millis(150);
 
 /// Bounds of the backoff between rounds of requests. If all daemons start at once, none has rows yet.
@@ -175,8 +175,8 @@
     discovery.apply_peer_replicas(&replicas);
 }
 
-/// Fetches rows from peers until this daemon can serve. Rows from peers prove no contact with the store; only the
-/// store's own responses do.
+/// Fetches rows from peers until this daemon can serve. Unlike responses of the store or of a relay, these rows prove
+/// no contact with the store.
 pub async fn bootstrap(
     discovery: Arc<Discovery>,
     members: Arc<Members>,
--- a/crates/edge/src/pool.rs
+++ b/crates/edge/src/pool.rs
@@ -37,7 +37,8 @@
     pub idle_margin: Duration,
     /// Maximum number of idle connections per address.
     pub idle_per_address: usize,
-    /// Stall in an abandoned exchange after which all connections unused since before it are closed.
+    /// Stall of an abandoned or failed exchange from which the idle connections to its address that have been unused
+    /// since before the stall are closed.
     pub stall_timeout: Duration,
 }
 
@@ -68,7 +69,7 @@
     Lost(String),
 }
 
-/// Body of a request; records when it was handed to the connection.
+/// Body of a request; records that it was handed to the connection.
 pub struct RequestBody {
     data: Option<Bytes>,
     is_sent: Arc<AtomicBool>,
--- a/crates/edge/src/quarantine/broken_connections.rs
+++ b/crates/edge/src/quarantine/broken_connections.rs
@@ -1,5 +1,5 @@
-//! Broken connections to replicas, kept until it is known whether the replica has crashed: only then does it refuse
-//! connections, or is its entry removed.
+//! Broken connections to replicas, kept until it is known whether the replica has crashed. A crash is confirmed by
+//! refused connections, by the removal of the replica's entry, or by a peer's report.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/edge/src/quarantine/gossip.rs
+++ b/crates/edge/src/quarantine/gossip.rs
@@ -14,14 +14,15 @@
 
 use super::QuarantineService;
 
-/// Gossip fan-out: immediately after a crash that this daemon observed, and at each tick while reports are new.
+/// Gossip fan-out: immediately after a crash or clearing that this daemon observed, and at each tick while reports are
+/// new.
 const IMMEDIATE_FAN_OUT: usize = 6;
 const TICK_FAN_OUT: usize = 3;
 
 /// How long a change is gossiped at each tick.
 const CHANGE_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// Ticks between two rounds after that, for members that missed the earlier ones.
+/// Ticks between two rounds after [`CHANGE_WINDOW`], for members that missed the earlier ones.
 const REPEAT_TICKS: u64 = 5;
 
 /// Most contents in a datagram; with three crashes each it is 1.2 kB, below the usual MTU.
--- a/crates/edge/src/rates/mod.rs
+++ b/crates/edge/src/rates/mod.rs
@@ -34,7 +34,7 @@
     ledger: RateLedger,
     pools: HashMap<Arc<str>, TokenPool>,
     unresponsive_until: HashMap<String, Instant>,
-    /// Another member has reported its recent fleet size, or could not be reached.
+    /// Another member has reported its recent fleet size or could not be reached, or there is none.
     fleet_size_reported: bool,
     succession: Succession,
 }
@@ -93,7 +93,7 @@
         let _ = self.socket.set(socket);
     }
 
-    /// Detects that this daemon was stalled; must be called at least ten times a second.
+    /// Detects from the time since the last check that this daemon was stalled; called at each tick of the membership.
     pub fn tick(&self) {
         self.note_running(&mut self.lock(), harrierward_clock::now());
     }
--- a/crates/edge/src/rates/requests.rs
+++ b/crates/edge/src/rates/requests.rs
@@ -31,7 +31,8 @@
 pub(super) enum TokenReply {
     Granted,
     Exhausted(Duration),
-    /// The member doesn't coordinate the tenant; holds the coordinator's address if it is known.
+    /// The member doesn't coordinate the tenant, or can't grant its tokens yet. Holds the coordinator's address if that
+    /// is another member and its address is known.
     NotCoordinator(Option<SocketAddr>),
     NoReply,
 }
@@ -188,7 +189,7 @@
             TokenReply::NotCoordinator(Some(other)) if coordinator.address != Some(other) => {
                 self.request_tokens(tenant, other, "").await
             }
-            // It still considers the unresponsive member the coordinator and refuses to act as its fallback.
+            // Includes the refusal of a member that still considers the unresponsive one the coordinator.
             reply => reply,
         }
     }
--- a/crates/edge/src/relay/server.rs
+++ b/crates/edge/src/relay/server.rs
@@ -54,7 +54,7 @@
 }
 
 impl<S> SpaceReplies<S> {
-    /// Replies from these copies.
+    /// Replies from the copies that `relay` keeps.
     pub fn new(relay: Arc<Relay>, others: Arc<S>) -> Self {
         Self {
             relay,
--- a/crates/edge/src/server/activity.rs
+++ b/crates/edge/src/server/activity.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct CloseTime {
     pub at: Instant,
-    /// Whether a request header was started and not completed in time.
+    /// Whether `at` is the deadline of a request header whose first bytes have arrived.
     pub is_header_timeout: bool,
 }
 
@@ -27,7 +27,7 @@
     unsent: AtomicUsize,
     /// When the last request completed, milliseconds since `started`.
     idle_since: AtomicU64,
-    /// When the first bytes after that arrived, plus one; 0 if none have arrived.
+    /// When the first bytes since `idle_since` arrived, milliseconds since `started` plus one; 0 if none have arrived.
     header_started_at: AtomicU64,
 }
 
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -59,7 +59,8 @@
     pub metrics_address: String,
     /// Policy mechanisms in use.
     pub policy: Policy,
-    /// Time a request must save, beyond the RTT, to leave its region; `None` for the default cost.
+    /// Time a request must save, beyond the RTT, to leave its region; `None` for the default cost. Ignored unless
+    /// `policy` has [`Mechanism::OwnZoneFirst`].
     pub region_price: Option<Duration>,
 }
 
--- a/crates/edge/src/slots/granting.rs
+++ b/crates/edge/src/slots/granting.rs
@@ -132,8 +132,8 @@
         SlotReply::Granted { choice, lease }
     }
 
-    /// Returns when the caller should retry an online request that would miss its objective at the chosen replica;
-    /// `None` if the request is admitted.
+    /// Counts the arrival of an online request. Returns the delay after which its caller should retry if it would miss
+    /// its objective at the chosen replica; `None` if it is admitted.
     fn retry_after(
         &self,
         service: &str,
@@ -172,7 +172,8 @@
         admission.schedule_retry(&queued, rand::random(), now)
     }
 
-    /// True if an overdue request is probably a retry that this daemon scheduled for now.
+    /// True if an overdue request is probably a retry that this daemon scheduled for now; each scheduled one is claimed
+    /// once.
     fn claim_retry(&self, service: &str, group: GroupId) -> bool {
         let mut state = self.lock();
         let admission = state.admissions.get_mut(&(short_hash(service), group));
--- a/crates/edge/src/slots/group_selection.rs
+++ b/crates/edge/src/slots/group_selection.rs
@@ -83,7 +83,7 @@
         self.usable(group).any(|replica| !replica.is_suspected())
     }
 
-    /// Returns the groups of one region that have usable replicas.
+    /// Returns the groups that lie in one region or span all regions, and have usable replicas.
     fn in_region(&self, region: u32) -> Vec<GroupId> {
         let is_there = |group: &GroupId| {
             let group_region = self.index.region_of(self.service, *group);
@@ -160,7 +160,7 @@
     }
 
     /// Chooses a group of the own region even if it is full; of another region only if the own one has no usable
-    /// replica.
+    /// replica or, for an online request, no responsive one.
     pub(super) fn own_region_target(&self, query: &SlotQuery<'_>, service: u32) -> Target {
         self.with_groups(query, service, |groups| self.nearest(groups))
     }
--- a/crates/edge/src/slots/mod.rs
+++ b/crates/edge/src/slots/mod.rs
@@ -312,5 +312,5 @@
     }
 }
 
-/// Upper bound of an item's reported slack; keeps `Instant` arithmetic from overflowing.
+/// Upper bound of the durations that `requests::millis` converts, such as an item's slack.
 const MAX_SLACK: Duration = Duration::from_secs(24 * 60 * 60);
