--- a/crates/edge/tests/cold.rs
+++ b/crates/edge/tests/cold.rs
@@ -385,7 +385,7 @@
     // The objective makes the timeout for the coordinator longer than the stall.
     let reply = acquire_within(requester, None, Duration::from_secs(2)).await;
     let SlotReply::Granted { choice, .. } = reply else {
-        panic!("granted: {reply:?}");
+        panic!("not granted: {reply:?}");
     };
     assert!(requested_at.elapsed() >= STALL.get());
     let until = choice.cold_until.expect("counted");
--- a/crates/edge/tests/regions.rs
+++ b/crates/edge/tests/regions.rs
@@ -97,7 +97,7 @@
     )
 }
 
-/// Starts one fleet of three daemons in each region, with `counts` replicas by region.
+/// Starts one fleet with three daemons in each region and `counts` replicas by region.
 async fn fleet(counts: [usize; 3]) -> Fleet {
     let network = Arc::new(Network::default());
     let mut members = Vec::new();
@@ -276,8 +276,8 @@
     let more = enter_many(&fleet, 0, 2 * slots).await;
     let left = outside(&more, 0);
     assert!(left > 0, "nothing spilled from the full region");
-    let why = more.iter().filter(|one| one.region != REGIONS[0]);
-    for one in why {
+    let spilled = more.iter().filter(|one| one.region != REGIONS[0]);
+    for one in spilled {
         assert_eq!(one.left, Some(CrossRegionReason::Full));
     }
     held.extend(more);
@@ -410,7 +410,7 @@
     let cut = enter_many(&fleet, 0, 2 * slots).await;
     assert_eq!(outside(&cut, 0), 0);
     let took = began.elapsed();
-    // Three daemons each wait for one coordinator of two other regions, at most a third of the objective.
+    // Each of three daemons waits for one coordinator in each of two other regions, at most a third of the objective.
     assert!(took < 3 * 2 * (OBJECTIVE / 3), "{took:?}");
     fleet.network.is_partitioned.store(false, Ordering::Relaxed);
     sleep(EXPIRED).await;
--- a/crates/edge/tests/response_budget.rs
+++ b/crates/edge/tests/response_budget.rs
@@ -5,7 +5,7 @@
 use harrierward_edge::ResponseBudget;
 use tokio::time::Instant;
 
-/// Returns the responses of `bytes` served within a second, with a request every millisecond.
+/// Returns the number of responses of `bytes` each that are served within a second, with a request every millisecond.
 fn responses(bytes: usize) -> usize {
     let start = Instant::now();
     let mut budget = ResponseBudget::default();
--- a/crates/edge/tests/slots.rs
+++ b/crates/edge/tests/slots.rs
@@ -25,8 +25,8 @@
 struct Preempted(Arc<Mutex<Vec<u32>>>);
 
 impl PreemptItems for Preempted {
-    fn preempt_lease(&self, request: u32) {
-        self.0.lock().expect("a lock").push(request);
+    fn preempt_lease(&self, lease: u32) {
+        self.0.lock().expect("a lock").push(lease);
     }
 
     fn preempt_at(&self, _replica: &str, _count: u32) {}
@@ -299,13 +299,13 @@
 /// retry limit are queued.
 #[tokio::test]
 async fn a_request_that_would_be_late_is_given_a_retry_time() {
-    const MAY_RETURN: Duration = Duration::from_millis(1_500);
+    const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_500);
     // Four queued requests of 200 ms each at a replica with two slots take longer than the objective.
     const WAITING: usize = 4;
     let daemons = fleet(&NAMES, &[]).await;
     let prompt = Prompt::default();
     let new_request = SlotQuery {
-        max_retry_after: Some(MAY_RETURN),
+        max_retry_after: Some(MAX_RETRY_AFTER),
         ..query(&prompt, None)
     };
     hold_slots(
@@ -330,7 +330,10 @@
         let SlotReply::RetryLater { after } = reply else {
             panic!("{reply:?}");
         };
-        assert!(after > Duration::ZERO && after <= MAY_RETURN, "{after:?}");
+        assert!(
+            after > Duration::ZERO && after <= MAX_RETRY_AFTER,
+            "{after:?}"
+        );
         retry_times.insert(after);
         let reply = daemon.slots.acquire(query(&prompt, None)).await;
         assert!(matches!(reply, SlotReply::Granted { .. }), "{reply:?}");
--- a/crates/edge/tests/support/mod.rs
+++ b/crates/edge/tests/support/mod.rs
@@ -15,8 +15,8 @@
     per_second: 2.0,
 };
 
-/// Rows hold a number: the configuration's version, or the address of the replica named by the key, optionally
-/// followed by a space and the milliseconds for which it stays cold.
+/// Rows hold the configuration's version, or the address of the replica named by the key, optionally followed by a
+/// space and the milliseconds for which it stays cold.
 pub struct PlainSource;
 
 impl DiscoverySource for PlainSource {
