--- a/crates/wire/src/batch.rs
+++ b/crates/wire/src/batch.rs
@@ -175,7 +175,8 @@
     pub failed: u32,
 }
 
-/// Ownership of a shard or a replica. Each change raises the epoch, which fences commits and commands of earlier owners.
+/// Ownership of a shard or a replica. Each takeover raises the epoch, which fences commits and commands of earlier
+/// owners.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct OwnershipRow {
     /// Member id of the owner; empty if released.
--- a/crates/wire/src/configuration.rs
+++ b/crates/wire/src/configuration.rs
@@ -1,9 +1,10 @@
 //! Rows and log entries of the configuration.
 
-/// The newest revision of the configuration.
+/// A revision of the configuration: the newest one in the head row, the one that a change was given in the row of its
+/// operation.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ConfigHead {
-    /// Global revision of the newest change.
+    /// Global revision.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
 }
--- a/crates/wire/src/membership.rs
+++ b/crates/wire/src/membership.rs
@@ -48,7 +48,7 @@
 /// State of a member. A higher (incarnation, version) replaces a lower one.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct MemberRecord {
-    /// Member id, unique for each daemon instance.
+    /// Member id, unique for each daemon instance; also called instance id.
     #[prost(string, tag = "1")]
     pub id: String,
     /// UDP address.
@@ -265,7 +265,7 @@
         /// Loads of replicas.
         #[prost(message, tag = "3")]
         ReplicaReports(super::ReplicaReports),
-        /// Requests in progress of an edge daemon.
+        /// Requests in progress of a daemon, by replica.
         #[prost(message, tag = "4")]
         LoadNotice(super::LoadNotice),
         /// Requests the preemption of batch items.
--- a/crates/wire/src/quarantine.rs
+++ b/crates/wire/src/quarantine.rs
@@ -28,7 +28,7 @@
     pub clearing: u32,
 }
 
-/// A daemon's updates stored for those that its datagrams don't reach.
+/// A daemon's updates, stored for the daemons that its datagrams don't reach.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct CrashNewsRow {
     /// Instance id of the daemon.
--- a/crates/wire/src/space.rs
+++ b/crates/wire/src/space.rs
@@ -1,4 +1,5 @@
-//! Messages by which daemons of a zone relay a space of the store to each other.
+//! Messages by which daemons of a zone relay a space of the store to each other. A space is all rows whose keys have
+//! the same first segment.
 
 use bytes::Bytes;
 
