--- a/crates/config/src/replica.rs
+++ b/crates/config/src/replica.rs
@@ -17,7 +17,7 @@
 /// Age limits of freshness proofs.
 #[derive(Debug, Clone, Copy)]
 pub struct FreshnessBounds {
-    /// Maximum age of a proof; without a younger one the daemon falls back to the safe plan.
+    /// Maximum age of a proof; without a younger one the daemon's capacity plan lends nothing.
     pub safe_after: Duration,
     /// Age of the proof after which any daemon polls the table.
     pub poll_after: Duration,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Processes a report of a peer or the table that `revision` was the newest `age` ago.
+    /// Processes a report of a peer or the table that `revision` was the newest `age` ago; `None` without such a proof.
     ///
     /// `age` must count from before the report was requested, so that it is never too small.
     pub fn observe(&mut self, now: Duration, revision: u64, age: Option<Duration>) -> Observation {
@@ -194,7 +194,7 @@
         self.proof.map(|proof| proof.age_at(now))
     }
 
-    /// True while the proof is young enough to act on more than the safe plan.
+    /// True while the proof is young enough for capacity to be lent.
     pub fn is_fresh(&self, now: Duration) -> bool {
         self.proof_age(now)
             .is_some_and(|age| age <= self.bounds.safe_after)
--- a/crates/config/src/store.rs
+++ b/crates/config/src/store.rs
@@ -146,7 +146,7 @@
         head_revision(rows.first().and_then(Option::as_ref))
     }
 
-    /// Returns the changes from `after` to the newest revision, or all objects if there are too many.
+    /// Returns the changes above revision `after`, or all objects if there are too many.
     pub async fn delta(&self, after: u64) -> Result<ConfigDeltaReply, PlatformError> {
         let head = self.head().await?;
         if head.saturating_sub(after) > MAX_DELTA_REVISIONS {
@@ -266,7 +266,7 @@
         Err(indeterminate_error.map_or(ConfigError::Contended, ConfigError::Indeterminate))
     }
 
-    /// Attempts a change once; `None` if a concurrent change of other objects was committed meanwhile.
+    /// Attempts a change once; `None` if another change was committed meanwhile.
     async fn try_apply(
         &self,
         request: &ApplyRequest,
