--- a/crates/decisions/src/metrics.rs
+++ b/crates/decisions/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of the decisions. Every decision counts, also where its line is sampled or dropped.
+//! Metrics of the decisions. Every decision is counted, even if its line is dropped.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -59,7 +59,7 @@
 /// Label shared by all further tenants.
 const OTHER_TENANTS: &str = "(other)";
 
-/// Outcomes of runs with a label of their own; all others are free-text causes.
+/// Outcomes of runs with a label of their own; all others are free-text causes and share the label `broken`.
 const RUN_OUTCOMES: [&str; 4] = ["finished", "failed", "impossible", "yielded to online"];
 
 impl DecisionMetrics {
--- a/crates/decisions/src/record.rs
+++ b/crates/decisions/src/record.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-/// Priority by which records are dropped when lines must be.
+/// Priority of a record's line when lines have to be dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Importance {
     /// The normal course of a request; dropped first, and limited per second.
@@ -126,7 +126,7 @@
     ReplicaRejected {
         /// Key of the row.
         entry: &'a str,
-        /// Revision of its row.
+        /// Revision of the row.
         revision: u64,
         /// What is malformed in it.
         cause: &'a str,
@@ -141,7 +141,7 @@
         state: &'a str,
         /// Revision of the row that evacuates the zone.
         revision: u64,
-        /// `store`, or the id of the peer that reported it.
+        /// `store`, the id of the peer that announced it, or `peer` if it came with rows requested from peers.
         source: &'a str,
         /// Age of the proof that this daemon has the store's newest rows; `None` without one.
         proof_age_ms: Option<u64>,
@@ -242,7 +242,7 @@
         ready: usize,
         /// Replicas that drain.
         draining: usize,
-        /// Where the rows came from.
+        /// `store` or `peer`.
         source: &'a str,
     },
     /// A daemon without configuration or replicas requested them from some peers.
@@ -343,7 +343,7 @@
         /// `ejected`, `spared` (not ejected only because too many others are), `probed`, `returned`, `slowed` or
         /// `restored`.
         outcome: &'static str,
-        /// Length of the ejection.
+        /// Length of the ejection; 0 for other outcomes.
         absence_ms: u64,
         /// Part of its normal share of new work that it gets, in thousandths.
         share_permille: u32,
@@ -428,7 +428,8 @@
         tenant: &'a str,
         /// Member that this daemon considers the rate's coordinator; empty if none was contacted.
         coordinator: &'a str,
-        /// `at the limit`, `refused before`, `not the coordinator` or `no answer`.
+        /// `at the limit`, `refused before` (the coordinator's last refusal still holds), `not the coordinator` or `no
+        /// answer`.
         outcome: &'a str,
         /// Part of the limit that this daemon would grant as coordinator, in thousandths; below 1,000 while members are
         /// missing.
@@ -560,7 +561,7 @@
         epoch_before: u64,
         /// Why the owner changed; empty where the outcome says it.
         reason: &'a str,
-        /// Daemons that this one considers live owners, itself included.
+        /// Daemons that may own jobs in this one's view, itself included; 0 until the membership has settled.
         owners_known: usize,
     },
     /// Results of a job were listed, or the commit of the listing failed.
@@ -598,7 +599,7 @@
         position: u32,
         /// Age of the copy's freshness proof; `None` without one.
         proof_age_ms: Option<u64>,
-        /// `more`, `nothing`, `missing`, or `unsure`.
+        /// `more`, `nothing`, `missing` (no such job), or `unsure` (the store gave no current answer).
         outcome: &'a str,
     },
     /// A run of a batch item finished, failed or was returned.
@@ -622,7 +623,7 @@
 }
 
 impl Record<'_> {
-    /// Returns the priority of the record when lines must be dropped.
+    /// Returns the priority of the record's line.
     pub fn importance(&self) -> Importance {
         match self {
             Self::Sent { .. }
--- a/crates/decisions/tests/log.rs
+++ b/crates/decisions/tests/log.rs
@@ -123,7 +123,7 @@
     }
 }
 
-/// Lines that the output does not take are dropped, and their number is reported with the next line that it takes.
+/// The console writes this report among the records, so it must be a complete line of the decision log.
 #[test]
 fn dropped_lines_are_reported_in_a_separate_line() {
     let line = harrierward_decisions::dropped_record(7);
