--- a/crates/wire/src/slots.rs
+++ b/crates/wire/src/slots.rs
@@ -23,7 +23,7 @@
     /// The prompt's shared parts, in order.
     #[prost(message, repeated, tag = "6")]
     pub parts: Vec<PromptPartRow>,
-    /// Class of the prompt's length within the service: 0 similar to others, 1 short, 2 long.
+    /// Class of the prompt's length: 0 while the service separates no lengths, 1 short, 2 long.
     #[prost(uint32, tag = "7")]
     pub length: u32,
     /// Hashes of replicas that must not be chosen.
