--- a/crates/decisions/src/record.rs
+++ b/crates/decisions/src/record.rs
@@ -85,7 +85,7 @@
         space: &'a str,
         /// `store`, or the id of the peer.
         source: &'a str,
-        /// Kind of failure.
+        /// Kind of failure or the error.
         cause: &'a str,
     },
     /// The copy of a space differs from that of the followed peer at the same revision, and is read in full again.
@@ -224,7 +224,7 @@
     },
     /// Contact to a dependency was lost.
     DependencyLost {
-        /// Name of the dependency, such as `store`.
+        /// Name of the dependency, such as `slot coordinator` or a space of the store.
         dependency: &'a str,
         /// Error, or the id of the peer.
         cause: &'a str,
@@ -289,7 +289,7 @@
         request: &'a str,
         /// Digest of its path, caller and body; the same for each repetition.
         content: &'a str,
-        /// Route name.
+        /// Path and query of the request.
         route: &'a str,
         /// Replica id.
         replica: &'a str,
@@ -406,7 +406,7 @@
         status: u16,
         /// Name of the cause.
         cause: &'a str,
-        /// Tenant of the key; absent if the key is unknown.
+        /// Tenant of the key; absent if the key is unknown or was not looked up.
         #[serde(skip_serializing_if = "Option::is_none")]
         tenant: Option<&'a str>,
         /// Version of the configuration in force.
