--- a/crates/external/src/lib.rs
+++ b/crates/external/src/lib.rs
@@ -1,5 +1,6 @@
 //! Interfaces of the external systems: a transactional table, an object store, a machine list, a weight store and
-//! model engines. Each is a narrow trait with an HTTP client, which another implementation can replace.
+//! model engines. Each is a narrow trait with an HTTP client, which another implementation can replace; only
+//! [`WatchedTable`] has no client in this crate.
 
 mod backoff;
 mod budget;
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -56,7 +56,7 @@
         self.length == 0
     }
 
-    /// Returns the number of entries that are served before a new one of `tenant`.
+    /// Estimates the number of entries that are served before a new one of `tenant`; ignores whose turn it is.
     pub fn ahead_of(&self, tenant: &str) -> usize {
         let own = self.tenants.get(tenant).map_or(0, VecDeque::len);
         self.tenants
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -73,7 +73,7 @@
 pub struct GatewayParts {
     /// Member id of the daemon, the prefix of its request ids.
     pub member: String,
-    /// Current configuration, replaced by its owner.
+    /// Current configuration; the daemon replaces it when it adopts a newer revision.
     pub config: Arc<ArcSwap<ConfigSnapshot>>,
     /// Directory of replicas.
     pub directory: Arc<ReplicaDirectory>,
