--- a/crates/decisions/src/record.rs
+++ b/crates/decisions/src/record.rs
@@ -5,9 +5,9 @@
 /// Priority of a record's line when lines have to be dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Importance {
-    /// The normal course of a request; dropped first, and limited per second.
+    /// The normal course of a request; limited per second, and to a part of the queue.
     Ordinary,
-    /// A change of the process's state or of what it knows.
+    /// A change of the process's state or of what it knows; limited to the same part of the queue.
     Change,
     /// A request or item that failed or was refused; may use the whole queue.
     Failure,
