--- a/crates/node/src/batch_item.rs
+++ b/crates/node/src/batch_item.rs
@@ -20,7 +20,7 @@
         /// True if the item is invalid, so that a retry can't succeed.
         failed: bool,
     },
-    /// The item must be retried; if it is at most once and may have run, it is indeterminate instead.
+    /// The item must be retried; if it must run at most once and may have run, it is indeterminate instead.
     Returned {
         /// True if an engine may have run a part of it.
         may_have_run: bool,
--- a/crates/node/src/cancel_freshness.rs
+++ b/crates/node/src/cancel_freshness.rs
@@ -6,7 +6,7 @@
 /// Time after which the proof expires unless it is renewed.
 pub const FRESHNESS_TTL: Duration = Duration::from_secs(2);
 
-/// Age of the proof at which the table is read, and the interval of such reads.
+/// Age of the proof at which the table is read; also bounds the interval at which the age is checked.
 pub const TABLE_READ_INTERVAL: Duration = Duration::from_millis(700);
 
 /// Maximum wait for unreachable members before a cancellation is acknowledged; longer than [`FRESHNESS_TTL`], so
--- a/crates/node/src/membership_task.rs
+++ b/crates/node/src/membership_task.rs
@@ -119,7 +119,7 @@
         node_datagram::Kind::ReplicaReports(reports) => {
             directory_task::apply_reports(shared, &reports);
         }
-        // Other datagrams are exchanged between edge daemons only.
+        // The other kinds are exchanged only between daemons of the crate `harrierward-edge`.
         _ => {}
     }
 }
--- a/crates/node/src/network.rs
+++ b/crates/node/src/network.rs
@@ -48,7 +48,7 @@
         Err(PeerError::NotSent {
             step: "peer.call",
             peer: address.to_owned(),
-            detail: "this daemon is alone".to_owned(),
+            detail: "a standalone daemon has no peers".to_owned(),
         })
     }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -108,15 +108,15 @@
     pub replicas: usize,
     /// Replicas whose batch work it controls.
     pub owned_replicas: usize,
-    /// Replicas with a recent load report; the others get no requests.
+    /// Replicas with a recent load report; a replica whose last report has expired gets no requests.
     pub confirmed_replicas: usize,
     /// Job shards that it owns.
     pub owned_shards: usize,
     /// Unfinished jobs of its shards.
     pub open_jobs: usize,
-    /// Online requests that its gateway has sent to replicas.
+    /// Online requests that its gateway has admitted and whose responses have not ended.
     pub online_running: u32,
-    /// Online requests queued at its gateway.
+    /// Online requests queued at its gateway, and resends that wait there for another attempt.
     pub online_waiting: usize,
     /// Batch items running on the owned replicas.
     pub batch_running: usize,
--- a/crates/node/src/ownership.rs
+++ b/crates/node/src/ownership.rs
@@ -62,7 +62,8 @@
     cooldowns: Cooldowns,
 }
 
-/// First cooldown after a member took over a resource, in multiples of the grace period; doubles each time.
+/// First cooldown of a member that took over a resource from this one, in multiples of the grace period; doubles each
+/// time.
 const FIRST_COOLDOWN_FACTOR: u32 = 2;
 
 /// Maximum cooldown, in multiples of the grace period; bounds the delay of a takeover from a crashed owner.
--- a/crates/node/src/runner/mod.rs
+++ b/crates/node/src/runner/mod.rs
@@ -55,7 +55,8 @@
 /// Why a running item was stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StopReason {
-    /// Online requests need the slot, the replica is lost, or the daemon drains: the item is returned to its shard owner.
+    /// Online requests need the slot, the replica is lost, or the daemon drains: the item is returned to its shard
+    /// owner.
     Preempt,
     /// The job is cancelled or the item is granted to another member: its outcome is discarded.
     Discard,
--- a/crates/node/src/runner/slots.rs
+++ b/crates/node/src/runner/slots.rs
@@ -22,7 +22,7 @@
 /// Bytes of an input line per estimated prompt token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Runs the scheduler at each tick, and immediately when the online load changes.
+/// Runs the scheduler at each tick, and immediately after a change of the online load, a pull or the end of an item.
 pub(crate) async fn run_slots(shared: Arc<Shared>) {
     loop {
         let _ = timeout(shared.settings.batch_tick, shared.runner_wake.notified()).await;
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -40,7 +40,7 @@
     /// Interval at which ownership is reconciled with the view.
     pub ownership_interval: Duration,
     /// How long the view must name this member before it takes over from an owner in view; also the base of the
-    /// exponential cooldown after such a takeover.
+    /// exponential cooldown during which nothing is taken over from a member that has taken over from this one.
     pub takeover_grace_period: Duration,
     /// Maximum interval between runs of the batch slot scheduler.
     pub batch_tick: Duration,
