--- a/crates/harrierward/src/explain.rs
+++ b/crates/harrierward/src/explain.rs
@@ -14,7 +14,7 @@
 /// Record fields that identify the subject.
 const SUBJECT_FIELDS: [&str; 5] = ["request", "job", "item", "replica", "zone"];
 
-/// Record fields that are not printed as inputs.
+/// Record fields that are not printed as `name=value`.
 const OMITTED_FIELDS: [&str; 3] = ["at_ms", "event", "type"];
 
 struct Entry {
@@ -71,7 +71,7 @@
         .any(|field| is_about(entry, field, id))
 }
 
-/// True if a field contains the id. The stored id of a job is the caller's id, a dot and a hash of its tenant.
+/// True if the field's value is the id. The stored id of a job is the caller's id, a dot and a hash of its tenant.
 fn is_about(entry: &Entry, field: &str, id: &str) -> bool {
     let value = entry.record.get(field).and_then(Value::as_str);
     let rest = value.and_then(|value| value.strip_prefix(id));
@@ -96,7 +96,7 @@
     about.iter().map(|entry| describe(entry, first)).collect()
 }
 
-/// Formats a record: time since the first one, origin, description and inputs.
+/// Formats a record: time since the first one, origin, description and remaining fields.
 fn describe(entry: &Entry, first_ms: u64) -> String {
     let event = entry.record.get("event").and_then(Value::as_str);
     let event = event.unwrap_or("unknown");
@@ -122,7 +122,7 @@
         }
         other => other,
     };
-    let inputs: Vec<String> = entry
+    let fields: Vec<String> = entry
         .record
         .iter()
         .filter(|(name, value)| !OMITTED_FIELDS.contains(&name.as_str()) && !value.is_null())
@@ -134,7 +134,7 @@
     } else {
         format!(" [{}]", entry.origin)
     };
-    format!("+{after:>6} ms{origin} {description}: {}", inputs.join(" "))
+    format!("+{after:>6} ms{origin} {description}: {}", fields.join(" "))
 }
 
 fn plain(value: &Value) -> String {
--- a/crates/harrierward/src/settings.rs
+++ b/crates/harrierward/src/settings.rs
@@ -13,7 +13,7 @@
 /// A problem with one setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingProblem {
-    /// Key with its tables, such as `batch.shards`.
+    /// Key with its tables, such as `batch.shards`; `file` if the text is not valid TOML.
     pub key: String,
     /// Value as given; empty if it is missing.
     pub value: String,
@@ -57,7 +57,7 @@
     pub api_listen: SocketAddr,
     /// Address of the HTTP interface for peers.
     pub peer_listen: SocketAddr,
-    /// Address for datagrams of peers; the HTTP one by default.
+    /// Address for datagrams of peers; the same as `peer_listen` by default.
     pub udp_listen: SocketAddr,
     /// UDP addresses of daemons to contact for joining the fleet.
     pub seeds: Vec<String>,
@@ -69,7 +69,7 @@
     pub log_format: LogFormat,
     /// Minimum level of logged lines.
     pub log_level: LevelFilter,
-    /// Settings of the daemon's roles.
+    /// Settings of the daemon's components.
     pub node: NodeSettings,
 }
 
--- a/crates/harrierward/src/standalone.rs
+++ b/crates/harrierward/src/standalone.rs
@@ -28,18 +28,18 @@
 /// Interval at which the node's readiness is polled.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A tenant of the trial fleet, with its service.
-struct Trial {
+/// An example tenant, with its service.
+struct ExampleTenant {
     tenant: &'static str,
     service: &'static str,
 }
 
-const TRIALS: [Trial; 2] = [
-    Trial {
+const EXAMPLES: [ExampleTenant; 2] = [
+    ExampleTenant {
         tenant: "desks",
         service: "banco-lm",
     },
-    Trial {
+    ExampleTenant {
         tenant: "trakia",
         service: "lot-oracle",
     },
@@ -78,10 +78,10 @@
 /// lends half of its idle capacity.
 fn initial_objects() -> String {
     let mut text = String::new();
-    for trial in &TRIALS {
-        let other = TRIALS.iter().find(|other| other.tenant != trial.tenant);
+    for example in &EXAMPLES {
+        let other = EXAMPLES.iter().find(|other| other.tenant != example.tenant);
         let other = other.map_or("", |other| other.tenant);
-        let (tenant, service) = (trial.tenant, trial.service);
+        let (tenant, service) = (example.tenant, example.service);
         let caller = KeyDigest::of(&caller_key(tenant)).0;
         let operator = KeyDigest::of(&operator_key(tenant)).0;
         text.push_str(&format!(
@@ -142,15 +142,15 @@
 
 fn start_engines(platform: &MemoryPlatform) -> EmulatedEngines {
     let mut engines = Vec::new();
-    for trial in &TRIALS {
+    for example in &EXAMPLES {
         for number in 0..REPLICAS_PER_SERVICE {
-            let name = format!("{}-{number}", trial.service);
-            let models = vec![trial.service.to_owned()];
+            let name = format!("{}-{number}", example.service);
+            let models = vec![example.service.to_owned()];
             let parameters = EngineParameters::default();
             let engine = EngineHandle::start(&name, parameters, models, 1.0, false);
             platform.seed_machine(Machine {
                 replica: ReplicaId(name.clone()),
-                service: trial.service.to_owned(),
+                service: example.service.to_owned(),
                 zone: ZONE.to_owned(),
                 address: name.clone(),
                 state: MachineState::Live,
@@ -198,7 +198,7 @@
     })?;
     let address = api.local_addr()?;
     // Until all replicas are confirmed, a service would refuse its first callers.
-    let expected_replicas = TRIALS.len() * REPLICAS_PER_SERVICE;
+    let expected_replicas = EXAMPLES.len() * REPLICAS_PER_SERVICE;
     while !node.is_ready() || node.status().confirmed_replicas < expected_replicas {
         sleep(READY_POLL_INTERVAL).await;
     }
@@ -209,13 +209,13 @@
 /// Prints the node's address and the keys. Output errors are ignored: standard output may be closed.
 fn announce(address: &str) {
     let mut text = format!("harrierward standalone on http://{address}; stop with Ctrl-C\n");
-    for trial in &TRIALS {
+    for example in &EXAMPLES {
         text.push_str(&format!(
             "tenant {}: model {}, caller key {}, operator key {}\n",
-            trial.tenant,
-            trial.service,
-            caller_key(trial.tenant),
-            operator_key(trial.tenant)
+            example.tenant,
+            example.service,
+            caller_key(example.tenant),
+            operator_key(example.tenant)
         ));
     }
     let _ = std::io::stdout().write_all(text.as_bytes());
--- a/crates/harrierward/tests/resend.rs
+++ b/crates/harrierward/tests/resend.rs
@@ -14,7 +14,7 @@
 const STORED_HEADER: &str = "idempotent-replayed";
 
 /// Sends a booking; returns its response, and whether that is marked as stored.
-async fn book(site: &Standalone, caller: &HttpCaller, key: &str) -> (Value, bool) {
+async fn book(standalone: &Standalone, caller: &HttpCaller, key: &str) -> (Value, bool) {
     let body = json!({
         "model": "banco-lm", "max_tokens": 4,
         "messages": [{"role": "user", "content": format!("Book {key} for Anna")}],
@@ -27,7 +27,7 @@
     let path = "/v1/chat/completions";
     let body = Bytes::from(body.to_string());
     let response = caller
-        .open(Method::POST, &site.address, path, &headers, body)
+        .open(Method::POST, &standalone.address, path, &headers, body)
         .await
         .expect("a response");
     let status = response.status().as_u16();
--- a/crates/harrierward/tests/support/mod.rs
+++ b/crates/harrierward/tests/support/mod.rs
@@ -44,7 +44,7 @@
         Self { process, address }
     }
 
-    /// Runs a client command against it.
+    /// Runs a client command against the program.
     pub fn run(&self, key: &str, arguments: &[&str]) -> Output {
         Command::new(PROGRAM)
             .args(arguments)
@@ -60,7 +60,7 @@
         assert!(killed.expect("kill runs").success());
     }
 
-    /// Stops it with SIGTERM; returns its exit status.
+    /// Stops the program with SIGTERM; returns its exit status.
     pub fn stop(mut self) -> ExitStatus {
         self.signal("-TERM");
         self.process.wait().expect("it ends")
--- a/crates/harrierward/tests/whole_path.rs
+++ b/crates/harrierward/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The main path of a new user: the program, a chat response, a batch job, a planned stop.
+//! The main path of a new user: a batch job from its file to its results, a planned stop, exit codes.
 
 mod support;
 
