--- a/specs/claim.pml
+++ b/specs/claim.pml
@@ -1,91 +1,94 @@
-/* At-most-once claims: two callers send the same marked request through two gateways.
+/* At-most-once claims: two callers send requests with the same idempotency key, each through a gateway of its own.
 
-   A gateway inserts a claim row, if absent, before it dispatches; the store's answer may be lost after the change
-   took effect; a gateway may be paused at any step, so that each step is a separate transition; a gateway that
-   could not make its claim says "not run" and releases a claim of its own that may stand after all; a caller that
-   hears nothing, or "not run" or "unknown", sends again.
+   Modelled: a gateway inserts a claim row if there is none, and dispatches the request only if its claim was granted.
+   The store's reply may be lost, whether or not the insert took effect; the gateway then reads the row back, which
+   may fail as well. If the outcome stays indeterminate, it responds "not run" and releases a claim of its own. A
+   gateway may pause between any two steps. Each caller sends its request up to MAX_SENDS times, whatever the
+   responses.
 
-   Checked: the request is dispatched at most once at a time and runs at most once; if every answer was "not run",
-   it did not run. Broken variants: NO_CLAIM dispatches without a claim; TRUST_LOST takes a lost answer for a
-   granted claim without reading back; RELEASE_ANY releases whatever claim stands. */
+   Checked: the request runs at most once; if every response was "not run", it did not run.
+
+   Broken variants: NO_CLAIM dispatches without a claim; ASSUME_GRANTED considers a claim granted if the reply was lost,
+   without reading back; RELEASE_ANY releases the claim of any attempt. */
 
 #define GATEWAYS 2
-#define SENDS 2
+#define MAX_SENDS 2
 
-#define FREE 0
+#define UNCLAIMED 0
 
-byte claim = FREE;      /* attempt that holds the claim; FREE if none */
-bool done = false;      /* the row carries an answer */
-byte runs = 0;          /* times that the engine ran the request */
-byte answers_not_run = 0;
-byte answers = 0;
+byte claim = UNCLAIMED;        /* attempt that holds the claim */
+bool response_stored = false;  /* the row holds the response of a run */
+byte runs = 0;                 /* times that a replica ran the request */
+byte not_run_responses = 0;
+byte responses = 0;
 byte next_attempt = 1;
 
 proctype Gateway() {
   byte attempt;
-  byte sends = 0;
-  bool held;
-  bool lost;
+  byte sent = 0;
+  bool granted;
+  bool indeterminate;
 
   do
-  :: sends < SENDS ->
-     sends++;
+  :: sent < MAX_SENDS ->
+     sent++;
      atomic { attempt = next_attempt; next_attempt++; }
-     held = false;
-     lost = false;
+     granted = false;
+     indeterminate = false;
 
-     /* Insert if absent; the answer may be lost after the change took effect, or before. */
+     /* Insert the claim if absent. If the reply is lost, the insert may have taken effect or not. */
      atomic {
        if
-       :: claim == FREE && !done -> claim = attempt; held = true
-       :: claim == FREE && !done -> claim = attempt; lost = true
-       :: claim != FREE || done -> skip
-       :: lost = true
+       :: claim == UNCLAIMED && !response_stored -> claim = attempt; granted = true
+       :: claim == UNCLAIMED && !response_stored -> claim = attempt; indeterminate = true
+       :: claim != UNCLAIMED || response_stored -> skip
+       :: indeterminate = true
        fi
      }
 
-#ifdef TRUST_LOST
-     if :: lost -> held = true :: else -> skip fi;
+#ifdef ASSUME_GRANTED
+     if :: indeterminate -> granted = true :: else -> skip fi;
 #else
-     /* A lost answer is settled by reading back: only the own attempt id grants. The reading may fail too. */
+     /* Read back after a lost reply: only a row with the own attempt id grants. The read may fail too. */
      if
-     :: lost ->
+     :: indeterminate ->
         if
-        :: atomic { claim == attempt -> held = true }
+        :: atomic { claim == attempt -> granted = true }
         :: skip
         fi
      :: else -> skip
      fi;
 #endif
 #ifdef NO_CLAIM
-     held = true;
+     granted = true;
 #endif
 
      if
-     :: held ->
-        /* Dispatch: the engine refuses, or runs and answers, or runs and the answer is cut. */
+     :: granted ->
+        /* Dispatch: the replica runs the request and its response is stored, runs it but the response is lost, or
+           refuses it. */
         if
-        :: atomic { runs++; done = true; answers++ }
-        :: atomic { runs++; answers++ }
+        :: atomic { runs++; response_stored = true; responses++ }
+        :: atomic { runs++; responses++ }
         :: atomic {
-             /* Certainly not run: release, so that a resend may run. */
-             if :: claim == attempt -> claim = FREE :: else -> skip fi;
-             answers++; answers_not_run++
+             /* Certainly not run: release the claim, so that a resend may run. */
+             if :: claim == attempt -> claim = UNCLAIMED :: else -> skip fi;
+             responses++; not_run_responses++
            }
         fi
-     :: !held && lost ->
-        /* Gave up undispatched: "not run"; a claim of this attempt that stands is removed later. */
-        atomic { answers++; answers_not_run++ };
+     :: !granted && indeterminate ->
+        /* Not dispatched, respond "not run". The claim may still have been inserted, so it is released. */
+        atomic { responses++; not_run_responses++ };
 #ifdef RELEASE_ANY
-        claim = FREE
+        claim = UNCLAIMED
 #else
-        atomic { if :: claim == attempt -> claim = FREE :: else -> skip fi }
+        atomic { if :: claim == attempt -> claim = UNCLAIMED :: else -> skip fi }
 #endif
-     :: !held && !lost ->
-        /* Another attempt holds the claim: stored answer or "unknown". */
-        answers++
+     :: !granted && !indeterminate ->
+        /* Another attempt holds the claim: respond with the stored response or "unknown". */
+        responses++
      fi
-  :: sends == SENDS -> break
+  :: sent == MAX_SENDS -> break
   od
 }
 
@@ -97,13 +100,13 @@
     :: else -> break
     od
   }
-  /* All gateways have ended. */
+  /* Waits for all gateways to end. */
   (_nr_pr == 2);
   assert(runs <= 1);
-  assert(answers != answers_not_run || runs == 0)
+  assert(responses != not_run_responses || runs == 0)
 }
 
-/* At every moment. */
+/* Checks the number of runs in every state. */
 active proctype Monitor() {
   end: atomic { runs > 1 -> assert(false) }
 }
