--- a/specs/config.pml
+++ b/specs/config.pml
@@ -1,108 +1,116 @@
-/* Configuration: two daemons and the table, which may be down; changes are accepted by the table alone.
+/* Replicas of the configuration at two daemons, and the store's table, which alone accepts changes.
 
-   Time is counted in ticks. A daemon pulls from the table or from its peer, and proves freshness by an answer whose
-   age is counted from before the question. Answers may wait, as in the buffer of a paused daemon. A daemon without a
-   proof younger than BOUND takes the safe plan.
+   Modelled: time is counted in ticks. A daemon polls the table or its peer, adopts newer revisions, and keeps a proof
+   of freshness: the tick at which its revision was the newest. The age of a proof counts from before the poll. A
+   response may be processed any time after it was produced, as by a daemon that was suspended. The table may be
+   unavailable for any time. A daemon whose proof is older than FRESHNESS_BOUND uses the safe plan and is not checked
+   for freshness.
 
-   Checked: no daemon's revision falls; a daemon that acts on more than the safe plan holds every change accepted
-   more than BOUND ticks ago. Broken variants: FLATTER counts an answer's age from its receipt; REVERT adopts
-   whatever a peer sends. */
+   Checked: the revision of a daemon never decreases; a daemon with a proof within FRESHNESS_BOUND holds every change
+   that was accepted more than FRESHNESS_BOUND ticks ago.
+
+   Broken variants: AGE_FROM_RECEIPT counts the age of a proof from the receipt of the response; ADOPT_ANY adopts any
+   revision that a peer reports, also an older one. */
 
 #define DAEMONS 2
-#define BOUND 1
-#define MOST_REVISION 2
-#define MOST_TICKS 4
-#define NEVER 99
+#define FRESHNESS_BOUND 1
+#define MAX_REVISION 2
+#define MAX_TICKS 4
+#define NO_PROOF 99
 
 byte now = 0;
-byte head = 0;                        /* newest accepted revision */
-byte accepted_at[MOST_REVISION + 1];  /* tick at which each was accepted */
+byte newest_revision = 0;            /* accepted by the table; 0 if none */
+byte accepted_at[MAX_REVISION + 1];  /* tick at which each revision was accepted */
 byte revision[DAEMONS];
-byte proof[DAEMONS];                  /* tick of the proof, NEVER without */
+byte proof_tick[DAEMONS];            /* tick of the newest proof, or NO_PROOF */
 byte acting_revision;
 
-inline check_daemon(self) {
-  /* Fresh, by its own belief: it must hold all that was accepted before now - BOUND. */
+inline check_freshness(self) {
+  /* A daemon with a recent proof must hold all that was accepted before now - FRESHNESS_BOUND. */
   if
-  :: proof[self] != NEVER && now - proof[self] <= BOUND && revision[self] < head ->
-     assert(now - accepted_at[revision[self] + 1] <= BOUND)
+  :: proof_tick[self] != NO_PROOF && now - proof_tick[self] <= FRESHNESS_BOUND && revision[self] < newest_revision ->
+     assert(now - accepted_at[revision[self] + 1] <= FRESHNESS_BOUND)
   :: else -> skip
   fi
 }
 
 proctype Daemon(byte self) {
   byte peer = 1 - self;
-  byte asked_at;
-  byte heard_revision;
-  byte heard_proof;
-  byte before;
+  byte requested_at;
+  byte reported_revision;
+  byte reported_proof;
+  byte previous_revision;
 
   do
-  :: now < MOST_TICKS ->
+  :: now < MAX_TICKS ->
      if
-     :: /* Ask the table. The answer may wait before it is taken. */
-        atomic { asked_at = now };
-        atomic { heard_revision = head };
+     :: /* Poll the table. The response may be delayed before it is processed. */
+        atomic { requested_at = now };
+        atomic { reported_revision = newest_revision };
         atomic {
-          before = revision[self];
-          if :: heard_revision > revision[self] -> revision[self] = heard_revision :: else -> skip fi;
-#ifdef FLATTER
-          asked_at = now;
+          previous_revision = revision[self];
+          if :: reported_revision > revision[self] -> revision[self] = reported_revision :: else -> skip fi;
+#ifdef AGE_FROM_RECEIPT
+          requested_at = now;
 #endif
           if
-          :: heard_revision == revision[self] &&
-             (proof[self] == NEVER || asked_at > proof[self]) -> proof[self] = asked_at
+          :: reported_revision == revision[self] &&
+             (proof_tick[self] == NO_PROOF || requested_at > proof_tick[self]) -> proof_tick[self] = requested_at
           :: else -> skip
           fi;
-          assert(revision[self] >= before);
-          check_daemon(self);
-          asked_at = 0;
-          heard_revision = 0;
-          heard_proof = 0;
-          before = 0
+          assert(revision[self] >= previous_revision);
+          check_freshness(self);
+          requested_at = 0;
+          reported_revision = 0;
+          reported_proof = 0;
+          previous_revision = 0
         }
-     :: /* Ask the peer. */
-        atomic { heard_revision = revision[peer]; heard_proof = proof[peer] };
+     :: /* Poll the peer. */
+        atomic { reported_revision = revision[peer]; reported_proof = proof_tick[peer] };
         atomic {
-          before = revision[self];
-#ifdef REVERT
-          revision[self] = heard_revision;
+          previous_revision = revision[self];
+#ifdef ADOPT_ANY
+          revision[self] = reported_revision;
 #else
-          if :: heard_revision > revision[self] -> revision[self] = heard_revision :: else -> skip fi;
+          if :: reported_revision > revision[self] -> revision[self] = reported_revision :: else -> skip fi;
 #endif
           if
-          :: heard_proof != NEVER && heard_revision == revision[self] &&
-             (proof[self] == NEVER || heard_proof > proof[self]) -> proof[self] = heard_proof
+          :: reported_proof != NO_PROOF && reported_revision == revision[self] &&
+             (proof_tick[self] == NO_PROOF || reported_proof > proof_tick[self]) -> proof_tick[self] = reported_proof
           :: else -> skip
           fi;
-          assert(revision[self] >= before);
-          check_daemon(self);
-          asked_at = 0;
-          heard_revision = 0;
-          heard_proof = 0;
-          before = 0
+          assert(revision[self] >= previous_revision);
+          check_freshness(self);
+          requested_at = 0;
+          reported_revision = 0;
+          reported_proof = 0;
+          previous_revision = 0
         }
-     :: /* The table is down, or the daemon is paused: nothing is learned. */
-        atomic { check_daemon(self) }
+     :: /* The table is unavailable, or the daemon is suspended: it receives nothing. */
+        atomic { check_freshness(self) }
      fi
-  :: now >= MOST_TICKS -> break
+  :: now >= MAX_TICKS -> break
   od
 }
 
-proctype World() {
+proctype Environment() {
   do
-  :: atomic { now < MOST_TICKS -> now++ }
-  :: atomic { head < MOST_REVISION && now < MOST_TICKS -> head++; accepted_at[head] = now }
-  :: now >= MOST_TICKS -> break
+  :: atomic { now < MAX_TICKS -> now++ }
+  :: atomic {
+       newest_revision < MAX_REVISION && now < MAX_TICKS ->
+       newest_revision++;
+       accepted_at[newest_revision] = now
+     }
+  :: now >= MAX_TICKS -> break
   od
 }
 
 init {
   atomic {
-    proof[0] = NEVER;
-    proof[1] = NEVER;
+    proof_tick[0] = NO_PROOF;
+    proof_tick[1] = NO_PROOF;
     run Daemon(0);
     run Daemon(1);
-    run World()
+    run Environment()
   }
 }
