--- a/specs/header.pml
+++ b/specs/header.pml
@@ -1,206 +1,209 @@
-/* A job's header row: two daemons accept, adopt, list and end one job of two items.
+/* The header row of one job with two items: two daemons accept, adopt, list and end the job.
 
-   All that is kept of a job hangs on one row, and every change of it is conditional on the row's revision. A caller
-   sends the job to each daemon once. An owner runs items and lists their results: the write that fixes a result's
-   position marks its item in the same row. A daemon that believes the owner gone adopts the job. Any daemon may be
-   frozen at each step and go on with what it knew. A write may be done and not answered, or be held by the store and
-   done later if its condition still holds; then the daemon reads again. Items start only under a proof that the copy
-   of the row is recent; a proof runs out before the bound on what may still start after an acknowledged end.
+   Modelled: all changeable state of a job is in one row, and every write is conditional on the row's revision. A caller
+   submits the job once to each daemon. An owner runs items and lists their results: the write that assigns a
+   position to a result also marks the item as listed. A daemon that considers the owner dead adopts the job. A
+   daemon may be suspended between any two steps and continues with its old copy of the row. A write may take effect
+   although its response is lost, or stay pending in the store and take effect later if its condition still holds. An
+   owner starts items only with a proof that its copy is recent. Assumed: after an end was acknowledged, all earlier
+   proofs expire before the bound on late starts passes.
 
-   Checked: no item stands at two positions and no position changes; what was acknowledged stays; a job that every
-   answer refused never runs; nothing starts after the bound. Broken variants: BLIND_LIST lists without the revision;
-   BLIND_ACCEPT writes a new row over one that is there; REFUSE_IN_DOUBT refuses where the answer was lost; NO_PROOF
-   starts items whatever the age of the copy. */
+   Checked: no item has two positions and no position changes its item; an accepted job is not overwritten; a job that
+   every daemon refused never runs; nothing starts after the bound on late starts.
+
+   Broken variants: UNCONDITIONAL_LIST lists whatever the row's revision is; UNCONDITIONAL_ACCEPT writes a new row over
+   an existing one; REFUSE_INDETERMINATE refuses a job if the response to its write was lost; NO_PROOF starts items
+   however old the copy is. */
 
 #define DAEMONS 2
-#define NOBODY 2
-#define MOST_REVISION 4
+#define NO_OWNER 2
+#define MAX_REVISION 4
 
 /* The row. */
-byte revision = 0;           /* 0: not there */
-byte owner = NOBODY;
+byte revision = 0;  /* 0 if the row does not exist */
+byte owner = NO_OWNER;
 bool ended = false;
-byte listed[2];              /* item + 1 by position, 0 if empty */
-byte positions = 0;
+byte listed[2];     /* item + 1 by position, 0 if empty */
+byte listed_count = 0;
 
-/* What callers were told. */
+/* Responses to the caller. */
 bool accepted = false;
 byte refusals = 0;
-byte answers = 0;
+byte responses = 0;
 
-bool acknowledged = false;   /* the end */
-bool bound_passed = false;
-bool proof[DAEMONS];
+bool end_acknowledged = false;
+bool start_bound_passed = false;
+bool has_proof[DAEMONS];
 
-/* One write that the store holds. */
+/* At most one write is pending in the store: its kind, 0 if none, and its arguments. */
 #define CREATE 1
 #define ADOPT 2
 #define LIST 3
-byte held = 0;
-byte held_by;
-byte held_revision;
-byte held_item;
-byte held_position;
+byte pending = 0;
+byte pending_by;
+byte pending_revision;
+byte pending_item;
+byte pending_position;
 
-/* The position after those of the items in a set. */
-#define AT(set) (((set) & 1) + (((set) >> 1) & 1))
+/* Next free position after the items of a set, one bit each. */
+#define NEXT_POSITION(set) (((set) & 1) + (((set) >> 1) & 1))
 
-inline list(item, at) {
+inline list_item(item, position) {
   if
-  :: positions > at -> assert(listed[at] == item + 1)
-  :: else -> positions = at + 1
+  :: listed_count > position -> assert(listed[position] == item + 1)
+  :: else -> listed_count = position + 1
   fi;
-  listed[at] = item + 1;
+  listed[position] = item + 1;
   assert(listed[0] != listed[1]);
   revision++
 }
 
-inline create(by) {
+inline create_job(creator) {
   assert(!accepted);
-  owner = by;
+  owner = creator;
   ended = false;
   listed[0] = 0;
   listed[1] = 0;
-  positions = 0;
+  listed_count = 0;
   revision++
 }
 
 proctype Daemon(byte self) {
-  byte known = 0;            /* revision of the copy */
-  byte known_owner = NOBODY;
-  bool known_ended = false;
-  byte known_listed = 0;     /* items, one bit each */
+  byte copy_revision = 0;  /* revision of the copy; 0 if none */
+  byte copy_owner = NO_OWNER;
+  bool copy_ended = false;
+  byte copy_listed = 0;    /* items, one bit each */
   bool finished[2];
-  bool asked = false;
+  bool submitted = false;
   byte item;
 
   do
-  :: /* The watch, or a read: the copy is as of now. */
+  :: /* The watch or a read brings the copy up to date. */
      atomic {
-       known = revision;
-       known_owner = owner;
-       known_ended = ended;
-       known_listed = 0;
-       if :: listed[0] > 0 -> known_listed = known_listed | (1 << (listed[0] - 1)) :: else -> skip fi;
-       if :: listed[1] > 0 -> known_listed = known_listed | (1 << (listed[1] - 1)) :: else -> skip fi;
-       proof[self] = true
+       copy_revision = revision;
+       copy_owner = owner;
+       copy_ended = ended;
+       copy_listed = 0;
+       if :: listed[0] > 0 -> copy_listed = copy_listed | (1 << (listed[0] - 1)) :: else -> skip fi;
+       if :: listed[1] > 0 -> copy_listed = copy_listed | (1 << (listed[1] - 1)) :: else -> skip fi;
+       has_proof[self] = true
      }
-  :: !asked ->
-     /* The caller sends the job here. */
-     asked = true;
+  :: !submitted ->
+     /* The caller submits the job to this daemon. */
+     submitted = true;
      if
-#ifdef BLIND_ACCEPT
-     :: atomic { create(self); accepted = true; answers++ }
+#ifdef UNCONDITIONAL_ACCEPT
+     :: atomic { create_job(self); accepted = true; responses++ }
 #endif
      :: atomic {
           skip;
           if
-          :: revision == 0 -> create(self)
+          :: revision == 0 -> create_job(self)
           :: else -> skip
           fi;
           assert(revision > 0);
           accepted = true;
-          answers++
+          responses++
         }
-     :: /* Done, and not answered. */
+     :: /* The write takes effect, but its response is lost. */
         atomic {
           skip;
           if
-          :: revision == 0 -> create(self)
+          :: revision == 0 -> create_job(self)
           :: else -> skip
           fi
         };
-#ifdef REFUSE_IN_DOUBT
-        atomic { refusals++; answers++ }
+#ifdef REFUSE_INDETERMINATE
+        atomic { refusals++; responses++ }
 #else
-        answers++
+        responses++
 #endif
-     :: /* Held by the store, or lost on the way. */
-        atomic { held == 0 -> held = CREATE; held_by = self; held_revision = 0 };
-#ifdef REFUSE_IN_DOUBT
-        atomic { refusals++; answers++ }
+     :: /* The write stays pending in the store, or is lost. */
+        atomic { pending == 0 -> pending = CREATE; pending_by = self; pending_revision = 0 };
+#ifdef REFUSE_INDETERMINATE
+        atomic { refusals++; responses++ }
 #else
-        answers++
+        responses++
 #endif
-     :: /* The store says that it did nothing. */
-        atomic { refusals++; answers++ }
+     :: /* The store reports that the write had no effect. */
+        atomic { refusals++; responses++ }
      fi
   :: atomic {
-       /* Adopts a job whose owner it believes gone. */
-       known > 0 && known_owner != self && !known_ended && revision < MOST_REVISION ->
+       /* Adopts a job whose owner it considers dead. */
+       copy_revision > 0 && copy_owner != self && !copy_ended && revision < MAX_REVISION ->
        if
-       :: revision == known ->
+       :: revision == copy_revision ->
           owner = self;
           revision++
-       :: held == 0 -> held = ADOPT; held_by = self; held_revision = known
+       :: pending == 0 -> pending = ADOPT; pending_by = self; pending_revision = copy_revision
        :: else -> skip
        fi
      }
   :: atomic {
-       /* Starts an item that its copy does not list. */
+       /* Starts an item that is not listed in its copy. */
 #ifdef NO_PROOF
-       known > 0 && known_owner == self && !known_ended ->
+       copy_revision > 0 && copy_owner == self && !copy_ended ->
 #else
-       known > 0 && known_owner == self && !known_ended && proof[self] ->
+       copy_revision > 0 && copy_owner == self && !copy_ended && has_proof[self] ->
 #endif
-       assert(!bound_passed);
-       assert(!(answers == DAEMONS && refusals == DAEMONS));
+       assert(!start_bound_passed);
+       assert(!(responses == DAEMONS && refusals == DAEMONS));
        if
-       :: !(known_listed & 1) -> finished[0] = true
-       :: !(known_listed & 2) -> finished[1] = true
+       :: !(copy_listed & 1) -> finished[0] = true
+       :: !(copy_listed & 2) -> finished[1] = true
        :: else -> skip
        fi
      }
   :: atomic {
-       /* Lists a finished item at the next position that it knows of. */
-       known > 0 && known_listed != 3 && revision < MOST_REVISION &&
-       ((finished[0] && !(known_listed & 1)) || (finished[1] && !(known_listed & 2))) ->
+       /* Lists a finished item at the next free position of its copy. */
+       copy_revision > 0 && copy_listed != 3 && revision < MAX_REVISION &&
+       ((finished[0] && !(copy_listed & 1)) || (finished[1] && !(copy_listed & 2))) ->
        if
-       :: finished[0] && !(known_listed & 1) -> item = 0
-       :: finished[1] && !(known_listed & 2) -> item = 1
+       :: finished[0] && !(copy_listed & 1) -> item = 0
+       :: finished[1] && !(copy_listed & 2) -> item = 1
        fi;
        if
-#ifdef BLIND_LIST
-       :: true -> list(item, AT(known_listed))
+#ifdef UNCONDITIONAL_LIST
+       :: true -> list_item(item, NEXT_POSITION(copy_listed))
 #else
-       :: revision == known -> list(item, AT(known_listed))
+       :: revision == copy_revision -> list_item(item, NEXT_POSITION(copy_listed))
 #endif
-       :: held == 0 -> held = LIST; held_by = self; held_revision = known; held_item = item;
-          held_position = AT(known_listed)
+       :: pending == 0 -> pending = LIST; pending_by = self; pending_revision = copy_revision; pending_item = item;
+          pending_position = NEXT_POSITION(copy_listed)
        :: else -> skip
        fi;
        item = 0
      }
   :: atomic {
-       /* An end: acknowledged only where the write is known to be done. */
-       known > 0 && !known_ended && revision == known && revision < MOST_REVISION ->
+       /* Ends the job; acknowledged only if the write is known to have taken effect. */
+       copy_revision > 0 && !copy_ended && revision == copy_revision && revision < MAX_REVISION ->
        ended = true;
        revision++;
-       acknowledged = true
+       end_acknowledged = true
      }
   od
 }
 
-/* Does what it held, if the condition still holds, or never. */
+/* Applies a pending write if its condition still holds, or drops it. */
 proctype Store() {
   do
   :: atomic {
-       held > 0 ->
+       pending > 0 ->
        if
-       :: held_revision == revision && held == CREATE -> create(held_by)
-       :: held_revision == revision && held == ADOPT -> owner = held_by; revision++
-       :: held_revision == revision && held == LIST -> list(held_item, held_position)
+       :: pending_revision == revision && pending == CREATE -> create_job(pending_by)
+       :: pending_revision == revision && pending == ADOPT -> owner = pending_by; revision++
+       :: pending_revision == revision && pending == LIST -> list_item(pending_item, pending_position)
        :: else -> skip
        fi;
-       held = 0; held_by = 0; held_revision = 0; held_item = 0; held_position = 0
+       pending = 0; pending_by = 0; pending_revision = 0; pending_item = 0; pending_position = 0
      }
   od
 }
 
-/* Time passes after an acknowledged end: proofs from before it run out, and only then the bound. */
+/* After an acknowledged end, earlier proofs expire first, and then the bound on late starts passes. */
 proctype Clock() {
-  atomic { acknowledged -> proof[0] = false; proof[1] = false };
-  bound_passed = true
+  atomic { end_acknowledged -> has_proof[0] = false; has_proof[1] = false };
+  start_bound_passed = true
 }
 
 init {
