--- a/specs/ownership.pml
+++ b/specs/ownership.pml
@@ -1,165 +1,172 @@
-/* Takeovers of one thing: three daemons, one record, an owner that is held for gone whether or not it is.
+/* Takeovers of one resource: three daemons and one record, with an owner that is considered dead whether or not it is.
 
-   The record (owner, challenger, epoch, revision, and whether the thing's one item is listed) changes only under its
-   revision. Daemons do not hear each other: each may hold the owner for gone at any time, whatever is true. Who does
-   writes itself into the record as challenger. The owner hears of the record by a watch that may be late for as long
-   as it likes; it refutes a challenge by any write, be it a refutation or the listing of the item. A challenge that
-   stands until its time-out is followed by a takeover, by its challenger or by anybody else. A daemon may die. It may
-   be stopped at any step, a cut from the store among them, and goes on with what it knew.
+   Modelled: the record (owner, challenger, epoch, revision, and whether the resource's one item is listed) is only
+   written under its revision. Daemons do not communicate, and each may consider the owner dead at any time. One that
+   does writes itself into the record as challenger. The owner learns of it from a watch that may lag for any time,
+   and refutes the challenge by any write of the record: a refutation or the listing of the item. If a challenge
+   stays until its timeout, the challenger or any other daemon takes over. A daemon may crash. It may also be paused
+   between any two steps, by a suspension or a partition from the store, and continues with its old copy.
 
-   Assumed of time, and only this: the time-out of a challenge is longer than an owner that lives and reaches the store
-   needs to answer. So a time-out runs out only if the record has changed meanwhile, if the owner is dead, or if it has
-   been stopped at some time since the challenge was written. How long the time-out must be for that is no matter of
-   this model. Time between a time-out and the write of the takeover is not bounded.
+   Assumed: the timeout of a challenge exceeds the time that a live owner with access to the store needs to refute it.
+   It therefore elapses only if the record has changed meanwhile, if the owner has crashed, or if the owner was
+   paused at some time since the challenge. The time from the timeout to the write of the takeover is unbounded.
 
-   Checked: the item is listed once; an owner loses the thing only if it is dead or was stopped, and once for each stop;
-   no state is without a way on while the item is not listed and a daemon lives (invalid end states), so a dead owner is
-   followed. Broken variants: BY_VIEW takes without a challenge; BLIND_TAKE takes not under the challenge's revision;
-   NO_FENCE lists without the revision; ONLY_CHALLENGER leaves the takeover to who wrote the challenge, which may die;
-   FOLLOWED claims that no dead owner is ever followed, and so shows that the model comes to it. Left out: things that
-   their owner gives up, and rests after a refutation, which bound writes and not safety. */
+   Checked: the item is listed at most once; an owner loses the resource only if it crashed or was paused, and at most
+   once for each pause; there is no deadlock while the item is not listed and a daemon is alive (invalid end states),
+   so a crashed owner can be replaced.
+
+   Broken variants: NO_CHALLENGE takes over without a challenge; UNCONDITIONAL_TAKEOVER takes over whatever the record's
+   revision is; NO_FENCE lists whatever the revision is; ONLY_CHALLENGER lets only the challenger take over, which
+   may crash; ASSERT_OWNER_ALIVE asserts that no crashed owner is ever replaced, which shows that the model reaches
+   this.
+
+   Not modelled: resources that their owner releases, and cooldowns after a refutation, which only bound the number of
+   writes. */
 
 #define DAEMONS 3
-#define NOBODY 3
-#define MOST_FALSE_CHALLENGES 2   /* of owners that live */
-#define MOST_STOPS 2
-#define MOST_DEATHS 2
+#define NO_DAEMON 3
+#define MAX_FALSE_CHALLENGES 2   /* of owners that have not crashed */
+#define MAX_PAUSES 2
+#define MAX_CRASHES 2
 
 /* The record. */
 byte owner = 0;
-byte challenger = NOBODY;
+byte challenger = NO_DAEMON;
 byte epoch = 1;
 byte revision = 1;
 bool listed = false;
 
-/* What is true of the daemons, which none of them knows. */
-bool dead[DAEMONS];
-bool stopped[DAEMONS];
-byte stops[DAEMONS];              /* that have not yet cost the thing */
-bool was_stopped = false;         /* the owner, since the challenge in the record */
+/* The actual state of the daemons, which none of them knows. */
+bool crashed[DAEMONS];
+bool paused[DAEMONS];
+byte unused_pauses[DAEMONS];    /* pauses for which the daemon has not lost the resource */
+bool owner_was_paused = false;  /* since the challenge in the record */
 byte false_challenges = 0;
-byte stops_so_far = 0;
-byte deaths = 0;
+byte pauses = 0;
+byte crashes = 0;
 
-#define ACTS(daemon) (!dead[daemon] && !stopped[daemon])
+#define IS_RUNNING(daemon) (!crashed[daemon] && !paused[daemon])
 
-inline take_over(by) {
-#ifdef FOLLOWED
-  assert(!dead[owner]);
+inline take_over(new_owner) {
+#ifdef ASSERT_OWNER_ALIVE
+  assert(!crashed[owner]);
 #endif
-  assert(dead[owner] || stops[owner] > 0);
+  assert(crashed[owner] || unused_pauses[owner] > 0);
   if
-  :: dead[owner] -> skip
-  :: else -> stops[owner]--
+  :: crashed[owner] -> skip
+  :: else -> unused_pauses[owner]--
   fi;
-  owner = by;
-  challenger = NOBODY;
-  was_stopped = false;
+  owner = new_owner;
+  challenger = NO_DAEMON;
+  owner_was_paused = false;
   epoch++;
   revision++
 }
 
-inline list() {
+inline list_item() {
   assert(!listed);
   listed = true;
-  challenger = NOBODY;
-  was_stopped = false;
+  challenger = NO_DAEMON;
+  owner_was_paused = false;
   revision++
 }
 
 proctype Daemon(byte self) {
-  byte known = 0;                 /* revision of the copy */
-  byte known_owner = NOBODY;
-  byte known_challenger = NOBODY;
-  bool known_listed = false;
-  byte due = 0;                   /* revision under which the thing is to be taken */
+  byte copy_revision = 0;      /* revision of the copy; 0 if none */
+  byte copy_owner = NO_DAEMON;
+  byte copy_challenger = NO_DAEMON;
+  bool copy_listed = false;
+  byte takeover_revision = 0;  /* condition of the takeover that is due; 0 if none */
 
   end: do
   :: atomic {
-       /* The watch: the copy is as of now. */
-       ACTS(self) && known != revision ->
-       known = revision;
-       known_owner = owner;
-       known_challenger = challenger;
-       known_listed = listed
+       /* The watch brings the copy up to date. */
+       IS_RUNNING(self) && copy_revision != revision ->
+       copy_revision = revision;
+       copy_owner = owner;
+       copy_challenger = challenger;
+       copy_listed = listed
      }
   :: atomic {
-       /* Holds the owner for gone, and challenges it. */
-       ACTS(self) && known > 0 && known == revision && !listed && owner != self && challenger == NOBODY &&
-       (dead[owner] || false_challenges < MOST_FALSE_CHALLENGES) ->
+       /* Considers the owner dead and challenges it. */
+       IS_RUNNING(self) && copy_revision > 0 && copy_revision == revision && !listed && owner != self &&
+       challenger == NO_DAEMON && (crashed[owner] || false_challenges < MAX_FALSE_CHALLENGES) ->
        if
-       :: dead[owner] -> skip
+       :: crashed[owner] -> skip
        :: else -> false_challenges++
        fi;
        challenger = self;
-       was_stopped = stopped[owner];
+       owner_was_paused = paused[owner];
        revision++
      }
   :: atomic {
-       /* The owner refutes a challenge that its watch shows; a copy that is not the newest changes nothing. */
-       ACTS(self) && known == revision && known_owner == self && known_challenger != NOBODY ->
-       challenger = NOBODY;
-       was_stopped = false;
+       /* The owner refutes a challenge in its copy; a write by an outdated copy has no effect. */
+       IS_RUNNING(self) && copy_revision == revision && copy_owner == self && copy_challenger != NO_DAEMON ->
+       challenger = NO_DAEMON;
+       owner_was_paused = false;
        revision++
      }
   :: atomic {
-       /* The owner lists the item, by its copy. */
+       /* The owner lists the item, according to its copy. */
 #ifdef NO_FENCE
-       ACTS(self) && known_owner == self && !known_listed ->
+       IS_RUNNING(self) && copy_owner == self && !copy_listed ->
 #else
-       ACTS(self) && known_owner == self && !known_listed && known == revision ->
+       IS_RUNNING(self) && copy_owner == self && !copy_listed && copy_revision == revision ->
 #endif
-       list()
+       list_item()
      }
-#ifdef BY_VIEW
+#ifdef NO_CHALLENGE
   :: atomic {
-       ACTS(self) && known > 0 && !known_listed && known_owner != self && due == 0 -> due = known
+       IS_RUNNING(self) && copy_revision > 0 && !copy_listed && copy_owner != self && takeover_revision == 0 ->
+       takeover_revision = copy_revision
      }
 #else
   :: atomic {
-       /* The challenge that the copy shows has stood for its time. */
-       ACTS(self) && due == 0 && !known_listed && known_owner != self && known_challenger != NOBODY &&
+       /* The timeout of the challenge in the copy has elapsed. */
+       IS_RUNNING(self) && takeover_revision == 0 && !copy_listed && copy_owner != self &&
+       copy_challenger != NO_DAEMON &&
 #ifdef ONLY_CHALLENGER
-       known_challenger == self &&
+       copy_challenger == self &&
 #endif
-       (known != revision || dead[owner] || was_stopped) ->
-       due = known
+       (copy_revision != revision || crashed[owner] || owner_was_paused) ->
+       takeover_revision = copy_revision
      }
 #endif
   :: atomic {
-       /* The write of the takeover. */
-       ACTS(self) && due > 0 ->
+       /* Writes the takeover. */
+       IS_RUNNING(self) && takeover_revision > 0 ->
        if
-#ifdef BLIND_TAKE
+#ifdef UNCONDITIONAL_TAKEOVER
        :: !listed && owner != self -> take_over(self)
 #else
-       :: due == revision -> take_over(self)
+       :: takeover_revision == revision -> take_over(self)
 #endif
        :: else -> skip
        fi;
-       due = 0
+       takeover_revision = 0
      }
   :: atomic {
-       ACTS(self) && stops_so_far < MOST_STOPS ->
-       stops_so_far++;
-       stopped[self] = true;
-       stops[self]++;
-       was_stopped = was_stopped || (owner == self && challenger != NOBODY)
+       IS_RUNNING(self) && pauses < MAX_PAUSES ->
+       pauses++;
+       paused[self] = true;
+       unused_pauses[self]++;
+       owner_was_paused = owner_was_paused || (owner == self && challenger != NO_DAEMON)
      }
-  :: atomic { stopped[self] -> stopped[self] = false }
+  :: atomic { paused[self] -> paused[self] = false }
   :: atomic {
-       deaths < MOST_DEATHS ->
-       deaths++;
-       dead[self] = true;
-       stopped[self] = false;
-       stops[self] = 0;
-       known = 0; known_owner = NOBODY; known_challenger = NOBODY; known_listed = false; due = 0;
+       crashes < MAX_CRASHES ->
+       crashes++;
+       crashed[self] = true;
+       paused[self] = false;
+       unused_pauses[self] = 0;
+       copy_revision = 0; copy_owner = NO_DAEMON; copy_challenger = NO_DAEMON; copy_listed = false;
+       takeover_revision = 0;
        break
      }
   od
 }
 
-/* Waits for the item; a state in which nothing can go on before that is an invalid end state. */
+/* Waits for the item; a deadlock before it is listed is an invalid end state. */
 proctype Client() {
   listed
 }
