--- a/specs/quota.pml
+++ b/specs/quota.pml
@@ -1,144 +1,149 @@
-/* The quota fence: daemons accept jobs of one route at the same moment, and together never more than the limit.
+/* The quota fence: daemons accept jobs of one route concurrently, and together never more than the limit.
 
-   A fence row names the coordinator of the route's quota. A job is kept only under the revision of the fence that its
-   grant names, in one transaction. Who makes itself the coordinator writes the fence under the condition of the one it
-   knows, and then reads all headers; its count is that of the headers it has seen and of its own grants that it has not
-   seen yet. Every daemon's copy of the fence and of the headers may lag. A write may be done and not answered, or be
-   held by the store and done later if its conditions still hold. An earlier coordinator may go on granting.
+   Modelled: a fence row names the coordinator of the route's quota. A job is stored in one transaction, conditional on
+   the revision of the fence under which it was granted. A daemon becomes the coordinator by writing the fence,
+   conditional on the revision in its copy, and then reads all job headers; usage is the headers that it knows and
+   its own grants whose headers it does not know yet. The copies of the fence and of the headers may lag at every
+   daemon. A write may take effect although its response is lost, or stay pending in the store and take effect later
+   if its condition still holds. A former coordinator may continue to grant.
 
-   Checked: the jobs kept never exceed the limit. Broken variants: NO_FENCE keeps a job whatever the fence is;
-   READ_FIRST reads the headers before it writes the fence; FORGET counts a grant only once its header is seen. */
+   Checked: the number of stored jobs never exceeds the limit.
+
+   Broken variants: NO_FENCE stores a job whatever the fence's revision is; READ_FIRST reads the headers before it
+   writes the fence; IGNORE_GRANTS counts only the known headers, not the grants. */
 
 #define DAEMONS 2
 #define JOBS 3
 #define LIMIT 2
-#define MOST_FENCE 2
+#define MAX_FENCE 2
 
 byte fence = 0;              /* revision of the fence row; 0 if there is none */
-byte coordinator = DAEMONS;  /* whom it names */
-byte kept = 0;               /* jobs in the store, one bit each */
-byte number_kept = 0;
+byte coordinator = DAEMONS;  /* daemon that it names; DAEMONS if none */
+byte stored = 0;             /* jobs in the store, one bit each */
+byte stored_count = 0;
 
-/* One write that the store holds: job + 1 (0 if none) and the fence of its grant. */
-byte held_job = 0;
-byte held_fence;
+/* At most one write is pending in the store: job + 1 (0 if none) and the fence of its grant. */
+byte pending_job = 0;
+byte pending_fence;
 
-/* Each daemon's copies, and the grants of the fence that it coordinates under. */
-byte seen_fence[DAEMONS];
-byte seen_coordinator[DAEMONS];
-byte seen[DAEMONS];
-byte book_fence[DAEMONS];
+/* Each daemon's copies of the fence and the headers, and its ledger: the fence under which it coordinates, and its
+   grants under that fence. */
+byte copy_fence[DAEMONS];
+byte copy_coordinator[DAEMONS];
+byte copy_jobs[DAEMONS];
+byte ledger_fence[DAEMONS];
 byte granted[DAEMONS];
 
-inline keep(job, under) {
+inline store_job(job, grant_fence) {
   if
 #ifdef NO_FENCE
-  :: !(kept & (1 << job)) ->
+  :: !(stored & (1 << job)) ->
 #else
-  :: !(kept & (1 << job)) && fence == under ->
+  :: !(stored & (1 << job)) && fence == grant_fence ->
 #endif
-     kept = kept | (1 << job);
-     number_kept++;
-     assert(number_kept <= LIMIT)
+     stored = stored | (1 << job);
+     stored_count++;
+     assert(stored_count <= LIMIT)
   :: else -> skip
   fi
 }
 
-/* Number of bits, for three jobs. */
+/* Number of jobs in a set. */
 #define COUNT(set) (((set) & 1) + (((set) >> 1) & 1) + (((set) >> 2) & 1))
 
-#ifdef FORGET
-#define TAKEN(who) COUNT(seen[who])
+#ifdef IGNORE_GRANTS
+#define USAGE(daemon) COUNT(copy_jobs[daemon])
 #else
-#define TAKEN(who) COUNT(seen[who] | granted[who])
+#define USAGE(daemon) COUNT(copy_jobs[daemon] | granted[daemon])
 #endif
 
 proctype Daemon(byte self) {
   byte job = 0;
-  byte under = 0;
-  byte asked;
-  byte before;
+  byte grant_fence = 0;
+  byte queried;
+  byte jobs_before;
 
   do
-  :: /* The watch brings the copies up to date, one or the other. */
-     atomic { seen_fence[self] = fence; seen_coordinator[self] = coordinator }
-  :: atomic { seen[self] = kept }
+  :: /* The watch updates the copy of the fence or that of the headers. */
+     atomic { copy_fence[self] = fence; copy_coordinator[self] = coordinator }
+  :: atomic { copy_jobs[self] = stored }
   :: job < JOBS ->
-     /* Another daemon, or this one, is asked for the job's tokens: decided where the asked one believes itself to
-        be the coordinator, by what it has seen. */
+     /* Queries the coordinator in the own copy of the fence for the tokens of a job. That daemon decides if it
+        considers itself the coordinator, by its own copies and ledger. */
      atomic {
-       asked = seen_coordinator[self];
-       under = 0;
+       queried = copy_coordinator[self];
+       grant_fence = 0;
        if
-       :: asked < DAEMONS && seen_coordinator[asked] == asked && book_fence[asked] == seen_fence[asked] &&
-          book_fence[asked] > 0 ->
+       :: queried < DAEMONS && copy_coordinator[queried] == queried && ledger_fence[queried] == copy_fence[queried] &&
+          ledger_fence[queried] > 0 ->
           if
-          :: (seen[asked] | granted[asked]) & (1 << job) -> under = book_fence[asked]
-          :: !((seen[asked] | granted[asked]) & (1 << job)) && TAKEN(asked) < LIMIT ->
-             granted[asked] = granted[asked] | (1 << job);
-             under = book_fence[asked]
+          :: (copy_jobs[queried] | granted[queried]) & (1 << job) -> grant_fence = ledger_fence[queried]
+          :: !((copy_jobs[queried] | granted[queried]) & (1 << job)) && USAGE(queried) < LIMIT ->
+             granted[queried] = granted[queried] | (1 << job);
+             grant_fence = ledger_fence[queried]
           :: else -> skip
           fi
        :: else -> skip
        fi
      };
      if
-     :: under > 0 ->
-        /* The transaction is done now, or held and done later, or never. */
+     :: grant_fence > 0 ->
+        /* The transaction takes effect now, stays pending, or is lost. */
         if
-        :: atomic { keep(job, under) }
-        :: atomic { held_job == 0 -> held_job = job + 1; held_fence = under }
+        :: atomic { store_job(job, grant_fence) }
+        :: atomic { pending_job == 0 -> pending_job = job + 1; pending_fence = grant_fence }
         :: skip
         fi
      :: else -> skip
      fi;
      job++
   :: job > 0 -> job = 0
-  :: fence < MOST_FENCE ->
-     /* Makes itself the coordinator under the fence that it knows. */
+  :: fence < MAX_FENCE ->
+     /* Becomes the coordinator by writing the fence, conditional on the revision in its copy. From here on
+        `queried` holds whether the write took effect. */
 #ifdef READ_FIRST
-     before = kept;
+     jobs_before = stored;
 #endif
      atomic {
        if
-       :: fence == seen_fence[self] ->
+       :: fence == copy_fence[self] ->
           fence++;
           coordinator = self;
-          seen_fence[self] = fence;
-          seen_coordinator[self] = self;
-          asked = 1
-       :: else -> asked = 0
+          copy_fence[self] = fence;
+          copy_coordinator[self] = self;
+          queried = 1
+       :: else -> queried = 0
        fi
      };
      if
-     :: asked == 1 ->
-        /* Reads the headers; no grant is given before that. A newer fence may have been written meanwhile. */
+     :: queried == 1 ->
+        /* Reads the headers, and grants nothing before. A newer fence may have been written meanwhile. */
         atomic {
 #ifdef READ_FIRST
-          seen[self] = before;
+          copy_jobs[self] = jobs_before;
 #else
-          seen[self] = kept;
+          copy_jobs[self] = stored;
 #endif
           granted[self] = 0;
-          book_fence[self] = seen_fence[self]
+          ledger_fence[self] = copy_fence[self]
         }
      :: else -> skip
      fi;
-     asked = 0
+     queried = 0
   od
 }
 
 proctype Store() {
   do
-  :: atomic { held_job > 0 -> keep((held_job - 1), held_fence); held_job = 0; held_fence = 0 }
-  :: atomic { held_job > 0 -> held_job = 0; held_fence = 0 }
+  :: atomic { pending_job > 0 -> store_job((pending_job - 1), pending_fence); pending_job = 0; pending_fence = 0 }
+  :: atomic { pending_job > 0 -> pending_job = 0; pending_fence = 0 }
   od
 }
 
 init {
   atomic {
-    seen_coordinator[0] = DAEMONS;
-    seen_coordinator[1] = DAEMONS;
+    copy_coordinator[0] = DAEMONS;
+    copy_coordinator[1] = DAEMONS;
     run Daemon(0);
     run Daemon(1);
     run Store()
