--- a/specs/rates.pml
+++ b/specs/rates.pml
@@ -1,136 +1,142 @@
-/* A tenant's rate over all daemons: coordinators that give out tokens while a member is cut off, and while members
-   start anew, together stay within the limit.
+/* The rate limit of one tenant over the whole fleet: coordinators together grant no more than the limit, also while a
+   member is partitioned from the others or members restart.
 
-   Time goes in ticks. In each tick the tenant may have LIMIT tokens, one for each member of the whole fleet. A daemon
-   gives out tokens if it is the first of the members that it sees, at most its part: the members that it sees, of the
-   most that it remembers or was told of. What it sees lags behind who reaches whom. One member may be cut off from the
-   others; any may start anew, with no memory. At most one of these happens in a tick.
+   Modelled: time is counted in ticks. In each tick the tenant may be granted LIMIT tokens, one per member of the full
+   fleet. A member is the coordinator if it ranks first in its view. It grants at most its share of the limit: the
+   number of members in its view, divided by the largest fleet size that it observed or that was reported to it.
+   Views lag behind actual reachability. One member at a time may be partitioned from the others; any may restart and
+   lose its state. At most one partition, end of a partition, or restart happens in a tick.
 
-   Checked: in a tick in which all see the fleet as it is, no more than LIMIT tokens are given out, also where daemons
-   start anew in it. Ticks in which views differ are not bounded here: they are what the permitted excess is for.
-   Broken variants: WHOLE gives out the whole limit whatever is remembered; ALONE lets a member that has just
-   started and sees nobody take itself for the fleet; NOT_TOLD lets one give out tokens before another one has told it
-   how large the fleet was; FULL lets one that has just started, or become the first, begin with its whole part within the same tick. */
+   Checked: in a tick that starts with all views current and has no partition, end of one, or update of a view, at most
+   LIMIT tokens are granted, also if members restart in it. Other ticks are not bounded here: they are covered by the
+   permitted excess.
+
+   Broken variants: IGNORE_SHARE grants the full limit whatever the view is; ALONE_IS_FLEET lets a restarted member
+   without others in its view consider itself the whole fleet; NO_SIZE_REPORT lets a restarted member with others in
+   its view grant before one of them has reported the fleet's size; NO_START_DELAY lets a member grant its share
+   already in the tick in which it restarted or became the coordinator. */
 
 #define DAEMONS 3
 #define LIMIT 3
-#define ALL 7
-#define NOBODY 3
+#define ALL_MEMBERS 7
+#define NO_MEMBER 3
 
-byte isolated = NOBODY;
+byte isolated = NO_MEMBER;
 byte view[DAEMONS];
-byte most[DAEMONS];
-bit told[DAEMONS];    /* knows the fleet's size from itself or from another one */
-bit fresh[DAEMONS];   /* became the first in this tick */
-byte gave[DAEMONS];
-byte total = 0;
-bit settled = 1;
-bit calm = 1;         /* nothing was cut, healed or started in this tick yet */
-byte changes = 0;
+byte largest_size[DAEMONS];
+bit size_known[DAEMONS];       /* has run since the start, or was reported the fleet's size since its restart */
+bit new_coordinator[DAEMONS];  /* restarted or became the coordinator in this tick */
+byte granted[DAEMONS];
+byte total_granted = 0;
+bit views_current = 1;
+bit unchanged = 1;             /* no partition, end of one, or restart in this tick yet */
+byte faults = 0;
 
 #define COUNT(set) (((set) & 1) + (((set) >> 1) & 1) + (((set) >> 2) & 1))
-#define REACHED(who) (isolated == NOBODY -> ALL : (isolated == (who) -> (1 << (who)) : (ALL & ~(1 << isolated))))
-#define REACHES(a, b) ((a) == (b) || (isolated != (a) && isolated != (b)))
-#define FIRST(set) ((set) & 1 -> 0 : ((set) & 2 -> 1 : 2))
-#ifdef WHOLE
-#define PART(who) LIMIT
+#define REACHABLE_FROM(member) \
+  (isolated == NO_MEMBER -> ALL_MEMBERS : (isolated == (member) -> (1 << (member)) : (ALL_MEMBERS & ~(1 << isolated))))
+#define CAN_REACH(a, b) ((a) == (b) || (isolated != (a) && isolated != (b)))
+#define COORDINATOR(set) ((set) & 1 -> 0 : ((set) & 2 -> 1 : 2))
+#ifdef IGNORE_SHARE
+#define SHARE(member) LIMIT
 #else
-#define PART(who) (COUNT(view[who]) * LIMIT / most[who])
+#define SHARE(member) (COUNT(view[member]) * LIMIT / largest_size[member])
 #endif
 
-#ifdef ALONE
-#define MAY_GIVE(who) (told[who] || COUNT(view[who]) == 1)
+#ifdef ALONE_IS_FLEET
+#define MAY_GRANT(member) (size_known[member] || COUNT(view[member]) == 1)
 #else
-#ifdef NOT_TOLD
-#define MAY_GIVE(who) (told[who] || COUNT(view[who]) > 1)
+#ifdef NO_SIZE_REPORT
+#define MAY_GRANT(member) (size_known[member] || COUNT(view[member]) > 1)
 #else
-#define MAY_GIVE(who) (told[who])
+#define MAY_GRANT(member) (size_known[member])
 #endif
 #endif
 
-inline see(who) {
+inline update_view(member) {
   if
-  :: FIRST(view[who]) != who && FIRST(REACHED(who)) == who ->
-#ifndef FULL
-     fresh[who] = 1
+  :: COORDINATOR(view[member]) != member && COORDINATOR(REACHABLE_FROM(member)) == member ->
+#ifndef NO_START_DELAY
+     new_coordinator[member] = 1
 #endif
   :: else -> skip
   fi;
-  view[who] = REACHED(who);
+  view[member] = REACHABLE_FROM(member);
   if
-  :: COUNT(view[who]) > most[who] -> most[who] = COUNT(view[who])
+  :: COUNT(view[member]) > largest_size[member] -> largest_size[member] = COUNT(view[member])
   :: else -> skip
   fi
 }
 
 init {
-  byte who = 0;
+  byte member = 0;
   byte other;
 
   do
-  :: who < DAEMONS -> view[who] = ALL; most[who] = DAEMONS; told[who] = 1; who++
+  :: member < DAEMONS -> view[member] = ALL_MEMBERS; largest_size[member] = DAEMONS; size_known[member] = 1; member++
   :: else -> break
   od;
 
   do
   :: /* The next tick. */
      atomic {
-       total = 0;
-       settled = 1;
-       calm = 1;
-       who = 0;
+       total_granted = 0;
+       views_current = 1;
+       unchanged = 1;
+       member = 0;
        do
-       :: who < DAEMONS ->
-          gave[who] = 0;
-          fresh[who] = 0;
+       :: member < DAEMONS ->
+          granted[member] = 0;
+          new_coordinator[member] = 0;
           if
-          :: view[who] != REACHED(who) -> settled = 0
+          :: view[member] != REACHABLE_FROM(member) -> views_current = 0
           :: else -> skip
           fi;
-          who++
+          member++
        :: else -> break
        od
      }
-  :: isolated == NOBODY && changes < 3 && calm ->
-     atomic { settled = 0; calm = 0; changes++; select(who : 0 .. 2); isolated = who }
-  :: isolated != NOBODY && calm -> atomic { settled = 0; calm = 0; isolated = NOBODY }
-  :: atomic { settled = 0; select(who : 0 .. 2); see(who) }
-  :: changes < 3 && calm ->
-     /* Starts anew: it sees at once whom it reaches, and remembers nothing. */
+  :: isolated == NO_MEMBER && faults < 3 && unchanged ->
+     atomic { views_current = 0; unchanged = 0; faults++; select(member : 0 .. 2); isolated = member }
+  :: isolated != NO_MEMBER && unchanged -> atomic { views_current = 0; unchanged = 0; isolated = NO_MEMBER }
+  :: atomic { views_current = 0; select(member : 0 .. 2); update_view(member) }
+  :: faults < 3 && unchanged ->
+     /* A member restarts: its view is current at once, and earlier fleet sizes are lost. */
      atomic {
-       calm = 0;
-       changes++;
-       select(who : 0 .. 2);
-       view[who] = REACHED(who);
-       most[who] = COUNT(view[who]);
-       told[who] = 0;
-       gave[who] = 0;
-#ifndef FULL
-       fresh[who] = 1
+       unchanged = 0;
+       faults++;
+       select(member : 0 .. 2);
+       view[member] = REACHABLE_FROM(member);
+       largest_size[member] = COUNT(view[member]);
+       size_known[member] = 0;
+       granted[member] = 0;
+#ifndef NO_START_DELAY
+       new_coordinator[member] = 1
 #endif
      }
-  :: /* A member that reaches it tells how large the fleet was. */
+  :: /* A member that can be reached reports the fleet's size. */
      atomic {
-       select(who : 0 .. 2);
+       select(member : 0 .. 2);
        select(other : 0 .. 2);
        if
-       :: who != other && REACHES(who, other) && told[other] ->
-          told[who] = 1;
+       :: member != other && CAN_REACH(member, other) && size_known[other] ->
+          size_known[member] = 1;
           if
-          :: most[other] > most[who] -> most[who] = most[other]
+          :: largest_size[other] > largest_size[member] -> largest_size[member] = largest_size[other]
           :: else -> skip
           fi
        :: else -> skip
        fi
      }
-  :: /* A token for a request. */
+  :: /* Grants a token for a request. */
      atomic {
-       select(who : 0 .. 2);
+       select(member : 0 .. 2);
        if
-       :: FIRST(view[who]) == who && !fresh[who] && MAY_GIVE(who) && gave[who] < PART(who) ->
-          gave[who]++;
-          total++;
-          assert(!settled || total <= LIMIT)
+       :: COORDINATOR(view[member]) == member && !new_coordinator[member] && MAY_GRANT(member) &&
+          granted[member] < SHARE(member) ->
+          granted[member]++;
+          total_granted++;
+          assert(!views_current || total_granted <= LIMIT)
        :: else -> skip
        fi
      }
