--- a/specs/shard.pml
+++ b/specs/shard.pml
@@ -1,90 +1,92 @@
-/* Shard ownership, grants, commits, takeover and cancel: two members, one shard, two items.
+/* Ownership of a shard, with grants, commits, takeover and cancellation: two members, one shard, one job of two items.
 
-   A member takes the shard by raising the epoch in its row. An owner loads the chunk row, grants undone items to
-   a worker, and commits results conditional on its epoch. It may be paused at any step, so that it wakes believing
-   that it still owns. Item ITEMS-1 is at-most-once: its intent is committed before it is granted, and an intent of
-   another owner is never granted again. A cancel is committed on the job row; it is acknowledged once both members
-   have noted it, and a member that was not told starts nothing without being assured.
+   Modelled: a member takes over the shard by incrementing the epoch in its row. The owner loads the chunk row, runs
+   items that are not done, and commits results conditional on its epoch. It may be suspended between any two steps
+   and continue after it has lost the shard. ONCE_ITEM is an at-most-once item: its intent is committed before it is
+   granted, and only the owner that committed the intent may run it. A cancel is committed on the job row and
+   acknowledged after both members were notified. A member that was not notified yet may start items.
 
-   Checked: no item's result counts twice; the at-most-once item runs at most once; after the acknowledged cancel
-   nothing is started. Broken variants: NO_FENCE commits without the epoch; NO_INTENT grants without an intent;
-   EARLY_ACK acknowledges the cancel before the members have noted it. */
+   Checked: no item's result counts twice; the at-most-once item runs at most once; nothing starts after the cancel was
+   acknowledged.
+
+   Broken variants: NO_FENCE commits whatever the epoch is; NO_INTENT runs the at-most-once item without an intent;
+   EARLY_ACK acknowledges the cancel before the members were notified. */
 
 #define MEMBERS 2
 #define ITEMS 2
-#define ONCE (ITEMS - 1)
-#define MOST_EPOCH 3
+#define ONCE_ITEM (ITEMS - 1)
+#define MAX_EPOCH 3
 
 byte epoch = 0;              /* the shard's ownership row */
 bool done[ITEMS];            /* the chunk row */
-bool intent = false;
-byte counted[ITEMS];         /* results that count */
-byte runs_once = 0;          /* runs of the at-most-once item */
-bool cancelled = false;      /* the job row */
-bool told[MEMBERS];          /* the member has noted the cancel */
-bool acknowledged = false;
-bool started_late = false;
+bool intent_committed = false;
+byte result_count[ITEMS];    /* results committed for each item */
+byte once_item_runs = 0;
+bool job_cancelled = false;  /* the job row */
+bool notified[MEMBERS];      /* members that were notified of the cancel */
+bool cancel_acknowledged = false;
+bool started_after_ack = false;
 
-inline start(item) {
-  /* A member looks whether it has been told in the same step in which it starts the item. */
+inline start_item(item) {
+  /* The caller checks `notified` in the same atomic step. */
   if
-  :: acknowledged -> started_late = true
+  :: cancel_acknowledged -> started_after_ack = true
   :: else -> skip
   fi;
   if
-  :: item == ONCE -> runs_once++
+  :: item == ONCE_ITEM -> once_item_runs++
   :: else -> skip
   fi
 }
 
 proctype Member(byte self) {
   byte own_epoch;
-  bool known[ITEMS];
+  bool copy_done[ITEMS];
   bool finished[ITEMS];
-  bool may_run_once;
+  bool may_run_once_item;
   byte item;
 
   do
-  :: epoch < MOST_EPOCH ->
-     /* Take the shard, then read the chunk row. */
+  :: epoch < MAX_EPOCH ->
+     /* Takes over the shard, then reads the chunk row. */
      atomic { epoch++; own_epoch = epoch };
      atomic {
-       known[0] = done[0];
-       known[1] = done[1];
+       copy_done[0] = done[0];
+       copy_done[1] = done[1];
        finished[0] = false;
        finished[1] = false;
-       may_run_once = false
+       may_run_once_item = false
      };
 
      do
-     :: /* Run the ordinary item. */
+     :: /* Runs the ordinary item. */
         atomic {
-          !known[0] && !finished[0] && !told[self] ->
-          start(0);
+          !copy_done[0] && !finished[0] && !notified[self] ->
+          start_item(0);
           finished[0] = true
         }
-     :: /* Commit the intent of the at-most-once item. */
+     :: /* Commits the intent of the at-most-once item. */
         atomic {
 #ifdef NO_FENCE
-          !intent && !known[ONCE] ->
+          !intent_committed && !copy_done[ONCE_ITEM] ->
 #else
-          !intent && !known[ONCE] && epoch == own_epoch ->
+          !intent_committed && !copy_done[ONCE_ITEM] && epoch == own_epoch ->
 #endif
-          intent = true;
-          may_run_once = true
+          intent_committed = true;
+          may_run_once_item = true
         }
-     :: /* Run the at-most-once item. */
+     :: /* Runs the at-most-once item. */
         atomic {
 #ifdef NO_INTENT
-          !known[ONCE] && !finished[ONCE] && !told[self] ->
+          !copy_done[ONCE_ITEM] && !finished[ONCE_ITEM] && !notified[self] ->
 #else
-          may_run_once && !finished[ONCE] && !told[self] ->
+          may_run_once_item && !finished[ONCE_ITEM] && !notified[self] ->
 #endif
-          may_run_once = false;
-          start(ONCE);
-          finished[ONCE] = true
+          may_run_once_item = false;
+          start_item(ONCE_ITEM);
+          finished[ONCE_ITEM] = true
         }
-     :: /* Commit results; a stale owner is refused and forgets. */
+     :: /* Commits results. A former owner is refused and drops its state. */
         atomic {
           finished[0] || finished[1] ->
 #ifdef NO_FENCE
@@ -98,10 +100,10 @@
              do
              :: item < ITEMS ->
                 if
-                :: finished[item] && !known[item] ->
+                :: finished[item] && !copy_done[item] ->
                    done[item] = true;
-                   known[item] = true;
-                   counted[item]++
+                   copy_done[item] = true;
+                   result_count[item]++
                 :: else -> skip
                 fi;
                 finished[item] = false;
@@ -113,9 +115,9 @@
           :: else ->
              finished[0] = false;
              finished[1] = false;
-             known[0] = true;
-             known[1] = true;
-             may_run_once = false
+             copy_done[0] = true;
+             copy_done[1] = true;
+             may_run_once_item = false
 #endif
           fi
         }
@@ -126,18 +128,18 @@
 }
 
 proctype Canceller() {
-  cancelled = true;
+  job_cancelled = true;
 #ifdef EARLY_ACK
-  acknowledged = true;
+  cancel_acknowledged = true;
 #endif
-  told[0] = true;
-  told[1] = true;
-  acknowledged = true
+  notified[0] = true;
+  notified[1] = true;
+  cancel_acknowledged = true
 }
 
 active proctype Monitor() {
   end: atomic {
-    (counted[0] > 1 || counted[1] > 1 || runs_once > 1 || started_late) -> assert(false)
+    (result_count[0] > 1 || result_count[1] > 1 || once_item_runs > 1 || started_after_ack) -> assert(false)
   }
 }
 
