--- a/specs/stand_in.pml
+++ b/specs/stand_in.pml
@@ -1,93 +1,102 @@
-/* A tenant's rate while its coordinator is silent: the member that follows stands in for it, and the stocks that members
-   begin with do not add up faster by that than by members following each other.
+/* The rate limit of one tenant while its coordinator is unresponsive: the next member takes over as fallback
+   coordinator. The initial allowances of fallback and new coordinators add up to no more than those of takeovers
+   alone.
 
-   One window. The members are in a fixed order; member 0 has been the coordinator for long. Each other one has a stock
-   that it gives out when it becomes the first of the members that it sees, or earlier, when an asker says that the first
-   does not answer it. An asker may say so at any time: the first may be dead, stand still, be cut off one way or from
-   some. Members die or stand still, and go on; what a member sees of that lags, member by member.
+   Modelled: one window. The members have a fixed order, and member 0 has long been the coordinator. Each other member
+   has one initial allowance. It grants the allowance when it becomes the first member in its view, or earlier as the
+   fallback coordinator, when a requester reports that the first one does not respond. A requester may report this at
+   any time: the first member may have crashed, be stalled, or be partitioned from some members or in one direction.
+   Members crash or stall, and recover; views lag behind this, each by its own delay.
 
-   Checked: the stocks that are given out in the window are no more than the members that were lost in it, in any view,
-   or one, if none was. Broken variants: REFILL gives a member a second stock when it becomes the first; IN_A_ROW lets
-   one stand in whoever went before it in the window. */
+   Checked: the number of allowances granted in the window does not exceed the number of members that departed from any
+   view in it, or one if none did.
+
+   Broken variants: SECOND_ALLOWANCE gives a member another allowance when it becomes the first in its view;
+   IGNORE_DEPARTED lets a member act as fallback whichever members departed from its view in the window. */
 
 #define MEMBERS 3
-#define ALL 7
+#define ALL_MEMBERS 7
 
 byte view[MEMBERS];
-byte gone[MEMBERS];   /* members that it saw go in this window, and not come back */
-bit answers[MEMBERS];
-bit stock[MEMBERS];
-bit extra[MEMBERS];   /* the second stock of the broken variant */
-byte lost = 0;
-byte given = 0;
+byte departed[MEMBERS];         /* members that departed from its view in this window and did not return */
+bit responsive[MEMBERS];
+bit allowance[MEMBERS];
+bit second_allowance[MEMBERS];  /* used by the variant SECOND_ALLOWANCE only */
+byte lost_members = 0;
+byte allowances_granted = 0;
 
-#define HAS(set, who) (((set) >> (who)) & 1)
-#define COUNT(set) (HAS(set, 0) + HAS(set, 1) + HAS(set, 2))
-#define FIRST(set) (HAS(set, 0) -> 0 : (HAS(set, 1) -> 1 : (HAS(set, 2) -> 2 : MEMBERS)))
+#define CONTAINS(set, member) (((set) >> (member)) & 1)
+#define COUNT(set) (CONTAINS(set, 0) + CONTAINS(set, 1) + CONTAINS(set, 2))
+#define FIRST(set) (CONTAINS(set, 0) -> 0 : (CONTAINS(set, 1) -> 1 : (CONTAINS(set, 2) -> 2 : MEMBERS)))
 #define SECOND(set) FIRST((set) & ~(1 << FIRST(set)))
-#define MOST (lost == 0 -> 1 : COUNT(lost))
+#define MAX_ALLOWANCES (lost_members == 0 -> 1 : COUNT(lost_members))
 
-#ifdef IN_A_ROW
-#define LATELY(who) view[who]
+#ifdef IGNORE_DEPARTED
+#define PRESENT_OR_DEPARTED(member) view[member]
 #else
-#define LATELY(who) (view[who] | gone[who])
+#define PRESENT_OR_DEPARTED(member) (view[member] | departed[member])
 #endif
-#define MAY_STAND_IN(who) (SECOND(view[who]) == (who) && SECOND(LATELY(who)) == (who))
+#define MAY_BE_FALLBACK(member) (SECOND(view[member]) == (member) && SECOND(PRESENT_OR_DEPARTED(member)) == (member))
 
 init {
-  byte who = 0;
+  byte member = 0;
   byte other;
 
   do
-  :: who < MEMBERS -> view[who] = ALL; answers[who] = 1; stock[who] = (who > 0); extra[who] = (who > 0); who++
+  :: member < MEMBERS ->
+     view[member] = ALL_MEMBERS;
+     responsive[member] = 1;
+     allowance[member] = (member > 0);
+     second_allowance[member] = (member > 0);
+     member++
   :: else -> break
   od;
 
   do
-  :: /* A member dies or stands still, or goes on. */
-     atomic { select(who : 0 .. 2); answers[who] = 1 - answers[who] }
-  :: /* A member sees that another one went, or came back. */
+  :: /* A member crashes or stalls, or recovers. */
+     atomic { select(member : 0 .. 2); responsive[member] = 1 - responsive[member] }
+  :: /* The departure or return of another member reaches a view. */
      atomic {
-       select(who : 0 .. 2);
+       select(member : 0 .. 2);
        select(other : 0 .. 2);
        if
-       :: answers[who] && who != other && HAS(view[who], other) && !answers[other] ->
-          view[who] = view[who] & ~(1 << other);
-          gone[who] = gone[who] | (1 << other);
-          lost = lost | (1 << other)
-       :: answers[who] && !HAS(view[who], other) && answers[other] ->
-          view[who] = view[who] | (1 << other);
-          gone[who] = gone[who] & ~(1 << other)
+       :: responsive[member] && member != other && CONTAINS(view[member], other) && !responsive[other] ->
+          view[member] = view[member] & ~(1 << other);
+          departed[member] = departed[member] | (1 << other);
+          lost_members = lost_members | (1 << other)
+       :: responsive[member] && !CONTAINS(view[member], other) && responsive[other] ->
+          view[member] = view[member] | (1 << other);
+          departed[member] = departed[member] & ~(1 << other)
        :: else -> skip
        fi
      }
-  :: /* An asker, to which the first is silent, asks the one that follows. */
+  :: /* A requester that gets no response from the first member queries the fallback coordinator. */
      atomic {
-       select(who : 0 .. 2);
+       select(member : 0 .. 2);
        if
-       :: answers[who] && stock[who] && MAY_STAND_IN(who) ->
-          stock[who] = 0;
-          given++;
-          assert(given <= MOST)
+       :: responsive[member] && allowance[member] && MAY_BE_FALLBACK(member) ->
+          allowance[member] = 0;
+          allowances_granted++;
+          assert(allowances_granted <= MAX_ALLOWANCES)
        :: else -> skip
        fi
      }
-  :: /* One that has become the first begins. */
+  :: /* A member that has become the first in its view grants its allowance. */
      atomic {
-       select(who : 0 .. 2);
+       select(member : 0 .. 2);
        if
-       :: answers[who] && stock[who] && FIRST(view[who]) == who ->
-          stock[who] = 0;
-#ifdef REFILL
-          extra[who] = 0;
+       :: responsive[member] && allowance[member] && FIRST(view[member]) == member ->
+          allowance[member] = 0;
+#ifdef SECOND_ALLOWANCE
+          second_allowance[member] = 0;
 #endif
-          given++;
-          assert(given <= MOST)
-#ifdef REFILL
-       :: answers[who] && !stock[who] && extra[who] && FIRST(view[who]) == who ->
-          extra[who] = 0;
-          given++;
-          assert(given <= MOST)
+          allowances_granted++;
+          assert(allowances_granted <= MAX_ALLOWANCES)
+#ifdef SECOND_ALLOWANCE
+       :: responsive[member] && !allowance[member] && second_allowance[member] && FIRST(view[member]) == member ->
+          second_allowance[member] = 0;
+          allowances_granted++;
+          assert(allowances_granted <= MAX_ALLOWANCES)
 #endif
        :: else -> skip
        fi
