--- a/specs/warmup.pml
+++ b/specs/warmup.pml
@@ -1,90 +1,100 @@
-/* What a cold replica bears, over coordinators that take each other's place: all that give out in one window together
-   stay within BOUND, which is twice what one of them may give.
+/* The rate limit of requests to one cold replica while its coordinators change: all grants of one window stay within
+   WINDOW_LIMIT, which is twice the limit of one coordinator.
 
-   Time goes in windows. In each, at most one thing happens: a member is cut off alone, all cuts heal, a member starts
-   anew without memory, freezes or wakes. Members learn of it in this window or, at the latest, in the next one. One gives
-   out if it is the first of the members that it sees, at most its part: the members that it sees, of the most that it
-   remembers. One that became the first, started or woke waits until the end of the next window; a part that has grown
-   counts only then too.
+   Modelled: time is counted in windows. At most one fault or repair happens in each: a member is isolated from all
+   others, all partitions end, a member restarts and loses its state, stalls, or resumes. Views are updated in the
+   same window or, at the latest, in the next one. A member is the coordinator if it ranks first in its view. It
+   grants at most its share: the number of members in its view, divided by the largest fleet size that it knows. A
+   member that became the coordinator, restarted or resumed grants nothing until the end of the next window, and an
+   increase of its share takes effect in the next window. A member counts with the larger of its shares before and
+   after the update of its view.
 
-   Broken variants: WHOLE gives out the whole whatever part of the fleet is seen; NO_WAIT gives out as soon as it is the
-   first; AWAKE goes on after it stood still; GROWS uses a part that has grown at once; UNTOLD lets one that has started
-   go by the members that it sees. */
+   Checked: the grants of all members in one window never exceed WINDOW_LIMIT.
+
+   Broken variants: IGNORE_SHARE grants the full limit whatever the view is; NO_WAIT grants without any wait;
+   NO_WAIT_AFTER_STALL grants without a wait after a stall; GROW_AT_ONCE uses an increased share at once;
+   NO_SIZE_REPORT lets a restarted member use the fleet size in its view, without reports from others. */
 
 #define DAEMONS 4
-#define UNIT 4
-#define BOUND 8
-#define ALL 15
-#define MOST_CHANGES 5
+#define COORDINATOR_LIMIT 4
+#define WINDOW_LIMIT 8
+#define ALL_MEMBERS 15
+#define MAX_FAULTS 5
 
-byte apart = 0;        /* members that are cut off, each alone */
-byte frozen = 0;
+byte isolated = 0;             /* members that are partitioned from all others */
+byte stalled = 0;
 byte view[DAEMONS];
-byte most[DAEMONS];
-byte waits[DAEMONS];
-byte held[DAEMONS];    /* its part in the window before */
-bit stale[DAEMONS];    /* did not learn of a change in the window in which it happened */
-byte changes = 0;
+byte largest_size[DAEMONS];
+byte windows_to_wait[DAEMONS];
+byte previous_share[DAEMONS];  /* its share in the window before */
+bit update_missed[DAEMONS];    /* its view was not updated in the window of the last change */
+byte faults = 0;
 
 #define COUNT(set) (((set) & 1) + (((set) >> 1) & 1) + (((set) >> 2) & 1) + (((set) >> 3) & 1))
-#define HAS(set, who) (((set) >> (who)) & 1)
-#define REACHED(who) (HAS(apart, who) -> (1 << (who)) : ((ALL & ~apart & ~frozen) | (1 << (who))))
-#define FIRST(set) ((set) & 1 -> 0 : ((set) & 2 -> 1 : ((set) & 4 -> 2 : 3)))
-/* One that sees nobody does not take itself for the fleet unless it remembers. */
-#define KNOWS(who) (COUNT(view[who]) > 1 || most[who] > 1)
-#define RAW(who) (KNOWS(who) -> COUNT(view[who]) * UNIT / most[who] : 0)
-#ifdef WHOLE
-#define PART(who) UNIT
+#define CONTAINS(set, member) (((set) >> (member)) & 1)
+#define REACHABLE_FROM(member) \
+  (CONTAINS(isolated, member) -> (1 << (member)) : ((ALL_MEMBERS & ~isolated & ~stalled) | (1 << (member))))
+#define COORDINATOR(set) ((set) & 1 -> 0 : ((set) & 2 -> 1 : ((set) & 4 -> 2 : 3)))
+/* A member without others in its view does not consider itself the fleet unless it knew a larger one. */
+#define KNOWS_FLEET(member) (COUNT(view[member]) > 1 || largest_size[member] > 1)
+#define CURRENT_SHARE(member) \
+  (KNOWS_FLEET(member) -> COUNT(view[member]) * COORDINATOR_LIMIT / largest_size[member] : 0)
+#ifdef IGNORE_SHARE
+#define SHARE(member) COORDINATOR_LIMIT
 #else
-#ifdef GROWS
-#define PART(who) RAW(who)
+#ifdef GROW_AT_ONCE
+#define SHARE(member) CURRENT_SHARE(member)
 #else
-#define PART(who) (RAW(who) < held[who] -> RAW(who) : held[who])
+#define SHARE(member) \
+  (CURRENT_SHARE(member) < previous_share[member] -> CURRENT_SHARE(member) : previous_share[member])
 #endif
 #endif
-#define GIVES(who) ((FIRST(view[who]) == who && waits[who] == 0 && !HAS(frozen, who)) -> PART(who) : 0)
+#define GRANTS(member) \
+  ((COORDINATOR(view[member]) == member && windows_to_wait[member] == 0 && !CONTAINS(stalled, member)) -> \
+   SHARE(member) : 0)
 
-inline wait_for(who) {
+inline start_wait(member) {
 #ifndef NO_WAIT
-  waits[who] = 2
+  windows_to_wait[member] = 2
 #else
   skip
 #endif
 }
 
-inline see(who) {
+inline update_view(member) {
   if
-  :: FIRST(view[who]) != who && FIRST(REACHED(who)) == who -> wait_for(who)
+  :: COORDINATOR(view[member]) != member && COORDINATOR(REACHABLE_FROM(member)) == member -> start_wait(member)
   :: else -> skip
   fi;
-  view[who] = REACHED(who);
-  stale[who] = 0;
+  view[member] = REACHABLE_FROM(member);
+  update_missed[member] = 0;
   if
-  :: COUNT(view[who]) > most[who] -> most[who] = COUNT(view[who])
+  :: COUNT(view[member]) > largest_size[member] -> largest_size[member] = COUNT(view[member])
   :: else -> skip
   fi
 }
 
-inline strike(who) {
+inline inject_fault(member) {
   if
   :: true -> skip
-  :: changes < MOST_CHANGES ->
-     changes++;
-     select(who : 0 .. 3);
+  :: faults < MAX_FAULTS ->
+     faults++;
+     select(member : 0 .. 3);
      if
-     :: !HAS(apart, who) -> apart = apart | (1 << who)
-     :: apart -> apart = 0
-     :: !HAS(frozen, who) ->
-        /* Starts anew: it sees at once whom it reaches, and remembers nothing. While it waits, others tell it with their
-           questions how large the fleet was. */
-        view[who] = REACHED(who);
-        most[who] = COUNT(view[who]);
-#ifndef UNTOLD
+     :: !CONTAINS(isolated, member) -> isolated = isolated | (1 << member)
+     :: isolated -> isolated = 0
+     :: !CONTAINS(stalled, member) ->
+        /* Restarts: its view is current at once, and earlier fleet sizes are lost. The others report
+           them during its wait. */
+        view[member] = REACHABLE_FROM(member);
+        largest_size[member] = COUNT(view[member]);
+#ifndef NO_SIZE_REPORT
         other = 0;
         do
         :: other < DAEMONS ->
            if
-           :: HAS(view[who], other) && most[other] > most[who] -> most[who] = most[other]
+           :: CONTAINS(view[member], other) && largest_size[other] > largest_size[member] ->
+              largest_size[member] = largest_size[other]
            :: else -> skip
            fi;
            other++
@@ -92,68 +102,73 @@
         od;
         other = 0;
 #endif
-        held[who] = UNIT;
-        stale[who] = 0;
-        wait_for(who)
-     :: !HAS(frozen, who) -> frozen = frozen | (1 << who)
-     :: HAS(frozen, who) ->
-        frozen = frozen & ~(1 << who);
-        stale[who] = 0;
-#ifndef AWAKE
-        wait_for(who)
+        previous_share[member] = COORDINATOR_LIMIT;
+        update_missed[member] = 0;
+        start_wait(member)
+     :: !CONTAINS(stalled, member) -> stalled = stalled | (1 << member)
+     :: CONTAINS(stalled, member) ->
+        stalled = stalled & ~(1 << member);
+        update_missed[member] = 0;
+#ifndef NO_WAIT_AFTER_STALL
+        start_wait(member)
 #endif
      fi
   fi
 }
 
 init {
-  byte who = 0;
+  byte member = 0;
   byte other = 0;
-  byte gives;
-  byte after;
-  byte total;
+  byte grants_before;
+  byte grants_after;
+  byte total_grants;
 
   atomic {
     do
-    :: who < DAEMONS -> view[who] = ALL; most[who] = DAEMONS; held[who] = UNIT; who++
+    :: member < DAEMONS ->
+       view[member] = ALL_MEMBERS;
+       largest_size[member] = DAEMONS;
+       previous_share[member] = COORDINATOR_LIMIT;
+       member++
     :: else -> break
     od
   }
 
   do
   :: atomic {
-       strike(who);
-       total = 0;
-       who = 0;
+       inject_fault(member);
+       total_grants = 0;
+       member = 0;
        do
-       :: who < DAEMONS ->
-          gives = GIVES(who);
+       :: member < DAEMONS ->
+          grants_before = GRANTS(member);
           if
-          :: HAS(frozen, who) || view[who] == REACHED(who) -> skip
-          :: !HAS(frozen, who) && view[who] != REACHED(who) -> see(who)
-          :: !HAS(frozen, who) && view[who] != REACHED(who) && !stale[who] -> stale[who] = 1
+          :: CONTAINS(stalled, member) || view[member] == REACHABLE_FROM(member) -> skip
+          :: !CONTAINS(stalled, member) && view[member] != REACHABLE_FROM(member) -> update_view(member)
+          :: !CONTAINS(stalled, member) && view[member] != REACHABLE_FROM(member) && !update_missed[member] ->
+             update_missed[member] = 1
           fi;
-          after = GIVES(who);
-          total = total + (gives > after -> gives : after);
-          who++
+          grants_after = GRANTS(member);
+          total_grants = total_grants + (grants_before > grants_after -> grants_before : grants_after);
+          member++
        :: else -> break
        od;
-       assert(total <= BOUND);
-       who = 0;
+       assert(total_grants <= WINDOW_LIMIT);
+       member = 0;
        do
-       :: who < DAEMONS ->
-          held[who] = RAW(who);
+       :: member < DAEMONS ->
+          previous_share[member] = CURRENT_SHARE(member);
           if
-          :: waits[who] > 0 && !HAS(frozen, who) -> waits[who]--
+          :: windows_to_wait[member] > 0 && !CONTAINS(stalled, member) -> windows_to_wait[member]--
           :: else -> skip
           fi;
-          who++
+          member++
        :: else -> break
        od;
-       who = 0;
-       gives = 0;
-       after = 0;
-       total = 0
+       member = 0;
+       grants_before = 0;
+       grants_after = 0;
+       total_grants = 0
      }
   od
 }
