--- a/crates/bench/src/faults/checker.rs
+++ b/crates/bench/src/faults/checker.rs
@@ -28,7 +28,7 @@
     pub detail: String,
 }
 
-/// Number of checked items of each kind, and the violations.
+/// Number of checked calls, jobs and changes, and the violations.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Checked {
     /// Online calls, resends included.
--- a/crates/bench/src/faults/gated_platform.rs
+++ b/crates/bench/src/faults/gated_platform.rs
@@ -41,6 +41,7 @@
     row
 }
 
+/// Removes the conditions on fenced rows, except for those on shard owner rows that the transaction itself writes.
 fn without_fences(mut transaction: Transaction) -> Transaction {
     transaction.conditions.retain(|condition| {
         let key = condition.key();
--- a/crates/bench/src/faults/world.rs
+++ b/crates/bench/src/faults/world.rs
@@ -51,13 +51,14 @@
 /// Guards that can be disabled to show that the checker detects it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct BrokenGuards {
-    /// Writes aren't conditional on ownership and chunk rows, so a previous owner's writes succeed.
+    /// Writes aren't conditional on chunk rows, nor on shard owner rows other than those they write, so a previous
+    /// owner's writes succeed.
     pub no_fencing: bool,
     /// Idempotent requests are sent without a claim.
     pub no_claims: bool,
     /// Events carry the reader's request id and consecutive sequence numbers, so its checks pass.
     pub no_event_check: bool,
-    /// Cancellations are committed, but neither announced to daemons nor visible in their reads.
+    /// Cancellations are committed, but neither announced to daemons nor visible in their urgent reads.
     pub no_cancel_notice: bool,
     /// Load reports don't say that the engine is leaving.
     pub no_leaving_report: bool,
--- a/crates/bench/src/speed/mod.rs
+++ b/crates/bench/src/speed/mod.rs
@@ -136,7 +136,8 @@
     }
 }
 
-/// Runs `total` requests with `clients` in flight; returns requests per second and the times to the first event.
+/// Runs `total` requests with `clients` in flight; returns requests per second and the times to the first event in
+/// microseconds.
 pub async fn load(
     target: &Target,
     model: &str,
