--- a/crates/emulator/src/engine_core.rs
+++ b/crates/emulator/src/engine_core.rs
@@ -192,7 +192,7 @@
             .then_some(())
     }
 
-    /// Removes a waiting or running request; returns its generated tokens, or `None` if the id is unknown.
+    /// Removes a waiting or running request; returns the number of its next token, or `None` if the id is unknown.
     pub fn cancel(&mut self, request_id: &str) -> Option<u32> {
         let matches = |sequence: &Sequence| sequence.request.request_id == request_id;
         if let Some(index) = self.running.iter().position(matches) {
@@ -206,7 +206,7 @@
         None
     }
 
-    /// Admits waiting sequences and plans the next step; `None` if idle.
+    /// Admits waiting sequences, prefills prompts, and plans the next step; `None` if idle.
     pub fn begin_step(&mut self) -> Option<StepPlan> {
         self.admit();
         if self.running.is_empty() {
