--- a/crates/bench/src/speed/mod.rs
+++ b/crates/bench/src/speed/mod.rs
@@ -102,7 +102,10 @@
                 let mut events = engine.generate(request).await?;
                 let first = events.next().await;
                 let elapsed = started.elapsed();
-                ensure!(first.is_some_and(|event| event.is_ok()), "no first event");
+                ensure!(
+                    first.is_some_and(|event| event.is_ok()),
+                    "request {number} to the engine: no first event"
+                );
                 while events.next().await.is_some() {}
                 Ok(elapsed)
             }
@@ -122,13 +125,16 @@
                     .await?;
                 ensure!(
                     response.status().is_success(),
-                    "status {}",
+                    "request {number} to the gateway: status {}",
                     response.status()
                 );
                 let mut body = response.into_body();
                 let first = body.frame().await;
                 let elapsed = started.elapsed();
-                ensure!(first.is_some_and(|frame| frame.is_ok()), "no first frame");
+                ensure!(
+                    first.is_some_and(|frame| frame.is_ok()),
+                    "request {number} to the gateway: no first frame"
+                );
                 while body.frame().await.is_some() {}
                 Ok(elapsed)
             }
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -110,7 +110,9 @@
     let mut port = first.port();
     for plan in &plans {
         for number in 0..plan.replicas {
-            port = port.checked_add(1).ok_or_else(|| eyre!("no port left"))?;
+            port = port
+                .checked_add(1)
+                .ok_or_else(|| eyre!("--listen: {first} leaves too few ports for the engines"))?;
             let address = SocketAddr::new(first.ip(), port);
             let name = format!("{}-{number}", plan.service);
             start_engine(&name, &plan.service, address, scale).await?;
