--- a/crates/inline-jobs/src/adoption_order.rs
+++ b/crates/inline-jobs/src/adoption_order.rs
@@ -8,7 +8,7 @@
 use harrierward_wire::JobHeadRow;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long an owner must be missing before it is challenged; a live member refutes a false death report within about
+/// How long an owner must be absent before it is challenged; a live member refutes a false death report within about
 /// that time.
 const CHALLENGE_DELAY: Duration = Duration::from_millis(100);
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Returns the header of a job whose owner the daemon `instance_id` considers missing.
+/// Returns the header of a job whose owner the daemon `instance_id` considers absent.
 pub fn challenged(header: &JobHeadRow, instance_id: &str) -> JobHeadRow {
     JobHeadRow {
         challenger: instance_id.to_owned(),
@@ -65,7 +65,7 @@
     }
 }
 
-/// Returns how long the daemon `instance_id` waits before it adopts a released job, or challenges a missing owner.
+/// Returns how long the daemon `instance_id` waits before it adopts a released job, or challenges an absent owner.
 /// Each job has its own order of daemons, so that they do not all try at once. Daemons `near` its last owner come
 /// first: its clients and the replicas that cache its prompts are there. `owners` are all daemons that may adopt it.
 pub fn adoption_delay(
--- a/crates/inline-jobs/src/takeover.rs
+++ b/crates/inline-jobs/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Takeover of jobs whose owners are missing: a daemon challenges the owner in the job's header, and an owner that is
+//! Takeover of jobs whose owners are absent: a daemon challenges the owner in the job's header, and an owner that is
 //! alive refutes the challenge and keeps the job.
 
 use std::collections::{HashMap, HashSet};
--- a/crates/ownership/src/takeovers.rs
+++ b/crates/ownership/src/takeovers.rs
@@ -94,7 +94,7 @@
 }
 
 #[derive(Debug)]
-struct MissingOwner {
+struct AbsentOwner {
     owner: String,
     since: Duration,
     /// Revision of the current challenge, and when its duration has elapsed.
@@ -106,7 +106,7 @@
 /// How long a computed delay is cached; it depends on all members.
 const DELAY_TTL: Duration = Duration::from_secs(1);
 
-impl MissingOwner {
+impl AbsentOwner {
     fn new(owner: &str, now: Duration) -> Self {
         Self {
             owner: owner.to_owned(),
@@ -130,7 +130,7 @@
 #[derive(Debug, Default)]
 pub struct Takeovers {
     bounds: TakeoverBounds,
-    missing: HashMap<String, MissingOwner>,
+    absent: HashMap<String, AbsentOwner>,
     cooldowns: Cooldowns,
     /// Factor on this daemon's cooldowns, 1 to 1.5, so that daemons don't challenge at the same time.
     jitter_factor: f64,
@@ -156,7 +156,7 @@
         now: Duration,
     ) -> Step {
         if status == OwnerStatus::Present {
-            self.missing.remove(record.resource);
+            self.absent.remove(record.resource);
             self.cooldowns.clear(record.owner);
             return Step::Wait;
         }
@@ -176,8 +176,8 @@
         delay: impl FnOnce() -> Duration,
         now: Duration,
     ) -> Step {
-        let missing = self.missing(record, now);
-        let due = missing.since + missing.delay(delay, now);
+        let absent = self.absent(record, now);
+        let due = absent.since + absent.delay(delay, now);
         if now >= due {
             Step::TakeOver
         } else {
@@ -192,12 +192,12 @@
         now: Duration,
     ) -> Step {
         let cooldown_until = self.cooldowns.until(record.owner);
-        let missing = self.missing(record, now);
+        let absent = self.absent(record, now);
         if now < cooldown_until {
             return Step::Wait;
         }
         // The delay also applies after a cooldown; otherwise all daemons would write at its end.
-        let due = missing.since.max(cooldown_until) + missing.delay(delay, now);
+        let due = absent.since.max(cooldown_until) + absent.delay(delay, now);
         if now >= due {
             Step::Challenge
         } else {
@@ -205,13 +205,13 @@
         }
     }
 
-    fn missing(&mut self, record: OwnershipRecord<'_>, now: Duration) -> &mut MissingOwner {
-        let missing = self.missing.entry(record.resource.to_owned());
-        let missing = missing.or_insert_with(|| MissingOwner::new(record.owner, now));
-        if missing.owner != record.owner {
-            *missing = MissingOwner::new(record.owner, now);
+    fn absent(&mut self, record: OwnershipRecord<'_>, now: Duration) -> &mut AbsentOwner {
+        let absent = self.absent.entry(record.resource.to_owned());
+        let absent = absent.or_insert_with(|| AbsentOwner::new(record.owner, now));
+        if absent.owner != record.owner {
+            *absent = AbsentOwner::new(record.owner, now);
         }
-        missing
+        absent
     }
 
     /// Returns for how long a challenge must stay unrefuted.
@@ -228,13 +228,13 @@
         now: Duration,
     ) -> Step {
         let duration = self.challenge_duration(record.takeovers);
-        let missing = self.missing(record, now);
-        let duration = duration + missing.delay(delay, now);
-        let until = match missing.challenge {
+        let absent = self.absent(record, now);
+        let duration = duration + absent.delay(delay, now);
+        let until = match absent.challenge {
             Some((revision, until)) if revision == record.revision => until,
             _ => now + duration,
         };
-        missing.challenge = Some((record.revision, until));
+        absent.challenge = Some((record.revision, until));
         if now >= until {
             Step::TakeOver
         } else {
@@ -247,8 +247,8 @@
     pub fn note_challenge(&mut self, record: OwnershipRecord<'_>, took: Duration, now: Duration) {
         let duration =
             self.challenge_duration(record.takeovers) + took * self.bounds.write_time_factor;
-        if let Some(missing) = self.missing.get_mut(record.resource) {
-            missing.challenge = Some((record.revision, now + duration));
+        if let Some(absent) = self.absent.get_mut(record.resource) {
+            absent.challenge = Some((record.revision, now + duration));
         }
     }
 
@@ -281,7 +281,7 @@
 
     /// Removes resources for which `is_open` is false, and cooldowns that have expired.
     pub fn retain(&mut self, is_open: impl Fn(&str) -> bool, now: Duration) {
-        self.missing.retain(|resource, _| is_open(resource));
+        self.absent.retain(|resource, _| is_open(resource));
         let max = self.bounds.max_cooldown.mul_f64(self.jitter_factor);
         self.cooldowns.expire(max, now);
     }
