--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -41,7 +41,7 @@
 
 const TICKS_PER_NOTICE: u64 = 2;
 
-/// Age of the proof of contact from which a daemon that is cut off from the store, while most others are not, declares
+/// Age of the freshness proof from which a daemon that is cut off from the store, while most others are not, declares
 /// itself detached, so that other daemons take over its jobs.
 const DETACH_PROOF_AGE: Duration = Duration::from_millis(3_200);
 
--- a/crates/edge/src/members/notices.rs
+++ b/crates/edge/src/members/notices.rs
@@ -1,4 +1,4 @@
-//! Load notices to a sample of the peers: requests in progress, age of the proof of contact, and the operator's rows.
+//! Load notices to a sample of the peers: requests in progress, age of the freshness proof, and the operator's rows.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 /// daemons without a coordinator and the check for isolation from the store.
 pub(super) const NOTICE_FAN_OUT: usize = 3;
 
-/// Age of the proof of contact from which a daemon counts as cut off from the store.
+/// Age of the freshness proof from which a daemon counts as cut off from the store.
 pub(super) const ISOLATION_PROOF_AGE: Duration = Duration::from_millis(2_200);
 
 impl Members {
@@ -73,7 +73,7 @@
         counts.collect()
     }
 
-    /// Returns the age of this daemon's proof of contact, in milliseconds plus one; 0 without a proof.
+    /// Returns the age of the freshness proof of the job headers, in milliseconds plus one; 0 without a proof.
     pub(super) fn own_proof_age_ms(&self) -> u32 {
         let age = self.jobs.get().and_then(|jobs| jobs.view().proof_age());
         age.map_or(0, |age| {
@@ -122,7 +122,7 @@
         state.replicas_with_peer_load = sums.into_keys().collect();
     }
 
-    /// True if this daemon's proof of contact is at least `min_proof_age` old, while most peers with a current notice
+    /// True if this daemon's freshness proof is at least `min_proof_age` old, while most peers with a current notice
     /// are not cut off from the store.
     pub(super) fn is_isolated_for(&self, state: &State, min_proof_age: Duration) -> bool {
         let own = Duration::from_millis(u64::from(self.own_proof_age_ms()));
--- a/crates/edge/src/peer_loads.rs
+++ b/crates/edge/src/peer_loads.rs
@@ -67,7 +67,7 @@
         self.loads.len() != before
     }
 
-    /// Returns the ages of the proofs of contact in unexpired notices, in milliseconds plus one, 0 without a proof;
+    /// Returns the ages of the freshness proofs in unexpired notices, in milliseconds plus one, 0 without a proof;
     /// notices from before a suspension are left out.
     pub fn proof_ages_ms(&self, now: Instant) -> impl Iterator<Item = u32> {
         let loads = self.loads.values();
--- a/crates/edge/src/watches.rs
+++ b/crates/edge/src/watches.rs
@@ -20,7 +20,7 @@
 /// this time, and contact must be restored within 3 s.
 const LONG_POLL_WAIT: Duration = Duration::from_millis(2_000);
 
-/// Proofs of contact to obtain within the time for which keys are accepted without one.
+/// Freshness proofs to obtain within the time for which keys are accepted without one.
 const PROOFS_PER_TRUST_PERIOD: u32 = 4;
 
 /// Polling intervals of watches, which depend on the fleet's size.
@@ -35,7 +35,7 @@
 /// Time between full reads of a space that is relayed by a peer: differences to the peer's copy are found by digest.
 const FOLLOWER_FULL_READ_INTERVAL: Duration = Duration::from_secs(600);
 
-/// Returns the hold time of the configuration's long polls: short enough for several proofs of contact per trust
+/// Returns the hold time of the configuration's long polls: short enough for several freshness proofs per trust
 /// period.
 fn configuration_wait(trust: KeyTrust) -> Duration {
     match trust {
--- a/crates/inline-jobs/src/checkpoint.rs
+++ b/crates/inline-jobs/src/checkpoint.rs
@@ -21,7 +21,7 @@
 /// Items per checkpoint.
 const MAX_ITEMS: usize = 40;
 
-/// Age of the last proof of contact above which the store is considered unreachable.
+/// Age of the last freshness proof above which the store is considered unreachable.
 const MAX_PROOF_AGE: Duration = Duration::from_millis(1_500);
 
 impl InlineJobs {
--- a/crates/inline-jobs/src/lookup.rs
+++ b/crates/inline-jobs/src/lookup.rs
@@ -17,11 +17,11 @@
 /// cancellation replaces under its revision.
 const MAX_COPY_AGE: Duration = Duration::from_millis(1_300);
 
-/// Forces a read of the store. A recent watch response proves contact, not that all changes were delivered; only the
-/// row itself proves that nothing is listed.
+/// Forces a read of the store. A recent freshness proof does not cover changes that the watch omitted; only the row
+/// itself proves that nothing is listed.
 const READ_STORE: Duration = Duration::ZERO;
 
-/// Age of the last proof of contact up to which a long poll waits for the watch. Above it, the store is read at once.
+/// Age of the last freshness proof up to which a long poll waits for the watch. Above it, the store is read at once.
 const MAX_PROOF_AGE: Duration = MAX_COPY_AGE;
 
 /// Text per page of results, in bytes; a page may have 1 MB.
@@ -37,12 +37,12 @@
 }
 
 impl InlineJobs {
-    /// True if the last proof of contact is younger than `max_age`.
+    /// True if the last freshness proof is younger than `max_age`.
     fn is_proven_within(&self, max_age: Duration) -> bool {
         self.inner.view.proof_age().is_some_and(|age| age < max_age)
     }
 
-    /// Returns the header from the local copy if the last proof of contact is younger than `max_age`, else from the
+    /// Returns the header from the local copy if the last freshness proof is younger than `max_age`, else from the
     /// store.
     async fn find(&self, job_id: &str, max_age: Duration) -> Lookup<KnownHeader> {
         let is_fresh = self.is_proven_within(max_age);
--- a/crates/inline-jobs/src/service.rs
+++ b/crates/inline-jobs/src/service.rs
@@ -160,7 +160,7 @@
         self.inner.stopping.load(Ordering::Relaxed)
     }
 
-    /// True unless this daemon is stopping, or the last proof of contact is so old that the local copy may lack a
+    /// True unless this daemon is stopping, or the last freshness proof is so old that the local copy may lack a
     /// cancellation acknowledged longer than [`JobSettings::cancel_within`] ago.
     pub(crate) fn may_start_runs(&self) -> bool {
         let bound = self.inner.settings.cancel_within;
--- a/crates/inline-jobs/src/submit.rs
+++ b/crates/inline-jobs/src/submit.rs
@@ -26,7 +26,7 @@
 /// Share of the caller's timeout that a submission may take, in percent.
 const TIMEOUT_PERCENT: u32 = 70;
 
-/// Age of the last proof of contact above which the store is considered unreachable.
+/// Age of the last freshness proof above which the store is considered unreachable.
 const MAX_PROOF_AGE: Duration = Duration::from_millis(2_800);
 
 /// How long a submission waits for the first read of the headers, and the interval of its polls.
--- a/crates/inline-jobs/src/view.rs
+++ b/crates/inline-jobs/src/view.rs
@@ -64,7 +64,7 @@
     fences: HashMap<String, SeenFence>,
     /// Newest store revision seen by this daemon.
     newest_revision: u64,
-    /// Latest proof of contact, see [`JobView::note_proof`].
+    /// Latest freshness proof, see [`JobView::note_proof`].
     proven_at: Option<Instant>,
     store_time: Option<StoreTime>,
 }
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone)]
 struct SeenFence {
     fence: KnownFence,
-    /// When the fence was first seen; `None` if it predates the first proof of contact.
+    /// When the fence was first seen; `None` if it predates the first freshness proof.
     first_seen_at: Option<Instant>,
 }
 
@@ -115,7 +115,7 @@
         self.lock().newest_revision
     }
 
-    /// Records a proof of contact: the copy holds what the store had acknowledged by `moment`, except for changes that
+    /// Records a freshness proof: the copy holds what the store had acknowledged by `moment`, except for changes that
     /// the watch omitted. `store_time_ms` is the store's clock, 0 if unknown.
     pub fn note_proof(&self, moment: Instant, store_time_ms: u64) {
         let mut state = self.lock();
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Returns the age of the last proof of contact, see [`Self::note_proof`]; `None` before the first.
+    /// Returns the age of the last freshness proof, see [`Self::note_proof`]; `None` before the first.
     pub fn proof_age(&self) -> Option<Duration> {
         self.lock().proven_at.map(harrierward_clock::age)
     }
@@ -176,7 +176,7 @@
         state.fences.get(route).map(|seen| seen.fence.clone())
     }
 
-    /// Returns the time since a route's fence was first seen; `None` if it predates the first proof of contact.
+    /// Returns the time since a route's fence was first seen; `None` if it predates the first freshness proof.
     pub fn fence_age(&self, route: &str) -> Option<Duration> {
         let state = self.lock();
         let first_seen_at = state.fences.get(route)?.first_seen_at?;
--- a/crates/inline-jobs/tests/stale_listing.rs
+++ b/crates/inline-jobs/tests/stale_listing.rs
@@ -1,5 +1,5 @@
 //! Guards against a listing that hides a result which another daemon has already returned. A watch response may carry
-//! the store's newest revision without all changes up to it, so a recent proof of contact does not prove an empty
+//! the store's newest revision without all changes up to it, so a recent freshness proof does not prove an empty
 //! list.
 
 mod support;
--- a/crates/relay/src/space_copy.rs
+++ b/crates/relay/src/space_copy.rs
@@ -62,7 +62,7 @@
     pub store_time_ms: u64,
 }
 
-/// Rows of a space with the recent changes, a digest, and the proof of freshness.
+/// Rows of a space with the recent changes, a digest, and the freshness proof.
 #[derive(Debug, Default)]
 pub struct SpaceCopy {
     rows: HashMap<String, StoredRow>,
