--- a/crates/edge/src/quarantine/store_row.rs
+++ b/crates/edge/src/quarantine/store_row.rs
@@ -11,7 +11,7 @@
 use harrierward_external::{
     PlatformError, PlatformErrorKind, RequestClass, Row, Table, Transaction, TransactionOutcome,
 };
-use harrierward_inline_jobs::crash_updates_key;
+use harrierward_inline_jobs::crash_reports_key;
 use harrierward_wire::{CrashNews, CrashNewsRow, decode, encode};
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
@@ -64,7 +64,7 @@
     /// Keeps this daemon's row up to date, one write at a time; never returns. `store_now_ms` returns the store's
     /// clock, 0 while it is unknown.
     pub async fn run_row_writer(self, table: Arc<dyn Table>, store_now_ms: impl Fn() -> u64) {
-        let key = crash_updates_key(&self.inner.instance_id);
+        let key = crash_reports_key(&self.inner.instance_id);
         loop {
             self.inner.own_row.write_due.notified().await;
             self.write_until_done(table.as_ref(), &key, &store_now_ms)
--- a/crates/edge/src/watches.rs
+++ b/crates/edge/src/watches.rs
@@ -177,7 +177,7 @@
                 RowKind::Fence => view.update_fence_row(&row.value, row.revision),
                 // Applied before `note_proof` publishes the store's time, without which no such row is written: a new
                 // instance must read the row of its predecessor before it overwrites it.
-                RowKind::CrashUpdates => self.quarantine.apply_stored(row, update.store_time_ms),
+                RowKind::CrashReports => self.quarantine.apply_stored(row, update.store_time_ms),
             }
         }
         for key in &update.removed {
--- a/crates/edge/tests/stored_crash_reports.rs
+++ b/crates/edge/tests/stored_crash_reports.rs
@@ -11,7 +11,7 @@
     PlatformError, PlatformErrorKind, RequestClass, Row, Table, Transaction, TransactionOutcome,
     Write,
 };
-use harrierward_inline_jobs::crash_updates_key;
+use harrierward_inline_jobs::crash_reports_key;
 use harrierward_quarantine::{ContentId, ContentStatus};
 use harrierward_serving::{Quarantine, ReplicaSet};
 use harrierward_wire::{
@@ -48,7 +48,7 @@
         assert!(
             written
                 .iter()
-                .all(|(key, _)| *key == crash_updates_key(INSTANCE_ID))
+                .all(|(key, _)| *key == crash_reports_key(INSTANCE_ID))
         );
         let rows = written.iter().map(|(_, value)| decode(value));
         rows.map(|row| row.expect("a row of crash reports"))
@@ -141,7 +141,7 @@
         news: Some(reports),
     };
     Row {
-        key: crash_updates_key(life),
+        key: crash_reports_key(life),
         value: encode(&row).into(),
         revision,
     }
--- a/crates/inline-jobs/src/keys.rs
+++ b/crates/inline-jobs/src/keys.rs
@@ -67,15 +67,15 @@
     partitions().into_iter().map(key).collect()
 }
 
-/// Prefix of the names of rows with daemons' crash updates in the space of the headers; no job id may contain `~`.
+/// Prefix of the names of rows with daemons' crash reports in the space of the headers; no job id may contain `~`.
 const CRASH_PREFIX: &str = "~crash.";
 
 /// Separates the member name, which is stable over restarts, from the rest of an instance id.
 const INSTANCE_SEPARATOR: char = '@';
 
-/// Returns the key of the row of a daemon's crash updates. All instances of a member share it, so that a restart
+/// Returns the key of the row of a daemon's crash reports. All instances of a member share it, so that a restart
 /// replaces the row.
-pub fn crash_updates_key(instance_id: &str) -> String {
+pub fn crash_reports_key(instance_id: &str) -> String {
     let member = instance_id
         .rsplit_once(INSTANCE_SEPARATOR)
         .map_or(instance_id, |(member, _)| member);
@@ -92,7 +92,7 @@
     /// Fence of a route's quota.
     Fence,
     /// Crashes of replicas that a daemon has observed.
-    CrashUpdates,
+    CrashReports,
 }
 
 /// Returns the kind of a row in the space of the headers, by its key.
@@ -101,7 +101,7 @@
     if name.starts_with(FENCE_PREFIX) {
         RowKind::Fence
     } else if name.starts_with(CRASH_PREFIX) {
-        RowKind::CrashUpdates
+        RowKind::CrashReports
     } else {
         RowKind::Header
     }
--- a/crates/inline-jobs/src/lib.rs
+++ b/crates/inline-jobs/src/lib.rs
@@ -28,7 +28,7 @@
 mod takeover;
 mod view;
 
-pub use keys::{JOB_HEADERS, RowKind, crash_updates_key, partitions, row_kind};
+pub use keys::{JOB_HEADERS, RowKind, crash_reports_key, partitions, row_kind};
 pub use model::{
     CancelOutcome, JobCaller, JobResult, Lookup, ResultPage, SubmitOutcome, SubmittedItem,
     SubmittedJob,
--- a/crates/inline-jobs/tests/rows_of_headers.rs
+++ b/crates/inline-jobs/tests/rows_of_headers.rs
@@ -9,7 +9,7 @@
 use harrierward_external::{
     ChangePage, PageStart, PlatformError, Row, RowRead, SpacePage, WatchedTable,
 };
-use harrierward_inline_jobs::{JobStore, RowKind, crash_updates_key, partitions, row_kind};
+use harrierward_inline_jobs::{JobStore, RowKind, crash_reports_key, partitions, row_kind};
 use harrierward_wire::{CrashNewsRow, JobHeadRow, QuotaFenceRow, encode};
 use support::{UnavailableStore, unavailable};
 use tokio::time::Instant;
@@ -24,17 +24,17 @@
     assert_eq!(row_kind(HEADER_KEY), RowKind::Header);
     assert_eq!(row_kind(FENCE_KEY), RowKind::Fence);
     assert_eq!(
-        row_kind(&crash_updates_key(INSTANCE_ID)),
-        RowKind::CrashUpdates
+        row_kind(&crash_reports_key(INSTANCE_ID)),
+        RowKind::CrashReports
     );
 }
 
 /// The number of rows must not grow with restarts.
 #[test]
 fn a_restarted_daemon_reuses_its_crash_updates_row() {
-    assert_eq!(crash_updates_key("node@1"), crash_updates_key("node@2-ab"));
-    assert_ne!(crash_updates_key("node-1@1"), crash_updates_key("node-2@1"));
-    let key = crash_updates_key(INSTANCE_ID);
+    assert_eq!(crash_reports_key("node@1"), crash_reports_key("node@2-ab"));
+    assert_ne!(crash_reports_key("node-1@1"), crash_reports_key("node-2@1"));
+    let key = crash_reports_key(INSTANCE_ID);
     let partition = key.split('/').nth(1).expect("a partition");
     assert!(partitions().iter().any(|one| one == partition), "{key}");
 }
@@ -53,14 +53,14 @@
             route: "route".to_owned(),
             ..QuotaFenceRow::default()
         };
-        let updates = CrashNewsRow {
+        let reports = CrashNewsRow {
             life: INSTANCE_ID.to_owned(),
             ..CrashNewsRow::default()
         };
         let rows = [
             (HEADER_KEY.to_owned(), encode(&header)),
             (FENCE_KEY.to_owned(), encode(&fence)),
-            (crash_updates_key(INSTANCE_ID), encode(&updates)),
+            (crash_reports_key(INSTANCE_ID), encode(&reports)),
         ];
         let is_here = |key: &str| key.split('/').nth(1) == Some(start.partition);
         let rows = rows.into_iter().filter(|(key, _)| is_here(key));
