--- a/crates/inline-jobs/src/keys.rs
+++ b/crates/inline-jobs/src/keys.rs
@@ -70,16 +70,16 @@
 /// Prefix of the names of rows with daemons' crash reports in the space of the headers; no job id may contain `~`.
 const CRASH_PREFIX: &str = "~crash.";
 
-/// Separates the member name, which is stable over restarts, from the rest of an instance id.
+/// Separates the daemon's name, which is stable over restarts, from the rest of an instance id.
 const INSTANCE_SEPARATOR: char = '@';
 
-/// Returns the key of the row of a daemon's crash reports. All instances of a member share it, so that a restart
+/// Returns the key of the row of a daemon's crash reports. All instances of the daemon share it, so that a restart
 /// replaces the row.
 pub fn crash_reports_key(instance_id: &str) -> String {
-    let member = instance_id
+    let daemon = instance_id
         .rsplit_once(INSTANCE_SEPARATOR)
-        .map_or(instance_id, |(member, _)| member);
-    let hash = xxh3_64(member.as_bytes());
+        .map_or(instance_id, |(daemon, _)| daemon);
+    let hash = xxh3_64(daemon.as_bytes());
     let partition = partition_name(hash % PARTITIONS);
     format!("{JOB_HEADERS}/{partition}/{CRASH_PREFIX}{hash:016x}")
 }
