--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -72,10 +72,10 @@
     }
 
     /// True if callers should be routed to the daemon: it has a configuration and replicas, isn't stopping, and isn't
-    /// isolated from the store.
+    /// cut off from the store while most others reach it.
     pub fn is_ready(&self) -> bool {
         let stopping = self.stopping.load(Ordering::Relaxed);
-        !stopping && self.discovery.is_complete() && !self.members.is_isolated_from_store()
+        !stopping && self.discovery.is_complete() && !self.members.is_cut_off_from_store()
     }
 
     /// True if the daemon is closing and starts no new work.
--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -34,7 +34,7 @@
 use crate::settings::EdgeSettings;
 use crate::slots::{CoordinatorCandidate, SlotService};
 
-use notices::{ISOLATION_PROOF_AGE, NOTICE_FAN_OUT};
+use notices::{CUT_OFF_PROOF_AGE, NOTICE_FAN_OUT};
 
 /// Interval at which the membership protocol is driven.
 const TICK: Duration = Duration::from_millis(100);
@@ -191,9 +191,9 @@
         self.lock().view.clone()
     }
 
-    /// True if this daemon cannot reach the store but most others can: new work should go to them.
-    pub fn is_isolated_from_store(&self) -> bool {
-        self.is_isolated_for(&self.lock(), ISOLATION_PROOF_AGE)
+    /// True if this daemon is cut off from the store but most others are not: new work should go to them.
+    pub fn is_cut_off_from_store(&self) -> bool {
+        self.is_cut_off_for(&self.lock(), CUT_OFF_PROOF_AGE)
     }
 
     /// Returns the id of this daemon instance.
@@ -244,7 +244,7 @@
             let mut datagrams = Vec::new();
             {
                 let mut state = self.lock();
-                let detached = self.is_isolated_for(&state, DETACH_PROOF_AGE);
+                let detached = self.is_cut_off_for(&state, DETACH_PROOF_AGE);
                 state.core.set_detached(detached);
                 let actions = state.core.tick(self.started.elapsed(), &mut random);
                 datagrams.extend(wrap(actions));
--- a/crates/edge/src/members/notices.rs
+++ b/crates/edge/src/members/notices.rs
@@ -9,11 +9,11 @@
 use super::{Members, State};
 
 /// Number of members that receive one notice. A sample suffices: coordinators keep exact counts, and notices serve
-/// daemons without a coordinator and the check for isolation from the store.
+/// daemons without a coordinator and the check whether only this one is cut off from the store.
 pub(super) const NOTICE_FAN_OUT: usize = 3;
 
 /// Age of the freshness proof from which a daemon counts as cut off from the store.
-pub(super) const ISOLATION_PROOF_AGE: Duration = Duration::from_millis(2_200);
+pub(super) const CUT_OFF_PROOF_AGE: Duration = Duration::from_millis(2_200);
 
 impl Members {
     /// Returns the notices to send, each with its address.
@@ -124,7 +124,7 @@
 
     /// True if this daemon's freshness proof is at least `min_proof_age` old, while most peers with a current notice
     /// are not cut off from the store.
-    pub(super) fn is_isolated_for(&self, state: &State, min_proof_age: Duration) -> bool {
+    pub(super) fn is_cut_off_for(&self, state: &State, min_proof_age: Duration) -> bool {
         let own = Duration::from_millis(u64::from(self.own_proof_age_ms()));
         if own < min_proof_age {
             return false;
@@ -133,7 +133,7 @@
         for age_ms in state.loads.proof_ages_ms(harrierward_clock::now()) {
             total += 1;
             let age = Duration::from_millis(u64::from(age_ms));
-            connected += usize::from(age_ms > 0 && age < ISOLATION_PROOF_AGE);
+            connected += usize::from(age_ms > 0 && age < CUT_OFF_PROOF_AGE);
         }
         connected * 2 > total
     }
--- a/crates/edge/tests/peer_loads.rs
+++ b/crates/edge/tests/peer_loads.rs
@@ -39,7 +39,7 @@
 }
 
 /// Guards against a resumed daemon that compares its outdated proof with peers' notices from before the suspension, and
-/// considers itself isolated.
+/// considers itself cut off from the store.
 #[test]
 fn proof_ages_from_before_a_suspension_are_ignored() {
     let now = Instant::now();
