--- a/crates/edge/src/stop.rs
+++ b/crates/edge/src/stop.rs
@@ -1,6 +1,6 @@
 //! Planned stop of a daemon: callers are drained and jobs handed over concurrently.
 //!
-//! The hand-over depends on the store, which may be unavailable for the whole grace period; draining must not wait
+//! The handover depends on the store, which may be unavailable for the whole grace period; draining must not wait
 //! for it.
 
 use std::pin::pin;
@@ -50,7 +50,7 @@
     }
 
     /// Hands jobs over, then leaves the membership, at the latest when callers are refused: remaining jobs are
-    /// adopted. A concurrent hand-over then fails at the store's conditional write.
+    /// adopted. A concurrent handover then fails at the store's conditional write.
     async fn hand_over_jobs(&self, requested_at: Instant, deadline: Instant) {
         let mut hand_over = pin!(self.service.jobs.hand_over_all(deadline));
         let in_time = timeout_at(requested_at + READINESS_PROPAGATION, hand_over.as_mut()).await;
