--- a/crates/edge/src/quarantine/broken_connections.rs
+++ b/crates/edge/src/quarantine/broken_connections.rs
@@ -1,5 +1,5 @@
 //! Broken connections to replicas, kept until it is known whether the replica has crashed. A crash is confirmed by
-//! refused connections, by the removal of the replica's entry, or by a peer's report.
+//! refused connections, by the removal of the replica's row, or by a peer's report.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -23,7 +23,7 @@
 /// Longest wait of a request for the liveness of its replica.
 const MAX_WAIT: Duration = Duration::from_millis(50);
 
-/// How long a broken connection is kept; longer than the time after which entries without heartbeats are removed.
+/// How long a broken connection is kept; longer than the time after which rows without heartbeats are removed.
 const BROKEN_TTL: Duration = Duration::from_secs(6);
 
 /// Time within which all connections of one crash break; shorter than a replica's restart.
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Returns the replicas whose entries were removed, or now name another instance, after connections to them broke.
+    /// Returns the replicas whose rows were removed, or now name another instance, after connections to them broke.
     /// Drained replicas are left out.
     pub fn removed(
         &self,
--- a/crates/edge/src/slots/mod.rs
+++ b/crates/edge/src/slots/mod.rs
@@ -50,7 +50,7 @@
 pub struct CoordinatorCandidate {
     /// Instance id of the member's daemon.
     pub id: String,
-    /// Address for datagrams; `None` if the member's entry holds no valid one.
+    /// Address for datagrams; `None` if the member's record holds no valid one.
     pub address: Option<SocketAddr>,
     /// Zone and region, as hashes.
     pub location: Location,
