--- a/crates/slots/src/lib.rs
+++ b/crates/slots/src/lib.rs
@@ -1,6 +1,6 @@
 //! Slot leases at replicas, granted by one coordinator for each group of replicas. Pure: callers do the I/O.
 //!
-//! Daemons that choose replicas by stale load reports of each other choose the same ones at the same time, and batch
+//! Daemons that choose replicas by stale load notices of each other choose the same ones at the same time, and batch
 //! items would occupy slots unseen. A coordinator serializes the grants of its group. Its state is a hint, rebuilt
 //! from the holders' reports within a second.
 
