--- a/crates/batch/src/core/chunk.rs
+++ b/crates/batch/src/core/chunk.rs
@@ -18,7 +18,7 @@
     pub failed: bool,
 }
 
-/// Lease of an item by the member that runs it.
+/// Grant of an item to the member that runs it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct GrantState {
     pub attempt: String,
--- a/crates/batch/src/core/grants.rs
+++ b/crates/batch/src/core/grants.rs
@@ -34,7 +34,7 @@
 
     /// Extends the grants of the held items and returns the items that the caller must stop.
     fn renew(&mut self, request: &PullRequest, now: Duration) -> Vec<RunningItem> {
-        let expires_at = now + self.settings.grant_lease;
+        let expires_at = now + self.settings.grant_duration;
         let mut stop = Vec::new();
         for held in &request.held {
             let Some(job) = self.jobs.get_mut(&held.job_id) else {
@@ -63,7 +63,7 @@
 
     fn grant_one(&mut self, request: &PullRequest, now: Duration) -> Option<Grant> {
         let job_id = self.next_job(request)?;
-        let expires_at = now + self.settings.grant_lease;
+        let expires_at = now + self.settings.grant_duration;
         self.last_number += 1;
         let attempt = format!("{}-{}", self.member, self.last_number);
         let job = self.jobs.get_mut(&job_id)?;
--- a/crates/batch/src/core/owner.rs
+++ b/crates/batch/src/core/owner.rs
@@ -10,8 +10,8 @@
 /// Bounds of a shard owner.
 #[derive(Debug, Clone, Copy)]
 pub struct OwnerSettings {
-    /// Lease of a grant; a pull that names the grant renews it.
-    pub grant_lease: Duration,
+    /// Duration of a grant; a pull that names the grant renews it.
+    pub grant_duration: Duration,
     /// Time for which the result of an at-most-once item without a grant is awaited before the item fails.
     pub indeterminate_timeout: Duration,
     /// Age at which results of an unfinished chunk are committed; triples with each of its first commits.
@@ -27,7 +27,7 @@
 impl Default for OwnerSettings {
     fn default() -> Self {
         Self {
-            grant_lease: Duration::from_secs(15),
+            grant_duration: Duration::from_secs(15),
             indeterminate_timeout: Duration::from_secs(30),
             commit_delay: Duration::from_secs(4),
             max_buffered_bytes: 16 << 20,
