--- a/crates/inline-jobs/src/pacing.rs
+++ b/crates/inline-jobs/src/pacing.rs
@@ -1,7 +1,7 @@
 //! Urgency of items and the rate at which they are started, as low as their jobs' targets allow.
 //!
 //! An online request without a free slot preempts an item, which resumes elsewhere at the cost of reading its prompt
-//! again. Starts are spread because prefill of an item's prompt delays the tokens of all requests in the same batch.
+//! again. Starts are spread because the prefill of an item delays the tokens of all other requests at its replica.
 
 use std::time::Duration;
 
--- a/crates/serving/src/exchange.rs
+++ b/crates/serving/src/exchange.rs
@@ -63,7 +63,7 @@
 /// Load that a replica reports with a response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicaLoad {
-    /// Requests in the running batch.
+    /// Requests running.
     pub running: u32,
     /// Requests queued.
     pub waiting: u32,
