--- a/crates/capacity/src/policy.rs
+++ b/crates/capacity/src/policy.rs
@@ -12,7 +12,7 @@
 /// Resource limits of a program; exceeding one fails the run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PolicyLimits {
-    /// Maximum number of engine operations per call.
+    /// Maximum number of script operations per call.
     pub operations: u64,
     /// Maximum depth of nested calls.
     pub call_levels: usize,
@@ -99,7 +99,7 @@
     pub offer: PolicyOffer,
     /// Result of `borrow`: the part of others' slots that the tenant requests, 0 to 1.
     pub requested_share: f64,
-    /// Number of engine operations used by both calls.
+    /// Number of script operations used by both calls.
     pub operations: u64,
 }
 
@@ -122,7 +122,7 @@
 }
 
 impl PolicyEngine {
-    /// Creates an engine with these limits.
+    /// Creates a policy engine with these limits.
     pub fn new(limits: PolicyLimits) -> Self {
         let mut engine = Engine::new();
         engine.set_max_operations(limits.operations);
