--- a/crates/inline-jobs/src/store/reads.rs
+++ b/crates/inline-jobs/src/store/reads.rs
@@ -6,7 +6,7 @@
 use harrierward_wire::{ItemProgressRow, JobHeadRow, JobItemsRow, ResultPieceRow, decode};
 use tokio::time::{Instant, sleep};
 
-use super::settling::MAX_PAUSE;
+use super::settling::MAX_BACKOFF;
 use super::{HeaderReading, JobStore, ReadResult, known};
 use crate::keys::{self, RowKind};
 use crate::view::KnownHeader;
@@ -37,7 +37,7 @@
                 let headers = snapshot.rows.iter().filter(is_header);
                 return Some(headers.filter_map(known).collect());
             }
-            sleep(MAX_PAUSE / 2).await;
+            sleep(MAX_BACKOFF / 2).await;
         }
         None
     }
--- a/crates/inline-jobs/src/store/settling.rs
+++ b/crates/inline-jobs/src/store/settling.rs
@@ -16,9 +16,9 @@
 const RESEND_DELAY: Duration = Duration::from_millis(1_500);
 const MAX_ATTEMPTS: usize = 4;
 
-/// Bounds of the pause between attempts.
-pub(super) const FIRST_PAUSE: Duration = Duration::from_millis(15);
-pub(super) const MAX_PAUSE: Duration = Duration::from_millis(250);
+/// Bounds of the backoff between attempts.
+pub(super) const MIN_BACKOFF: Duration = Duration::from_millis(15);
+pub(super) const MAX_BACKOFF: Duration = Duration::from_millis(250);
 
 impl JobStore {
     /// Sends a transaction until its outcome is known or `until` has passed. Attempts are idempotent: its conditions
@@ -30,14 +30,14 @@
         until: Instant,
     ) -> WriteOutcome {
         let mut random = SmallRng::from_os_rng();
-        let mut backoff = Backoff::new(FIRST_PAUSE, MAX_PAUSE);
+        let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         let mut is_indeterminate = false;
         loop {
             match self.table.transact(class, transaction.clone()).await {
                 Ok(outcome) => return write_outcome(outcome),
                 Err(error) => is_indeterminate |= error.may_have_happened(),
             }
-            let pause = FIRST_PAUSE + backoff.wait(&mut random);
+            let pause = MIN_BACKOFF + backoff.wait(&mut random);
             if Instant::now() + pause >= until {
                 return unsettled(is_indeterminate);
             }
@@ -53,7 +53,7 @@
         until: Instant,
     ) -> WriteOutcome {
         let mut random = SmallRng::from_os_rng();
-        let mut backoff = Backoff::new(FIRST_PAUSE, MAX_PAUSE);
+        let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         let mut attempts = FuturesUnordered::new();
         let mut next = Instant::now();
         let mut is_indeterminate = false;
@@ -67,7 +67,7 @@
                     Ok(outcome) => return write_outcome(outcome),
                     Err(error) => {
                         is_indeterminate |= error.may_have_happened();
-                        next = Instant::now() + FIRST_PAUSE + backoff.wait(&mut random);
+                        next = Instant::now() + MIN_BACKOFF + backoff.wait(&mut random);
                     }
                 },
                 () = sleep_until(until) => return unsettled(is_indeterminate || !attempts.is_empty()),
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -19,10 +19,10 @@
 pub struct WatchSettings {
     /// How long the store may hold a request for changes.
     pub wait: Duration,
-    /// Initial backoff after a failure.
-    pub first_pause: Duration,
+    /// Backoff after the first failure.
+    pub min_backoff: Duration,
     /// Maximum backoff after failures.
-    pub max_pause: Duration,
+    pub max_backoff: Duration,
     /// Minimum time between full reads, which repair changes that the store's feed omitted.
     pub full_read_interval: Duration,
     /// How long after its start an interrupted full read may resume; the store's history must reach back that far.
@@ -35,8 +35,8 @@
     fn default() -> Self {
         Self {
             wait: Duration::from_millis(1_000),
-            first_pause: Duration::from_millis(60),
-            max_pause: Duration::from_millis(500),
+            min_backoff: Duration::from_millis(60),
+            max_backoff: Duration::from_millis(500),
             full_read_interval: Duration::from_secs(10),
             resume_window: Duration::from_secs(10),
             stale_window: Duration::from_secs(4),
@@ -78,7 +78,7 @@
     /// Runs like `run`, on a copy that is shared with peers.
     pub async fn run_shared(self, space: Arc<SharedSpace>, mut on_update: impl FnMut(SpaceUpdate)) {
         let mut random = SmallRng::from_os_rng();
-        let mut backoff = Backoff::new(self.settings.first_pause, self.settings.max_pause);
+        let mut backoff = Backoff::new(self.settings.min_backoff, self.settings.max_backoff);
         let mut needs_full_read = true;
         let mut history_lost = false;
         let mut full_read_due = harrierward_clock::now();
