--- a/crates/serving/src/admission.rs
+++ b/crates/serving/src/admission.rs
@@ -25,7 +25,7 @@
         /// Time after which a retry of this caller will be within the limit.
         retry_after: Duration,
     },
-    /// No process that counts the tenant's requests can be reached.
+    /// Neither the coordinator of the tenant's rate nor its fallback gives a decision.
     Unknown,
 }
 
--- a/crates/serving/src/choice.rs
+++ b/crates/serving/src/choice.rs
@@ -16,7 +16,7 @@
 use crate::replica_set::ReplicaView;
 use crate::selection::{Candidate, SelectionCosts, Separation, choose, preference_weight};
 
-/// Process that chose a replica.
+/// Role of the daemon that chose a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChosenBy {
     /// The coordinator that grants the replica's slots.
@@ -62,9 +62,9 @@
 pub struct Choice {
     /// Chosen replica.
     pub replica: Arc<Replica>,
-    /// Process that made the choice.
+    /// Role of the daemon that made the choice.
     pub by: ChosenBy,
-    /// Requests at the replica before this one, as counted by the process that chose it.
+    /// Requests at the replica before this one, as counted by the daemon that chose it.
     pub load: u32,
     /// Free share of the candidates' slots, in thousandths; preemptible slots count as free.
     pub free_permille: u32,
--- a/crates/serving/src/response.rs
+++ b/crates/serving/src/response.rs
@@ -38,7 +38,7 @@
     StaleConfiguration,
     /// The tenant has reached its rate limit.
     RateLimited,
-    /// No process that counts the tenant's requests can be reached.
+    /// Neither the coordinator of the tenant's rate nor its fallback gives a decision.
     RateUnknown,
     /// No replica of the service accepts work.
     NoReplica,
