--- a/crates/inline-jobs/src/store/settling.rs
+++ b/crates/inline-jobs/src/store/settling.rs
@@ -12,7 +12,7 @@
 use super::{JobStore, WriteOutcome, known, known_fence};
 use crate::keys::{self, RowKind};
 
-/// Time after which an unanswered attempt is repeated concurrently, and the bound of concurrent attempts.
+/// Time after which an attempt without a response is resent concurrently, and the bound of concurrent attempts.
 const RESEND_DELAY: Duration = Duration::from_millis(1_500);
 const MAX_ATTEMPTS: usize = 4;
 
--- a/crates/ownership/src/takeovers.rs
+++ b/crates/ownership/src/takeovers.rs
@@ -9,7 +9,7 @@
 /// daemon draws.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TakeoverBounds {
-    /// Time from the reply to the challenge's write to the takeover; must exceed the lag of watches.
+    /// Time from the response to the challenge's write to the takeover; must exceed the lag of watches.
     pub challenge_duration: Duration,
     /// Multiple of the challenge's write time that is added: a store that is slow for the challenger is as slow for
     /// the owner, which must read the challenge and write once.
--- a/crates/ownership/tests/takeovers.rs
+++ b/crates/ownership/tests/takeovers.rs
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Applies a record that a daemon receives from its watch or in the reply to a write.
+    /// Applies a record that a daemon receives from its watch or in the response to a write.
     fn observe(&mut self, daemon: usize, newest: Record, now: Duration) {
         if newest.revision <= self.seen[daemon].revision || !self.is_running(daemon, now) {
             return;
--- a/crates/slots/src/ejection.rs
+++ b/crates/slots/src/ejection.rs
@@ -25,7 +25,7 @@
 /// Consecutive successful probes after which a replica returns to service.
 const PROBES_TO_RETURN: u32 = 3;
 
-/// Time after which an unanswered probe is replaced: a batch item may run for long, and reports may be lost.
+/// Time after which a probe without an outcome is replaced: a batch item may run for long, and reports may be lost.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time after an ejection's end from which repeatable requests may probe besides batch items, and from which any
