--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Load of a replica as its node reports it.
+/// Load of a replica as its owner reports it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LoadReport {
     /// Sequences of online requests that the engine runs.
