--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -2,7 +2,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Candidate of [`stable_subset`].
+/// Candidate replica of [`stable_subset`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SubsetMember<'a> {
     /// Id from which the weight is hashed.
@@ -30,12 +30,15 @@
         .max_by_key(|id| (xxh3_64_with_seed(id.as_bytes(), seed), *id))
 }
 
-/// Returns the indexes of the `size` members that the gateway `key` works with, the nearest zones first.
-pub fn stable_subset(key: &str, members: &[SubsetMember<'_>], size: usize) -> Vec<usize> {
-    let mut ranked: Vec<usize> = (0..members.len()).collect();
+/// Returns the indexes of the `size` replicas that the gateway `key` works with, the nearest zones first.
+pub fn stable_subset(key: &str, candidates: &[SubsetMember<'_>], size: usize) -> Vec<usize> {
+    let mut ranked: Vec<usize> = (0..candidates.len()).collect();
     ranked.sort_by_key(|index| {
-        let member = &members[*index];
-        (member.distance, std::cmp::Reverse(weight(key, member.id)))
+        let candidate = &candidates[*index];
+        (
+            candidate.distance,
+            std::cmp::Reverse(weight(key, candidate.id)),
+        )
     });
     ranked.truncate(size);
     ranked
