--- a/crates/edge/src/slots/unresponsive.rs
+++ b/crates/edge/src/slots/unresponsive.rs
@@ -29,7 +29,7 @@
         });
     }
 
-    /// Clears the suspicion of a member whose reply arrived after the timeout: it is slow to reach, not unresponsive.
+    /// Stops considering a member unresponsive whose reply arrived after the timeout: it is slow to reach.
     pub(super) fn note_late_reply(&self, from: SocketAddr) {
         let members = self.members.load();
         let sender = members.iter().find(|member| member.address == Some(from));
