--- a/crates/edge/tests/half_ejected.rs
+++ b/crates/edge/tests/half_ejected.rs
@@ -143,7 +143,7 @@
     }
 }
 
-/// Guards against retry times that are too early because slots of ejected replicas are counted as completing requests.
+/// Guards against retry delays that are too short because slots of ejected replicas are counted as completing requests.
 #[tokio::test(start_paused = true)]
 async fn retry_times_do_not_count_the_slots_of_an_ejected_replica() {
     let group = Group::new();
--- a/crates/edge/tests/suspended.rs
+++ b/crates/edge/tests/suspended.rs
@@ -324,7 +324,7 @@
     assert_ne!(place_item(&coordinator).await.hash, bad, "one at a time");
 }
 
-/// Guards against a quarantine that outlasts the retry time given to callers, whose clocks didn't stop.
+/// Guards against a quarantine that outlasts the retry delay given to callers, whose clocks didn't stop.
 #[tokio::test]
 async fn a_suspension_does_not_extend_a_quarantine() {
     const QUARANTINE_DURATION: Duration = Duration::from_secs(600);
--- a/crates/serving/src/forwarder.rs
+++ b/crates/serving/src/forwarder.rs
@@ -31,7 +31,7 @@
 /// Maximum number of refusals by replicas per request.
 const MAX_REFUSALS: u32 = 3;
 
-/// Retry interval for callers whose request could not be served.
+/// Retry delay for callers whose request could not be served.
 const RETRY_AFTER: Duration = Duration::from_millis(150);
 
 /// Settings of the request path.
@@ -217,7 +217,7 @@
     }
 
     /// Refuses a request received completely while this daemon stops, since its response might not complete in time.
-    /// No retry interval is set, because other daemons accept it at once.
+    /// No retry delay is set, because other daemons accept it at once.
     pub fn refuse_while_stopping(&self, request_id: &str, arrived: Instant) -> Refusal {
         let refusal = Refusal::not_run(RefusalCause::Stopping, None);
         self.log_refusal(request_id, None, refusal, arrived);
@@ -349,7 +349,7 @@
     }
 }
 
-/// Refusal of a request that was sent to no replica, with a retry interval if the cause is transient.
+/// Refusal of a request that was sent to no replica, with a retry delay if the cause is transient.
 fn refuse_unsent(cause: RefusalCause) -> Refusal {
     Refusal::not_run(cause, cause.is_transient().then_some(RETRY_AFTER))
 }
@@ -365,7 +365,7 @@
     Refusal::new(cause, state.execution, Some(RETRY_AFTER))
 }
 
-/// Refusal of a request with quarantined content. Its retry interval is the rest of the quarantine, as an earlier retry
+/// Refusal of a request with quarantined content. Its retry delay is the rest of the quarantine, as an earlier retry
 /// would be refused as well.
 fn refuse_quarantined(period: &QuarantinePeriod, state: &RequestState) -> Refusal {
     let remaining = period
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -66,7 +66,7 @@
         self.acquire_or_choose(query, request).await.ok()
     }
 
-    /// Places a new online request, whose caller may receive a retry interval instead.
+    /// Places a new online request, whose caller may receive a retry delay instead.
     pub(crate) async fn place_new(
         &self,
         request: &ServingRequest,
--- a/crates/serving/src/policy.rs
+++ b/crates/serving/src/policy.rs
@@ -44,7 +44,7 @@
     OverdueLast,
     /// Replicas with an open connection from the requester cost less.
     KeptConnections,
-    /// An online request that would miss its objective is refused at once with a retry interval.
+    /// An online request that would miss its objective is refused at once with a retry delay.
     Admission,
     /// A replica that fails or is slow compared to its group gets less work or none.
     Ejection,
--- a/crates/serving/src/request_state.rs
+++ b/crates/serving/src/request_state.rs
@@ -46,7 +46,7 @@
 /// Maximum number of crashes excluded from the attempts; suffices to decide whether the content is the cause.
 const MAX_FORGIVEN: u32 = 3;
 
-/// Divisor of the caller's timeout that gives the longest acceptable retry interval.
+/// Divisor of the caller's timeout that gives the longest acceptable retry delay.
 const RETRY_DIVISOR: u32 = 3;
 
 impl RequestState {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Longest acceptable retry interval; `None` for a caller that has retried already, which must be placed, and for
+    /// Longest acceptable retry delay; `None` for a caller that has retried already, which must be placed, and for
     /// one without a timeout.
     pub fn max_retry_after(&self) -> Option<Duration> {
         self.request
--- a/crates/serving/src/response.rs
+++ b/crates/serving/src/response.rs
@@ -121,7 +121,7 @@
     }
 }
 
-/// Final response of the daemon itself. Status and retry interval follow from what is known of the request's
+/// Final response of the daemon itself. Status and retry delay follow from what is known of the request's
 /// execution.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
@@ -154,7 +154,7 @@
         self.response.status()
     }
 
-    /// Returns the retry interval; `None` if the request may have run.
+    /// Returns the retry delay; `None` if the request may have run.
     pub fn retry_after(&self) -> Option<Duration> {
         self.response.retry_after()
     }
--- a/crates/serving/tests/not_run.rs
+++ b/crates/serving/tests/not_run.rs
@@ -66,7 +66,7 @@
     assert_eq!(refusal.expect("a refusal").status(), 502);
 }
 
-/// Genuine refusals must keep their status and retry interval.
+/// Genuine refusals must keep their status and retry delay.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_all_replicas_refuse_has_not_run() {
     for response_id in [ResponseId::Own, ResponseId::Missing] {
--- a/crates/serving/tests/stalls.rs
+++ b/crates/serving/tests/stalls.rs
@@ -56,7 +56,7 @@
 struct Group {
     replicas: Arc<ReplicaSet>,
     free_permille: u32,
-    /// Retry interval sent to new requests.
+    /// Retry delay sent to new requests.
     retry_after: Option<Duration>,
 }
 
@@ -199,7 +199,7 @@
     client.sends.load(Ordering::Relaxed)
 }
 
-/// A refused caller receives a retry interval at once, without an attempt; its retry must not be refused again.
+/// A refused caller receives a retry delay at once, without an attempt; its retry must not be refused again.
 #[tokio::test(start_paused = true)]
 async fn a_caller_that_retries_is_not_refused_again() {
     let after = Duration::from_millis(700);
