--- a/crates/edge/src/peer_updates.rs
+++ b/crates/edge/src/peer_updates.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct NewerVersion {
     version: u64,
-    /// The peer's address for control calls.
+    /// The peer's control address.
     address: String,
 }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -10,7 +10,7 @@
 pub struct Member {
     /// Id, different for each daemon instance.
     pub id: String,
-    /// HTTP address for requests of peers, `host:port`.
+    /// Control address, for HTTP requests of peers, `host:port`.
     pub peer_address: String,
     /// Zone, as configured at the member.
     pub zone: String,
--- a/crates/relay/src/tree.rs
+++ b/crates/relay/src/tree.rs
@@ -18,7 +18,7 @@
 pub struct RelayPeer {
     /// Id of the daemon instance.
     pub id: String,
-    /// Address of its control server, `host:port`.
+    /// Its control address, `host:port`.
     pub address: String,
 }
 
