--- a/crates/edge/src/fleet.rs
+++ b/crates/edge/src/fleet.rs
@@ -30,7 +30,7 @@
         self.lock().observe(members, now);
     }
 
-    /// Returns the fraction (0 to 1) of each limit that may be granted by a group of `members` that see each other.
+    /// Returns the share (0 to 1) of each limit that a side of a partition with `members` members may grant.
     pub fn share(&self, members: usize, now: Instant) -> f64 {
         self.lock().share(members, now)
     }
--- a/crates/edge/src/rates/mod.rs
+++ b/crates/edge/src/rates/mod.rs
@@ -137,7 +137,7 @@
         coordinator.is_some_and(|member| member.id == self.instance_id)
     }
 
-    /// Returns the fraction (0 to 1) of each limit that this daemon may grant as a coordinator.
+    /// Returns the share (0 to 1) of each limit that this daemon may grant as a coordinator.
     pub fn share(&self) -> f64 {
         let members = self.members.load().len();
         self.fleet.share(members, harrierward_clock::now())
