--- a/crates/edge/src/slots/granting.rs
+++ b/crates/edge/src/slots/granting.rs
@@ -91,7 +91,7 @@
             regions: query.regions,
             length: query.length,
             is_item: query.item.is_some(),
-            is_overdue: query.overdue && !self.claim_retry(query.service, group),
+            is_overdue: query.overdue && !self.take_retry(query.service, group),
             may_repeat: query.may_repeat,
         };
         let Some(mut choice) = self.choose(query.service, group, &requester) else {
@@ -172,12 +172,12 @@
         admission.schedule_retry(&queued, rand::random(), now)
     }
 
-    /// True if an overdue request is probably a retry that this daemon scheduled for now; each scheduled one is claimed
+    /// True if an overdue request is probably a retry that this daemon scheduled for now; each scheduled one is taken
     /// once.
-    fn claim_retry(&self, service: &str, group: GroupId) -> bool {
+    fn take_retry(&self, service: &str, group: GroupId) -> bool {
         let mut state = self.lock();
         let admission = state.admissions.get_mut(&(short_hash(service), group));
-        admission.is_some_and(|admission| admission.claim_retry(harrierward_clock::now()))
+        admission.is_some_and(|admission| admission.take_retry(harrierward_clock::now()))
     }
 
     /// Replies to a peer's lease request.
@@ -235,7 +235,7 @@
             regions: &regions,
             length: length_of(request),
             is_item: request.item.is_some(),
-            is_overdue: request.overdue && !self.claim_retry(service, group),
+            is_overdue: request.overdue && !self.take_retry(service, group),
             // Requests that spilled from a full region aren't used as probes.
             may_repeat: request.may_repeat && !request.spilled,
         };
--- a/crates/slots/src/admission.rs
+++ b/crates/slots/src/admission.rs
@@ -68,9 +68,9 @@
         }
     }
 
-    /// Consumes the scheduled retry that is due now. True if there was one: the request has already waited and is
+    /// Takes the scheduled retry that is due now. True if there was one: the request has already waited and is
     /// given priority.
-    pub fn claim_retry(&mut self, now: Instant) -> bool {
+    pub fn take_retry(&mut self, now: Instant) -> bool {
         self.scheduled_retries
             .retain(|retry_at| *retry_at + LATE_TOLERANCE >= now);
         let matching = self
--- a/crates/slots/tests/admission.rs
+++ b/crates/slots/tests/admission.rs
@@ -102,18 +102,15 @@
 fn a_scheduled_retry_is_recognized_once() {
     let now = Instant::now();
     let mut admission = observed(Duration::from_millis(700), now);
-    assert!(!admission.claim_retry(now), "no retry was scheduled");
+    assert!(!admission.take_retry(now), "no retry was scheduled");
     let delay = admission
         .schedule_retry(&queued_request(4), 0.5, now)
         .expect("it would be late");
-    assert!(
-        !admission.claim_retry(now),
-        "long before the scheduled time"
-    );
-    assert!(admission.claim_retry(now + delay));
-    assert!(!admission.claim_retry(now + delay), "already claimed");
+    assert!(!admission.take_retry(now), "long before the scheduled time");
+    assert!(admission.take_retry(now + delay));
+    assert!(!admission.take_retry(now + delay), "already taken");
     let delay = admission
         .schedule_retry(&queued_request(4), 0.5, now)
         .expect("it would be late");
-    assert!(!admission.claim_retry(now + delay + Duration::from_secs(1)));
+    assert!(!admission.take_retry(now + delay + Duration::from_secs(1)));
 }
