--- a/crates/serving/src/response.rs
+++ b/crates/serving/src/response.rs
@@ -38,7 +38,7 @@
     StaleConfiguration,
     /// The tenant has reached its rate limit.
     RateLimited,
-    /// No process that counts the tenant's requests can be reached.
+    /// Neither the coordinator of the tenant's rate nor its fallback gives a decision.
     RateUnknown,
     /// No replica of the service accepts work.
     NoReplica,
@@ -121,7 +121,7 @@
     }
 }
 
-/// Final response of the daemon itself. Status and retry interval follow from what is known of the request's
+/// Final response of the daemon itself. Status and retry delay follow from what is known of the request's
 /// execution.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
@@ -154,7 +154,7 @@
         self.response.status()
     }
 
-    /// Returns the retry interval; `None` if the request may have run.
+    /// Returns the retry delay; `None` if the request may have run.
     pub fn retry_after(&self) -> Option<Duration> {
         self.response.retry_after()
     }
