--- a/crates/bench/src/faults/checker.rs
+++ b/crates/bench/src/faults/checker.rs
@@ -16,7 +16,7 @@
 /// Maximum time between the announcement that an engine leaves and the last request sent to it.
 const LEAVE_BOUND: Duration = Duration::from_secs(3);
 
-/// Maximum time until an accepted change is in force or the daemon uses the safe plan.
+/// Maximum time until an accepted change is in force or the daemon lends no capacity.
 const CONFIG_BOUND: Duration = Duration::from_secs(8);
 
 /// A violated guarantee.
--- a/crates/bench/src/faults/history.rs
+++ b/crates/bench/src/faults/history.rs
@@ -80,7 +80,7 @@
     pub member: String,
     /// Revision in force.
     pub revision: u64,
-    /// True if the daemon considers its configuration fresh, so that it need not fall back to the safe plan.
+    /// True if the daemon considers its configuration fresh; if not, it lends no capacity.
     pub fresh: bool,
     /// When it was polled.
     pub at: Duration,
--- a/crates/bench/tests/faults.rs
+++ b/crates/bench/tests/faults.rs
@@ -74,7 +74,7 @@
         28,   // a new daemon sends requests to a replica that has left
         102,  // two halves of a fleet never rejoin after all seed daemons have departed
         829,  // partitioned members still consider each other dead after the partition
-        2053, // a new daemon considers an old proof of freshness as recent as its own start
+        2053, // a new daemon considers an old freshness proof as recent as its own start
     ];
     for seed in seeds {
         let found = violations(&run_seeds(seed, 1, BrokenGuards::default()));
--- a/crates/config/src/gossip.rs
+++ b/crates/config/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Parameters by which members spread revisions and proofs of freshness.
+//! Parameters by which members spread revisions and freshness proofs.
 
 use std::time::Duration;
 
--- a/crates/decisions/src/record.rs
+++ b/crates/decisions/src/record.rs
@@ -464,9 +464,9 @@
         /// Part of the limit that this daemon may grant, in thousandths.
         share_permille: u32,
     },
-    /// This daemon was paused; tokens accrued in that time, which another one may have granted, are dropped.
+    /// This daemon was stalled; tokens accrued in that time, which another one may have granted, are dropped.
     RatesStoodStill {
-        /// Length of the pause.
+        /// Length of the stall.
         stood_still_ms: u64,
     },
     /// This daemon started or stopped coordinating tenants' rates.
@@ -591,7 +591,8 @@
         /// Newest store revision known before.
         newest_revision: u64,
     },
-    /// This daemon's copy of a job's header lists nothing at a position and is not proven fresh: the store was read.
+    /// This daemon's copy of a job's header lists nothing at a position, and the store was read: the copy's freshness
+    /// proof was missing or too old, or an empty response was due, which needs a read however recent the proof.
     ListingAsked {
         /// Job id as given by the reader.
         job: &'a str,
--- a/crates/external/src/backoff.rs
+++ b/crates/external/src/backoff.rs
@@ -7,31 +7,31 @@
 /// Exponential backoff state of one client.
 #[derive(Debug, Clone)]
 pub struct Backoff {
-    ceiling: Duration,
+    max: Duration,
     next: Duration,
-    first: Duration,
+    min: Duration,
 }
 
 impl Backoff {
-    /// Starts at `first` and doubles with each failure up to `ceiling`.
-    pub fn new(first: Duration, ceiling: Duration) -> Self {
+    /// Starts at `min` and doubles with each failure up to `max`.
+    pub fn new(min: Duration, max: Duration) -> Self {
         Self {
-            ceiling,
-            next: first,
-            first,
+            max,
+            next: min,
+            min,
         }
     }
 
     /// Returns the wait before the next attempt, uniform between zero and the current bound, and doubles the bound.
     pub fn wait(&mut self, random: &mut impl Rng) -> Duration {
         let wait = full_jitter(self.next, random);
-        self.next = (self.next * 2).min(self.ceiling);
+        self.next = (self.next * 2).min(self.max);
         wait
     }
 
     /// Resets the bound to its first value, after a success.
     pub fn reset(&mut self) {
-        self.next = self.first;
+        self.next = self.min;
     }
 }
 
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -186,14 +186,14 @@
     }
 
     fn entry(&self, replicas: &[&Arc<Replica>]) -> DirectoryEntry {
-        let members: Vec<SubsetMember<'_>> = replicas
+        let candidates: Vec<SubsetMember<'_>> = replicas
             .iter()
             .map(|replica| SubsetMember {
                 id: &replica.machine.replica.0,
                 distance: self.rank.distance(&replica.machine.zone),
             })
             .collect();
-        let subset = stable_subset(&self.member, &members, self.subset);
+        let subset = stable_subset(&self.member, &candidates, self.subset);
         let mut subset: Vec<Arc<Replica>> = subset
             .into_iter()
             .map(|index| replicas[index].clone())
--- a/crates/node/src/membership_task.rs
+++ b/crates/node/src/membership_task.rs
@@ -126,7 +126,7 @@
 
 async fn receive_membership(shared: &Arc<Shared>, datagram: &Datagram) {
     let now = shared.now();
-    // The status of the last tick may be outdated: this daemon may have been paused since.
+    // The status of the last tick may be outdated: this daemon may have been stalled since.
     let config = config_status(shared, now);
     let (datagrams, report) = {
         let mut membership = lock(&shared.membership);
--- a/crates/node/src/roster_task.rs
+++ b/crates/node/src/roster_task.rs
@@ -1,5 +1,6 @@
 //! Member discovery through the table: each daemon writes a row at startup, so that members find each other without
-//! seeds or after a partition. Only pollers and isolated members read the rows; gossip spreads what they find.
+//! seeds or after a partition. Only pollers and members that know no other member read the rows; gossip spreads what
+//! they find.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,9 +16,9 @@
 const PREFIX: &str = "roster:";
 const ROW_PREFIX: &str = "member/";
 
-/// Poll interval of the roster for pollers, and for members with no other member in view.
+/// Poll interval of the roster for pollers, and for members that know no other member.
 const READ_INTERVAL: Duration = Duration::from_secs(30);
-const ISOLATED_READ_INTERVAL: Duration = Duration::from_secs(5);
+const NO_PEER_READ_INTERVAL: Duration = Duration::from_secs(5);
 const TICK: Duration = Duration::from_secs(1);
 const PAGE_SIZE: usize = 500;
 
@@ -36,14 +37,14 @@
     let mut read_at = Duration::ZERO;
     while !shared.is_draining() {
         sleep(TICK).await;
-        let is_isolated = shared.view.load().members.len() <= 1;
-        let interval = if is_isolated {
-            ISOLATED_READ_INTERVAL
+        let knows_no_peer = shared.view.load().members.len() <= 1;
+        let interval = if knows_no_peer {
+            NO_PEER_READ_INTERVAL
         } else {
             READ_INTERVAL
         };
         let now = shared.now();
-        let is_reader = is_isolated || is_poller(&shared);
+        let is_reader = knows_no_peer || is_poller(&shared);
         if is_reader && now.saturating_sub(read_at) >= interval {
             read_at = now;
             if let Err(error) = read(&shared).await {
--- a/crates/node/src/runner/slots.rs
+++ b/crates/node/src/runner/slots.rs
@@ -143,7 +143,7 @@
     tasks
 }
 
-/// Moves queued grants whose lease may expire soon to the items to be returned.
+/// Moves queued grants that may expire soon to the items to be returned.
 fn return_stale(runner: &mut Runner, now: Duration) {
     let mut stale = Vec::new();
     for queue in runner.queues.values_mut() {
--- a/crates/wire/src/membership.rs
+++ b/crates/wire/src/membership.rs
@@ -1,4 +1,4 @@
-//! Datagrams of the membership protocol, of load reports and of preemption.
+//! Datagrams of the membership protocol, of load reports and notices, and of preemption.
 
 /// States of a member in the views of others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
--- a/crates/wire/src/quarantine.rs
+++ b/crates/wire/src/quarantine.rs
@@ -28,7 +28,7 @@
     pub clearing: u32,
 }
 
-/// A daemon's updates, stored for the daemons that its datagrams don't reach.
+/// A daemon's crash reports, stored for the daemons that its datagrams don't reach.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct CrashNewsRow {
     /// Instance id of the daemon.
@@ -42,10 +42,10 @@
     pub news: Option<CrashNews>,
 }
 
-/// Updates on contents under which replicas crashed; not all that the sender knows.
+/// Crash reports on contents; not all that the sender knows.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct CrashNews {
-    /// The updated contents.
+    /// The reported contents.
     #[prost(message, repeated, tag = "1")]
     pub contents: Vec<CrashedContent>,
 }
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -264,7 +264,7 @@
     check(&later, "crash_news_row", &updates);
 }
 
-/// Crash updates are stored next to job headers: a build that does not know their key must not decode them as a header.
+/// Crash reports are stored next to job headers: a build that does not know their key must not decode them as a header.
 #[test]
 fn crash_updates_are_not_decoded_as_a_header() {
     let later = samples(include_str!("formats/862e326.txt"));
