--- a/crates/node/src/directory_task.rs
+++ b/crates/node/src/directory_task.rs
@@ -107,7 +107,7 @@
     };
     let as_of_micros = u64::try_from(as_of.as_micros()).unwrap_or(u64::MAX);
     replica.load.apply_report(report, as_of_micros);
-    replica.load.set_availability(unavailable, as_of_micros);
+    replica.load.set_unavailable(unavailable, as_of_micros);
     let name = &replica.machine.replica.0;
     lock(&shared.runner).set_report(name, load, unavailable, as_of);
 }
@@ -214,6 +214,6 @@
         replica.load.apply_report(load, as_of_micros);
         replica
             .load
-            .set_availability(report.unavailable, as_of_micros);
+            .set_unavailable(report.unavailable, as_of_micros);
     }
 }
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -95,7 +95,7 @@
     }
 
     /// Sets whether the replica is draining or failed, as observed at `as_of_micros`. Older observations are ignored.
-    pub fn set_availability(&self, unavailable: bool, as_of_micros: u64) {
+    pub fn set_unavailable(&self, unavailable: bool, as_of_micros: u64) {
         let newest = self
             .confirmed_at_micros
             .fetch_max(as_of_micros, Ordering::Relaxed);
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -15,7 +15,7 @@
 fn table(replicas: u32) -> (RoutingTable, Vec<Arc<ReplicaLoad>>) {
     let loads: Vec<Arc<ReplicaLoad>> = (0..replicas).map(|_| Arc::default()).collect();
     let entries = loads.iter().zip(0..).map(|(load, number)| {
-        load.set_availability(false, NOW);
+        load.set_unavailable(false, NOW);
         ReplicaEntry {
             number,
             distance: 0,
@@ -56,7 +56,7 @@
 fn unconfirmed_leaving_and_penalized_replicas_get_nothing() {
     let (table, loads) = table(4);
     let index = PrefixIndex::new(60_000_000);
-    loads[0].set_availability(true, NOW + 1);
+    loads[0].set_unavailable(true, NOW + 1);
     loads[1].penalize(NOW + 1);
     let fresh = ReplicaLoad::default();
     assert!(!fresh.is_usable(NOW), "no report was received");
@@ -65,7 +65,7 @@
         assert!(matches!(chosen, Some(2 | 3)), "{chosen:?}");
     }
     assert!(!loads[2].is_usable(NOW + CONFIRMATION_TTL_MICROS + 1));
-    loads[0].set_availability(false, NOW);
+    loads[0].set_unavailable(false, NOW);
     assert!(!loads[0].is_usable(NOW), "an older report does not count");
 }
 
