--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -7,7 +7,7 @@
 use arc_swap::ArcSwap;
 use harrierward_external::{Engine, Machine, MachineState, ReplicaId};
 use harrierward_routing::{
-    CostModel, ReplicaEntry, ReplicaLoad, RoutingTable, SubsetMember, stable_subset,
+    CostModel, ReplicaEntry, ReplicaLoad, RoutingTable, SubsetCandidate, stable_subset,
 };
 
 /// Factory of engine clients.
@@ -186,9 +186,9 @@
     }
 
     fn entry(&self, replicas: &[&Arc<Replica>]) -> DirectoryEntry {
-        let candidates: Vec<SubsetMember<'_>> = replicas
+        let candidates: Vec<SubsetCandidate<'_>> = replicas
             .iter()
-            .map(|replica| SubsetMember {
+            .map(|replica| SubsetCandidate {
                 id: &replica.machine.replica.0,
                 distance: self.rank.distance(&replica.machine.zone),
             })
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -11,5 +11,5 @@
 
 pub use load::{CONFIRMATION_TTL_MICROS, CostModel, LoadReport, ReplicaLoad};
 pub use prefix_index::{PrefixIndex, PrefixOverlap};
-pub use subset::{SubsetMember, rank_by_rendezvous, rendezvous_owner, stable_subset};
+pub use subset::{SubsetCandidate, rank_by_rendezvous, rendezvous_owner, stable_subset};
 pub use table::{Choice, ReplicaEntry, RouteRequest, RoutingTable};
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -4,7 +4,7 @@
 
 /// Candidate replica of [`stable_subset`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SubsetMember<'a> {
+pub struct SubsetCandidate<'a> {
     /// Id from which the weight is hashed.
     pub id: &'a str,
     /// Zone distance: 0 same zone, 1 same region, 2 elsewhere.
@@ -31,7 +31,7 @@
 }
 
 /// Returns the indexes of the `size` replicas that the gateway `key` works with, the nearest zones first.
-pub fn stable_subset(key: &str, candidates: &[SubsetMember<'_>], size: usize) -> Vec<usize> {
+pub fn stable_subset(key: &str, candidates: &[SubsetCandidate<'_>], size: usize) -> Vec<usize> {
     let mut ranked: Vec<usize> = (0..candidates.len()).collect();
     ranked.sort_by_key(|index| {
         let candidate = &candidates[*index];
