--- a/crates/edge/src/pool.rs
+++ b/crates/edge/src/pool.rs
@@ -37,8 +37,8 @@
     pub idle_margin: Duration,
     /// Maximum number of idle connections per address.
     pub idle_per_address: usize,
-    /// Stall of an abandoned or failed exchange from which the idle connections to its address that have been unused
-    /// since before the stall are closed.
+    /// Minimum stall of an abandoned or failed exchange after which the idle connections to its address are closed, if
+    /// they have been unused since before the stall.
     pub stall_timeout: Duration,
 }
 
--- a/crates/edge/src/quarantine/broken_connections.rs
+++ b/crates/edge/src/quarantine/broken_connections.rs
@@ -1,5 +1,5 @@
 //! Broken connections to replicas, kept until it is known whether the replica has crashed. A crash is confirmed by
-//! refused connections, by the removal of the replica's row, or by a peer's report.
+//! a refused connection, by a row that is removed or names another instance, or by a peer's report.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/edge/src/rates/requests.rs
+++ b/crates/edge/src/rates/requests.rs
@@ -31,8 +31,8 @@
 pub(super) enum TokenReply {
     Granted,
     Exhausted(Duration),
-    /// The member doesn't coordinate the tenant, or can't grant its tokens yet. Holds the coordinator's address if that
-    /// is another member and its address is known.
+    /// The member doesn't coordinate the tenant, doesn't know it, or can't grant its tokens yet. Holds the
+    /// coordinator's address if that is another member and its address is known.
     NotCoordinator(Option<SocketAddr>),
     NoReply,
 }
--- a/crates/ownership/src/takeovers.rs
+++ b/crates/ownership/src/takeovers.rs
@@ -16,7 +16,8 @@
     pub write_time_factor: u32,
     /// Cooldown of an owner after its first refutation.
     pub initial_cooldown: Duration,
-    /// Maximum cooldown; each refutation doubles the cooldown up to this.
+    /// Maximum cooldown. A refutation after the end of a cooldown starts one of twice the duration, up to this; one
+    /// during a cooldown starts it again.
     pub max_cooldown: Duration,
     /// Maximum number of doublings of a challenge's duration, one for each takeover under a challenge.
     pub max_doublings: u32,
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Load of a replica as its owner reports it.
+/// Load of a replica as its engine states it, read directly or received from the replica's owner.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LoadReport {
     /// Sequences of online requests that the engine runs.
--- a/crates/serving/src/configuration.rs
+++ b/crates/serving/src/configuration.rs
@@ -53,8 +53,8 @@
     pub kind: RouteKind,
     /// Target services.
     pub services: Vec<WeightedService>,
-    /// Maximum number of replicas that may run one caller attempt. Replicas that certainly didn't run it aren't
-    /// counted, nor are a few that crashed.
+    /// Maximum number of replicas that may run one caller attempt. Replicas whose response was a refusal or that didn't
+    /// receive it aren't counted, nor are a few that crashed.
     pub attempts: u32,
     /// Maximum time that a request is held.
     pub timeout: Duration,
--- a/crates/serving/src/response.rs
+++ b/crates/serving/src/response.rs
@@ -154,7 +154,7 @@
         self.response.status()
     }
 
-    /// Returns the retry delay; `None` if the request may have run.
+    /// Returns the retry delay; `None` if none is set or the request may have run.
     pub fn retry_after(&self) -> Option<Duration> {
         self.response.retry_after()
     }
--- a/crates/slots/src/ledger.rs
+++ b/crates/slots/src/ledger.rs
@@ -148,7 +148,7 @@
     }
 
     /// Applies a holder's report. A full report also removes the leases that were numbered before it and that it lists
-    /// neither as held nor as awaited; it is ignored if a later one was applied.
+    /// neither as held nor as awaited; it is ignored if it or a later one was applied before.
     pub fn apply_report(&mut self, report: &SlotReport, address: SocketAddr, now: Instant) {
         let holder = report.holder;
         let known = self.refresh_holder(holder, address, now);
--- a/crates/slots/src/nearest.rs
+++ b/crates/slots/src/nearest.rs
@@ -13,8 +13,8 @@
 
 impl NearestMembers {
     /// Returns the positions of the members in an area (a zone or a region); if there are none, of those in the area's
-    /// `region`, else of all members. `region` is `None` if it is unknown. Results are cached by area and region until
-    /// [`Self::clear`], whatever `members` are.
+    /// `region`, else of all members. `region` is `None` if the area spans several or its region is unknown. Results
+    /// are cached by area and region until [`Self::clear`], whatever `members` are.
     pub fn of(
         &mut self,
         area: u32,
