--- a/crates/batch/src/core/chunk.rs
+++ b/crates/batch/src/core/chunk.rs
@@ -267,7 +267,7 @@
             || self.intents_in_flight.contains(number)
     }
 
-    /// Adds a grant that an earlier owner made, or that expired here, and whose holder still runs the item.
+    /// Adds a grant that an earlier owner made, or that expired here, and that its member still holds.
     pub fn adopt_grant(
         &mut self,
         number: u32,
--- a/crates/config/src/replica.rs
+++ b/crates/config/src/replica.rs
@@ -170,9 +170,10 @@
         }
     }
 
-    /// Processes a report of a peer or the table that `revision` was the newest `age` ago; `None` without such a proof.
+    /// Processes a report of a peer or the table that `revision` was the newest `age` ago.
     ///
-    /// `age` must count from before the report was requested, so that it is never too small.
+    /// `age` must count from before the report was requested, so that it is never too small; it is `None` if the report
+    /// proves nothing.
     pub fn observe(&mut self, now: Duration, revision: u64, age: Option<Duration>) -> Observation {
         if revision > self.revision() {
             return Observation::Behind;
--- a/crates/decisions/src/metrics.rs
+++ b/crates/decisions/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of the decisions. Every decision is counted, even if its line is dropped.
+//! Metrics of the decisions. A decision updates them even if its line is dropped.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/external/src/backoff.rs
+++ b/crates/external/src/backoff.rs
@@ -13,7 +13,7 @@
 }
 
 impl Backoff {
-    /// Starts at `min` and doubles with each failure up to `max`.
+    /// The bound of the wait starts at `min` and doubles with each wait up to `max`.
     pub fn new(min: Duration, max: Duration) -> Self {
         Self {
             max,
--- a/crates/inline-jobs/src/adoption.rs
+++ b/crates/inline-jobs/src/adoption.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Steps the takeover of each open job that this daemon does not own, and refutes challenges of its own jobs.
+    /// Steps the takeover of each open job that this daemon does not own, and responds to challenges of its own jobs.
     /// `owners` are the daemons that may own jobs.
     fn check_orphans(&self, owners: &[String]) {
         let open = self.inner.view.open_jobs();
--- a/crates/inline-jobs/src/owned_job.rs
+++ b/crates/inline-jobs/src/owned_job.rs
@@ -178,8 +178,9 @@
         rows.collect()
     }
 
-    /// True if a run broke or was refused within `timeout`, and in that time no item progressed and no result was
-    /// listed. A newly registered job is not stuck, nor is one that only waits for slots.
+    /// True if a run broke or was refused within `timeout`, and in that time no run that is still in progress started,
+    /// no item received an event and no result was listed. A newly registered job is not stuck, nor is one with
+    /// a result to list or one that only waits for slots.
     pub fn is_stuck(&self, timeout: Duration) -> bool {
         let is_recent = |at: Instant| at.elapsed() < timeout;
         let has_progressed = |item: &Item| {
--- a/crates/inline-jobs/src/quota.rs
+++ b/crates/inline-jobs/src/quota.rs
@@ -38,7 +38,7 @@
     },
     /// The tokens exceed what is left of the quota.
     Full,
-    /// No decision in time: the coordinator did not respond, or the fence could not be written.
+    /// No decision in time, for example because the coordinator did not respond or the fence could not be written.
     Unreachable,
 }
 
--- a/crates/inline-jobs/src/service.rs
+++ b/crates/inline-jobs/src/service.rs
@@ -160,8 +160,8 @@
         self.inner.stopping.load(Ordering::Relaxed)
     }
 
-    /// True unless this daemon is stopping, or the last freshness proof is so old that the local copy may lack a
-    /// cancellation acknowledged longer than [`JobSettings::cancel_within`] ago.
+    /// True unless this daemon is stopping, or there is no freshness proof, or the last one is so old that the local
+    /// copy may lack a cancellation acknowledged longer than [`JobSettings::cancel_within`] ago.
     pub(crate) fn may_start_runs(&self) -> bool {
         let bound = self.inner.settings.cancel_within;
         let bound = bound.saturating_sub(CANCEL_MARGIN);
--- a/crates/inline-jobs/src/view.rs
+++ b/crates/inline-jobs/src/view.rs
@@ -64,7 +64,7 @@
     fences: HashMap<String, SeenFence>,
     /// Newest store revision seen by this daemon.
     newest_revision: u64,
-    /// Latest freshness proof, see [`JobView::note_proof`].
+    /// Time of the latest freshness proof, see [`JobView::note_proof`].
     proven_at: Option<Instant>,
     store_time: Option<StoreTime>,
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -108,7 +108,7 @@
     pub replicas: usize,
     /// Replicas whose batch work it controls.
     pub owned_replicas: usize,
-    /// Replicas with a recent load report; a replica whose last report has expired gets no requests.
+    /// Replicas with a recent load report; a replica with an expired one, or none, gets no requests.
     pub confirmed_replicas: usize,
     /// Job shards that it owns.
     pub owned_shards: usize,
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -19,7 +19,7 @@
 pub struct WatchSettings {
     /// How long the store may hold a request for changes.
     pub wait: Duration,
-    /// Backoff after the first failure.
+    /// Maximum backoff after the first failure; doubles with each further one.
     pub min_backoff: Duration,
     /// Maximum backoff after failures.
     pub max_backoff: Duration,
@@ -161,7 +161,8 @@
         }
     }
 
-    /// Returns the time until the next full read after a space's first one, or after the one that follows lost history.
+    /// Returns the time until the next full read after a space's first one, or after the one that follows lost history
+    /// or a persistent difference from a peer's copy.
     ///
     /// After lost history a full read may be stale, so the next one comes as soon as reads are current again, with
     /// jitter. After a start the feed itself detects a stale read, so the next one comes at a random time around the
