--- a/examples/night-lending.rhai
+++ b/examples/night-lending.rhai
@@ -1,4 +1,4 @@
-// Lends most idle capacity at night, and a smaller share by day while the service is mostly idle.
+// Lends up to 80 % of the batch slots at night, and up to 30 % by day while over 70 % of the slots are idle.
 fn lend(numbers) {
     let night = numbers.hour < 5.0 || numbers.hour > 20.0;
     let share = if night { 0.8 } else if numbers.idle > 0.7 { 0.3 } else { 0.0 };
--- a/specs/claim.pml
+++ b/specs/claim.pml
@@ -3,8 +3,7 @@
    Modelled: a gateway inserts a claim row if there is none, and dispatches the request only if its claim was granted.
    The store's reply may be lost, whether or not the insert took effect; the gateway then reads the row back, which
    may fail as well. If the outcome stays indeterminate, it responds "not run" and releases a claim of its own. A
-   gateway may pause between any two steps. Each caller sends its request up to MAX_SENDS times, whatever the
-   responses.
+   gateway may pause between any two steps. Each caller sends its request MAX_SENDS times, whatever the responses.
 
    Checked: the request runs at most once; if every response was "not run", it did not run.
 
--- a/specs/config.pml
+++ b/specs/config.pml
@@ -1,10 +1,10 @@
-/* Replicas of the configuration at two daemons, and the store's table, which alone accepts changes.
+/* Copies of the configuration at two daemons, and the store's table, which alone accepts changes.
 
-   Modelled: time is counted in ticks. A daemon polls the table or its peer, adopts newer revisions, and keeps a proof
-   of freshness: the tick at which its revision was the newest. The age of a proof counts from before the poll. A
-   response may be processed any time after it was produced, as by a daemon that was suspended. The table may be
-   unavailable for any time. A daemon whose proof is older than FRESHNESS_BOUND uses the safe plan and is not checked
-   for freshness.
+   Modelled: time is counted in ticks. A daemon polls the table or its peer, adopts newer revisions, and keeps a
+   freshness proof: a tick at which its revision was the newest. The age of a proof counts from before the poll of the
+   table. A response may be processed any time after it was produced, as by a daemon that was suspended. The table may
+   be unavailable for any time. A daemon without a proof, or with one older than FRESHNESS_BOUND, lends and borrows no
+   capacity (the safe plan) and is not checked for freshness.
 
    Checked: the revision of a daemon never decreases; a daemon with a proof within FRESHNESS_BOUND holds every change
    that was accepted more than FRESHNESS_BOUND ticks ago.
--- a/specs/warmup.pml
+++ b/specs/warmup.pml
@@ -6,7 +6,7 @@
    same window or, at the latest, in the next one. A member is the coordinator if it ranks first in its view. It
    grants at most its share: the number of members in its view, divided by the largest fleet size that it knows. A
    member that became the coordinator, restarted or resumed grants nothing until the end of the next window, and an
-   increase of its share takes effect in the next window. A member counts with the larger of its shares before and
+   increase of its share takes effect in the next window. A member counts with the larger of its grants before and
    after the update of its view.
 
    Checked: the grants of all members in one window never exceed WINDOW_LIMIT.
@@ -35,7 +35,7 @@
 #define REACHABLE_FROM(member) \
   (CONTAINS(isolated, member) -> (1 << (member)) : ((ALL_MEMBERS & ~isolated & ~stalled) | (1 << (member))))
 #define COORDINATOR(set) ((set) & 1 -> 0 : ((set) & 2 -> 1 : ((set) & 4 -> 2 : 3)))
-/* A member without others in its view does not consider itself the fleet unless it knew a larger one. */
+/* A member without others in its view has no share unless it knows of a larger fleet. */
 #define KNOWS_FLEET(member) (COUNT(view[member]) > 1 || largest_size[member] > 1)
 #define CURRENT_SHARE(member) \
   (KNOWS_FLEET(member) -> COUNT(view[member]) * COORDINATOR_LIMIT / largest_size[member] : 0)
